--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -20,7 +20,7 @@
     ) {
         let shares = self.running_shares(worker);
         let Some(link) = self.links.get_mut(worker) else { return };
-        link.exposures.note(reply.clock, shares);
+        link.exposures.record(reply.clock, shares);
         let Some(usage) = &reply.usage else { return };
         if usage.taken <= link.usage_taken {
             return;
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -40,10 +40,10 @@
         let mut round = Round::default();
         for _ in 0..MOST_PER_TICK {
             let mut shares = self.shares_of_partners(cx, &round.skip);
-            if round.urgent.is_some() && self.hold.holds_back(cx.now) {
+            if round.urgent.is_some() && self.hold.blocks_ordinary_work(cx.now) {
                 shares.retain(|s| s.next.is_some_and(|(_, urgent)| urgent));
             }
-            let Some(turn) = fair::next(&shares, &self.shares.capacity) else { break };
+            let Some(turn) = fair::next_partner(&shares, &self.shares.capacity) else { break };
             let partner = shares[turn].partner.clone();
             if !self.assign_one(cx, &workers, &partner, &mut round) {
                 let urgent = shares[turn].next.is_some_and(|(_, urgent)| urgent);
@@ -53,8 +53,8 @@
                 round.skip.push(partner);
             }
         }
-        self.hold.note(cx.now, round.urgent.is_some());
-        if let Some(task) = round.urgent.filter(|_| self.hold.wants_eviction(cx.now)) {
+        self.hold.record(cx.now, round.urgent.is_some());
+        if let Some(task) = round.urgent.filter(|_| self.hold.should_evict(cx.now)) {
             self.make_room(cx, task);
         }
         self.explain_waiting(cx, &round.skip);
@@ -98,12 +98,12 @@
         }
     }
 
-    fn shares_of_partners(&self, cx: &Context, skip: &[ids::PartnerId]) -> Vec<fair::Share> {
+    fn shares_of_partners(&self, cx: &Context, skip: &[ids::PartnerId]) -> Vec<fair::PartnerShare> {
         let partners = self.state.waiting_partners().filter(|p| !skip.contains(p));
         partners.filter_map(|p| self.share_of(cx, p)).collect()
     }
 
-    fn share_of(&self, cx: &Context, partner: &ids::PartnerId) -> Option<fair::Share> {
+    fn share_of(&self, cx: &Context, partner: &ids::PartnerId) -> Option<fair::PartnerShare> {
         let first = self.first_batch(partner)?;
         let job = self.state.jobs.get(&first.job.number)?;
         let held = self.state.held(partner);
@@ -111,10 +111,14 @@
             .config
             .partner(partner)
             .map_or((1, sizes::Resources::default()), |p| (p.weight, p.quota));
-        let quota =
-            fair::quota_part(&whole_quota, &self.shares.capacity, &cx.fleet_capacity, &job.demand);
+        let quota = fair::partition_quota(
+            &whole_quota,
+            &self.shares.capacity,
+            &cx.fleet_capacity,
+            &job.demand,
+        );
         let next = Some((job.demand, job.urgent));
-        Some(fair::Share { partner: partner.clone(), held, quota, weight, next })
+        Some(fair::PartnerShare { partner: partner.clone(), held, quota, weight, next })
     }
 
     fn is_batch(&self, id: ids::TaskId) -> bool {
--- a/crates/measure/src/fairness.rs
+++ b/crates/measure/src/fairness.rs
@@ -103,7 +103,7 @@
     running: Vec<Running>,
     held: Vec<sizes::Resources>,
     got: Vec<f64>,
-    hold: fair::Hold,
+    hold: fair::UrgentHold,
     waits: u64,
     started: u64,
     urgent_wait_s: u64,
@@ -117,7 +117,7 @@
         running: Vec::new(),
         held: vec![sizes::Resources::default(); PARTNERS],
         got: vec![0.0; PARTNERS],
-        hold: fair::Hold::default(),
+        hold: fair::UrgentHold::default(),
         waits: 0,
         started: 0,
         urgent_wait_s: 0,
@@ -125,7 +125,7 @@
     for now in 0..RUN_S {
         sim.end_and_arrive(now, flood);
         let urgent_waits = sim.start_all(now, ours);
-        sim.hold.note(time::Instant(now * 1_000), urgent_waits);
+        sim.hold.record(time::Instant(now * 1_000), urgent_waits);
         if ours && urgent_waits {
             let Sim { running, held, got, queues, .. } = &mut sim;
             evict_one(now, running, held, got, queues);
@@ -159,7 +159,7 @@
         let at = time::Instant(now * 1_000);
         loop {
             let next = if ours {
-                let held_back = urgent_waits && self.hold.holds_back(at);
+                let held_back = urgent_waits && self.hold.blocks_ordinary_work(at);
                 pick_ours(&self.queues, &self.urgent, &self.held, &skip, held_back)
             } else {
                 pick_first(&self.queues, &self.urgent, &skip)
@@ -225,11 +225,11 @@
     skip: &[bool],
     held_back: bool,
 ) -> Option<(usize, bool)> {
-    let shares: Vec<fair::Share> = (0..queues.len())
+    let shares: Vec<fair::PartnerShare> = (0..queues.len())
         .map(|i| {
             let first = urgent[i].front().map(|t| (t.demand, true));
             let next = first.or_else(|| queues[i].front().map(|t| (t.demand, false)));
-            fair::Share {
+            fair::PartnerShare {
                 partner: ids::PartnerId(format!("p{i}")),
                 held: held[i],
                 quota: CAPACITY,
@@ -238,7 +238,7 @@
             }
         })
         .collect();
-    let turn = fair::next(&shares, &CAPACITY)?;
+    let turn = fair::next_partner(&shares, &CAPACITY)?;
     shares[turn].next.map(|(_, is_urgent)| (turn, is_urgent))
 }
 
--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -87,10 +87,10 @@
         heard: Instant(ms as u64),
     };
     let mut followers = Followers::default();
-    (0..hosts).for_each(|n| followers.note(beat(n, 0)));
+    (0..hosts).for_each(|n| followers.record(beat(n, 0)));
     time(TIMES, |n| {
         let ms = n * BEAT_EVERY / hosts;
-        followers.note(beat(n % hosts, ms));
+        followers.record(beat(n % hosts, ms));
         followers.best(Instant(ms as u64));
     })
 }
--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -142,7 +142,7 @@
         place_all(&mut site, &learnt, policy);
         for i in 0..d.workers {
             let shares = site.shares(i);
-            learnt.exposures[i].note(wire::WorkerClock(site.now_ms), shares);
+            learnt.exposures[i].record(wire::WorkerClock(site.now_ms), shares);
         }
     }
     Result {
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -156,7 +156,7 @@
             store_age: beat.store_age,
             heard: now,
         };
-        self.followers.lock().expect(LOCK).note(candidate);
+        self.followers.lock().expect(LOCK).record(candidate);
     }
 
     /// Hands an invitation to this host's main task, and returns whether this host leads now.
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -7,7 +7,7 @@
 
 /// What one partner holds and is allowed to hold within a partition.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Share {
+pub struct PartnerShare {
     /// The partner.
     pub partner: ids::PartnerId,
     /// What its running tasks hold.
@@ -21,19 +21,19 @@
 }
 
 /// Work counts as urgent while its partner holds at most this many times its fair part.
-const URGENT_PARTS: f64 = 2.0;
+const MAX_URGENT_FAIR_SHARES: f64 = 2.0;
 
 /// Returns the index of the partner whose task goes next, or none if nobody's may.
 ///
 /// `total` is the partition's capacity. Among partners with an urgent task the lowest share goes
 /// first; only then the others. Work is urgent only while its partner holds at most twice its fair
 /// part, so that calling everything urgent gains little.
-pub fn next(shares: &[Share], total: &sizes::Resources) -> Option<usize> {
+pub fn next_partner(shares: &[PartnerShare], total: &sizes::Resources) -> Option<usize> {
     let weights: f64 = shares.iter().map(|s| f64::from(s.weight.max(1))).sum();
-    let rank = |share: &Share| {
+    let rank = |share: &PartnerShare| {
         let (_, urgent) = share.next?;
         let weighted = share.held.dominant_share(total) / f64::from(share.weight.max(1));
-        let goes_first = urgent && weighted <= URGENT_PARTS / weights;
+        let goes_first = urgent && weighted <= MAX_URGENT_FAIR_SHARES / weights;
         Some((!goes_first, weighted))
     };
     shares
@@ -49,18 +49,18 @@
 ///
 /// Without it, smaller ordinary tasks would take every bit that comes free.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Hold {
+pub struct UrgentHold {
     since: Option<time::Instant>,
 }
 
 /// Ordinary work is held back at most this long for one urgent task.
-const LONGEST_HOLD: time::Millis = time::Millis(5_000);
+const MAX_HOLD: time::Millis = time::Millis(5_000);
 /// After this long, an ordinary task is moved away to make room.
 const EVICT_AFTER: time::Millis = time::Millis(300);
 
-impl Hold {
+impl UrgentHold {
     /// Takes in whether urgent work found no room in this round.
-    pub fn note(&mut self, now: time::Instant, urgent_waits: bool) {
+    pub fn record(&mut self, now: time::Instant, urgent_waits: bool) {
         match (urgent_waits, self.since) {
             (false, _) => self.since = None,
             (true, None) => self.since = Some(now),
@@ -69,17 +69,17 @@
     }
 
     /// Tells whether ordinary work must wait now.
-    pub fn holds_back(&self, now: time::Instant) -> bool {
-        self.since.is_none_or(|since| now.since(since) < LONGEST_HOLD)
+    pub fn blocks_ordinary_work(&self, now: time::Instant) -> bool {
+        self.since.is_none_or(|since| now.since(since) < MAX_HOLD)
     }
 
     /// Tells whether an ordinary task should be moved away now.
-    pub fn wants_eviction(&self, now: time::Instant) -> bool {
+    pub fn should_evict(&self, now: time::Instant) -> bool {
         self.since.is_some_and(|since| now.since(since) >= EVICT_AFTER)
     }
 }
 
-fn within_quota(share: &Share) -> bool {
+fn within_quota(share: &PartnerShare) -> bool {
     match share.next {
         Some((demand, _)) => share.quota.holds(&share.held.plus(&demand)),
         None => false,
@@ -90,7 +90,7 @@
 ///
 /// A part smaller than one task would starve the partner here, so the caller passes the smallest
 /// waiting demand as `floor`.
-pub fn quota_part(
+pub fn partition_quota(
     quota: &sizes::Resources,
     part: &sizes::Resources,
     whole: &sizes::Resources,
--- a/crates/policy/src/followers.rs
+++ b/crates/policy/src/followers.rs
@@ -65,7 +65,7 @@
 
 impl Followers {
     /// Takes in a follower's heartbeat.
-    pub fn note(&mut self, candidate: Candidate) {
+    pub fn record(&mut self, candidate: Candidate) {
         match self.known.get_mut(&candidate.host) {
             Some(known) => *known = candidate,
             None => {
--- a/crates/policy/src/pairing.rs
+++ b/crates/policy/src/pairing.rs
@@ -114,7 +114,7 @@
 
 impl Exposures {
     /// Notes what runs from `at` on.
-    pub fn note(&mut self, at: wire::WorkerClock, shares: Shares) {
+    pub fn record(&mut self, at: wire::WorkerClock, shares: Shares) {
         if self.past.back().is_some_and(|(_, last)| *last == shares) {
             return;
         }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! Single decisions: pairing, guard, fairness, health, retries, estimates.
 
 use gaplock_policy::estimate::Estimator;
-use gaplock_policy::fair::{self, Share};
+use gaplock_policy::fair::{self, PartnerShare};
 use gaplock_policy::guard::{Guard, Seen, Wish, FULL_SPEED, LOWEST_SPEED};
 use gaplock_policy::health::{Finding, Health};
 use gaplock_policy::pairing::{Band, Exposures, Pairing};
@@ -31,8 +31,8 @@
 #[test]
 fn a_late_measurement_is_matched_to_what_ran_then_or_dropped() {
     let mut e = Exposures::default();
-    e.note(WorkerClock(0), vec![("a".into(), 0.1)]);
-    e.note(WorkerClock(5_000), vec![("b".into(), 0.2)]);
+    e.record(WorkerClock(0), vec![("a".into(), 0.1)]);
+    e.record(WorkerClock(5_000), vec![("b".into(), 0.2)]);
     assert_eq!(e.during(WorkerClock(4_000), 1_000), Some(&vec![("a".into(), 0.1)]));
     assert_eq!(e.during(WorkerClock(5_500), 1_000), None, "it changed within the window");
     assert_eq!(e.during(WorkerClock(6_500), 1_000), Some(&vec![("b".into(), 0.2)]));
@@ -78,8 +78,8 @@
     assert!(tail::missed_share(10.0, 30.0, 60.0) < 0.001);
 }
 
-fn share(name: &str, held: u32, next: Option<bool>) -> Share {
-    Share {
+fn share(name: &str, held: u32, next: Option<bool>) -> PartnerShare {
+    PartnerShare {
         partner: name.into(),
         held: Resources::new(held, 0, 0),
         quota: Resources::new(100, 100, 0),
@@ -92,14 +92,14 @@
 fn the_lowest_share_goes_next_and_urgent_work_first() {
     let total = Resources::new(100, 100, 0);
     let shares = [share("a", 30, Some(false)), share("b", 10, Some(false))];
-    assert_eq!(fair::next(&shares, &total), Some(1));
+    assert_eq!(fair::next_partner(&shares, &total), Some(1));
     let shares = [share("a", 30, Some(true)), share("b", 10, Some(false))];
-    assert_eq!(fair::next(&shares, &total), Some(0));
+    assert_eq!(fair::next_partner(&shares, &total), Some(0));
     // Nobody gets ahead by calling everything urgent.
     let shares = [share("a", 80, Some(true)), share("b", 10, Some(false)), share("c", 0, None)];
-    assert_eq!(fair::next(&shares, &total), Some(1));
+    assert_eq!(fair::next_partner(&shares, &total), Some(1));
     let shares = [share("a", 95, Some(false))];
-    assert_eq!(fair::next(&shares, &total), None, "the quota is used up");
+    assert_eq!(fair::next_partner(&shares, &total), None, "the quota is used up");
 }
 
 fn job(number: u64) -> ids::JobId {
--- a/crates/policy/tests/followers.rs
+++ b/crates/policy/tests/followers.rs
@@ -23,10 +23,10 @@
 /// candidates were examined for it.
 fn examined(hosts: usize) -> u64 {
     let mut followers = Followers::default();
-    (0..hosts).for_each(|host| followers.note(candidate(host, 100, 0)));
+    (0..hosts).for_each(|host| followers.record(candidate(host, 100, 0)));
     for ms in 0..2_000_u64 {
         for host in (0..hosts).filter(|&host| (ms + host as u64).is_multiple_of(BEAT_EVERY)) {
-            followers.note(candidate(host, 100, ms));
+            followers.record(candidate(host, 100, ms));
             assert!(followers.best(Instant(ms)).is_some());
         }
     }
@@ -44,9 +44,9 @@
 #[test]
 fn another_successor_is_named_soon_after_the_best_one_falls_silent() {
     let mut followers = Followers::default();
-    followers.note(candidate(1, 1_000, 0));
+    followers.record(candidate(1, 1_000, 0));
     for ms in (0..3_000).step_by(100) {
-        followers.note(candidate(2, 500, ms));
+        followers.record(candidate(2, 500, ms));
         let best = followers.best(Instant(ms)).map(|c| c.strength);
         let named = if ms <= 1_300 { 1_000 } else { 500 };
         assert_eq!(best, Some(Strength(named)), "at {ms} ms");
@@ -56,9 +56,9 @@
 #[test]
 fn a_follower_that_comes_is_named_with_the_next_choice() {
     let mut followers = Followers::default();
-    followers.note(candidate(1, 100, 0));
+    followers.record(candidate(1, 100, 0));
     assert_eq!(followers.best(Instant(0)).map(|c| c.strength), Some(Strength(100)));
-    followers.note(candidate(2, 1_000, 50));
+    followers.record(candidate(2, 1_000, 50));
     assert_eq!(followers.best(Instant(100)).map(|c| c.strength), Some(Strength(1_000)));
     followers.clear();
     assert!(followers.best(Instant(101)).is_none());
@@ -75,9 +75,9 @@
 #[test]
 fn the_pause_between_heartbeats_goes_by_the_followers_that_are_heard() {
     let mut followers = Followers::default();
-    (0..400).for_each(|host| followers.note(candidate(host, 100, 0)));
+    (0..400).for_each(|host| followers.record(candidate(host, 100, 0)));
     assert_eq!(followers.beat_every(Instant(0)), Millis(800));
-    (0..200).for_each(|host| followers.note(candidate(host, 100, 2_000)));
+    (0..200).for_each(|host| followers.record(candidate(host, 100, 2_000)));
     assert_eq!(followers.beat_every(Instant(2_000)), Millis(400), "half of them are silent");
 }
 
@@ -85,7 +85,7 @@
 fn a_host_that_waits_for_the_longest_pause_is_still_named() {
     let mut followers = Followers::default();
     let pause = followers::beat_every(usize::MAX >> 20);
-    followers.note(candidate(1, 1_000, 0));
+    followers.record(candidate(1, 1_000, 0));
     assert!(followers.best(Instant(pause.0 + 200)).is_some(), "its next heartbeat is on its way");
 }
 
@@ -99,7 +99,7 @@
     for ms in (0..60_000_u64).step_by(pause as usize) {
         for (host, last) in checked.iter_mut().enumerate() {
             let strength = Strength(if host < strong { 1_000 } else { 200 });
-            followers.note(candidate(host, strength.0, ms));
+            followers.record(candidate(host, strength.0, ms));
             if followers.should_check(Instant(ms), strength, Millis(ms - *last)) {
                 *last = ms + pause;
                 let by = if host < strong { &mut by_strong } else { &mut by_weak };
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -58,7 +58,7 @@
         let load = cx.pacing.load(served.job, now, 0.0);
         let surprise = cx.pacing.utilisation(served, *tail_ms) - load;
         let relative = if surprise > SLOW_SURPRISE { SLOW_SPEED } else { 1.0 };
-        cx.worker_mut(ix).speed.note(now, relative);
+        cx.worker_mut(ix).speed.record(now, relative);
     }
 }
 
--- a/crates/sched/src/changes/speed.rs
+++ b/crates/sched/src/changes/speed.rs
@@ -56,10 +56,10 @@
 fn note(cx: &mut State, ix: WorkerIx, key: TaskKey, rate: f64, typical: Option<f64>) {
     let now = cx.now;
     if let Some(step) = cx.step_state_mut(key) {
-        step.rates.note(key.index, rate);
+        step.rates.record(key.index, rate);
     }
     if let Some(typical) = typical {
-        cx.worker_mut(ix).speed.note(now, rate / typical);
+        cx.worker_mut(ix).speed.record(now, rate / typical);
     }
 }
 
--- a/crates/sched/src/state/rates.rs
+++ b/crates/sched/src/state/rates.rs
@@ -29,7 +29,7 @@
 
 impl StepRates {
     /// Takes in a task's rate.
-    pub fn note(&mut self, index: u32, rate: f64) {
+    pub fn record(&mut self, index: u32, rate: f64) {
         if let Some((_, known)) = self.latest.iter_mut().find(|(of, _)| *of == index) {
             *known = rate;
         } else if self.latest.len() < RATES_KEPT {
@@ -78,7 +78,7 @@
 
 impl Speed {
     /// Takes in how fast a run on the worker was against its step.
-    pub fn note(&mut self, now: Instant, relative: f64) {
+    pub fn record(&mut self, now: Instant, relative: f64) {
         let known = self.relative(now);
         self.relative = known + SPEED_GAIN * (relative.min(1.0) - known);
         self.at = now;
