--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -42,7 +42,7 @@
     state: PartState,
     check: PartitionCheck,
     links: BTreeMap<ids::WorkerId, Link>,
-    health: health::Health,
+    health: health::HealthTracker,
     shares: Shares,
     hold: fair::UrgentHold,
     loans: BTreeMap<wire::Run, lending::Loan>,
@@ -64,7 +64,7 @@
             state: PartState::default(),
             check: PartitionCheck::default(),
             links: BTreeMap::new(),
-            health: health::Health::default(),
+            health: health::HealthTracker::default(),
             shares: Shares::default(),
             hold: fair::UrgentHold::default(),
             loans: BTreeMap::new(),
@@ -210,7 +210,7 @@
         for link in self.links.values_mut() {
             *link = Link::open(link.host.clone());
         }
-        self.health = health::Health::default();
+        self.health = health::HealthTracker::default();
         self.loans.clear();
         self.offers.clear();
         self.lingering = false;
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -212,7 +212,7 @@
         if !cx.allowed(checked) {
             return;
         }
-        self.health.success(worker, run.task.job);
+        self.health.record_success(worker, run.task.job);
         self.remember(cx, run.task.job, format!("{} finished on {worker}", run.task));
         self.record(cx, Record::Finish { run }, None);
     }
@@ -234,17 +234,21 @@
             }
             return;
         }
-        let mut finding = health::Finding::None;
+        let mut finding = health::FailureAction::None;
         if how.failed {
-            finding = self.health.failure(cx.now, worker, run.task.job);
+            finding = self.health.record_failure(cx.now, worker, run.task.job);
         }
-        if finding == health::Finding::Quarantine {
+        if finding == health::FailureAction::Quarantine {
             if let Some(link) = self.links.get_mut(worker) {
                 link.step(cx, upstream::On::Bad, "it fails what it starts");
             }
         }
-        if finding == health::Finding::GiveUp {
-            return self.give_up(cx, run, format!("it failed on {} workers", health::JOB_WORKERS));
+        if finding == health::FailureAction::FailJob {
+            return self.give_up(
+                cx,
+                run,
+                format!("it failed on {} workers", health::JOB_FAILED_WORKER_LIMIT),
+            );
         }
         if how.crashed && crashes + 1 >= MOST_CRASHES {
             return self.give_up(cx, run, format!("{MOST_CRASHES} workers booted anew under it"));
@@ -340,7 +344,7 @@
         self.empty_leaving(cx);
         for link in self.links.values_mut() {
             let probation = link.is == upstream::Is::Quarantined
-                && self.health.probation(cx.now, &link.host.worker);
+                && self.health.end_quarantine_if_due(cx.now, &link.host.worker);
             if probation {
                 link.step(cx, upstream::On::Probation, "its quarantine has ended");
             }
--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -68,7 +68,7 @@
     ours: bool,
     running: Vec<Vec<Running>>,
     quarantined: Vec<bool>,
-    health: health::Health,
+    health: health::HealthTracker,
     waiting: Vec<u64>,
     out: Outcome,
 }
@@ -80,7 +80,7 @@
         ours,
         running: (0..workers).map(|_| Vec::new()).collect(),
         quarantined: vec![false; workers],
-        health: health::Health::default(),
+        health: health::HealthTracker::default(),
         waiting: Vec::new(),
         out: Outcome { lost: 0, good_workers_quarantined: 0, broken_given_up: 0, broken: 0 },
     };
@@ -112,7 +112,7 @@
                 self.waiting.push(r.job);
             }
         }
-        if self.quarantined[i] && self.health.probation(at, &worker) {
+        if self.quarantined[i] && self.health.end_quarantine_if_due(at, &worker) {
             self.quarantined[i] = false;
         }
     }
@@ -128,16 +128,16 @@
         let broken = r.job.is_multiple_of(BROKEN_JOBS);
         let job = job_id(r.job);
         if i != BAD && !broken {
-            self.health.success(worker, job);
+            self.health.record_success(worker, job);
             return false;
         }
         self.out.lost += u64::from(i == BAD && !broken);
-        match self.health.failure(at, worker, job) {
-            health::Finding::GiveUp if broken && self.ours => {
+        match self.health.record_failure(at, worker, job) {
+            health::FailureAction::FailJob if broken && self.ours => {
                 self.out.broken_given_up += 1;
                 return false;
             }
-            health::Finding::Quarantine if self.ours => {
+            health::FailureAction::Quarantine if self.ours => {
                 self.quarantined[i] = true;
                 self.out.good_workers_quarantined += u64::from(i != BAD);
             }
@@ -168,7 +168,7 @@
 fn choose(
     fleet: &[Vec<Running>],
     quarantined: &[bool],
-    health: &health::Health,
+    health: &health::HealthTracker,
     ours: bool,
     rng: &mut ChaCha8Rng,
 ) -> Option<(usize, sizes::Resources)> {
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -8,41 +8,41 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// Failures in a row, of different jobs or of one job that runs elsewhere, before quarantine.
-pub const WORKER_FAILURES: u32 = 3;
+pub const WORKER_FAILURE_LIMIT: u32 = 3;
 /// Different workers on which a task must have failed before its job is given up.
-pub const JOB_WORKERS: usize = 3;
-const FIRST_QUARANTINE: time::Millis = time::Millis(30_000);
-const LONGEST_QUARANTINE: time::Millis = time::Millis(1_800_000);
+pub const JOB_FAILED_WORKER_LIMIT: usize = 3;
+const INITIAL_QUARANTINE: time::Millis = time::Millis(30_000);
+const MAX_QUARANTINE: time::Millis = time::Millis(1_800_000);
 
 #[derive(Debug, Default)]
 struct WorkerHealth {
-    in_a_row: u32,
+    consecutive_failures: u32,
     quarantines: u32,
-    until: Option<time::Instant>,
+    quarantined_until: Option<time::Instant>,
     on_probation: bool,
 }
 
 /// What a failure led to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Finding {
+pub enum FailureAction {
     /// Nothing yet.
     None,
     /// The worker gets no new work for a while.
     Quarantine,
     /// The job fails everywhere and is given up.
-    GiveUp,
+    FailJob,
 }
 
 /// Failures by worker and by job.
 #[derive(Debug, Default)]
-pub struct Health {
+pub struct HealthTracker {
     workers: FxHashMap<ids::WorkerId, WorkerHealth>,
     jobs: FxHashMap<ids::JobId, FxHashSet<ids::WorkerId>>,
 }
 
-impl Health {
+impl HealthTracker {
     /// Takes in that a task of `job` ended well on `worker`.
-    pub fn success(&mut self, worker: &ids::WorkerId, job: ids::JobId) {
+    pub fn record_success(&mut self, worker: &ids::WorkerId, job: ids::JobId) {
         if let Some(w) = self.workers.get_mut(worker) {
             *w = WorkerHealth::default();
         }
@@ -50,41 +50,41 @@
     }
 
     /// Takes in that a task of `job` failed on `worker`.
-    pub fn failure(
+    pub fn record_failure(
         &mut self,
         now: time::Instant,
         worker: &ids::WorkerId,
         job: ids::JobId,
-    ) -> Finding {
+    ) -> FailureAction {
         let failed_on = self.jobs.entry(job).or_default();
         failed_on.insert(worker.clone());
-        if failed_on.len() >= JOB_WORKERS {
+        if failed_on.len() >= JOB_FAILED_WORKER_LIMIT {
             self.jobs.remove(&job);
-            return Finding::GiveUp;
+            return FailureAction::FailJob;
         }
         let elsewhere = failed_on.len() > 1;
         let w = self.workers.entry(worker.clone()).or_default();
         if !elsewhere {
-            w.in_a_row += 1;
+            w.consecutive_failures += 1;
         }
-        if w.in_a_row < WORKER_FAILURES && !w.on_probation {
-            return Finding::None;
+        if w.consecutive_failures < WORKER_FAILURE_LIMIT && !w.on_probation {
+            return FailureAction::None;
         }
-        let span = FIRST_QUARANTINE.0 << w.quarantines.min(16);
-        w.until = Some(now + time::Millis(span.min(LONGEST_QUARANTINE.0)));
+        let span = INITIAL_QUARANTINE.0 << w.quarantines.min(16);
+        w.quarantined_until = Some(now + time::Millis(span.min(MAX_QUARANTINE.0)));
         w.quarantines += 1;
-        w.in_a_row = 0;
+        w.consecutive_failures = 0;
         w.on_probation = false;
-        Finding::Quarantine
+        FailureAction::Quarantine
     }
 
     /// Tells whether `worker`'s quarantine has ended; it then gets one task as a trial.
-    pub fn probation(&mut self, now: time::Instant, worker: &ids::WorkerId) -> bool {
+    pub fn end_quarantine_if_due(&mut self, now: time::Instant, worker: &ids::WorkerId) -> bool {
         let Some(w) = self.workers.get_mut(worker) else { return true };
-        match w.until {
+        match w.quarantined_until {
             Some(until) if now < until => false,
             Some(_) => {
-                w.until = None;
+                w.quarantined_until = None;
                 w.on_probation = true;
                 true
             }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -3,7 +3,7 @@
 use gaplock_policy::estimate::Estimator;
 use gaplock_policy::fair::{self, PartnerShare};
 use gaplock_policy::guard::{Guard, Seen, Wish, FULL_SPEED, LOWEST_SPEED};
-use gaplock_policy::health::{Finding, Health};
+use gaplock_policy::health::{FailureAction, HealthTracker};
 use gaplock_policy::pairing::{Band, Exposures, Pairing};
 use gaplock_policy::retry::Budget;
 use gaplock_policy::tail;
@@ -108,26 +108,27 @@
 
 #[test]
 fn a_bad_worker_is_quarantined_and_tried_again_gently() {
-    let (mut h, w) = (Health::default(), ids::WorkerId::from("w"));
+    let (mut h, w) = (HealthTracker::default(), ids::WorkerId::from("w"));
     let now = Instant(0);
-    assert_eq!(h.failure(now, &w, job(1)), Finding::None);
-    assert_eq!(h.failure(now, &w, job(2)), Finding::None);
-    assert_eq!(h.failure(now, &w, job(3)), Finding::Quarantine);
-    assert!(!h.probation(Instant(29_000), &w));
-    assert!(h.probation(Instant(31_000), &w) && h.on_probation(&w));
+    assert_eq!(h.record_failure(now, &w, job(1)), FailureAction::None);
+    assert_eq!(h.record_failure(now, &w, job(2)), FailureAction::None);
+    assert_eq!(h.record_failure(now, &w, job(3)), FailureAction::Quarantine);
+    assert!(!h.end_quarantine_if_due(Instant(29_000), &w));
+    assert!(h.end_quarantine_if_due(Instant(31_000), &w) && h.on_probation(&w));
     // One failure on probation is enough, and the next quarantine is longer.
-    assert_eq!(h.failure(Instant(31_000), &w, job(4)), Finding::Quarantine);
-    assert!(!h.probation(Instant(62_000), &w));
-    h.success(&w, job(5));
+    assert_eq!(h.record_failure(Instant(31_000), &w, job(4)), FailureAction::Quarantine);
+    assert!(!h.end_quarantine_if_due(Instant(62_000), &w));
+    h.record_success(&w, job(5));
     assert!(!h.on_probation(&w));
 }
 
 #[test]
 fn a_job_that_fails_everywhere_does_not_empty_the_fleet() {
-    let mut h = Health::default();
-    let findings: Vec<Finding> =
-        (0..3).map(|i| h.failure(Instant(0), &ids::WorkerId(format!("w{i}")), job(1))).collect();
-    assert_eq!(findings, [Finding::None, Finding::None, Finding::GiveUp]);
+    let mut h = HealthTracker::default();
+    let findings: Vec<FailureAction> = (0..3)
+        .map(|i| h.record_failure(Instant(0), &ids::WorkerId(format!("w{i}")), job(1)))
+        .collect();
+    assert_eq!(findings, [FailureAction::None, FailureAction::None, FailureAction::FailJob]);
 }
 
 #[test]
