--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_types::{api, config, ids, time};
 use serde::{Deserialize, Serialize};
 
@@ -61,11 +61,11 @@
 
     /// Tells what became of a plan made against `base`, by this document and its history alone: a
     /// newer generation does not say that the plan was not stored below it.
-    pub fn fate(&self, plan: &ids::PlanId, base: ids::Generation) -> Fate {
+    pub fn fate(&self, plan: &ids::PlanId, base: ids::Generation) -> Execution {
         match self.maker(base.next()) {
-            Some(maker) if maker == plan => Fate::Done,
-            Some(_) => Fate::NotDone,
-            None => Fate::Unknown,
+            Some(maker) if maker == plan => Execution::Done,
+            Some(_) => Execution::NotDone,
+            None => Execution::Unknown,
         }
     }
 }
--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -6,7 +6,7 @@
 //! on it, so the document that was read is taken over, and never the writer's own.
 
 use gaplock_chart::table::intent;
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_types::{api, codes, ids, time};
 
 use crate::action::{CallId, ReplyId, StoreAnswer, StoreCall};
@@ -134,9 +134,9 @@
         match found {
             Some((doc, index)) if doc.config.generation >= self.generation() => {
                 match doc.fate(self.plan(), self.base) {
-                    Fate::Done => self.stored(sent_at, doc, index),
-                    Fate::NotDone => self.conflict(),
-                    Fate::Unknown => Outcome::Unknown,
+                    Execution::Done => self.stored(sent_at, doc, index),
+                    Execution::NotDone => self.conflict(),
+                    Execution::Unknown => Outcome::Unknown,
                 }
             }
             found => {
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -1,6 +1,6 @@
 //! Puts configurations in force and carries confirmed plans into the store.
 
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_types::{api, codes};
 
 use super::Node;
@@ -42,15 +42,15 @@
     pub(super) fn confirm(&mut self, cx: &mut Context, id: ReplyId, plan: &api::Plan, by: &str) {
         let refuse = |refusal| Action::Confirmed { id, outcome: Err(refusal) };
         match self.generations.doc.fate(&plan.id, plan.base) {
-            Fate::Done => {
+            Execution::Done => {
                 cx.actions.push(Action::Confirmed { id, outcome: Ok(plan.base.next()) });
                 return;
             }
-            Fate::NotDone => {
+            Execution::NotDone => {
                 cx.actions.push(refuse(intent::stale()));
                 return;
             }
-            Fate::Unknown => {}
+            Execution::Unknown => {}
         }
         if let Some(c) = self.confirmation.as_mut().filter(|c| *c.plan() == plan.id) {
             c.join(id);
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use async_std::task;
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_remote::clock;
 use gaplock_types::{api, codes, config, ids};
 use serde::Serialize;
@@ -76,7 +76,7 @@
     }
     let fate = engine.with_core(|core| core.node.generations.doc.fate(&plan.id, plan.base));
     // A repeat learns what became of the plan, however late it comes.
-    let done_before = fate == Fate::Done;
+    let done_before = fate == Execution::Done;
     let age_s = clock::unix_ms().saturating_sub(made_at) / 1000;
     if !done_before && age_s > plan::LIFETIME_S {
         return Err(api::Refusal::new(codes::Code::PlanExpired, ""));
--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -1,7 +1,7 @@
 //! Calls between the leader and its workers.
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_sched::message::{EndSeq, Outcome, Refusal, Run, WorkerClock, WorkerIx};
 use gaplock_sched::{Action, Event};
 use gaplock_types::time::Instant;
@@ -218,9 +218,9 @@
         Call::Stop { task, run } => Event::Stopped { worker, task, run, outcome },
         Call::Pace { task, run, percent } => {
             let fate = match outcome {
-                Outcome::Done(_) => Fate::Done,
-                Outcome::Refused(_) | Outcome::NotSent => Fate::NotDone,
-                Outcome::Unclear => Fate::Unknown,
+                Outcome::Done(_) => Execution::Done,
+                Outcome::Refused(_) | Outcome::NotSent => Execution::NotDone,
+                Outcome::Unclear => Execution::Unknown,
             };
             Event::Paced { worker, task, run, percent, fate }
         }
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -11,7 +11,7 @@
 use gaplock_platform::store::Revision;
 use gaplock_platform::worker::{self, Start, Worker};
 use gaplock_policy::connections;
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_sched::message::{
     Account, EndSeq, FencingToken, Outcome, Permit, Run, UpkeepAnswer, WaveNumber, WorkerClock,
     WorkerIx,
@@ -161,7 +161,7 @@
     }
 
     /// Sets a pace; tells what became of the order.
-    async fn pace(&self, client: &Worker, key: TaskKey, run: Run, percent: u32) -> Fate {
+    async fn pace(&self, client: &Worker, key: TaskKey, run: Run, percent: u32) -> Execution {
         let outcome = client.pace(self.token, key, run, percent).await;
         self.count("pace", &outcome);
         outcome.fate()
@@ -239,7 +239,7 @@
             Event::Stopped { worker, task, run, outcome: Outcome::NotSent }
         }
         Action::Pace { worker, task, run, percent } => {
-            Event::Paced { worker, task, run, percent, fate: Fate::NotDone }
+            Event::Paced { worker, task, run, percent, fate: Execution::NotDone }
         }
         Action::Advise { step, workers } => {
             Event::Advised { step, asked: workers, sent, answer: None }
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -7,7 +7,7 @@
 use gaplock_jobs::{Job, JobKey};
 use gaplock_platform::store::{Revision, StoreError, Txn};
 use gaplock_policy::handing::{self, AtLeader, Handed, JobNow};
-use gaplock_policy::tries::{Fate, Tries};
+use gaplock_policy::tries::{CallAttempts, Execution};
 
 use crate::keys;
 use crate::ledger;
@@ -81,9 +81,9 @@
         return Written::Settled(Handed::NotStored);
     }
     let began = Instant::now();
-    let mut tries = Tries::default();
+    let mut tries = CallAttempts::default();
     loop {
-        tries.send();
+        tries.record_send();
         let last = match node.store.commit(txn).await {
             Ok(_) => {
                 node.store_answered();
@@ -93,11 +93,11 @@
                 node.store_answered();
                 return Written::Conflict;
             }
-            Err(StoreError::Away | StoreError::Gone) => Fate::NotDone,
-            Err(StoreError::Unclear) => Fate::Unknown,
+            Err(StoreError::Away | StoreError::Gone) => Execution::NotDone,
+            Err(StoreError::Unclear) => Execution::Unknown,
         };
         node.store_failed();
-        if tries.settle(last) == Fate::NotDone {
+        if tries.record_outcome(last) == Execution::NotDone {
             return Written::Settled(Handed::NotStored);
         }
         if began.elapsed() > UNCLEAR_LIMIT {
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use gaplock_platform::store::{LeaseId, Revision, Store, StoreError, Txn};
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_sched::claims::{self, LeaderRecord};
 use gaplock_sched::writing::CommitMark;
 use gaplock_types::time::{Instant, Millis};
@@ -115,7 +115,9 @@
             // No answer to the look leaves the try as open as it was.
             let found = current(store).await.map_err(|_| StoreError::Unclear)?;
             match found {
-                Holder::Host(stored, revision) if claims::fate(&record, &stored) == Fate::Done => {
+                Holder::Host(stored, revision)
+                    if claims::fate(&record, &stored) == Execution::Done =>
+                {
                     Ok(Claim { term, revision, lease, mark })
                 }
                 _ => Err(StoreError::Unclear),
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use gaplock_platform::store::{self, Revision, Store, StoreError, Txn};
 use gaplock_platform::waves;
-use gaplock_policy::tries::Tries;
+use gaplock_policy::tries::CallAttempts;
 use gaplock_remote::clock;
 use gaplock_sched::message::Record;
 use gaplock_sched::writing::{self, Answer, CommitMark, CommitRevision, Next, Sight, Writer};
@@ -172,23 +172,23 @@
 }
 
 /// Logs that the last try of a commit was refused.
-fn log_refused(mark: CommitMark, tries: Tries, records: usize) {
+fn log_refused(mark: CommitMark, tries: CallAttempts, records: usize) {
     let CommitMark { term, number } = mark;
-    let (attempt, open) = (tries.sent(), tries.open());
+    let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_refused", term, number, attempt, open, records);
 }
 
 /// Logs that the last try of a commit got no answer.
-fn log_unclear(mark: CommitMark, tries: Tries, records: usize) {
+fn log_unclear(mark: CommitMark, tries: CallAttempts, records: usize) {
     let CommitMark { term, number } = mark;
-    let (attempt, open) = (tries.sent(), tries.open());
+    let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_unclear", term, number, attempt, open, records);
 }
 
 /// Logs that a commit without an answer is stored, by the mark in the store.
-fn log_found(mark: CommitMark, tries: Tries, records: usize) {
+fn log_found(mark: CommitMark, tries: CallAttempts, records: usize) {
     let CommitMark { term, number } = mark;
-    let (attempt, open) = (tries.sent(), tries.open());
+    let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_found", term, number, attempt, open, records);
 }
 
--- a/crates/policy/src/tries.rs
+++ b/crates/policy/src/tries.rs
@@ -7,7 +7,7 @@
 
 /// What became of a call, or of one try of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum Execution {
     /// It was carried out.
     Done,
     /// It was not carried out and never will be.
@@ -18,27 +18,27 @@
 
 /// The tries of one call so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Tries {
+pub struct CallAttempts {
     sent: u32,
-    open: u32,
+    unanswered: u32,
 }
 
-impl Tries {
+impl CallAttempts {
     /// Counts a try that is being sent.
-    pub fn send(&mut self) {
+    pub fn record_send(&mut self) {
         self.sent += 1;
     }
 
     /// Takes in what became of the last try and returns what became of the call. A call is not done
     /// only if that is known of each of its tries.
-    pub fn settle(&mut self, last: Fate) -> Fate {
+    pub fn record_outcome(&mut self, last: Execution) -> Execution {
         match last {
-            Fate::Done => Fate::Done,
-            Fate::NotDone if self.open == 0 => Fate::NotDone,
-            Fate::NotDone => Fate::Unknown,
-            Fate::Unknown => {
-                self.open += 1;
-                Fate::Unknown
+            Execution::Done => Execution::Done,
+            Execution::NotDone if self.unanswered == 0 => Execution::NotDone,
+            Execution::NotDone => Execution::Unknown,
+            Execution::Unknown => {
+                self.unanswered += 1;
+                Execution::Unknown
             }
         }
     }
@@ -49,7 +49,7 @@
     }
 
     /// Returns how many tries got no answer.
-    pub fn open(&self) -> u32 {
-        self.open
+    pub fn unanswered(&self) -> u32 {
+        self.unanswered
     }
 }
--- a/crates/policy/tests/tries.rs
+++ b/crates/policy/tests/tries.rs
@@ -1,42 +1,55 @@
 //! What the answers to a repeated call prove.
 
-use gaplock_policy::tries::{Fate, Tries};
+use gaplock_policy::tries::{CallAttempts, Execution};
 
 /// Sends a try for each of these fates and returns what became of the call after each.
-fn settle(fates: &[Fate]) -> Vec<Fate> {
-    let mut tries = Tries::default();
-    let one = |&last: &Fate| {
-        tries.send();
-        tries.settle(last)
+fn settle(fates: &[Execution]) -> Vec<Execution> {
+    let mut tries = CallAttempts::default();
+    let one = |&last: &Execution| {
+        tries.record_send();
+        tries.record_outcome(last)
     };
     fates.iter().map(one).collect()
 }
 
 #[test]
 fn a_refusal_settles_a_call_whose_tries_were_all_answered() {
-    assert_eq!(settle(&[Fate::NotDone]), [Fate::NotDone]);
-    assert_eq!(settle(&[Fate::NotDone, Fate::NotDone]), [Fate::NotDone, Fate::NotDone]);
+    assert_eq!(settle(&[Execution::NotDone]), [Execution::NotDone]);
+    assert_eq!(
+        settle(&[Execution::NotDone, Execution::NotDone]),
+        [Execution::NotDone, Execution::NotDone]
+    );
 }
 
 #[test]
 fn a_refusal_says_nothing_of_a_try_without_an_answer() {
-    assert_eq!(settle(&[Fate::Unknown, Fate::NotDone]), [Fate::Unknown, Fate::Unknown]);
-    let later = settle(&[Fate::Unknown, Fate::NotDone, Fate::NotDone, Fate::NotDone]);
-    assert_eq!(later.last(), Some(&Fate::Unknown));
+    assert_eq!(
+        settle(&[Execution::Unknown, Execution::NotDone]),
+        [Execution::Unknown, Execution::Unknown]
+    );
+    let later =
+        settle(&[Execution::Unknown, Execution::NotDone, Execution::NotDone, Execution::NotDone]);
+    assert_eq!(later.last(), Some(&Execution::Unknown));
 }
 
 #[test]
 fn a_call_is_done_once_one_try_is() {
-    assert_eq!(settle(&[Fate::Unknown, Fate::Done]), [Fate::Unknown, Fate::Done]);
-    assert_eq!(settle(&[Fate::NotDone, Fate::Done]), [Fate::NotDone, Fate::Done]);
+    assert_eq!(
+        settle(&[Execution::Unknown, Execution::Done]),
+        [Execution::Unknown, Execution::Done]
+    );
+    assert_eq!(
+        settle(&[Execution::NotDone, Execution::Done]),
+        [Execution::NotDone, Execution::Done]
+    );
 }
 
 #[test]
 fn tries_and_open_ones_are_counted() {
-    let mut tries = Tries::default();
-    for last in [Fate::Unknown, Fate::NotDone, Fate::Unknown] {
-        tries.send();
-        tries.settle(last);
+    let mut tries = CallAttempts::default();
+    for last in [Execution::Unknown, Execution::NotDone, Execution::Unknown] {
+        tries.record_send();
+        tries.record_outcome(last);
     }
-    assert_eq!((tries.sent(), tries.open()), (3, 2));
+    assert_eq!((tries.sent(), tries.unanswered()), (3, 2));
 }
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -4,7 +4,7 @@
 
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::{JobKey, Step, TaskKey};
-use gaplock_policy::tries::Tries;
+use gaplock_policy::tries::CallAttempts;
 use gaplock_types::time::{Instant, Millis};
 
 use crate::changes::pacing::{self, GivenPaces, FULL_PACE};
@@ -115,7 +115,7 @@
         barred: None,
         confirmed: (!started).then_some(now),
         resumes_from: occupant.resumes_from,
-        tries: Tries::default(),
+        tries: CallAttempts::default(),
         pace: FULL_PACE,
         pacing: false,
         paces: if started { GivenPaces::default() } else { GivenPaces::found() },
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -7,7 +7,7 @@
 //! (`docs/PLATFORM.md`, section Repeated calls).
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_types::time::Millis;
 
 use crate::changes::{checkpoints, doubts, gone, leases, lifecycle, pacing, permits, trace};
@@ -31,7 +31,7 @@
     if slot.run != run {
         return;
     }
-    let fate = slot.tries.settle(outcome.fate());
+    let fate = slot.tries.record_outcome(outcome.fate());
     if !matches!(slot.phase, Phase::Starting | Phase::Uncertain) {
         return;
     }
@@ -40,7 +40,7 @@
         Outcome::Refused(Refusal::OtherIncarnation) => {
             trace::worker_gone(&cx.worker(ix).info.id, "another incarnation answers");
             // A start of which no try is open did not reach the worker that is lost.
-            if fate == Fate::NotDone {
+            if fate == Execution::NotDone {
                 lifecycle::requeue(cx, ix, key, run, Proof::Refused);
             }
             gone::give_up(cx, ix);
@@ -89,10 +89,10 @@
 
 /// Frees a task whose start was certainly not carried out, or withdraws the start while a try of it
 /// is open: that one may be carried out when the task has long ended elsewhere.
-fn not_done(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, fate: Fate, proof: Proof) {
+fn not_done(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, fate: Execution, proof: Proof) {
     match fate {
-        Fate::NotDone => lifecycle::requeue(cx, ix, key, run, proof),
-        Fate::Done | Fate::Unknown => {
+        Execution::NotDone => lifecycle::requeue(cx, ix, key, run, proof),
+        Execution::Done | Execution::Unknown => {
             lifecycle::order_stop(cx, ix, key, run, "an earlier try of its start is open");
         }
     }
@@ -169,7 +169,7 @@
     let Some(until) = leases::grant(cx, ix) else { return };
     let ticket = cx.permits.ticket(StepKey::of(key), ix, cx.now);
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
-    slot.tries.send();
+    slot.tries.record_send();
     let (attempt, resumes_from) = (slot.tries.sent(), slot.resumes_from.clone());
     if let Some(checkpoint) = &resumes_from {
         trace::start_resumes(cx, (key, run), ix, attempt, checkpoint);
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -2,7 +2,7 @@
 //! again.
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_types::time::Millis;
 
 use super::spare;
@@ -100,7 +100,7 @@
 }
 
 /// Takes in what became of an order of pace.
-pub fn paced(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, percent: u32, fate: Fate) {
+pub fn paced(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, percent: u32, fate: Execution) {
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key).filter(|s| s.run == run) else {
         return;
     };
@@ -108,7 +108,7 @@
         return;
     }
     slot.pacing = false;
-    if slot.paces.settle(fate) {
+    if slot.paces.record_outcome(fate) {
         slot.pace = percent;
         slot.mark = None;
     }
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -93,7 +93,7 @@
 fn ended_before(slot: &Slot, sent: Instant) -> bool {
     let calls_under_way = matches!(slot.phase, Phase::Starting | Phase::Uncertain);
     let confirmed = slot.confirmed.is_some_and(|at| at < sent);
-    confirmed && !calls_under_way && slot.tries.open() == 0
+    confirmed && !calls_under_way && slot.tries.unanswered() == 0
 }
 
 /// Moves a run to the later start: as running there where that lists it, and as withdrawn where it may yet begin.
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -5,7 +5,7 @@
 
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::{JobKey, TaskKey};
-use gaplock_policy::tries::Tries;
+use gaplock_policy::tries::CallAttempts;
 use gaplock_types::ids;
 use gaplock_types::sizes::Resources;
 use gaplock_types::time::{Instant, Millis};
@@ -91,12 +91,12 @@
     task: TaskKey,
     run: Run,
     worker: &ids::WorkerId,
-    tries: Tries,
+    tries: CallAttempts,
     outcome: &Outcome<WorkerClock>,
 ) {
     if !matches!(outcome, Outcome::Done(_)) {
         info!(event = "start_not_done", %task, run = run.0, %worker, attempt = tries.sent(),
-            open = tries.open(), ?outcome);
+            open = tries.unanswered(), ?outcome);
     }
 }
 
@@ -167,7 +167,7 @@
     let confirmed = slot.is_some_and(|s| s.confirmed.is_some());
     let held_ms = released.and_then(|(s, now)| s.confirmed.map(|at| now.since(at).0));
     info!(event = "run_released", %task, run = run.0, %worker, ?proof, phase = ?slot.map(|s| s.phase),
-        tries = tries.sent(), open = tries.open(), confirmed, held_ms);
+        tries = tries.sent(), open = tries.unanswered(), confirmed, held_ms);
 }
 
 /// All runs at a worker are given up: how the directory showed it, since when it had not answered,
@@ -337,8 +337,13 @@
 }
 
 /// The platform has answered such an order, or not.
-pub fn upkeep_answered(wave: WaveNumber, host: &ids::HostId, answer: UpkeepAnswer, tries: Tries) {
-    let (attempt, open) = (tries.sent(), tries.open());
+pub fn upkeep_answered(
+    wave: WaveNumber,
+    host: &ids::HostId,
+    answer: UpkeepAnswer,
+    tries: CallAttempts,
+) {
+    let (attempt, open) = (tries.sent(), tries.unanswered());
     info!(event = "upkeep_answered", wave = wave.0, %host, ?answer, attempt, open);
 }
 
@@ -349,7 +354,7 @@
 
 /// A filling task's pace is ordered: changed, or put in force again.
 pub fn pace_ordered(task: TaskKey, slot: &Slot, worker: &ids::WorkerId, to: u32) {
-    let (run, from, open) = (slot.run.0, slot.pace, slot.paces.open());
+    let (run, from, open) = (slot.run.0, slot.pace, slot.paces.unanswered());
     info!(event = "pace_ordered", %task, run, %worker, from, to, open);
 }
 
--- a/crates/sched/src/changes/upkeep.rs
+++ b/crates/sched/src/changes/upkeep.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_types::ids;
 use gaplock_types::time::{Instant, Millis};
 
@@ -125,19 +125,19 @@
     match answer {
         UpkeepAnswer::Begun => begun(cx, number, host),
         UpkeepAnswer::NotOfWave => {
-            if down.settle(Fate::NotDone, now + ASK_AGAIN) == Fate::NotDone {
+            if down.record_outcome(Execution::NotDone, now + ASK_AGAIN) == Execution::NotDone {
                 leave_out(cx, number, host);
             }
         }
         UpkeepAnswer::Fenced => {
-            down.settle(Fate::NotDone, now + ORDER_AGAIN);
+            down.record_outcome(Execution::NotDone, now + ORDER_AGAIN);
             cx.actions.push(Action::ConfirmLeadership);
         }
         UpkeepAnswer::Busy => {
-            down.settle(Fate::NotDone, now + ORDER_AGAIN);
+            down.record_outcome(Execution::NotDone, now + ORDER_AGAIN);
         }
         UpkeepAnswer::Unclear => {
-            down.settle(Fate::Unknown, now + ORDER_AGAIN);
+            down.record_outcome(Execution::Unknown, now + ORDER_AGAIN);
         }
     }
 }
@@ -198,7 +198,7 @@
     for (host, down) in &mut wave.down {
         if down.again.is_some_and(|at| at <= now) {
             down.again = None;
-            down.tries.send();
+            down.tries.record_send();
             cx.actions.push(Action::Upkeep { wave: number, host: host.clone() });
         }
     }
@@ -213,7 +213,7 @@
     for (host, _) in stored {
         wave.emptying.remove(&host);
         let mut down = Down::new(wave.inherited.contains(&host));
-        down.tries.send();
+        down.tries.record_send();
         wave.down.insert(host.clone(), down);
         trace::upkeep_ordered(number, &host);
         cx.actions.push(Action::Upkeep { wave: number, host });
--- a/crates/sched/src/interface/claims.rs
+++ b/crates/sched/src/interface/claims.rs
@@ -5,7 +5,7 @@
 //! it takes for stored, so it must know which one that is: another try's claim goes with another
 //! lease.
 
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_types::ids;
 
 /// The stored claim.
@@ -33,10 +33,10 @@
 
 /// Tells what became of a try without an answer, by a claim that is stored after it. Any other
 /// claim than the try itself leaves it open, also one that an earlier try of the same process made.
-pub fn fate(sent: &LeaderRecord, stored: &LeaderRecord) -> Fate {
+pub fn fate(sent: &LeaderRecord, stored: &LeaderRecord) -> Execution {
     if stored == sent {
-        Fate::Done
+        Execution::Done
     } else {
-        Fate::Unknown
+        Execution::Unknown
     }
 }
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use gaplock_jobs::{config, progress, Job, JobKey, TaskKey};
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_types::time::{Instant, Millis};
 use gaplock_types::{ids, sizes};
 
@@ -192,11 +192,11 @@
 
 impl<T> Outcome<T> {
     /// Returns what the answer, or its absence, says of the try that it belongs to.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> Execution {
         match self {
-            Self::Done(_) => Fate::Done,
-            Self::Refused(_) | Self::NotSent => Fate::NotDone,
-            Self::Unclear => Fate::Unknown,
+            Self::Done(_) => Execution::Done,
+            Self::Refused(_) | Self::NotSent => Execution::NotDone,
+            Self::Unclear => Execution::Unknown,
         }
     }
 }
@@ -281,7 +281,7 @@
         /// The share of full speed that was asked for.
         percent: u32,
         /// What became of the order.
-        fate: Fate,
+        fate: Execution,
     },
     /// The operators ask for a wave of upkeep.
     Wave(WaveRequest),
--- a/crates/sched/src/state/paces.rs
+++ b/crates/sched/src/state/paces.rs
@@ -5,7 +5,7 @@
 //! for as long as it lasts: its wanted pace is put in force again and again, and what runs beside
 //! it reckons with the worst.
 
-use gaplock_policy::tries::{Fate, Tries};
+use gaplock_policy::tries::{CallAttempts, Execution};
 use gaplock_types::time::{Instant, Millis};
 
 /// The pace at which every run begins, in percent of full speed.
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct GivenPaces {
     /// One for each order: whatever its pace, it may undo the others.
-    tries: Tries,
+    tries: CallAttempts,
     /// The last order: when it was sent, and the pace.
     last: Option<(Instant, u32)>,
     /// Whether nothing is known of the pace in force, or the last order has got no answer.
@@ -34,7 +34,7 @@
 
     /// Counts an order that is being sent.
     pub fn send(&mut self, now: Instant, percent: u32) {
-        self.tries.send();
+        self.tries.record_send();
         self.last = Some((now, percent));
     }
 
@@ -46,30 +46,30 @@
 
     /// Takes in what became of the last order and tells whether its pace is in force. A refusal
     /// says nothing of the orders before it.
-    pub fn settle(&mut self, fate: Fate) -> bool {
+    pub fn record_outcome(&mut self, fate: Execution) -> bool {
         let percent = self.last.map_or(FULL_PACE, |(_, percent)| percent);
-        self.tries.settle(fate);
+        self.tries.record_outcome(fate);
         match fate {
-            Fate::Done => self.unsettled = false,
-            Fate::NotDone => {}
-            Fate::Unknown => {
+            Execution::Done => self.unsettled = false,
+            Execution::NotDone => {}
+            Execution::Unknown => {
                 self.unsettled = true;
                 self.open_most = self.open_most.max(percent);
             }
         }
-        fate == Fate::Done
+        fate == Execution::Done
     }
 
     /// Tells whether the wanted pace must be ordered although it is held to be in force: at once
     /// where that is not known, and after `every` where an older order may have undone it.
     pub fn is_due(&self, now: Instant, every: Millis) -> bool {
         let waited = self.last.is_none_or(|(at, _)| now.since(at) >= every);
-        self.unsettled || self.tries.open() > 0 && waited
+        self.unsettled || self.tries.unanswered() > 0 && waited
     }
 
     /// Tells whether the pace last confirmed is in force for certain.
     pub fn is_certain(&self) -> bool {
-        !self.unsettled && self.tries.open() == 0
+        !self.unsettled && self.tries.unanswered() == 0
     }
 
     /// Returns the highest pace that may come into force whatever is ordered.
@@ -78,7 +78,7 @@
     }
 
     /// Returns how many orders got no answer.
-    pub fn open(&self) -> u32 {
-        self.tries.open()
+    pub fn unanswered(&self) -> u32 {
+        self.tries.unanswered()
     }
 }
--- a/crates/sched/src/state/upkeep.rs
+++ b/crates/sched/src/state/upkeep.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gaplock_policy::tries::{Fate, Tries};
+use gaplock_policy::tries::{CallAttempts, Execution};
 use gaplock_types::ids;
 use gaplock_types::time::Instant;
 use rustc_hash::FxHashMap;
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Down {
     /// The tries of its order, with one for those of former leaders.
-    pub(crate) tries: Tries,
+    pub(crate) tries: CallAttempts,
     /// When its order is to be given again.
     pub(crate) again: Option<Instant>,
     /// When the platform was heard to say that its upkeep has begun.
@@ -69,16 +69,16 @@
     pub(crate) fn new(inherited: bool) -> Self {
         let mut down = Self::default();
         if inherited {
-            down.tries.send();
-            down.tries.settle(Fate::Unknown);
+            down.tries.record_send();
+            down.tries.record_outcome(Execution::Unknown);
         }
         down
     }
 
     /// Takes in what became of the last order, to be given again after `pause` unless that is proof
     /// enough; returns what became of the host.
-    pub(crate) fn settle(&mut self, last: Fate, again: Instant) -> Fate {
+    pub(crate) fn record_outcome(&mut self, last: Execution, again: Instant) -> Execution {
         self.again = Some(again);
-        self.tries.settle(last)
+        self.tries.record_outcome(last)
     }
 }
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Tries;
+use gaplock_policy::tries::CallAttempts;
 use gaplock_types::sizes::Resources;
 use gaplock_types::time::{Instant, Millis};
 use rustc_hash::FxHashMap;
@@ -60,7 +60,7 @@
     /// What every try of its start brings; unset also for a run that a former leader started.
     pub resumes_from: Option<Checkpoint>,
     /// The tries of its start.
-    pub tries: Tries,
+    pub tries: CallAttempts,
     /// The share of full speed in percent that was last put in force.
     pub pace: u32,
     /// Whether an order for another pace is on its way.
--- a/crates/sched/tests/claims.rs
+++ b/crates/sched/tests/claims.rs
@@ -4,7 +4,7 @@
 //! leases, so an earlier try that was carried out late would have been taken for the later one, and
 //! its lease left to end.
 
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_sched::claims::{self, LeaderRecord};
 use gaplock_types::ids;
 
@@ -21,9 +21,9 @@
 #[test]
 fn a_try_is_known_by_its_own_lease_only() {
     let sent = try_of("a", 1, 31);
-    assert_eq!(claims::fate(&sent, &sent.clone()), Fate::Done);
-    assert_eq!(claims::fate(&sent, &try_of("a", 1, 30)), Fate::Unknown, "an earlier try");
-    assert_eq!(claims::fate(&sent, &try_of("b", 1, 31)), Fate::Unknown, "another host");
+    assert_eq!(claims::fate(&sent, &sent.clone()), Execution::Done);
+    assert_eq!(claims::fate(&sent, &try_of("a", 1, 30)), Execution::Unknown, "an earlier try");
+    assert_eq!(claims::fate(&sent, &try_of("b", 1, 31)), Execution::Unknown, "another host");
 }
 
 #[test]
--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -1,7 +1,7 @@
 //! Calls between the leader and its workers, and what may go wrong with each of them.
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Fate;
+use gaplock_policy::tries::Execution;
 use gaplock_sched::message::{EndSeq, Outcome, Permit, Refusal, Run, WorkerClock, WorkerIx};
 use gaplock_sched::permits::StepKey;
 use gaplock_sched::writing::CommitMark;
@@ -271,9 +271,9 @@
             run: *run,
             percent: *percent,
             fate: match outcome {
-                Outcome::Done(_) => Fate::Done,
-                Outcome::Refused(_) | Outcome::NotSent => Fate::NotDone,
-                Outcome::Unclear => Fate::Unknown,
+                Outcome::Done(_) => Execution::Done,
+                Outcome::Refused(_) | Outcome::NotSent => Execution::NotDone,
+                Outcome::Unclear => Execution::Unknown,
             },
         },
         Call::Renew(_) => unreachable!("a renewal is answered with an account"),
