--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -44,7 +44,7 @@
 }
 
 /// A predicted 99th percentile above this share of its ceiling rules a worker out.
-const PLACEMENT_CEILING: f64 = 0.95;
+const MAX_PREDICTED_P99_SHARE: f64 = 0.95;
 
 /// Chooses a worker for a batch task: the one whose services lose least, then the fullest.
 pub fn for_batch(
@@ -82,7 +82,7 @@
             continue;
         }
         let after = pairing.predict_us(service, &shares, *band).unwrap_or(0.0);
-        if after > PLACEMENT_CEILING * ceiling_us {
+        if after > MAX_PREDICTED_P99_SHARE * ceiling_us {
             return None;
         }
         let before = pairing.predict_us(service, &c.shares, *band).unwrap_or(0.0);
