--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -102,7 +102,7 @@
 
     /// Returns the followers that could lead now, the best one first.
     pub fn successors(&self, now: Instant) -> Vec<Candidate> {
-        self.followers.lock().expect(LOCK).in_order(now)
+        self.followers.lock().expect(LOCK).ranked(now)
     }
 
     /// Returns the follower that should lead next.
@@ -112,13 +112,13 @@
 
     /// Returns the pause after which followers are to send their next heartbeat.
     pub fn beat_every(&self, now: Instant) -> Millis {
-        self.followers.lock().expect(LOCK).beat_every(now)
+        self.followers.lock().expect(LOCK).heartbeat_interval(now)
     }
 
     /// Tells whether a follower should make sure now that the store answers it.
     pub fn should_check(&self, now: Instant, beat: &Heartbeat) -> bool {
         let mut followers = self.followers.lock().expect(LOCK);
-        followers.should_check(now, beat.strength, beat.store_age)
+        followers.should_check_store(now, beat.strength, beat.store_age)
     }
 
     /// Remembers whether the leader asked this host to check the store.
@@ -138,7 +138,7 @@
 
     /// Returns the pause until this host's next heartbeat.
     pub fn beat_after(&self) -> Millis {
-        Millis(self.beat_after.load(Ordering::Relaxed)).max(followers::BEAT_EVERY)
+        Millis(self.beat_after.load(Ordering::Relaxed)).max(followers::HEARTBEAT_INTERVAL)
     }
 
     /// Forgets the followers of an earlier leadership.
--- a/crates/policy/src/followers.rs
+++ b/crates/policy/src/followers.rs
@@ -16,35 +16,35 @@
 const CHOICE_MAX_AGE: Millis = Millis(100);
 
 /// The pause between heartbeats on a small installation.
-pub const BEAT_EVERY: Millis = Millis(400);
+pub const HEARTBEAT_INTERVAL: Millis = Millis(400);
 
 /// The longest pause between heartbeats: with the time of a call it stays below the age at which a follower is no
 /// longer named, and below that at which the leader's counts are too old to be shown.
-const BEAT_EVERY_MOST: Millis = Millis(1_000);
+const MAX_HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 
 /// How many heartbeats a leader takes in each second before followers are told to send fewer.
-const BEATS_PER_SECOND: u64 = 500;
+const MAX_HEARTBEATS_PER_SECOND: u64 = 500;
 
 /// How often a follower that may lead next makes sure that the store answers it, and every one of a small
 /// installation.
-const CHECK_EVERY: Millis = Millis(1_000);
+const STORE_CHECK_INTERVAL: Millis = Millis(1_000);
 
 /// The longest time between two checks of a follower that may not lead next.
-const CHECK_EVERY_MOST: Millis = Millis(5_000);
+const MAX_STORE_CHECK_INTERVAL: Millis = Millis(5_000);
 
 /// How many of these checks all followers together make in each second.
-const CHECKS_PER_SECOND: u64 = 100;
+const MAX_STORE_CHECKS_PER_SECOND: u64 = 100;
 
 /// Returns the time between two checks of a follower that may not lead next, by the number of followers.
-pub fn check_every(followers: usize) -> Millis {
-    let needed = Millis(followers as u64 * 1_000 / CHECKS_PER_SECOND);
-    needed.clamp(CHECK_EVERY, CHECK_EVERY_MOST)
+pub fn store_check_interval(followers: usize) -> Millis {
+    let needed = Millis(followers as u64 * 1_000 / MAX_STORE_CHECKS_PER_SECOND);
+    needed.clamp(STORE_CHECK_INTERVAL, MAX_STORE_CHECK_INTERVAL)
 }
 
 /// Returns the pause between two heartbeats of a follower, by the number of followers.
-pub fn beat_every(followers: usize) -> Millis {
-    let needed = Millis(followers as u64 * 1_000 / BEATS_PER_SECOND);
-    needed.clamp(BEAT_EVERY, BEAT_EVERY_MOST)
+pub fn heartbeat_interval(followers: usize) -> Millis {
+    let needed = Millis(followers as u64 * 1_000 / MAX_HEARTBEATS_PER_SECOND);
+    needed.clamp(HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
 }
 
 /// The followers of a leader.
@@ -81,38 +81,43 @@
     }
 
     /// Returns the followers that could lead now, the best one first.
-    pub fn in_order(&self, now: Instant) -> Vec<Candidate> {
+    pub fn ranked(&self, now: Instant) -> Vec<Candidate> {
         let order = succession::order(self.known.values(), now);
         order.into_iter().cloned().collect()
     }
 
     /// Returns the follower that should lead next.
     pub fn best(&mut self, now: Instant) -> Option<&Candidate> {
-        self.choose(now);
+        self.refresh_choice(now);
         self.choice.as_ref()?.best.as_ref()
     }
 
     /// Returns the pause after which a follower is to send its next heartbeat.
-    pub fn beat_every(&mut self, now: Instant) -> Millis {
-        self.choose(now);
-        beat_every(self.choice.as_ref().map_or(0, |choice| choice.heard))
+    pub fn heartbeat_interval(&mut self, now: Instant) -> Millis {
+        self.refresh_choice(now);
+        heartbeat_interval(self.choice.as_ref().map_or(0, |choice| choice.heard))
     }
 
     /// Tells whether a follower should make sure that the store answers it before it sends its next heartbeat, which
     /// tells the store's age. Only followers that may lead next need to know by the second.
-    pub fn should_check(&mut self, now: Instant, strength: Strength, store_age: Millis) -> bool {
-        let then = Millis(store_age.0 + self.beat_every(now).0);
-        let Some(choice) = &self.choice else { return then >= CHECK_EVERY };
+    pub fn should_check_store(
+        &mut self,
+        now: Instant,
+        strength: Strength,
+        store_age: Millis,
+    ) -> bool {
+        let then = Millis(store_age.0 + self.heartbeat_interval(now).0);
+        let Some(choice) = &self.choice else { return then >= STORE_CHECK_INTERVAL };
         let strongest = choice.best.as_ref().map_or(Strength(0), |best| best.strength);
         let every = match succession::is_much_weaker(strength, strongest) {
-            true => check_every(choice.heard),
-            false => CHECK_EVERY,
+            true => store_check_interval(choice.heard),
+            false => STORE_CHECK_INTERVAL,
         };
         then >= every
     }
 
     /// Chooses anew among all followers, unless the last choice is recent.
-    fn choose(&mut self, now: Instant) {
+    fn refresh_choice(&mut self, now: Instant) {
         if self.choice.as_ref().is_some_and(|c| now.since(c.at) < CHOICE_MAX_AGE) {
             return;
         }
--- a/crates/policy/tests/followers.rs
+++ b/crates/policy/tests/followers.rs
@@ -66,8 +66,9 @@
 
 #[test]
 fn a_leader_takes_as_many_heartbeats_a_second_of_twice_the_hosts() {
-    let a_second = |hosts: usize| hosts as f64 * 1_000.0 / followers::beat_every(hosts).0 as f64;
-    assert_eq!(followers::beat_every(100), Millis(400), "a small installation hears soon");
+    let a_second =
+        |hosts: usize| hosts as f64 * 1_000.0 / followers::heartbeat_interval(hosts).0 as f64;
+    assert_eq!(followers::heartbeat_interval(100), Millis(400), "a small installation hears soon");
     let ratio = a_second(500) / a_second(250);
     assert!((0.9..1.1).contains(&ratio), "{ratio:.2} times the heartbeats");
 }
@@ -76,15 +77,19 @@
 fn the_pause_between_heartbeats_goes_by_the_followers_that_are_heard() {
     let mut followers = Followers::default();
     (0..400).for_each(|host| followers.record(candidate(host, 100, 0)));
-    assert_eq!(followers.beat_every(Instant(0)), Millis(800));
+    assert_eq!(followers.heartbeat_interval(Instant(0)), Millis(800));
     (0..200).for_each(|host| followers.record(candidate(host, 100, 2_000)));
-    assert_eq!(followers.beat_every(Instant(2_000)), Millis(400), "half of them are silent");
+    assert_eq!(
+        followers.heartbeat_interval(Instant(2_000)),
+        Millis(400),
+        "half of them are silent"
+    );
 }
 
 #[test]
 fn a_host_that_waits_for_the_longest_pause_is_still_named() {
     let mut followers = Followers::default();
-    let pause = followers::beat_every(usize::MAX >> 20);
+    let pause = followers::heartbeat_interval(usize::MAX >> 20);
     followers.record(candidate(1, 1_000, 0));
     assert!(followers.best(Instant(pause.0 + 200)).is_some(), "its next heartbeat is on its way");
 }
@@ -95,12 +100,12 @@
     let mut followers = Followers::default();
     let mut checked = vec![0_u64; strong + weak];
     let (mut by_strong, mut by_weak) = (0, 0);
-    let pause = followers::beat_every(strong + weak).0;
+    let pause = followers::heartbeat_interval(strong + weak).0;
     for ms in (0..60_000_u64).step_by(pause as usize) {
         for (host, last) in checked.iter_mut().enumerate() {
             let strength = Strength(if host < strong { 1_000 } else { 200 });
             followers.record(candidate(host, strength.0, ms));
-            if followers.should_check(Instant(ms), strength, Millis(ms - *last)) {
+            if followers.should_check_store(Instant(ms), strength, Millis(ms - *last)) {
                 *last = ms + pause;
                 let by = if host < strong { &mut by_strong } else { &mut by_weak };
                 *by += 1;
