--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -65,7 +65,7 @@
         if let Some(former) = former.filter(|opened| opened.addr == info.addr) {
             return Opened { addr: info.addr.clone(), client: Arc::clone(&former.client) };
         }
-        let kept = connections::kept(self.descriptors, cx.fleet_size());
+        let kept = connections::idle_connections_per_worker(self.descriptors, cx.fleet_size());
         let client = Arc::new(worker::open(&info.addr, info.id.name(), kept));
         Opened { addr: info.addr.clone(), client }
     }
--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -7,14 +7,14 @@
 
 #[test]
 fn a_small_fleet_keeps_connections_for_orders() {
-    assert_eq!(connections::kept(4_100, 66), 4);
-    assert_eq!(connections::kept(8_192, 890), 4);
+    assert_eq!(connections::idle_connections_per_worker(4_100, 66), 4);
+    assert_eq!(connections::idle_connections_per_worker(8_192, 890), 4);
 }
 
 #[test]
 fn the_connections_of_a_large_fleet_fit_the_descriptors() {
     for (descriptors, workers) in [(4_100, 890), (4_100, 1_300), (8_192, 1_300), (8_192, 3_000)] {
-        let kept = connections::kept(descriptors, workers);
+        let kept = connections::idle_connections_per_worker(descriptors, workers);
         let taken = workers * (kept + 1);
         assert!(taken + OTHERS <= descriptors, "{taken} of {descriptors} for {workers} workers");
     }
@@ -22,6 +22,6 @@
 
 #[test]
 fn one_connection_is_kept_whatever_the_size() {
-    assert_eq!(connections::kept(1_024, 10_000), 1);
-    assert_eq!(connections::kept(0, 0), 1);
+    assert_eq!(connections::idle_connections_per_worker(1_024, 10_000), 1);
+    assert_eq!(connections::idle_connections_per_worker(0, 0), 1);
 }
