--- a/crates/coord/src/action.rs
+++ b/crates/coord/src/action.rs
@@ -126,7 +126,7 @@
         partition: ids::PartitionId,
     },
     /// Offer a worker's slots to the router.
-    Offer(route::Offer),
+    Offer(route::WorkerUpdate),
     /// Tell the router how many slots of a worker are taken, by the worker's word.
     Busy {
         /// The worker.
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -345,7 +345,7 @@
                 continue;
             }
             self.offers.insert(worker.clone(), offer.clone());
-            cx.actions.push(Action::Offer(route::Offer {
+            cx.actions.push(Action::Offer(route::WorkerUpdate {
                 worker: worker.clone(),
                 partition: self.id,
                 epoch,
--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -33,13 +33,13 @@
         Action::Ask { from, to, run, command } => ask(engine, from, to, run, command),
         Action::FetchConfig { from } => fetch_config(engine, from),
         Action::Offer(offer) => {
-            engine.with_routing(|r| r.router.offer(offer));
+            engine.with_routing(|r| r.router.update_worker(offer));
             wake_waiters(engine);
         }
         Action::Busy { worker, busy, asked_at } => {
             engine.with_routing(|r| {
                 let changes = r.asked.remove(&(worker.clone(), asked_at));
-                r.router.busy(&worker, busy, changes.unwrap_or(u64::MAX));
+                r.router.record_busy(&worker, busy, changes.unwrap_or(u64::MAX));
             });
             wake_waiters(engine);
         }
@@ -163,7 +163,7 @@
     let now = clock::now();
     let unclaimed = engine.with_routing(|r| {
         let mut unclaimed = Vec::new();
-        for (ticket, slot) in r.router.ready(now) {
+        for (ticket, slot) in r.router.take_ready(now) {
             let Some(tx) = r.waiters.remove(&ticket) else {
                 unclaimed.extend(slot);
                 continue;
@@ -173,7 +173,7 @@
             }
         }
         for slot in &unclaimed {
-            r.router.give_back(slot, &ids::ServiceId::default(), None);
+            r.router.release_slot(slot, &ids::ServiceId::default(), None);
         }
         !unclaimed.is_empty()
     });
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -275,9 +275,9 @@
 
 async fn try_here(engine: &Arc<Engine>, req: &ServiceRequest) -> Try {
     let (pick, turn) = engine.with_routing(|r| {
-        let pick = r.router.request(clock::now(), &req.service, req.deadline);
+        let pick = r.router.route(clock::now(), &req.service, req.deadline);
         let turn = match &pick {
-            route::Pick::Wait(ticket) => {
+            route::RouteDecision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 r.waiters.insert(*ticket, tx);
                 Some(rx)
@@ -287,15 +287,15 @@
         (pick, turn)
     });
     let slot = match (pick, turn) {
-        (route::Pick::Slot(slot), _) => slot,
-        (route::Pick::Wait(ticket), Some(turn)) => {
+        (route::RouteDecision::Slot(slot), _) => slot,
+        (route::RouteDecision::Wait(ticket), Some(turn)) => {
             match wait_for_turn(engine, req, ticket, turn).await {
                 Some(slot) => slot,
                 None => return Try::Ended(overloaded(1)),
             }
         }
-        (route::Pick::Refuse { after_s }, _) => return Try::Ended(overloaded(after_s)),
-        (route::Pick::Nowhere | route::Pick::Wait(_), _) => {
+        (route::RouteDecision::Refuse { after_s }, _) => return Try::Ended(overloaded(after_s)),
+        (route::RouteDecision::NoWorker | route::RouteDecision::Wait(_), _) => {
             return Try::NotRun(refuse(codes::Code::NoUpstream, "No worker here runs the service"));
         }
     };
@@ -318,7 +318,7 @@
         Ok(Ok(slot)) => slot,
         _ => {
             engine.with_routing(|r| {
-                r.router.forget(&req.service, ticket);
+                r.router.remove_waiting(&req.service, ticket);
                 r.waiters.remove(&ticket);
             });
             None
@@ -377,6 +377,6 @@
 }
 
 fn give_back(engine: &Arc<Engine>, req: &ServiceRequest, slot: &route::Slot, took: Option<f64>) {
-    engine.with_routing(|r| r.router.give_back(slot, &req.service, took));
+    engine.with_routing(|r| r.router.release_slot(slot, &req.service, took));
     crate::executor::wake_waiters(engine);
 }
--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -129,7 +129,7 @@
     let mut router = route::Router::default();
     for i in 0..WORKERS {
         let worker = ids::WorkerId(format!("w{i}"));
-        router.offer(route::Offer {
+        router.update_worker(route::WorkerUpdate {
             worker: worker.clone(),
             partition: ids::PartitionId(0),
             epoch: ids::Epoch(1),
@@ -137,7 +137,7 @@
             services: vec![service()],
             open: true,
         });
-        router.busy(&worker, 0, 0);
+        router.record_busy(&worker, 0, 0);
     }
     router
 }
@@ -174,15 +174,17 @@
             return;
         }
         let (now, deadline) = (time::Instant(self.now), time::Instant(deadline));
-        match self.router.request(now, &service(), deadline) {
-            route::Pick::Slot(slot) => self.begin(request, Some(slot)),
-            route::Pick::Wait(ticket) => {
+        match self.router.route(now, &service(), deadline) {
+            route::RouteDecision::Slot(slot) => self.begin(request, Some(slot)),
+            route::RouteDecision::Wait(ticket) => {
                 self.requests[request as usize].ticket = Some(ticket);
                 self.waiting.insert(ticket, request);
                 self.events.push(Reverse((deadline.0, Event::GiveUp { request })));
             }
-            route::Pick::Refuse { after_s } => self.refused(request, u64::from(after_s) * 1000),
-            route::Pick::Nowhere => self.refused(request, 1000),
+            route::RouteDecision::Refuse { after_s } => {
+                self.refused(request, u64::from(after_s) * 1000)
+            }
+            route::RouteDecision::NoWorker => self.refused(request, 1000),
         }
     }
 
@@ -203,8 +205,8 @@
         let took = (now - r.began_ms) as f64;
         match r.slot.take() {
             Some(slot) => {
-                self.router.give_back(&slot, &service(), Some(took));
-                for (ticket, slot) in self.router.ready(time::Instant(now)) {
+                self.router.release_slot(&slot, &service(), Some(took));
+                for (ticket, slot) in self.router.take_ready(time::Instant(now)) {
                     let Some(next) = self.waiting.remove(&ticket) else { continue };
                     match slot {
                         Some(slot) => self.begin(next, Some(slot)),
@@ -234,7 +236,7 @@
             return;
         }
         if let Some(ticket) = r.ticket {
-            if r.slot.is_none() && self.router.forget(&service(), ticket) {
+            if r.slot.is_none() && self.router.remove_waiting(&service(), ticket) {
                 self.waiting.remove(&ticket);
                 self.refused(request, 1000);
             }
--- a/crates/policy/tests/router.rs
+++ b/crates/policy/tests/router.rs
@@ -1,6 +1,6 @@
 //! Slots are exact, waits are bounded, refusals come at once.
 
-use gaplock_policy::route::{Offer, Pick, Router, Slot};
+use gaplock_policy::route::{RouteDecision, Router, Slot, WorkerUpdate};
 use gaplock_types::ids;
 use gaplock_types::time::{Instant, Millis};
 use proptest::prelude::*;
@@ -11,8 +11,8 @@
     "booking".into()
 }
 
-fn offer(worker: &str, epoch: u64, open: bool) -> Offer {
-    Offer {
+fn offer(worker: &str, epoch: u64, open: bool) -> WorkerUpdate {
+    WorkerUpdate {
         worker: worker.into(),
         partition: ids::PartitionId(0),
         epoch: ids::Epoch(epoch),
@@ -24,14 +24,14 @@
 
 fn one_worker() -> Router {
     let mut r = Router::default();
-    r.offer(offer("w", 1, true));
-    r.busy(&"w".into(), 0, 0);
+    r.update_worker(offer("w", 1, true));
+    r.record_busy(&"w".into(), 0, 0);
     r
 }
 
 fn take(r: &mut Router, now: u64) -> Slot {
-    match r.request(Instant(now), &service(), Instant(now + 1_000)) {
-        Pick::Slot(slot) => slot,
+    match r.route(Instant(now), &service(), Instant(now + 1_000)) {
+        RouteDecision::Slot(slot) => slot,
         other => panic!("a slot was expected, not {other:?}"),
     }
 }
@@ -39,9 +39,9 @@
 #[test]
 fn a_new_owner_hands_out_nothing_before_the_worker_has_told_its_load() {
     let mut r = Router::default();
-    r.offer(offer("w", 1, true));
+    r.update_worker(offer("w", 1, true));
     assert_eq!(r.free(&service()), 0);
-    r.busy(&"w".into(), 3, 0);
+    r.record_busy(&"w".into(), 3, 0);
     assert_eq!(r.free(&service()), 1);
 }
 
@@ -52,7 +52,7 @@
     r.abandon(&slot);
     assert_eq!(r.free(&service()), SLOTS - 1);
     let changes = r.changes(&"w".into());
-    r.busy(&"w".into(), 0, changes);
+    r.record_busy(&"w".into(), 0, changes);
     assert_eq!(r.free(&service()), SLOTS);
 }
 
@@ -63,7 +63,7 @@
     let slot = take(&mut r, 0);
     r.abandon(&slot);
     // The worker counted one request when it answered, this one.
-    r.busy(&"w".into(), 1, then);
+    r.record_busy(&"w".into(), 1, then);
     assert_eq!(r.free(&service()), SLOTS - 1);
 }
 
@@ -72,28 +72,28 @@
     let mut r = one_worker();
     let slots: Vec<Slot> = (0..SLOTS).map(|_| take(&mut r, 0)).collect();
     for slot in &slots {
-        r.give_back(slot, &service(), Some(100.0));
+        r.release_slot(slot, &service(), Some(100.0));
     }
     for _ in 0..SLOTS {
         take(&mut r, 100);
     }
-    let pick = r.request(Instant(100), &service(), Instant(110));
-    assert!(matches!(pick, Pick::Refuse { after_s: 1 }), "{pick:?}");
+    let pick = r.route(Instant(100), &service(), Instant(110));
+    assert!(matches!(pick, RouteDecision::Refuse { after_s: 1 }), "{pick:?}");
 }
 
 #[test]
 fn a_waiting_request_gets_the_next_slot_or_learns_that_it_is_late() {
     let mut r = one_worker();
     let slots: Vec<Slot> = (0..SLOTS).map(|_| take(&mut r, 0)).collect();
-    let Pick::Wait(first) = r.request(Instant(0), &service(), Instant(500)) else {
+    let RouteDecision::Wait(first) = r.route(Instant(0), &service(), Instant(500)) else {
         panic!("it should wait");
     };
-    let Pick::Wait(second) = r.request(Instant(0), &service(), Instant(60)) else {
+    let RouteDecision::Wait(second) = r.route(Instant(0), &service(), Instant(60)) else {
         panic!("it should wait");
     };
-    assert_eq!(r.ready(Instant(59)), vec![(second, None)]);
-    r.give_back(&slots[0], &service(), Some(5.0));
-    let ready = r.ready(Instant(60));
+    assert_eq!(r.take_ready(Instant(59)), vec![(second, None)]);
+    r.release_slot(&slots[0], &service(), Some(5.0));
+    let ready = r.take_ready(Instant(60));
     assert!(matches!(ready.as_slice(), [(t, Some(_))] if *t == first), "{ready:?}");
 }
 
@@ -101,7 +101,7 @@
 fn nothing_goes_to_a_closed_partition() {
     let mut r = one_worker();
     r.close_partition(ids::PartitionId(0));
-    assert_eq!(r.request(Instant(0), &service(), Instant(1_000)), Pick::Nowhere);
+    assert_eq!(r.route(Instant(0), &service(), Instant(1_000)), RouteDecision::NoWorker);
 }
 
 proptest! {
@@ -116,13 +116,13 @@
             match step {
                 0 | 1 => {
                     let deadline = Instant(now) + Millis(50);
-                    if let Pick::Slot(slot) = r.request(Instant(now), &service(), deadline) {
+                    if let RouteDecision::Slot(slot) = r.route(Instant(now), &service(), deadline) {
                         out.push(slot);
                     }
                 }
                 2 => {
                     if let Some(slot) = out.pop() {
-                        r.give_back(&slot, &service(), Some(3.0));
+                        r.release_slot(&slot, &service(), Some(3.0));
                     }
                 }
                 3 => {
@@ -133,10 +133,10 @@
                 }
                 _ => {
                     let changes = r.changes(&"w".into());
-                    r.busy(&"w".into(), out.len() as u32 + abandoned, changes);
+                    r.record_busy(&"w".into(), out.len() as u32 + abandoned, changes);
                 }
             }
-            for (_, slot) in r.ready(Instant(now)) {
+            for (_, slot) in r.take_ready(Instant(now)) {
                 out.extend(slot);
             }
             prop_assert!(out.len() as u32 + abandoned <= SLOTS);
