--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -39,7 +39,7 @@
     /// Waiting requests.
     pub waiters: HashMap<route::Ticket, SlotSender>,
     /// Extra tries that are allowed.
-    pub budget: retry::Budget,
+    pub budget: retry::RetryBudget,
     /// When each service was last known to run somewhere.
     pub served_at: HashMap<ids::ServiceId, time::Instant>,
     /// Change counts at the time that lease requests were sent.
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -163,7 +163,7 @@
     }
     match last.result() {
         codes::Code::NoUpstream => true,
-        codes::Code::UpstreamFailed => engine.with_routing(|r| r.budget.spend()),
+        codes::Code::UpstreamFailed => engine.with_routing(|r| r.budget.try_spend()),
         _ => false,
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -4,28 +4,28 @@
 use rand::Rng;
 
 /// Extra tries allowed for each first try, in thousandths.
-const EARN_PER_MILLE: u32 = 100;
-const TRY_COST: u32 = 1000;
-const MOST_SAVED: u32 = 10 * TRY_COST;
+const EARNED_PER_CALL: u32 = 100;
+const RETRY_COST: u32 = 1000;
+const MAX_SAVED: u32 = 10 * RETRY_COST;
 
 /// A budget of extra tries, earned by first tries.
 #[derive(Debug, Clone, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     saved: u32,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Takes in a first try.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARN_PER_MILLE).min(MOST_SAVED);
+        self.saved = (self.saved + EARNED_PER_CALL).min(MAX_SAVED);
     }
 
     /// Tells whether an extra try is allowed, and takes its cost.
-    pub fn spend(&mut self) -> bool {
-        if self.saved < TRY_COST {
+    pub fn try_spend(&mut self) -> bool {
+        if self.saved < RETRY_COST {
             return false;
         }
-        self.saved -= TRY_COST;
+        self.saved -= RETRY_COST;
         true
     }
 }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -5,7 +5,7 @@
 use gaplock_policy::guard::{Guard, Seen, Wish, FULL_SPEED, LOWEST_SPEED};
 use gaplock_policy::health::{FailureAction, HealthTracker};
 use gaplock_policy::pairing::{Band, Exposures, Pairing};
-use gaplock_policy::retry::Budget;
+use gaplock_policy::retry::RetryBudget;
 use gaplock_policy::tail;
 use gaplock_types::ids;
 use gaplock_types::sizes::{MilliCores, Resources};
@@ -133,10 +133,10 @@
 
 #[test]
 fn retries_are_a_tenth_of_first_tries() {
-    let mut b = Budget::default();
+    let mut b = RetryBudget::default();
     let allowed = (0..1_000).filter(|_| {
         b.earn();
-        b.spend()
+        b.try_spend()
     });
     assert_eq!(allowed.count(), 100);
 }
