--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -87,7 +87,7 @@
     /// What ran here lately, for matching late measurements.
     pub exposures: pairing::Exposures,
     /// The guard of the services here.
-    pub guard: guard::Guard,
+    pub guard: guard::TailGuard,
     /// When the last measurement that was taken in was taken.
     pub usage_taken: wire::WorkerClock,
     /// Service requests per measurement window, smoothed.
@@ -114,7 +114,7 @@
             acks: Vec::new(),
             runs: BTreeMap::new(),
             exposures: pairing::Exposures::default(),
-            guard: guard::Guard::default(),
+            guard: guard::TailGuard::default(),
             usage_taken: wire::WorkerClock(0),
             load: 0.0,
         }
@@ -208,7 +208,7 @@
         if rebooted {
             self.boot = Some(reply.boot);
             self.boot_since = cx.now;
-            self.guard = guard::Guard::default();
+            self.guard = guard::TailGuard::default();
             self.exposures = pairing::Exposures::default();
             self.usage_taken = wire::WorkerClock(0);
         }
--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -59,7 +59,7 @@
             let Some(job) = self.state.jobs.get(&run.task.job.number) else { continue };
             let place = self.state.task(run.task).and_then(|t| t.place.as_ref());
             let (wire::Kind::Batch(class), Some(place)) = (&job.kind, place) else { continue };
-            let speed = f64::from(view.speed) / f64::from(guard::FULL_SPEED);
+            let speed = f64::from(view.speed) / f64::from(guard::FULL_SPEED_PER_MILLE);
             let share = f64::from(place.reserve.cpu.0) * speed / whole;
             match shares.iter_mut().find(|(known, _)| known == class) {
                 Some((_, sum)) => *sum += share,
@@ -81,7 +81,10 @@
         let judged = |s: &wire::ServiceUsage| {
             let ceiling_us = cx.ceiling_us(&s.service)?;
             let alone_us = cx.pairing.alone_us(&s.service, band).unwrap_or(0.0);
-            Some(guard::Seen { worst: s.p99_us as f64 / ceiling_us, alone: alone_us / ceiling_us })
+            Some(guard::TailMeasurement {
+                worst: s.p99_us as f64 / ceiling_us,
+                baseline: alone_us / ceiling_us,
+            })
         };
         let measured = usage.services.iter().filter(|s| s.requests > 0);
         let worst =
@@ -98,12 +101,12 @@
             .map(|(run, _)| *run)
             .collect();
         if batch_runs.is_empty() {
-            link.guard.speed = guard::FULL_SPEED;
+            link.guard.speed = guard::FULL_SPEED_PER_MILLE;
             return;
         }
-        match link.guard.judge(clock, usage.taken, WINDOW, seen) {
-            guard::Wish::Nothing => self.repeat_speed(cx, worker, &batch_runs),
-            guard::Wish::Speed(speed) => {
+        match link.guard.evaluate(clock, usage.taken, WINDOW, seen) {
+            guard::GuardAction::Nothing => self.repeat_speed(cx, worker, &batch_runs),
+            guard::GuardAction::Speed(speed) => {
                 cx.note(
                     "throttle",
                     worker.to_string(),
@@ -111,7 +114,7 @@
                 );
                 self.repeat_speed(cx, worker, &batch_runs);
             }
-            guard::Wish::EvictOne => self.evict_one(cx, worker, &batch_runs, worst),
+            guard::GuardAction::EvictOne => self.evict_one(cx, worker, &batch_runs, worst),
         }
     }
 
@@ -150,7 +153,7 @@
                 unsaved_ms: view.progress_ms.saturating_sub(view.checkpoint_ms),
                 evictions: t.evictions,
                 urgent: job.urgent,
-                disturbance: slowdowns.fold(0.0, f64::max) - 1.0,
+                interference: slowdowns.fold(0.0, f64::max) - 1.0,
             });
         }
         let weight = services
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -75,7 +75,7 @@
             let run = wire::Run { task: id, attempt: t.attempt };
             link.runs.entry(run).or_insert_with(|| RunView {
                 checkpoint_ms: t.checkpoint_ms,
-                speed: gaplock_policy::guard::FULL_SPEED,
+                speed: gaplock_policy::guard::FULL_SPEED_PER_MILLE,
                 ..RunView::default()
             });
         }
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -87,7 +87,7 @@
                         unsaved_ms: view.progress_ms.saturating_sub(view.checkpoint_ms),
                         evictions: t.evictions,
                         urgent: false,
-                        disturbance: 1.0,
+                        interference: 1.0,
                     });
                 }
             }
@@ -219,8 +219,11 @@
         if !cx.allowed(checked) {
             return false;
         }
-        let view =
-            RunView { checkpoint_ms: resume_ms, speed: guard::FULL_SPEED, ..RunView::default() };
+        let view = RunView {
+            checkpoint_ms: resume_ms,
+            speed: guard::FULL_SPEED_PER_MILLE,
+            ..RunView::default()
+        };
         link.runs.insert(run, view);
         self.remember(cx, id.job, format!("{id} goes to {worker} as attempt {}", run.attempt.0));
         let worker = worker.clone();
@@ -254,7 +257,7 @@
             rack: link.host.rack.clone(),
             services: Vec::new(),
             shares: Vec::new(),
-            throttled: link.guard.speed < guard::FULL_SPEED,
+            throttled: link.guard.speed < guard::FULL_SPEED_PER_MILLE,
             unknown_tasks: 0,
         };
         let band = pairing::Band::of(link.load);
--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -44,7 +44,7 @@
 struct Learnt {
     pairing: pairing::Pairing,
     exposures: Vec<pairing::Exposures>,
-    guards: Vec<guard::Guard>,
+    guards: Vec<guard::TailGuard>,
     tail: tail::Tail,
 }
 
@@ -131,7 +131,7 @@
     let mut learnt = Learnt {
         pairing: pairing::Pairing::default(),
         exposures: (0..d.workers).map(|_| pairing::Exposures::default()).collect(),
-        guards: vec![guard::Guard::default(); d.workers],
+        guards: vec![guard::TailGuard::default(); d.workers],
         tail: tail::Tail::default(),
     };
     while site.now_ms < RUN_MS {
@@ -194,19 +194,20 @@
     let ceiling_us = learnt.ceiling_us(site);
     let service = site.deployment.service.clone();
     let alone_us = learnt.pairing.alone_us(&service, band).unwrap_or(0.0);
-    let seen = guard::Seen { worst: r.p99_us / ceiling_us, alone: alone_us / ceiling_us };
+    let seen =
+        guard::TailMeasurement { worst: r.p99_us / ceiling_us, baseline: alone_us / ceiling_us };
     let guard = &mut learnt.guards[worker];
     if site.workers[worker].tasks.is_empty() {
-        guard.speed = guard::FULL_SPEED;
+        guard.speed = guard::FULL_SPEED_PER_MILLE;
         return;
     }
     let now = wire::WorkerClock(site.now_ms);
-    match guard.judge(now, r.taken, time::Millis(WINDOW_MS), seen) {
-        guard::Wish::Nothing => {}
-        guard::Wish::Speed(speed) => {
+    match guard.evaluate(now, r.taken, time::Millis(WINDOW_MS), seen) {
+        guard::GuardAction::Nothing => {}
+        guard::GuardAction::Speed(speed) => {
             site.workers[worker].tasks.iter_mut().for_each(|t| t.speed = speed);
         }
-        guard::Wish::EvictOne => {
+        guard::GuardAction::EvictOne => {
             let victims: Vec<guard::Victim> = site.workers[worker]
                 .tasks
                 .iter()
@@ -232,7 +233,7 @@
         unsaved_ms: (t.done_ms - t.saved_ms) as u64,
         evictions: t.evictions,
         urgent: false,
-        disturbance: learnt.pairing.slowdown(service, &shares, band) - 1.0,
+        interference: learnt.pairing.slowdown(service, &shares, band) - 1.0,
     }
 }
 
@@ -251,7 +252,7 @@
         let mut task = task;
         task.speed = match policy {
             Policy::Ours | Policy::GuardOnly => learnt.guards[worker].speed,
-            _ => guard::FULL_SPEED,
+            _ => guard::FULL_SPEED_PER_MILLE,
         };
         site.workers[worker].tasks.push(task);
     }
@@ -270,8 +271,9 @@
     match policy {
         Policy::FirstFit(cap) => (0..site.workers.len()).find(|i| fits(site, *i, cap)),
         Policy::RawReadings => (0..site.workers.len()).find(|i| fits(site, *i, 100)),
-        Policy::GuardOnly => (0..site.workers.len())
-            .find(|i| learnt.guards[*i].speed == guard::FULL_SPEED && fits(site, *i, 100)),
+        Policy::GuardOnly => (0..site.workers.len()).find(|i| {
+            learnt.guards[*i].speed == guard::FULL_SPEED_PER_MILLE && fits(site, *i, 100)
+        }),
         Policy::RandomOfTwo(cap) => {
             let count = site.workers.len();
             let two = [site.rng.random_range(0..count), site.rng.random_range(0..count)];
@@ -319,6 +321,6 @@
         unknown_tasks: unknown.count() as u32,
         services: vec![(service, band, learnt.ceiling_us(site))],
         shares,
-        throttled: learnt.guards[i].speed < guard::FULL_SPEED,
+        throttled: learnt.guards[i].speed < guard::FULL_SPEED_PER_MILLE,
     }
 }
--- a/crates/policy/src/guard.rs
+++ b/crates/policy/src/guard.rs
@@ -8,53 +8,53 @@
 use gaplock_types::{time, wire};
 
 /// The full speed of a batch task, in thousandths.
-pub const FULL_SPEED: u32 = 1000;
+pub const FULL_SPEED_PER_MILLE: u32 = 1000;
 /// The lowest speed to which batch is throttled, in thousandths.
-pub const LOWEST_SPEED: u32 = 100;
+pub const MIN_SPEED_PER_MILLE: u32 = 100;
 
 /// Above this share of the ceiling, batch is slowed.
 const HIGH_WATER: f64 = 1.0;
 /// Below this share of the ceiling, batch may return.
 const LOW_WATER: f64 = 0.8;
 /// Where a step aims, as a share of the ceiling.
-const AIM: f64 = 0.9;
+const TARGET_SHARE: f64 = 0.9;
 /// The largest steps down and up, as factors on the speed.
-const STEEPEST_DOWN: f64 = 0.3;
-const STEEPEST_UP: f64 = 1.5;
-const SMALLEST_UP: f64 = 1.05;
+const MIN_SPEED_FACTOR: f64 = 0.3;
+const MAX_SPEED_FACTOR: f64 = 1.5;
+const MIN_INCREASE_FACTOR: f64 = 1.05;
 /// Steps at the lowest speed after which a task is moved away.
-const LOWEST_STEPS_BEFORE_EVICTION: u32 = 2;
+const STEPS_AT_MIN_SPEED_BEFORE_EVICTION: u32 = 2;
 
 /// The guard's memory for one worker.
 #[derive(Debug, Clone)]
-pub struct Guard {
+pub struct TailGuard {
     /// The speed of batch on the worker, in thousandths.
     pub speed: u32,
-    settled_at: wire::WorkerClock,
-    lowest_steps: u32,
+    last_step_at: wire::WorkerClock,
+    steps_at_min_speed: u32,
 }
 
 /// What a measurement showed of the worst service, in shares of its ceiling.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct TailMeasurement {
     /// Its 99th percentile.
     pub worst: f64,
     /// What its 99th percentile would be without batch, as learnt.
-    pub alone: f64,
+    pub baseline: f64,
 }
 
-impl Seen {
+impl TailMeasurement {
     /// Returns by which factor batch must be faster or slower to bring the service to the aim,
     /// given that the disturbance is in proportion to the speed.
     fn factor(&self) -> f64 {
-        let disturbance = (self.worst - self.alone).max(0.01);
-        ((AIM - self.alone) / disturbance).clamp(STEEPEST_DOWN, STEEPEST_UP)
+        let disturbance = (self.worst - self.baseline).max(0.01);
+        ((TARGET_SHARE - self.baseline) / disturbance).clamp(MIN_SPEED_FACTOR, MAX_SPEED_FACTOR)
     }
 }
 
 /// What the guard wants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wish {
+pub enum GuardAction {
     /// Nothing changes.
     Nothing,
     /// All batch on the worker runs at this many thousandths.
@@ -63,57 +63,61 @@
     EvictOne,
 }
 
-impl Default for Guard {
+impl Default for TailGuard {
     fn default() -> Self {
-        Self { speed: FULL_SPEED, settled_at: wire::WorkerClock(0), lowest_steps: 0 }
+        Self {
+            speed: FULL_SPEED_PER_MILLE,
+            last_step_at: wire::WorkerClock(0),
+            steps_at_min_speed: 0,
+        }
     }
 }
 
-impl Guard {
+impl TailGuard {
     /// Judges a measurement that was taken over `window` up to `taken`.
     ///
     /// `now` is the worker's clock as last read.
-    pub fn judge(
+    pub fn evaluate(
         &mut self,
         now: wire::WorkerClock,
         taken: wire::WorkerClock,
         window: time::Millis,
-        seen: Seen,
-    ) -> Wish {
+        seen: TailMeasurement,
+    ) -> GuardAction {
         let window_began = taken.0.saturating_sub(window.0);
-        if window_began < self.settled_at.0 {
-            return Wish::Nothing;
+        if window_began < self.last_step_at.0 {
+            return GuardAction::Nothing;
         }
         let wish = if seen.worst > HIGH_WATER {
             self.slow_down(seen.factor())
-        } else if seen.worst < LOW_WATER && self.speed < FULL_SPEED {
-            self.lowest_steps = 0;
-            self.scale(seen.factor().clamp(SMALLEST_UP, STEEPEST_UP))
+        } else if seen.worst < LOW_WATER && self.speed < FULL_SPEED_PER_MILLE {
+            self.steps_at_min_speed = 0;
+            self.scale(seen.factor().clamp(MIN_INCREASE_FACTOR, MAX_SPEED_FACTOR))
         } else {
-            Wish::Nothing
+            GuardAction::Nothing
         };
-        if wish != Wish::Nothing {
-            self.settled_at = now;
+        if wish != GuardAction::Nothing {
+            self.last_step_at = now;
         }
         wish
     }
 
-    fn scale(&mut self, factor: f64) -> Wish {
+    fn scale(&mut self, factor: f64) -> GuardAction {
         let scaled = (f64::from(self.speed) * factor) as u32;
-        self.speed = scaled.clamp(LOWEST_SPEED, FULL_SPEED);
-        Wish::Speed(self.speed)
+        self.speed = scaled.clamp(MIN_SPEED_PER_MILLE, FULL_SPEED_PER_MILLE);
+        GuardAction::Speed(self.speed)
     }
 
-    fn slow_down(&mut self, factor: f64) -> Wish {
-        if self.speed > LOWEST_SPEED {
-            return self.scale(factor.clamp(STEEPEST_DOWN, 1.0 / SMALLEST_UP));
+    fn slow_down(&mut self, factor: f64) -> GuardAction {
+        if self.speed > MIN_SPEED_PER_MILLE {
+            return self.scale(factor.clamp(MIN_SPEED_FACTOR, 1.0 / MIN_INCREASE_FACTOR));
         }
-        self.lowest_steps += 1;
-        if self.lowest_steps < LOWEST_STEPS_BEFORE_EVICTION {
-            return Wish::Nothing;
+        self.steps_at_min_speed += 1;
+        if self.steps_at_min_speed < STEPS_AT_MIN_SPEED_BEFORE_EVICTION {
+            return GuardAction::Nothing;
         }
-        self.lowest_steps = 0;
-        Wish::EvictOne
+        self.steps_at_min_speed = 0;
+        GuardAction::EvictOne
     }
 }
 
@@ -127,7 +131,7 @@
     /// Whether it is urgent.
     pub urgent: bool,
     /// How much it disturbs the worst service, by the learnt pairing.
-    pub disturbance: f64,
+    pub interference: f64,
 }
 
 /// Chooses the task whose move costs least for the relief that it brings.
@@ -135,7 +139,7 @@
     let cost = |v: &Victim| {
         let lost_s = v.unsaved_ms as f64 / 1000.0;
         let fairness = 1.0 + eviction_weight * f64::from(v.evictions);
-        (1.0 + lost_s) * fairness / v.disturbance.max(0.01)
+        (1.0 + lost_s) * fairness / v.interference.max(0.01)
     };
     victims
         .iter()
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,7 +2,9 @@
 
 use gaplock_policy::estimate::Estimator;
 use gaplock_policy::fair::{self, PartnerShare};
-use gaplock_policy::guard::{Guard, Seen, Wish, FULL_SPEED, LOWEST_SPEED};
+use gaplock_policy::guard::{
+    GuardAction, TailGuard, TailMeasurement, FULL_SPEED_PER_MILLE, MIN_SPEED_PER_MILLE,
+};
 use gaplock_policy::health::{FailureAction, HealthTracker};
 use gaplock_policy::pairing::{Band, Exposures, Pairing};
 use gaplock_policy::retry::RetryBudget;
@@ -38,36 +40,43 @@
     assert_eq!(e.during(WorkerClock(6_500), 1_000), Some(&vec![("b".into(), 0.2)]));
 }
 
-fn judge(g: &mut Guard, now: u64, taken: u64, worst: f64) -> Wish {
-    g.judge(WorkerClock(now), WorkerClock(taken), Millis(1_000), Seen { worst, alone: 0.4 })
+fn judge(g: &mut TailGuard, now: u64, taken: u64, worst: f64) -> GuardAction {
+    g.evaluate(
+        WorkerClock(now),
+        WorkerClock(taken),
+        Millis(1_000),
+        TailMeasurement { worst, baseline: 0.4 },
+    )
 }
 
 #[test]
 fn the_guard_waits_for_its_effect_before_it_acts_again() {
-    let mut g = Guard::default();
-    let Wish::Speed(slower) = judge(&mut g, 10_000, 7_000, 1.4) else { panic!("it should slow") };
-    assert!(slower < FULL_SPEED);
+    let mut g = TailGuard::default();
+    let GuardAction::Speed(slower) = judge(&mut g, 10_000, 7_000, 1.4) else {
+        panic!("it should slow")
+    };
+    assert!(slower < FULL_SPEED_PER_MILLE);
     // Readings from before the step say nothing about it.
-    assert_eq!(judge(&mut g, 10_500, 7_500, 1.4), Wish::Nothing);
-    assert_eq!(judge(&mut g, 13_900, 10_900, 1.4), Wish::Nothing);
-    assert_ne!(judge(&mut g, 14_100, 11_100, 1.4), Wish::Nothing);
+    assert_eq!(judge(&mut g, 10_500, 7_500, 1.4), GuardAction::Nothing);
+    assert_eq!(judge(&mut g, 13_900, 10_900, 1.4), GuardAction::Nothing);
+    assert_ne!(judge(&mut g, 14_100, 11_100, 1.4), GuardAction::Nothing);
 }
 
 #[test]
 fn the_guard_throttles_before_it_evicts_and_lets_batch_return() {
-    let mut g = Guard::default();
+    let mut g = TailGuard::default();
     let mut evicted_at = None;
     for step in 0..20 {
         let now = 10_000 * (step + 1);
-        if judge(&mut g, now, now - 1_000, 3.0) == Wish::EvictOne {
+        if judge(&mut g, now, now - 1_000, 3.0) == GuardAction::EvictOne {
             evicted_at.get_or_insert((step, g.speed));
         }
     }
-    assert_eq!(evicted_at.map(|(_, speed)| speed), Some(LOWEST_SPEED));
+    assert_eq!(evicted_at.map(|(_, speed)| speed), Some(MIN_SPEED_PER_MILLE));
     for step in 20..40 {
         judge(&mut g, 10_000 * (step + 1), 10_000 * (step + 1) - 1_000, 0.5);
     }
-    assert_eq!(g.speed, FULL_SPEED);
+    assert_eq!(g.speed, FULL_SPEED_PER_MILLE);
 }
 
 #[test]
--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -10,7 +10,7 @@
 use crate::changes::{gangs, pacing, permits, scarcity, starts, trace, trials};
 use crate::decisions::asks::{self, First};
 use crate::decisions::choices::Choices;
-use crate::decisions::{disturbance, placement, room};
+use crate::decisions::{interference, placement, room};
 use crate::state::table::{self, ReadyStep};
 use crate::state::State;
 
@@ -42,7 +42,7 @@
         let filling = step.fills.then(|| BlockedFilling {
             image: step.image.clone(),
             demand: step.demand.cpu,
-            impatient: disturbance::is_impatient(first.waited),
+            impatient: interference::is_impatient(first.waited),
         });
         let lasting = step.lasting.then(|| room::may_take_kept(first.waited, first.again));
         Self { service, label: step.label.clone(), takes: table::takes(step), filling, lasting }
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -3,7 +3,7 @@
 use gaplock_types::time::Millis;
 
 use crate::changes::commits;
-use crate::decisions::disturbance::CROWDED_SHARE;
+use crate::decisions::interference::CROWDED_SHARE;
 use crate::decisions::filling::{self, SETTLE};
 use crate::interface::message::{Record, WorkerIx};
 use crate::state::model::{Column, Served};
--- a/crates/sched/src/changes/pacing/spare.rs
+++ b/crates/sched/src/changes/pacing/spare.rs
@@ -1,6 +1,6 @@
 //! The room that serving tasks leave on a worker for filling ones.
 
-use crate::decisions::disturbance::FILLED_SHARE;
+use crate::decisions::interference::FILLED_SHARE;
 use crate::decisions::filling::{self, FillingTask};
 use crate::interface::message::WorkerIx;
 use crate::state::model::Row;
--- a/crates/sched/src/decisions.rs
+++ b/crates/sched/src/decisions.rs
@@ -3,7 +3,7 @@
 pub mod asks;
 pub mod availability;
 pub mod choices;
-pub mod disturbance;
+pub mod interference;
 pub mod filling;
 pub mod leaving;
 pub mod losses;
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -6,7 +6,7 @@
 use gaplock_types::sizes::Resources;
 use gaplock_types::time::Millis;
 
-use crate::decisions::disturbance;
+use crate::decisions::interference;
 use crate::decisions::room;
 use crate::interface::message::{StepKey, WorkerIx};
 use crate::state::table;
@@ -271,6 +271,6 @@
     if worker.speed.is_slow(cx.now) {
         score -= SLOW_COST;
     }
-    let disturbed = disturbance::placement_cost(cx, worker, wanted.step, wanted.waited)?;
+    let disturbed = interference::placement_cost(cx, worker, wanted.step, wanted.waited)?;
     Some(score - disturbed)
 }
--- a/crates/sched/tests/floors/table.rs
+++ b/crates/sched/tests/floors/table.rs
@@ -48,7 +48,7 @@
             "decisions::availability",
             "decisions::filling",
             "decisions::paces",
-            "decisions::disturbance",
+            "decisions::interference",
             "decisions::room",
             "decisions::placement",
             "decisions::choices",
