--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -7,7 +7,7 @@
 use gaplock_jobs::JobKey;
 use gaplock_platform::callers;
 use gaplock_platform::store::StoreError;
-use gaplock_policy::handing::Handed;
+use gaplock_policy::handing::StoreOutcome;
 use gaplock_remote::clock;
 use gaplock_serve::Whole;
 use gaplock_types::codes::Code;
@@ -75,10 +75,10 @@
     let handed = inbox::store_job(node, job).await;
     tracing::info!(event = "job_handed_in", job = %key, queue, outcome = ?handed);
     match handed {
-        Handed::Stored => answer(node, Code::Accepted, StatusCode::Ok.into(), b"{}".to_vec()),
-        Handed::NotStored => refuse(node, Code::StoreDown),
+        StoreOutcome::Stored => answer(node, Code::Accepted, StatusCode::Ok.into(), b"{}".to_vec()),
+        StoreOutcome::NotStored => refuse(node, Code::StoreDown),
         // Nobody finds a job gone that is being handed in; what it would mean is not known.
-        Handed::Unclear | Handed::NoSuchJob => {
+        StoreOutcome::Unclear | StoreOutcome::NoSuchJob => {
             answer(node, Code::OutcomeUnknown, GATEWAY_TIMEOUT, Vec::new())
         }
     }
@@ -136,10 +136,10 @@
     let handed = inbox::store_cancel(node, key).await;
     tracing::info!(event = "job_cancelled", job = %key, outcome = ?handed);
     match handed {
-        Handed::Stored => answer(node, Code::Ok, StatusCode::Ok.into(), b"{}".to_vec()),
-        Handed::NoSuchJob => answer(node, Code::NotFound, GONE, Vec::new()),
-        Handed::NotStored => refuse(node, Code::StoreDown),
-        Handed::Unclear => answer(node, Code::OutcomeUnknown, GATEWAY_TIMEOUT, Vec::new()),
+        StoreOutcome::Stored => answer(node, Code::Ok, StatusCode::Ok.into(), b"{}".to_vec()),
+        StoreOutcome::NoSuchJob => answer(node, Code::NotFound, GONE, Vec::new()),
+        StoreOutcome::NotStored => refuse(node, Code::StoreDown),
+        StoreOutcome::Unclear => answer(node, Code::OutcomeUnknown, GATEWAY_TIMEOUT, Vec::new()),
     }
 }
 
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use gaplock_jobs::{Job, JobKey};
 use gaplock_platform::store::{Revision, StoreError, Txn};
-use gaplock_policy::handing::{self, AtLeader, Handed, JobNow};
+use gaplock_policy::handing::{self, LeaderReply, StoreOutcome, StoredJob};
 use gaplock_policy::tries::{CallAttempts, Execution};
 
 use crate::keys;
@@ -23,32 +23,32 @@
 const UNCLEAR_LIMIT: Duration = Duration::from_millis(350);
 
 /// Stores a job, by this host's own connection to the store or else through the leader.
-pub async fn store_job(node: &Arc<Node>, job: Arc<Job>) -> Handed {
+pub async fn store_job(node: &Arc<Node>, job: Arc<Job>) -> StoreOutcome {
     let here = store_job_here(node, Arc::clone(&job)).await;
     if is_settled(here) {
         return here;
     }
     let Some(addr) = node.leader_addr() else { return here };
     let asked = node.leader.store_job(&addr, &job).await;
-    handing::join(here, at_leader(asked))
+    handing::combine(here, at_leader(asked))
 }
 
 /// Tells whether what became of it here needs no word of the leader.
-fn is_settled(here: Handed) -> bool {
-    matches!(here, Handed::Stored | Handed::NoSuchJob)
+fn is_settled(here: StoreOutcome) -> bool {
+    matches!(here, StoreOutcome::Stored | StoreOutcome::NoSuchJob)
 }
 
 /// Tells what the leader's answer, or its silence, says of its part.
-fn at_leader(asked: Result<Handed, PeerError>) -> AtLeader {
+fn at_leader(asked: Result<StoreOutcome, PeerError>) -> LeaderReply {
     match asked {
-        Ok(there) => AtLeader::Answered(there),
-        Err(PeerError::NotSent) => AtLeader::NotAsked,
-        Err(PeerError::Unclear) => AtLeader::Silent,
+        Ok(there) => LeaderReply::Answered(there),
+        Err(PeerError::NotSent) => LeaderReply::NotAsked,
+        Err(PeerError::Unclear) => LeaderReply::Silent,
     }
 }
 
 /// Stores a job by this host's own connection to the store.
-pub async fn store_job_here(node: &Arc<Node>, job: Arc<Job>) -> Handed {
+pub async fn store_job_here(node: &Arc<Node>, job: Arc<Job>) -> StoreOutcome {
     let key = keys::job(job.key);
     let txn = Txn {
         expected: vec![(key.clone(), Revision(0))],
@@ -57,10 +57,10 @@
     };
     let handed = match write_once(node, &txn).await {
         // The only thing that it expects is that the job is not there.
-        Written::Conflict => Handed::Stored,
+        Written::Conflict => StoreOutcome::Stored,
         Written::Settled(handed) => handed,
     };
-    if handed == Handed::Stored {
+    if handed == StoreOutcome::Stored {
         announce_job(node, job);
     }
     handed
@@ -69,7 +69,7 @@
 /// What became of a write that was tried for a while.
 enum Written {
     /// This is known of it.
-    Settled(Handed),
+    Settled(StoreOutcome),
     /// Something that it expects is not so, be it by an earlier try of the same write or not.
     Conflict,
 }
@@ -78,7 +78,7 @@
 /// while.
 async fn write_once(node: &Node, txn: &Txn) -> Written {
     if node.is_store_away() {
-        return Written::Settled(Handed::NotStored);
+        return Written::Settled(StoreOutcome::NotStored);
     }
     let began = Instant::now();
     let mut tries = CallAttempts::default();
@@ -87,7 +87,7 @@
         let last = match node.store.commit(txn).await {
             Ok(_) => {
                 node.store_answered();
-                return Written::Settled(Handed::Stored);
+                return Written::Settled(StoreOutcome::Stored);
             }
             Err(StoreError::Conflict) => {
                 node.store_answered();
@@ -98,10 +98,10 @@
         };
         node.store_failed();
         if tries.record_outcome(last) == Execution::NotDone {
-            return Written::Settled(Handed::NotStored);
+            return Written::Settled(StoreOutcome::NotStored);
         }
         if began.elapsed() > UNCLEAR_LIMIT {
-            return Written::Settled(Handed::Unclear);
+            return Written::Settled(StoreOutcome::Unclear);
         }
         task::sleep(UNCLEAR_PAUSE).await;
     }
@@ -122,25 +122,25 @@
 }
 
 /// Stores a cancellation, by this host's own connection to the store or else through the leader.
-pub async fn store_cancel(node: &Arc<Node>, key: JobKey) -> Handed {
+pub async fn store_cancel(node: &Arc<Node>, key: JobKey) -> StoreOutcome {
     let here = store_cancel_here(node, key).await;
     if is_settled(here) {
         return here;
     }
     let Some(addr) = node.leader_addr() else { return here };
     let asked = node.leader.store_cancel(&addr, key).await;
-    handing::join(here, at_leader(asked))
+    handing::combine(here, at_leader(asked))
 }
 
 /// Stores a cancellation by this host's own connection to the store.
-pub async fn store_cancel_here(node: &Arc<Node>, key: JobKey) -> Handed {
+pub async fn store_cancel_here(node: &Arc<Node>, key: JobKey) -> StoreOutcome {
     if node.is_store_away() {
-        return Handed::NotStored;
+        return StoreOutcome::NotStored;
     }
     let job = match node.store.get(&keys::job(key)).await {
         Ok(Some(item)) => item,
-        Ok(None) => return Handed::NoSuchJob,
-        Err(_) => return Handed::NotStored,
+        Ok(None) => return StoreOutcome::NoSuchJob,
+        Err(_) => return StoreOutcome::NotStored,
     };
     let cancel = keys::cancel(key);
     let txn = Txn {
@@ -152,26 +152,26 @@
         Written::Conflict => cancel_after_conflict(node, key, job.revision).await,
         Written::Settled(handed) => handed,
     };
-    if handed == Handed::Stored {
+    if handed == StoreOutcome::Stored {
         announce_cancel(node, key);
     }
     handed
 }
 
 /// Finds out what a cancellation met that expected the job at this revision.
-async fn cancel_after_conflict(node: &Node, key: JobKey, expected: Revision) -> Handed {
+async fn cancel_after_conflict(node: &Node, key: JobKey, expected: Revision) -> StoreOutcome {
     let read = async {
         let cancelled = node.store.get(&keys::cancel(key)).await?.is_some();
         let job = match node.store.get(&keys::job(key)).await? {
-            None => JobNow::Gone,
-            Some(item) if item.revision == expected => JobNow::AsExpected,
-            Some(_) => JobNow::Anew,
+            None => StoredJob::Gone,
+            Some(item) if item.revision == expected => StoredJob::AsExpected,
+            Some(_) => StoredJob::Recreated,
         };
-        Ok::<_, StoreError>(handing::cancel_after_conflict(cancelled, job))
+        Ok::<_, StoreError>(handing::cancel_outcome_after_conflict(cancelled, job))
     };
     read.await.unwrap_or_else(|e| {
         tracing::info!(event = "state_unknown", job = %key, error = %e);
-        Handed::Unclear
+        StoreOutcome::Unclear
     })
 }
 
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -13,7 +13,7 @@
 use gaplock_jobs::config::Config;
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::{Job, JobKey};
-use gaplock_policy::handing::Handed;
+use gaplock_policy::handing::StoreOutcome;
 use gaplock_policy::succession;
 use gaplock_types::ids;
 use gaplock_types::time::Millis;
@@ -230,7 +230,7 @@
     ///
     /// # Errors
     /// As [`Leader::heartbeat`].
-    pub async fn store_job(&self, addr: &str, job: &Job) -> Result<Handed, PeerError> {
+    pub async fn store_job(&self, addr: &str, job: &Job) -> Result<StoreOutcome, PeerError> {
         self.call(addr, STORE_JOB, job).await
     }
 
@@ -238,7 +238,7 @@
     ///
     /// # Errors
     /// As [`Leader::heartbeat`].
-    pub async fn store_cancel(&self, addr: &str, key: JobKey) -> Result<Handed, PeerError> {
+    pub async fn store_cancel(&self, addr: &str, key: JobKey) -> Result<StoreOutcome, PeerError> {
         self.call(addr, STORE_CANCEL, &key).await
     }
 
--- a/crates/policy/tests/handing.rs
+++ b/crates/policy/tests/handing.rs
@@ -5,13 +5,13 @@
 //! was refused because the leader's own try was. Cause: one try's answer was taken for the fate of
 //! both.
 
-use gaplock_policy::handing::{self, AtLeader, Handed, JobNow};
-use Handed::{NoSuchJob, NotStored, Stored, Unclear};
+use gaplock_policy::handing::{self, LeaderReply, StoreOutcome, StoredJob};
+use StoreOutcome::{NoSuchJob, NotStored, Stored, Unclear};
 
-const ALL: [Handed; 4] = [Stored, NoSuchJob, NotStored, Unclear];
+const ALL: [StoreOutcome; 4] = [Stored, NoSuchJob, NotStored, Unclear];
 
 /// What became of it here, at the leader, and what the caller is told.
-const TABLE: [(Handed, Handed, Handed); 16] = [
+const TABLE: [(StoreOutcome, StoreOutcome, StoreOutcome); 16] = [
     (Stored, Stored, Stored),
     (Stored, NoSuchJob, Stored),
     (Stored, NotStored, Stored),
@@ -33,7 +33,7 @@
 #[test]
 fn both_fates_are_joined_by_one_rule() {
     for (here, there, told) in TABLE {
-        let joined = handing::join(here, AtLeader::Answered(there));
+        let joined = handing::combine(here, LeaderReply::Answered(there));
         assert_eq!(joined, told, "{here:?} here and {there:?} at the leader");
     }
 }
@@ -41,15 +41,15 @@
 #[test]
 fn a_silent_leader_counts_as_unclear() {
     for here in ALL {
-        let silent = handing::join(here, AtLeader::Silent);
-        assert_eq!(silent, handing::join(here, AtLeader::Answered(Unclear)), "{here:?} here");
+        let silent = handing::combine(here, LeaderReply::Silent);
+        assert_eq!(silent, handing::combine(here, LeaderReply::Answered(Unclear)), "{here:?} here");
     }
 }
 
 #[test]
 fn a_leader_that_was_not_asked_changes_nothing() {
     for here in ALL {
-        assert_eq!(handing::join(here, AtLeader::NotAsked), here);
+        assert_eq!(handing::combine(here, LeaderReply::NotAsked), here);
     }
 }
 
@@ -57,7 +57,7 @@
 fn a_refusal_needs_certainty_on_both_sides() {
     for here in ALL {
         for there in ALL {
-            let refused = handing::join(here, AtLeader::Answered(there)) == NotStored;
+            let refused = handing::combine(here, LeaderReply::Answered(there)) == NotStored;
             assert_eq!(refused, here == NotStored && there == NotStored);
         }
     }
@@ -65,10 +65,10 @@
 
 #[test]
 fn a_conflict_of_a_cancellation_is_told_by_what_is_stored() {
-    for job in [JobNow::Gone, JobNow::AsExpected, JobNow::Anew] {
-        assert_eq!(handing::cancel_after_conflict(true, job), Stored);
+    for job in [StoredJob::Gone, StoredJob::AsExpected, StoredJob::Recreated] {
+        assert_eq!(handing::cancel_outcome_after_conflict(true, job), Stored);
     }
-    assert_eq!(handing::cancel_after_conflict(false, JobNow::Gone), NoSuchJob);
-    assert_eq!(handing::cancel_after_conflict(false, JobNow::Anew), NotStored);
-    assert_eq!(handing::cancel_after_conflict(false, JobNow::AsExpected), Unclear);
+    assert_eq!(handing::cancel_outcome_after_conflict(false, StoredJob::Gone), NoSuchJob);
+    assert_eq!(handing::cancel_outcome_after_conflict(false, StoredJob::Recreated), NotStored);
+    assert_eq!(handing::cancel_outcome_after_conflict(false, StoredJob::AsExpected), Unclear);
 }
