--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -11,12 +11,12 @@
 const MARGIN_DEVIATIONS: f64 = 3.0;
 const MIN_SAMPLES: u32 = 20;
 /// A reservation never falls below this share of the declaration.
-const FLOOR_RATIO: f64 = 0.25;
+const MIN_RATIO: f64 = 0.25;
 /// A reservation never rises above this multiple of the declaration.
-const CEILING_RATIO: f64 = 4.0;
+const MAX_RATIO: f64 = 4.0;
 
 #[derive(Debug, Clone, Copy)]
-struct Ratio {
+struct UsageRatio {
     mean: f64,
     deviation: f64,
     samples: u32,
@@ -25,7 +25,7 @@
 /// Observed ratios of use to declaration, by batch class.
 #[derive(Debug, Default)]
 pub struct Estimator {
-    ratios: FxHashMap<ids::BatchClass, Ratio>,
+    ratios: FxHashMap<ids::BatchClass, UsageRatio>,
 }
 
 impl Estimator {
@@ -40,7 +40,7 @@
             return;
         }
         let ratio = f64::from(used.0) / f64::from(declared.0);
-        let r = self.ratios.entry(class.clone()).or_insert(Ratio {
+        let r = self.ratios.entry(class.clone()).or_insert(UsageRatio {
             mean: ratio,
             deviation: ratio / 2.0,
             samples: 0,
@@ -62,7 +62,7 @@
         let Some(r) = self.ratios.get(class).filter(|r| r.samples >= MIN_SAMPLES) else {
             return *declared;
         };
-        let ratio = (r.mean + MARGIN_DEVIATIONS * r.deviation).clamp(FLOOR_RATIO, CEILING_RATIO);
+        let ratio = (r.mean + MARGIN_DEVIATIONS * r.deviation).clamp(MIN_RATIO, MAX_RATIO);
         let cpu = (f64::from(declared.cpu.0) * ratio).ceil() as u32;
         sizes::Resources { cpu: sizes::MilliCores(cpu), ..*declared }
     }
