--- a/crates/coord/src/context.rs
+++ b/crates/coord/src/context.rs
@@ -100,7 +100,7 @@
     /// Learnt disturbance of pairs.
     pub pairing: pairing::Pairing,
     /// Each service's tail and the allowance that follows from it.
-    pub tails: BTreeMap<ids::ServiceId, tail::Tail>,
+    pub tails: BTreeMap<ids::ServiceId, tail::TailController>,
     /// Learnt processor use.
     pub estimator: estimate::Estimator,
     /// Actions of the event, in order; the driver takes them out.
@@ -132,7 +132,7 @@
     /// Returns the 99th percentile that a service may reach on one worker now, in microseconds.
     pub fn ceiling_us(&self, service: &ids::ServiceId) -> Option<f64> {
         let (_, service) = self.config.placement_of(service)?;
-        let allowance = self.tails.get(&service.id).map_or(1.0, tail::Tail::allowance);
+        let allowance = self.tails.get(&service.id).map_or(1.0, tail::TailController::allowance);
         Some(f64::from(service.objective_ms) * 1000.0 * allowance)
     }
 
--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -45,7 +45,7 @@
     pairing: pairing::Pairing,
     exposures: Vec<pairing::Exposures>,
     guards: Vec<guard::TailGuard>,
-    tail: tail::Tail,
+    tail: tail::TailController,
 }
 
 impl Learnt {
@@ -132,7 +132,7 @@
         pairing: pairing::Pairing::default(),
         exposures: (0..d.workers).map(|_| pairing::Exposures::default()).collect(),
         guards: vec![guard::TailGuard::default(); d.workers],
-        tail: tail::Tail::default(),
+        tail: tail::TailController::default(),
     };
     while site.now_ms < RUN_MS {
         let readings = site.step();
--- a/crates/policy/src/tail.rs
+++ b/crates/policy/src/tail.rs
@@ -9,29 +9,29 @@
 use gaplock_types::time;
 
 /// The share of requests that may miss a 99th percentile, less a margin.
-const TARGET_MISSED: f64 = 0.008;
-const LEAST: f64 = 0.7;
+const TARGET_MISSED_SHARE: f64 = 0.008;
+const MIN_ALLOWANCE: f64 = 0.7;
 const MOST: f64 = 1.8;
 /// Weight of one measurement in the estimate.
 const SMOOTHING: f64 = 0.01;
 /// The largest change of the allowance in one adjustment.
-const STEP: f64 = 0.01;
-const ADJUST_EVERY: time::Millis = time::Millis(1_000);
+const MAX_ALLOWANCE_STEP: f64 = 0.01;
+const ADJUST_INTERVAL: time::Millis = time::Millis(1_000);
 /// The standard normal distribution's 99th percentile.
 const NORMAL_P99: f64 = 2.326;
-const LEAST_SIGMA: f64 = 0.05;
+const MIN_SIGMA: f64 = 0.05;
 
 /// The tail of one service.
 #[derive(Debug, Clone)]
-pub struct Tail {
+pub struct TailController {
     missed: f64,
     allowance: f64,
     adjusted_at: time::Instant,
 }
 
-impl Default for Tail {
+impl Default for TailController {
     fn default() -> Self {
-        Self { missed: TARGET_MISSED, allowance: 1.0, adjusted_at: time::Instant(0) }
+        Self { missed: TARGET_MISSED_SHARE, allowance: 1.0, adjusted_at: time::Instant(0) }
     }
 }
 
@@ -58,11 +58,11 @@
     if p50_us <= 0.0 || p99_us <= 0.0 {
         return 0.0;
     }
-    let sigma = ((p99_us / p50_us).ln() / NORMAL_P99).max(LEAST_SIGMA);
+    let sigma = ((p99_us / p50_us).ln() / NORMAL_P99).max(MIN_SIGMA);
     normal_tail((objective_us / p50_us).ln() / sigma)
 }
 
-impl Tail {
+impl TailController {
     /// Returns the factor on the objective that each worker may reach.
     pub fn allowance(&self) -> f64 {
         self.allowance
@@ -72,11 +72,11 @@
     pub fn observe(&mut self, now: time::Instant, p50_us: f64, p99_us: f64, objective_us: f64) {
         let missed = missed_share(p50_us, p99_us, objective_us);
         self.missed += SMOOTHING * (missed - self.missed);
-        if now.since(self.adjusted_at) < ADJUST_EVERY {
+        if now.since(self.adjusted_at) < ADJUST_INTERVAL {
             return;
         }
         self.adjusted_at = now;
-        let room = ((TARGET_MISSED - self.missed) / TARGET_MISSED).clamp(-1.0, 1.0);
-        self.allowance = (self.allowance + STEP * room).clamp(LEAST, MOST);
+        let room = ((TARGET_MISSED_SHARE - self.missed) / TARGET_MISSED_SHARE).clamp(-1.0, 1.0);
+        self.allowance = (self.allowance + MAX_ALLOWANCE_STEP * room).clamp(MIN_ALLOWANCE, MOST);
     }
 }
