--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -81,10 +81,10 @@
     let beat = |n: usize, ms: usize| Candidate {
         host: ids::EntryId(format!("host-{n:05}")),
         addr: format!("10.0.0.1:{n}"),
-        strength: succession::ENOUGH,
+        leader_capacity: succession::FULL_LEADER_CAPACITY,
         running_for: Millis(ms as u64),
         store_age: Millis(100),
-        heard: Instant(ms as u64),
+        heard_at: Instant(ms as u64),
     };
     let mut followers = Followers::default();
     (0..hosts).for_each(|n| followers.record(beat(n, 0)));
--- a/crates/node/src/following.rs
+++ b/crates/node/src/following.rs
@@ -191,7 +191,7 @@
         store_age: node.store_age(),
         config_version: node.config_version(),
         addr: node.peer_addr.clone(),
-        strength: node.strength,
+        strength: node.leader_capacity,
         running_for: node.running_for(),
     };
     match node.leader.heartbeat(addr, &beat).await? {
@@ -263,7 +263,7 @@
         task::sleep(STANDS_BACK_PAUSE).await;
     } else if !node.handover.is_named() {
         let spread = rand::random_range(0..CLAIM_SPREAD_MS);
-        let weaker = succession::claim_pause(node.strength, node.handover.strongest());
+        let weaker = succession::claim_delay(node.leader_capacity, node.handover.strongest());
         let pause = NAMED_FIRST.0 + weaker.0 + spread;
         task::sleep(Duration::from_millis(pause)).await;
     }
@@ -287,7 +287,7 @@
         event = "leadership_claimed",
         term = claim.term,
         token = claim.revision.0,
-        strength = node.strength.0
+        strength = node.leader_capacity.0
     );
     node.handover.set_named(false);
     leading::lead(node, claim, sent).await;
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -9,7 +9,7 @@
 
 use async_channel::{Receiver, Sender};
 use gaplock_policy::followers::{self, Followers};
-use gaplock_policy::succession::{Candidate, Strength};
+use gaplock_policy::succession::{Candidate, LeaderCapacity};
 use gaplock_types::time::{Instant, Millis};
 
 use crate::peers::{Heartbeat, Invitation};
@@ -75,14 +75,14 @@
     }
 
     /// Remembers the strength of the strongest host that the leader knows.
-    pub fn set_strongest(&self, strongest: Strength) {
+    pub fn set_strongest(&self, strongest: LeaderCapacity) {
         self.strongest.store(strongest.0, Ordering::Relaxed);
     }
 
     /// Returns the strength of the strongest host that this one has heard of.
-    pub fn strongest(&self) -> Option<Strength> {
+    pub fn strongest(&self) -> Option<LeaderCapacity> {
         let strongest = self.strongest.load(Ordering::Relaxed);
-        (strongest > 0).then_some(Strength(strongest))
+        (strongest > 0).then_some(LeaderCapacity(strongest))
     }
 
     /// Takes in which leadership is followed; tells whether it is another one than before.
@@ -151,10 +151,10 @@
         let candidate = Candidate {
             host: beat.host.clone(),
             addr: beat.addr.clone(),
-            strength: beat.strength,
+            leader_capacity: beat.strength,
             running_for: beat.running_for,
             store_age: beat.store_age,
-            heard: now,
+            heard_at: now,
         };
         self.followers.lock().expect(LOCK).record(candidate);
     }
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -61,10 +61,10 @@
 fn makes_way(node: &Node, since: Instant) -> bool {
     let best = node.handover.successor(clock::now());
     let way = clock::now().since(since) >= LEADS_AT_LEAST
-        && succession::should_make_way(node.strength, best.as_ref());
+        && succession::should_step_down(node.leader_capacity, best.as_ref());
     if let Some(best) = best.filter(|_| way) {
-        tracing::info!(event = "makes_way", host = %best.host, strength = best.strength.0,
-            own = node.strength.0);
+        tracing::info!(event = "makes_way", host = %best.host, strength = best.leader_capacity.0,
+            own = node.leader_capacity.0);
     }
     way
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -10,7 +10,7 @@
 use gaplock_platform::hosts::{self, Hosts};
 use gaplock_platform::installation::Installation;
 use gaplock_platform::store::Store;
-use gaplock_policy::succession::{self, Strength};
+use gaplock_policy::succession::{self, LeaderCapacity};
 use gaplock_remote::clock;
 use gaplock_sched::freshness::StoreMark;
 use gaplock_sched::{Event, Settings};
@@ -62,7 +62,7 @@
     waiting: Mutex<BTreeMap<String, u32>>,
     began: Instant,
     /// What this host has for leading.
-    pub strength: Strength,
+    pub leader_capacity: LeaderCapacity,
     /// Who leads next.
     pub handover: Handover,
 }
@@ -89,9 +89,9 @@
     let holder = &installation.host;
     let hosts = installation.hosts_addr.as_deref();
     let hosts = hosts.map(|addr| hosts::open(addr, holder.clone()));
-    let strength = succession::strength(installation.cpu_share, installation.link_mbps);
+    let strength = succession::leader_capacity(installation.cpu_share, installation.link_mbps);
     Arc::new(Node {
-        strength,
+        leader_capacity: strength,
         began: clock::now(),
         handover: Handover::default(),
         advisor,
@@ -286,7 +286,9 @@
         }
         let newer = self.config().filter(|c| c.version > beat.config_version);
         let best = self.handover.successor(now);
-        let strongest = best.as_ref().map_or(self.strength, |c| c.strength.max(self.strength));
+        let strongest = best
+            .as_ref()
+            .map_or(self.leader_capacity, |c| c.leader_capacity.max(self.leader_capacity));
         HeartbeatAnswer::Leader {
             config_age: self.config_age(),
             config: newer.map(|c| Config::clone(&c)),
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -67,7 +67,7 @@
     /// Where it answers other hosts.
     pub addr: String,
     /// What it has for leading.
-    pub strength: succession::Strength,
+    pub strength: succession::LeaderCapacity,
     /// How long its process has run.
     pub running_for: Millis,
 }
@@ -104,7 +104,7 @@
         /// The host that claims first if the leader is lost.
         successor: Option<ids::EntryId>,
         /// The strength of the strongest host that the leader knows, itself included.
-        strongest: succession::Strength,
+        strongest: succession::LeaderCapacity,
         /// The pause after which the follower is to send its next heartbeat.
         #[serde(default)]
         beat_after: Millis,
--- a/crates/policy/src/followers.rs
+++ b/crates/policy/src/followers.rs
@@ -10,7 +10,7 @@
 use gaplock_types::ids;
 use gaplock_types::time::{Instant, Millis};
 
-use crate::succession::{self, Candidate, Strength};
+use crate::succession::{self, Candidate, LeaderCapacity};
 
 /// How old a choice may be. A successor that was named this much too late claims as any other host does.
 const CHOICE_MAX_AGE: Millis = Millis(100);
@@ -82,7 +82,7 @@
 
     /// Returns the followers that could lead now, the best one first.
     pub fn ranked(&self, now: Instant) -> Vec<Candidate> {
-        let order = succession::order(self.known.values(), now);
+        let order = succession::rank_candidates(self.known.values(), now);
         order.into_iter().cloned().collect()
     }
 
@@ -103,13 +103,13 @@
     pub fn should_check_store(
         &mut self,
         now: Instant,
-        strength: Strength,
+        strength: LeaderCapacity,
         store_age: Millis,
     ) -> bool {
         let then = Millis(store_age.0 + self.heartbeat_interval(now).0);
         let Some(choice) = &self.choice else { return then >= STORE_CHECK_INTERVAL };
-        let strongest = choice.best.as_ref().map_or(Strength(0), |best| best.strength);
-        let every = match succession::is_much_weaker(strength, strongest) {
+        let strongest = choice.best.as_ref().map_or(LeaderCapacity(0), |best| best.leader_capacity);
+        let every = match succession::has_much_less_capacity(strength, strongest) {
             true => store_check_interval(choice.heard),
             false => STORE_CHECK_INTERVAL,
         };
@@ -122,8 +122,10 @@
             return;
         }
         self.examined += self.known.len() as u64;
-        let best = succession::order(self.known.values(), now).into_iter().next().cloned();
-        let heard = self.known.values().filter(|c| succession::is_heard(c, now)).count();
+        let best =
+            succession::rank_candidates(self.known.values(), now).into_iter().next().cloned();
+        let heard =
+            self.known.values().filter(|c| succession::has_recent_heartbeat(c, now)).count();
         self.choice = Some(Choice { at: now, best, heard });
     }
 
--- a/crates/policy/tests/followers.rs
+++ b/crates/policy/tests/followers.rs
@@ -1,7 +1,7 @@
 //! What a leader's followers cost it, and whom it names.
 
 use gaplock_policy::followers::{self, Followers};
-use gaplock_policy::succession::{Candidate, Strength};
+use gaplock_policy::succession::{Candidate, LeaderCapacity};
 use gaplock_types::ids;
 use gaplock_types::time::{Instant, Millis};
 
@@ -12,10 +12,10 @@
     Candidate {
         host: ids::EntryId(format!("host-{host:05}")),
         addr: format!("host-{host:05}:1"),
-        strength: Strength(strength),
+        leader_capacity: LeaderCapacity(strength),
         running_for: Millis(heard),
         store_age: Millis(100),
-        heard: Instant(heard),
+        heard_at: Instant(heard),
     }
 }
 
@@ -47,9 +47,9 @@
     followers.record(candidate(1, 1_000, 0));
     for ms in (0..3_000).step_by(100) {
         followers.record(candidate(2, 500, ms));
-        let best = followers.best(Instant(ms)).map(|c| c.strength);
+        let best = followers.best(Instant(ms)).map(|c| c.leader_capacity);
         let named = if ms <= 1_300 { 1_000 } else { 500 };
-        assert_eq!(best, Some(Strength(named)), "at {ms} ms");
+        assert_eq!(best, Some(LeaderCapacity(named)), "at {ms} ms");
     }
 }
 
@@ -57,9 +57,12 @@
 fn a_follower_that_comes_is_named_with_the_next_choice() {
     let mut followers = Followers::default();
     followers.record(candidate(1, 100, 0));
-    assert_eq!(followers.best(Instant(0)).map(|c| c.strength), Some(Strength(100)));
+    assert_eq!(followers.best(Instant(0)).map(|c| c.leader_capacity), Some(LeaderCapacity(100)));
     followers.record(candidate(2, 1_000, 50));
-    assert_eq!(followers.best(Instant(100)).map(|c| c.strength), Some(Strength(1_000)));
+    assert_eq!(
+        followers.best(Instant(100)).map(|c| c.leader_capacity),
+        Some(LeaderCapacity(1_000))
+    );
     followers.clear();
     assert!(followers.best(Instant(101)).is_none());
 }
@@ -103,7 +106,7 @@
     let pause = followers::heartbeat_interval(strong + weak).0;
     for ms in (0..60_000_u64).step_by(pause as usize) {
         for (host, last) in checked.iter_mut().enumerate() {
-            let strength = Strength(if host < strong { 1_000 } else { 200 });
+            let strength = LeaderCapacity(if host < strong { 1_000 } else { 200 });
             followers.record(candidate(host, strength.0, ms));
             if followers.should_check_store(Instant(ms), strength, Millis(ms - *last)) {
                 *last = ms + pause;
