--- a/crates/coord/src/context.rs
+++ b/crates/coord/src/context.rs
@@ -98,7 +98,7 @@
     /// Partitions in which nothing waits, with the most that one worker there has free.
     pub rooms: BTreeMap<ids::PartitionId, sizes::Resources>,
     /// Learnt disturbance of pairs.
-    pub pairing: pairing::Pairing,
+    pub pairing: pairing::InterferenceModel,
     /// Each service's tail and the allowance that follows from it.
     pub tails: BTreeMap<ids::ServiceId, tail::TailController>,
     /// Learnt processor use.
@@ -120,7 +120,7 @@
             fleet: Vec::new(),
             fleet_capacity: sizes::Resources::default(),
             rooms: BTreeMap::new(),
-            pairing: pairing::Pairing::default(),
+            pairing: pairing::InterferenceModel::default(),
             tails: BTreeMap::new(),
             estimator: estimate::Estimator::default(),
             actions: Vec::new(),
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -260,7 +260,7 @@
             throttled: link.guard.speed < guard::FULL_SPEED_PER_MILLE,
             unknown_tasks: 0,
         };
-        let band = pairing::Band::of(link.load);
+        let band = pairing::LoadBand::of(link.load);
         for id in self.state.on_worker(worker) {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             if let wire::Kind::Service(service) = &job.kind {
@@ -305,7 +305,7 @@
     c: &mut placement::Candidate,
     class: &ids::BatchClass,
     reserve: &sizes::Resources,
-    pairing: &pairing::Pairing,
+    pairing: &pairing::InterferenceModel,
 ) {
     c.used = c.used.plus(reserve);
     c.batch_cpu = sizes::MilliCores(c.batch_cpu.0 + reserve.cpu.0);
@@ -314,8 +314,8 @@
         Some((_, sum)) => *sum += share,
         None => c.shares.push((class.clone(), share)),
     }
-    let unknown = |(service, band, ceiling_us): &(ids::ServiceId, pairing::Band, f64)| {
-        ceiling_us.is_finite() && !pairing.knows(service, class, *band)
+    let unknown = |(service, band, ceiling_us): &(ids::ServiceId, pairing::LoadBand, f64)| {
+        ceiling_us.is_finite() && !pairing.is_known(service, class, *band)
     };
     if c.services.iter().any(unknown) {
         c.unknown_tasks += 1;
--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -204,6 +204,6 @@
     let class = ids::BatchClass::from("bundle");
     let want =
         placement::BatchDemand { class: &class, demand, batch_cpu_percent: 100, tail_weight: 1.0 };
-    let choice = placement::for_batch(&candidates, &want, &pairing::Pairing::default())?;
+    let choice = placement::for_batch(&candidates, &want, &pairing::InterferenceModel::default())?;
     Some((usable[choice], demand))
 }
--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -42,8 +42,8 @@
 
 /// What `Policy::Ours` has learnt.
 struct Learnt {
-    pairing: pairing::Pairing,
-    exposures: Vec<pairing::Exposures>,
+    pairing: pairing::InterferenceModel,
+    exposures: Vec<pairing::ExposureHistory>,
     guards: Vec<guard::TailGuard>,
     tail: tail::TailController,
 }
@@ -129,8 +129,8 @@
 fn run(d: &Deployment, seed: u64, policy: Policy) -> Result {
     let mut site = Site::open(d, seed, ChaCha8Rng::seed_from_u64(seed));
     let mut learnt = Learnt {
-        pairing: pairing::Pairing::default(),
-        exposures: (0..d.workers).map(|_| pairing::Exposures::default()).collect(),
+        pairing: pairing::InterferenceModel::default(),
+        exposures: (0..d.workers).map(|_| pairing::ExposureHistory::default()).collect(),
         guards: vec![guard::TailGuard::default(); d.workers],
         tail: tail::TailController::default(),
     };
@@ -160,7 +160,7 @@
         Policy::RawReadings => react_raw(site, worker, r),
         Policy::Ours | Policy::GuardOnly => {
             let service = site.deployment.service.clone();
-            let band = pairing::Band::of(r.load);
+            let band = pairing::LoadBand::of(r.load);
             if let Some(shares) = learnt.exposures[worker].during(r.taken, WINDOW_MS) {
                 learnt.pairing.observe(&service, shares, band, r.p99_us);
             }
@@ -189,11 +189,11 @@
     learnt: &mut Learnt,
     worker: usize,
     r: &Reading,
-    band: pairing::Band,
+    band: pairing::LoadBand,
 ) {
     let ceiling_us = learnt.ceiling_us(site);
     let service = site.deployment.service.clone();
-    let alone_us = learnt.pairing.alone_us(&service, band).unwrap_or(0.0);
+    let alone_us = learnt.pairing.baseline_us(&service, band).unwrap_or(0.0);
     let seen =
         guard::TailMeasurement { worst: r.p99_us / ceiling_us, baseline: alone_us / ceiling_us };
     let guard = &mut learnt.guards[worker];
@@ -225,7 +225,7 @@
     service: &ids::ServiceId,
     capacity: &sizes::Resources,
     learnt: &Learnt,
-    band: pairing::Band,
+    band: pairing::LoadBand,
 ) -> guard::Victim {
     let share = f64::from(t.demand.cpu.0) / f64::from(capacity.cpu.0);
     let shares = vec![(t.class.clone(), share)];
@@ -302,9 +302,9 @@
 fn candidate(site: &Site, learnt: &Learnt, i: usize) -> placement::Candidate {
     let w = &site.workers[i];
     let service = site.deployment.service.clone();
-    let band = pairing::Band::of(site.load(i));
+    let band = pairing::LoadBand::of(site.load(i));
     let whole = f64::from(w.capacity.cpu.0);
-    let mut shares = pairing::Shares::new();
+    let mut shares = pairing::BatchCpuShares::new();
     for t in &w.tasks {
         let share = f64::from(t.demand.cpu.0) / whole;
         match shares.iter_mut().find(|(class, _)| *class == t.class) {
@@ -312,7 +312,7 @@
             None => shares.push((t.class.clone(), share)),
         }
     }
-    let unknown = w.tasks.iter().filter(|t| !learnt.pairing.knows(&service, &t.class, band));
+    let unknown = w.tasks.iter().filter(|t| !learnt.pairing.is_known(&service, &t.class, band));
     placement::Candidate {
         capacity: w.capacity,
         used: site.used(i),
--- a/crates/policy/src/pairing.rs
+++ b/crates/policy/src/pairing.rs
@@ -15,18 +15,18 @@
 /// Coefficient assumed for a pair that was never measured; high, so that it is tried carefully.
 pub const UNKNOWN_COEFFICIENT: f64 = 2.0;
 /// Measurements after which a pair counts as known.
-pub const KNOWN_AFTER: u32 = 8;
+pub const KNOWN_AFTER_SAMPLES: u32 = 8;
 
 const LEARNING_RATE: f64 = 0.3;
-const ALONE_SMOOTHING: f64 = 0.05;
+const BASELINE_SMOOTHING: f64 = 0.05;
 const MAX_COEFFICIENT: f64 = 50.0;
-const EXPOSURE_KEEP: usize = 256;
+const MAX_EXPOSURES: usize = 256;
 
 /// A band of a service's request rate relative to its capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Band(pub u8);
+pub struct LoadBand(pub u8);
 
-impl Band {
+impl LoadBand {
     /// Returns the band of a service that uses `load` (0 to 1) of its capacity.
     pub fn of(load: f64) -> Self {
         let band = (load.clamp(0.0, 1.0) * LOAD_BANDS as f64) as usize;
@@ -42,16 +42,16 @@
 
 /// The learnt disturbance of every pair.
 #[derive(Debug, Default)]
-pub struct Pairing {
-    pairs: FxHashMap<(ids::ServiceId, ids::BatchClass, Band), Coefficient>,
-    alone_us: FxHashMap<(ids::ServiceId, Band), f64>,
+pub struct InterferenceModel {
+    pairs: FxHashMap<(ids::ServiceId, ids::BatchClass, LoadBand), Coefficient>,
+    baseline_us: FxHashMap<(ids::ServiceId, LoadBand), f64>,
 }
 
 /// The processors' share that each batch class takes on one worker.
-pub type Shares = Vec<(ids::BatchClass, f64)>;
+pub type BatchCpuShares = Vec<(ids::BatchClass, f64)>;
 
-impl Pairing {
-    fn coefficient(&self, s: &ids::ServiceId, c: &ids::BatchClass, band: Band) -> Coefficient {
+impl InterferenceModel {
+    fn coefficient(&self, s: &ids::ServiceId, c: &ids::BatchClass, band: LoadBand) -> Coefficient {
         self.pairs
             .get(&(s.clone(), c.clone(), band))
             .copied()
@@ -59,12 +59,22 @@
     }
 
     /// Tells whether a pair has been measured often enough to trust its coefficient.
-    pub fn knows(&self, service: &ids::ServiceId, class: &ids::BatchClass, band: Band) -> bool {
-        self.coefficient(service, class, band).samples >= KNOWN_AFTER
+    pub fn is_known(
+        &self,
+        service: &ids::ServiceId,
+        class: &ids::BatchClass,
+        band: LoadBand,
+    ) -> bool {
+        self.coefficient(service, class, band).samples >= KNOWN_AFTER_SAMPLES
     }
 
     /// Predicts by which factor the 99th percentile of `service` grows beside `shares`.
-    pub fn slowdown(&self, service: &ids::ServiceId, shares: &Shares, band: Band) -> f64 {
+    pub fn slowdown(
+        &self,
+        service: &ids::ServiceId,
+        shares: &BatchCpuShares,
+        band: LoadBand,
+    ) -> f64 {
         let disturbance: f64 = shares
             .iter()
             .map(|(class, share)| self.coefficient(service, class, band).value * share)
@@ -73,28 +83,39 @@
     }
 
     /// Returns the learnt 99th percentile of the service alone, in microseconds.
-    pub fn alone_us(&self, service: &ids::ServiceId, band: Band) -> Option<f64> {
-        self.alone_us.get(&(service.clone(), band)).copied()
+    pub fn baseline_us(&self, service: &ids::ServiceId, band: LoadBand) -> Option<f64> {
+        self.baseline_us.get(&(service.clone(), band)).copied()
     }
 
     /// Predicts the 99th percentile of `service` beside `shares`, in microseconds.
-    pub fn predict_us(&self, service: &ids::ServiceId, shares: &Shares, band: Band) -> Option<f64> {
-        Some(self.alone_us(service, band)? * self.slowdown(service, shares, band))
+    pub fn predict_us(
+        &self,
+        service: &ids::ServiceId,
+        shares: &BatchCpuShares,
+        band: LoadBand,
+    ) -> Option<f64> {
+        Some(self.baseline_us(service, band)? * self.slowdown(service, shares, band))
     }
 
     /// Takes in that `service` had `p99_us` while `shares` ran beside it.
-    pub fn observe(&mut self, service: &ids::ServiceId, shares: &Shares, band: Band, p99_us: f64) {
+    pub fn observe(
+        &mut self,
+        service: &ids::ServiceId,
+        shares: &BatchCpuShares,
+        band: LoadBand,
+        p99_us: f64,
+    ) {
         let power: f64 = shares.iter().map(|(_, share)| share * share).sum();
         let alone_key = (service.clone(), band);
         if power < 1e-6 {
-            let alone = self.alone_us.entry(alone_key).or_insert(p99_us);
-            *alone += ALONE_SMOOTHING * (p99_us - *alone);
+            let alone = self.baseline_us.entry(alone_key).or_insert(p99_us);
+            *alone += BASELINE_SMOOTHING * (p99_us - *alone);
             return;
         }
         // Without a reading of the service alone, the first one stands in, less the unknown pair's
         // assumed share, so that the estimate starts near and moves from there.
         let assumed = p99_us / self.slowdown(service, shares, band);
-        let alone = *self.alone_us.entry(alone_key).or_insert(assumed);
+        let alone = *self.baseline_us.entry(alone_key).or_insert(assumed);
         let error = p99_us / alone - self.slowdown(service, shares, band);
         for (class, share) in shares {
             let mut c = self.coefficient(service, class, band);
@@ -108,25 +129,25 @@
 
 /// What ran on one worker over the last while, by the worker's clock.
 #[derive(Debug, Default)]
-pub struct Exposures {
-    past: VecDeque<(wire::WorkerClock, Shares)>,
+pub struct ExposureHistory {
+    past: VecDeque<(wire::WorkerClock, BatchCpuShares)>,
 }
 
-impl Exposures {
+impl ExposureHistory {
     /// Notes what runs from `at` on.
-    pub fn record(&mut self, at: wire::WorkerClock, shares: Shares) {
+    pub fn record(&mut self, at: wire::WorkerClock, shares: BatchCpuShares) {
         if self.past.back().is_some_and(|(_, last)| *last == shares) {
             return;
         }
         self.past.push_back((at, shares));
-        if self.past.len() > EXPOSURE_KEEP {
+        if self.past.len() > MAX_EXPOSURES {
             self.past.pop_front();
         }
     }
 
     /// Returns what ran during the whole window that ended at `taken`, or none if that changed
     /// within the window or is no longer known: such a measurement teaches nothing.
-    pub fn during(&self, taken: wire::WorkerClock, window_ms: u64) -> Option<&Shares> {
+    pub fn during(&self, taken: wire::WorkerClock, window_ms: u64) -> Option<&BatchCpuShares> {
         let begin = wire::WorkerClock(taken.0.saturating_sub(window_ms));
         let at = |clock| self.past.iter().rposition(|(from, _)| *from <= clock);
         let (first, last) = (at(begin)?, at(taken)?);
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -21,9 +21,9 @@
     pub rack: ids::RackId,
     /// Services with a replica on it, their load band and their ceiling in microseconds;
     /// an idle service has no finite ceiling.
-    pub services: Vec<(ids::ServiceId, pairing::Band, f64)>,
+    pub services: Vec<(ids::ServiceId, pairing::LoadBand, f64)>,
     /// Processors' share by batch class on it.
-    pub shares: pairing::Shares,
+    pub shares: pairing::BatchCpuShares,
     /// Whether batch on it is throttled now because a service suffers.
     pub throttled: bool,
     /// How many tasks of a batch class not yet known beside its services run on it.
@@ -50,7 +50,7 @@
 pub fn for_batch(
     candidates: &[Candidate],
     want: &BatchDemand<'_>,
-    pairing: &pairing::Pairing,
+    pairing: &pairing::InterferenceModel,
 ) -> Option<usize> {
     candidates
         .iter()
@@ -69,12 +69,16 @@
 
 /// Returns the cost of putting the task here, or none where a service would miss its objective or
 /// where an unknown pair is already being tried.
-fn batch_cost(c: &Candidate, want: &BatchDemand<'_>, pairing: &pairing::Pairing) -> Option<f64> {
+fn batch_cost(
+    c: &Candidate,
+    want: &BatchDemand<'_>,
+    pairing: &pairing::InterferenceModel,
+) -> Option<f64> {
     let shares = shares_with(c, want);
     let mut loss = 0.0;
     let busy = c.services.iter().filter(|(_, _, ceiling_us)| ceiling_us.is_finite());
     for (service, band, ceiling_us) in busy {
-        if !pairing.knows(service, want.class, *band) {
+        if !pairing.is_known(service, want.class, *band) {
             if c.unknown_tasks > 0 {
                 return None;
             }
@@ -92,7 +96,7 @@
     Some(loss + 0.1 * left.dominant_share(&c.capacity))
 }
 
-fn shares_with(c: &Candidate, want: &BatchDemand<'_>) -> pairing::Shares {
+fn shares_with(c: &Candidate, want: &BatchDemand<'_>) -> pairing::BatchCpuShares {
     let added = f64::from(want.demand.cpu.0) / f64::from(c.capacity.cpu.0.max(1));
     let mut shares = c.shares.clone();
     match shares.iter_mut().find(|(class, _)| class == want.class) {
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -6,7 +6,7 @@
     GuardAction, TailGuard, TailMeasurement, FULL_SPEED_PER_MILLE, MIN_SPEED_PER_MILLE,
 };
 use gaplock_policy::health::{FailureAction, HealthTracker};
-use gaplock_policy::pairing::{Band, Exposures, Pairing};
+use gaplock_policy::pairing::{ExposureHistory, InterferenceModel, LoadBand};
 use gaplock_policy::retry::RetryBudget;
 use gaplock_policy::tail;
 use gaplock_types::ids;
@@ -16,23 +16,23 @@
 
 #[test]
 fn pairing_finds_the_disturbing_class() {
-    let (mut p, service) = (Pairing::default(), ids::ServiceId::from("s"));
+    let (mut p, service) = (InterferenceModel::default(), ids::ServiceId::from("s"));
     for i in 0..400 {
         let (class, coefficient) = if i % 2 == 0 { ("loud", 5.0) } else { ("calm", 0.3) };
-        p.observe(&service, &Vec::new(), Band(1), 10_000.0);
+        p.observe(&service, &Vec::new(), LoadBand(1), 10_000.0);
         let shares = vec![(class.into(), 0.2)];
-        p.observe(&service, &shares, Band(1), 10_000.0 * (1.0 + coefficient * 0.2));
+        p.observe(&service, &shares, LoadBand(1), 10_000.0 * (1.0 + coefficient * 0.2));
     }
-    let slowdown = |class: &str| p.slowdown(&service, &vec![(class.into(), 0.2)], Band(1));
+    let slowdown = |class: &str| p.slowdown(&service, &vec![(class.into(), 0.2)], LoadBand(1));
     assert!((slowdown("loud") - 2.0).abs() < 0.05, "{}", slowdown("loud"));
     assert!((slowdown("calm") - 1.06).abs() < 0.05, "{}", slowdown("calm"));
-    assert!(p.knows(&service, &"loud".into(), Band(1)));
-    assert!(!p.knows(&service, &"loud".into(), Band(3)), "another load is another pair");
+    assert!(p.is_known(&service, &"loud".into(), LoadBand(1)));
+    assert!(!p.is_known(&service, &"loud".into(), LoadBand(3)), "another load is another pair");
 }
 
 #[test]
 fn a_late_measurement_is_matched_to_what_ran_then_or_dropped() {
-    let mut e = Exposures::default();
+    let mut e = ExposureHistory::default();
     e.record(WorkerClock(0), vec![("a".into(), 0.1)]);
     e.record(WorkerClock(5_000), vec![("b".into(), 0.2)]);
     assert_eq!(e.during(WorkerClock(4_000), 1_000), Some(&vec![("a".into(), 0.1)]));
