--- a/crates/jobs/src/progress.rs
+++ b/crates/jobs/src/progress.rs
@@ -29,7 +29,7 @@
 
 /// What is stored about one task that is neither untouched nor done.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct TaskNote {
+pub struct TaskRecord {
     /// The task's index in its step.
     pub index: u32,
     /// How many runs have failed.
@@ -67,7 +67,7 @@
     pub done: Vec<(u32, u32)>,
     /// Tasks with failures or checkpoints.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub notes: Vec<TaskNote>,
+    pub notes: Vec<TaskRecord>,
 }
 
 /// Progress of one round of a job.
--- a/crates/node/tests/misplaced_records.rs
+++ b/crates/node/tests/misplaced_records.rs
@@ -3,7 +3,7 @@
 //! Found by reading: a record of progress was taken for that of the job which it names, wherever it lay, so that a
 //! copy under another key gave a job another time's progress and checkpoints.
 
-use gaplock_jobs::progress::{JobState, Progress, RoundProgress, StepProgress, TaskNote};
+use gaplock_jobs::progress::{JobState, Progress, RoundProgress, StepProgress, TaskRecord};
 use gaplock_jobs::{Job, JobKey, Step};
 use gaplock_platform::store::{Item, Revision};
 
@@ -21,7 +21,7 @@
 
 /// Builds the progress of a job one of whose tasks has a checkpoint.
 fn progress(key: u64) -> Progress {
-    let note = TaskNote {
+    let note = TaskRecord {
         index: 1,
         failed: 0,
         counted_runs: Vec::new(),
--- a/crates/sched/src/changes/checkpoints.rs
+++ b/crates/sched/src/changes/checkpoints.rs
@@ -5,7 +5,7 @@
 //! checkpoint: whatever stands here is brought by the next start, and a start with a text that is not its task's
 //! is work that nobody asked for.
 
-use gaplock_jobs::progress::TaskNote;
+use gaplock_jobs::progress::TaskRecord;
 use gaplock_jobs::{Step, TaskKey};
 use gaplock_types::time::Instant;
 
@@ -16,7 +16,7 @@
 use crate::state::State;
 
 /// Returns what a former leader stored of the checkpoint of a step's task.
-pub fn restored(step: &Step, note: &TaskNote) -> Option<Checkpoint> {
+pub fn restored(step: &Step, note: &TaskRecord) -> Option<Checkpoint> {
     let stored = note.checkpoint.as_deref().filter(|text| !text.is_empty());
     let text = stored.filter(|_| step.checkpoints)?.into();
     Some(Checkpoint { text, run: Run(note.checkpoint_run), worker: None, heard: Instant(0) })
--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -7,7 +7,7 @@
 
 use std::mem;
 
-use gaplock_jobs::progress::{Progress, RoundProgress, StepProgress, TaskNote};
+use gaplock_jobs::progress::{Progress, RoundProgress, StepProgress, TaskRecord};
 use gaplock_jobs::{progress, JobKey};
 use gaplock_types::time::Instant;
 
@@ -168,7 +168,7 @@
     let crashed = |t: &Task| t.suspicion.as_ref().map(|s| s.crashed.clone()).unwrap_or_default();
     let waits = |t: &Task| matches!(t.state, TaskState::Waiting | TaskState::Pending);
     let started = |t: &Task| t.suspicion.as_ref()?.started_to_store(waits(t));
-    let notes = tasks.filter(|(_, t)| noted(t)).map(|(index, t)| TaskNote {
+    let notes = tasks.filter(|(_, t)| noted(t)).map(|(index, t)| TaskRecord {
         index,
         failed: t.failed,
         counted_runs: t.counted_runs.iter().map(|run| run.0).collect(),
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -1,6 +1,6 @@
 //! What a successor finds out about crashes under its predecessors.
 
-use gaplock_jobs::progress::TaskNote;
+use gaplock_jobs::progress::TaskRecord;
 use gaplock_jobs::{JobKey, TaskKey};
 use gaplock_types::ids;
 use rustc_hash::FxHashSet;
@@ -22,7 +22,7 @@
 const DOUBTED_MOST: usize = 1_000;
 
 /// Puts what a former leader stored of a task's crashes back.
-pub fn restored(note: &TaskNote) -> Option<Box<Suspicion>> {
+pub fn restored(note: &TaskRecord) -> Option<Box<Suspicion>> {
     let (crashed, perhaps) = (note.crashed.clone(), note.perhaps_crashed.clone());
     if crashed.is_empty() && perhaps.is_none() {
         return None;
--- a/crates/sched/tests/fleet/world/views.rs
+++ b/crates/sched/tests/fleet/world/views.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use gaplock_jobs::progress::{JobState, TaskNote};
+use gaplock_jobs::progress::{JobState, TaskRecord};
 use gaplock_jobs::{JobKey, TaskKey};
 use gaplock_sched::message::{Run, WaveNumber};
 use gaplock_sched::worker::{Phase, Worker};
@@ -127,7 +127,7 @@
         self.stored_notes(key).filter_map(|note| note.started.as_ref()).map(Vec::len).sum()
     }
 
-    fn stored_notes(&self, key: u64) -> impl Iterator<Item = &TaskNote> {
+    fn stored_notes(&self, key: u64) -> impl Iterator<Item = &TaskRecord> {
         let rounds = self.progress.get(&JobKey(key)).into_iter().flat_map(|p| &p.rounds);
         rounds.flat_map(|r| &r.steps).flat_map(|s| &s.notes)
     }
