--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -147,22 +147,22 @@
 
 /// Why a job cannot be taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-pub enum JobFault {
+pub enum JobError {
     /// There is no step.
     #[display("a job needs at least one step")]
-    NoStep,
+    NoSteps,
     /// A step has no task.
     #[display("a step needs at least one task")]
-    NoTask,
+    EmptyStep,
     /// A step waits for itself or for a later one.
     #[display("a step may only follow earlier steps")]
-    Order,
+    InvalidStepOrder,
     /// There are more tasks than one job may have.
     #[display("a job may have at most {MOST_TASKS} tasks")]
     TooManyTasks,
     /// The spec is too long.
     #[display("the spec is longer than {SPEC_MAX_BYTES} bytes")]
-    LongSpec,
+    SpecTooLong,
 }
 
 /// The longest spec in bytes, from the callers' interface.
@@ -176,23 +176,23 @@
 ///
 /// # Errors
 /// Returns the first fault.
-pub fn check(job: &Job) -> Result<(), JobFault> {
+pub fn validate(job: &Job) -> Result<(), JobError> {
     if job.spec.len() > SPEC_MAX_BYTES {
-        return Err(JobFault::LongSpec);
+        return Err(JobError::SpecTooLong);
     }
     let tasks: u64 = job.steps.iter().map(|step| u64::from(step.count)).sum();
     if tasks > MOST_TASKS {
-        return Err(JobFault::TooManyTasks);
+        return Err(JobError::TooManyTasks);
     }
     if job.steps.is_empty() {
-        return Err(JobFault::NoStep);
+        return Err(JobError::NoSteps);
     }
     for (at, step) in job.steps.iter().enumerate() {
         if step.count == 0 {
-            return Err(JobFault::NoTask);
+            return Err(JobError::EmptyStep);
         }
         if step.after.iter().any(|&before| usize::from(before) >= at) {
-            return Err(JobFault::Order);
+            return Err(JobError::InvalidStepOrder);
         }
     }
     Ok(())
--- a/crates/jobs/tests/jobs.rs
+++ b/crates/jobs/tests/jobs.rs
@@ -1,6 +1,6 @@
 //! What a job must be, and how its names are written.
 
-use gaplock_jobs::job::{check, JobFault, MOST_TASKS, SPEC_MAX_BYTES};
+use gaplock_jobs::job::{validate, JobError, MOST_TASKS, SPEC_MAX_BYTES};
 use gaplock_jobs::{progress, Job, JobKey, Step, TaskKey};
 
 fn job(steps: Vec<Step>) -> Job {
@@ -20,19 +20,22 @@
 
 #[test]
 fn a_job_must_have_steps_in_order_with_tasks() {
-    assert_eq!(check(&job(vec![])), Err(JobFault::NoStep));
-    assert_eq!(check(&job(vec![step(0, &[])])), Err(JobFault::NoTask));
-    assert_eq!(check(&job(vec![step(1, &[0])])), Err(JobFault::Order));
-    assert_eq!(check(&job(vec![step(1, &[]), step(1, &[0])])), Ok(()));
+    assert_eq!(validate(&job(vec![])), Err(JobError::NoSteps));
+    assert_eq!(validate(&job(vec![step(0, &[])])), Err(JobError::EmptyStep));
+    assert_eq!(validate(&job(vec![step(1, &[0])])), Err(JobError::InvalidStepOrder));
+    assert_eq!(validate(&job(vec![step(1, &[]), step(1, &[0])])), Ok(()));
 }
 
 #[test]
 fn one_request_cannot_ask_for_any_number_of_tasks() {
     let most = u32::try_from(MOST_TASKS).expect("it is a count");
-    assert_eq!(check(&job(vec![step(most, &[])])), Ok(()));
-    assert_eq!(check(&job(vec![step(u32::MAX, &[]), step(1, &[])])), Err(JobFault::TooManyTasks));
+    assert_eq!(validate(&job(vec![step(most, &[])])), Ok(()));
+    assert_eq!(
+        validate(&job(vec![step(u32::MAX, &[]), step(1, &[])])),
+        Err(JobError::TooManyTasks)
+    );
     let long = Job { spec: "x".repeat(SPEC_MAX_BYTES + 1), ..job(vec![step(1, &[])]) };
-    assert_eq!(check(&long), Err(JobFault::LongSpec));
+    assert_eq!(validate(&long), Err(JobError::SpecTooLong));
 }
 
 #[test]
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -69,7 +69,7 @@
         Ok(job) => Arc::new(job),
         Err(e) => return bad_request(node, key, &e),
     };
-    if let Err(e) = job::check(&job) {
+    if let Err(e) = job::validate(&job) {
         return bad_request(node, key, &e);
     }
     let handed = inbox::store_job(node, job).await;
