--- a/crates/cli/src/server.rs
+++ b/crates/cli/src/server.rs
@@ -73,7 +73,7 @@
         return Ended::Refused(format!("status {}", answer.status));
     };
     let text = format!("{} {}: {}", refusal.code, refusal.name, refusal.message);
-    match refusal.result() {
+    match refusal.result_code() {
         codes::Code::PlanStale | codes::Code::PlanExpired => Ended::Stale(text),
         _ => Ended::Refused(text),
     }
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -93,8 +93,8 @@
         }
     }
 
-    pub(super) fn rooms(&self) -> Vec<api::Room> {
-        let room = |p: &Partition| p.room().map(|free| api::Room { partition: p.id, free });
+    pub(super) fn rooms(&self) -> Vec<api::FreeCapacity> {
+        let room = |p: &Partition| p.room().map(|free| api::FreeCapacity { partition: p.id, free });
         self.partitions.values().filter_map(room).collect()
     }
 
--- a/crates/coord/src/partition/survey.rs
+++ b/crates/coord/src/partition/survey.rs
@@ -69,7 +69,7 @@
     }
 
     /// Lists the partition's jobs and workers.
-    pub fn survey(&self) -> api::Survey {
+    pub fn survey(&self) -> api::PartitionSummary {
         let workers = self.links.iter().map(|(worker, link)| api::WorkerRow {
             worker: worker.clone(),
             boot: self.boots_at(worker).next(),
@@ -85,7 +85,7 @@
             let id = ids::JobId { home: self.id, number: *number };
             job_row(id, job)
         });
-        api::Survey { workers: workers.collect(), jobs: jobs.collect() }
+        api::PartitionSummary { workers: workers.collect(), jobs: jobs.collect() }
     }
 }
 
--- a/crates/coord/tests/confirmations.rs
+++ b/crates/coord/tests/confirmations.rs
@@ -103,7 +103,7 @@
             _ => None,
         };
         let outcome = std::mem::take(&mut self.cx.actions).into_iter().find_map(told);
-        outcome.expect("the operator is answered").map(|g| g.0).map_err(|r| r.result())
+        outcome.expect("the operator is answered").map(|g| g.0).map_err(|r| r.result_code())
     }
 }
 
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -190,7 +190,7 @@
             v.check(own, || format!("{op}: another's answer"));
             told.push(codes::Code::Ok);
         } else if let Some(refusal) = answer.json::<api::Refusal>() {
-            told.push(refusal.result());
+            told.push(refusal.result_code());
         }
     }
     told
--- a/crates/demo/tests/operators.rs
+++ b/crates/demo/tests/operators.rs
@@ -172,7 +172,7 @@
             panic!("{path}: status {} without a refusal", answer.status);
         });
         assert_eq!(refusal.code, expected, "{path}: {}", refusal.message);
-        assert_eq!(answer.status, refusal.result().row().status, "{path}");
+        assert_eq!(answer.status, refusal.result_code().row().status, "{path}");
     }
     // A partner sees and cancels only its own work.
     let stored = cluster.ask(0, Method::Post, "/v1/jobs", partner, &once, spec).await?;
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -39,7 +39,7 @@
         api::Reply::Granted => run(engine, partner, key, claimer, home, req).await,
         api::Reply::Ended(end) => replay(end),
         api::Reply::Refused(refusal) => {
-            if refusal.result() == codes::Code::OutcomeUnknown {
+            if refusal.result_code() == codes::Code::OutcomeUnknown {
                 // The claim may be stored, but nothing was sent: give it back if it is ours.
                 let end = api::OnceEnd::NotRun;
                 task::spawn(store_end(Arc::clone(engine), home, done(partner, key, &claimer, end)));
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -84,7 +84,7 @@
     let wanted = plan.wanted.clone();
     match engine.confirm(plan, by).await {
         Ok(generation) => Ok(wait_in_force(req, generation).await),
-        Err(refusal) if refusal.result() == codes::Code::PlanStale => {
+        Err(refusal) if refusal.result_code() == codes::Code::PlanStale => {
             Err(explain_stale(req, &wanted))
         }
         Err(refusal) => Err(refusal),
@@ -149,11 +149,11 @@
 }
 
 /// Asks every partition's owner; partitions without one are left out.
-async fn survey(req: &Req) -> api::Survey {
+async fn survey(req: &Req) -> api::PartitionSummary {
     let engine = req.state();
     let partitions: Vec<ids::PartitionId> = engine.cfg.layout.partitions().collect();
     let asked = partitions.into_iter().map(|id| once::command(engine, id, api::Command::Survey));
-    let mut all = api::Survey::default();
+    let mut all = api::PartitionSummary::default();
     for reply in futures::future::join_all(asked).await {
         if let api::Reply::Survey(part) = reply {
             all.workers.extend(part.workers);
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -152,7 +152,7 @@
         entry: &ids::EntryId,
         addr: &str,
         forward: &api::Forward,
-    ) -> Result<api::Forwarded, PeerError> {
+    ) -> Result<api::ForwardReply, PeerError> {
         let limit = Duration::from_millis(forward.deadline_ms) + PEER_SLACK;
         self.call(entry, addr, FORWARD, forward, limit).await
     }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -140,12 +140,13 @@
     let refusal = match refusal.ran {
         codes::Ran::No if may_have_run => {
             let why = "An earlier try had no whole answer";
-            refuse(codes::Code::UpstreamFailed, why).after(refusal.retry_after_s.unwrap_or(1))
+            refuse(codes::Code::UpstreamFailed, why)
+                .with_retry_after(refusal.retry_after_s.unwrap_or(1))
         }
         _ => refusal,
     };
     let check = engine.check.lock().expect("no holder of the lock panics");
-    match check.refusal(refusal.result(), may_have_run) {
+    match check.refusal(refusal.result_code(), may_have_run) {
         Ok(()) => Outcome::Refused(refusal),
         Err(violation) => {
             drop(check);
@@ -161,7 +162,7 @@
     if clock::now() >= patient_until {
         return false;
     }
-    match last.result() {
+    match last.result_code() {
         codes::Code::NoUpstream => true,
         codes::Code::UpstreamFailed => engine.with_routing(|r| r.budget.try_spend()),
         _ => false,
@@ -179,9 +180,12 @@
 }
 
 /// Serves a request that a peer forwarded: here, or not at all.
-pub async fn forwarded(engine: &Arc<Engine>, forward: api::Forward) -> api::Forwarded {
+pub async fn forwarded(engine: &Arc<Engine>, forward: api::Forward) -> api::ForwardReply {
     let Ok(body) = STANDARD.decode(&forward.body) else {
-        return api::Forwarded::Refused(refuse(codes::Code::BadRequest, "The body is not base 64"));
+        return api::ForwardReply::Refused(refuse(
+            codes::Code::BadRequest,
+            "The body is not base 64",
+        ));
     };
     let req = ServiceRequest {
         service: forward.service,
@@ -193,14 +197,14 @@
     };
     match try_here(engine, &req).await {
         Try::Ended(Outcome::Answer { status, body }) => {
-            api::Forwarded::Answer { status, body: STANDARD.encode(body) }
+            api::ForwardReply::Answer { status, body: STANDARD.encode(body) }
         }
         Try::Ended(Outcome::Refused(refusal)) | Try::NotRun(refusal) => {
-            api::Forwarded::Refused(refusal)
+            api::ForwardReply::Refused(refusal)
         }
         Try::Unclear => {
             let why = "The request was sent, but no whole answer came";
-            api::Forwarded::Refused(refuse(codes::Code::OutcomeUnknown, why))
+            api::ForwardReply::Refused(refuse(codes::Code::OutcomeUnknown, why))
         }
     }
 }
@@ -258,11 +262,11 @@
     };
     engine.metrics.forwarded();
     match engine.peers.forward(entry, addr, &message).await {
-        Ok(api::Forwarded::Answer { status, body }) => match STANDARD.decode(body) {
+        Ok(api::ForwardReply::Answer { status, body }) => match STANDARD.decode(body) {
             Ok(body) => Try::Ended(Outcome::Answer { status, body }),
             Err(_) => Try::Unclear,
         },
-        Ok(api::Forwarded::Refused(refusal)) => match refusal.ran {
+        Ok(api::ForwardReply::Refused(refusal)) => match refusal.ran {
             codes::Ran::No => Try::NotRun(refusal),
             codes::Ran::Yes | codes::Ran::Unknown => Try::Unclear,
         },
@@ -304,7 +308,7 @@
 
 fn overloaded(after_s: u32) -> Outcome {
     let why = "Every slot is taken for longer than the request may wait";
-    Outcome::Refused(refuse(codes::Code::Overloaded, why).after(after_s))
+    Outcome::Refused(refuse(codes::Code::Overloaded, why).with_retry_after(after_s))
 }
 
 async fn wait_for_turn(
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -105,7 +105,7 @@
 
 /// Builds the answer that carries a refusal.
 pub fn refusal(refusal: &api::Refusal) -> Response {
-    let status = refusal.result().row().status;
+    let status = refusal.result_code().row().status;
     let mut res = json(status, refusal);
     if let Some(seconds) = refusal.retry_after_s {
         res.insert_header("retry-after", seconds.to_string());
--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -192,7 +192,7 @@
         owned: (0..partitions).map(|i| (ids::PartitionId(i * 9), ids::Epoch(17))).collect(),
         load: vec![api::ServiceLoad { service: "coldtrace".into(), free: 123 }],
         rooms: (0..partitions)
-            .map(|i| api::Room {
+            .map(|i| api::FreeCapacity {
                 partition: ids::PartitionId(i * 9),
                 free: sizes::Resources::new(12_000, 30_000, 0),
             })
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -212,7 +212,7 @@
                     api::OnceEnd::Ran { status: 200, body: None }
                 }
                 api::Reply::Refused(r)
-                    if r.result() == gaplock_types::codes::Code::OutcomeUnknown =>
+                    if r.result_code() == gaplock_types::codes::Code::OutcomeUnknown =>
                 {
                     api::OnceEnd::NotRun
                 }
--- a/crates/types/src/api.rs
+++ b/crates/types/src/api.rs
@@ -36,13 +36,13 @@
     }
 
     /// Sets when the caller should come back.
-    pub fn after(mut self, seconds: u32) -> Self {
+    pub fn with_retry_after(mut self, seconds: u32) -> Self {
         self.retry_after_s = Some(seconds);
         self
     }
 
     /// Returns the code that this refusal carries.
-    pub fn result(&self) -> codes::Code {
+    pub fn result_code(&self) -> codes::Code {
         codes::Code::from_number(self.code).unwrap_or(codes::Code::Internal)
     }
 }
@@ -179,7 +179,7 @@
     pub load: Vec<ServiceLoad>,
     /// Its partitions in which nothing waits, with their room.
     #[serde(default)]
-    pub rooms: Vec<Room>,
+    pub rooms: Vec<FreeCapacity>,
 }
 
 /// A command to the owner of a partition, forwarded by the entry that received it.
@@ -295,22 +295,22 @@
 /// plain list of numbers: partition, processors, memory, accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[u32; 4]", into = "[u32; 4]")]
-pub struct Room {
+pub struct FreeCapacity {
     /// The partition.
     pub partition: ids::PartitionId,
     /// The most that one worker has free.
     pub free: sizes::Resources,
 }
 
-impl From<[u32; 4]> for Room {
+impl From<[u32; 4]> for FreeCapacity {
     fn from([partition, cpu, mem, acc]: [u32; 4]) -> Self {
         let free = sizes::Resources::new(cpu, mem, acc);
         Self { partition: ids::PartitionId(partition), free }
     }
 }
 
-impl From<Room> for [u32; 4] {
-    fn from(room: Room) -> Self {
+impl From<FreeCapacity> for [u32; 4] {
+    fn from(room: FreeCapacity) -> Self {
         [room.partition.0, room.free.cpu.0, room.free.mem.0, room.free.acc]
     }
 }
@@ -347,7 +347,7 @@
     /// The request was claimed before and has ended.
     Ended(OnceEnd),
     /// The partition's jobs and workers.
-    Survey(Survey),
+    Survey(PartitionSummary),
     /// Refused.
     Refused(Refusal),
 }
@@ -397,7 +397,7 @@
 
 /// What an owner knows of its partition.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Survey {
+pub struct PartitionSummary {
     /// The workers.
     pub workers: Vec<WorkerRow>,
     /// The jobs.
@@ -423,7 +423,7 @@
 
 /// The answer to a [`Forward`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Forwarded {
+pub enum ForwardReply {
     /// The worker's whole answer.
     Answer {
         /// The HTTP status.
