--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -38,7 +38,7 @@
     wanted.partners = intent.partners.unwrap_or(wanted.partners);
     wanted.operators = intent.operators.unwrap_or(wanted.operators);
     let changes = changes(current, &wanted, &fleet.jobs);
-    let mut refused = wanted.faults();
+    let mut refused = wanted.validation_errors();
     refused.extend(misfits(&wanted, fleet));
     if serde_json::to_vec(&wanted).map_or(0, |v| v.len()) > config::CONFIG_MAX_BYTES {
         refused.push("the configuration is too large for the store".to_string());
--- a/crates/types/src/config.rs
+++ b/crates/types/src/config.rs
@@ -165,7 +165,7 @@
     }
 
     /// Lists everything that is wrong with this configuration, in words for its author.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut names = BTreeSet::new();
         let mut services = BTreeSet::new();
