--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -190,10 +190,10 @@
     Ok(())
 }
 
-fn kind(kind: &wire::Kind) -> String {
+fn kind(kind: &wire::TaskKind) -> String {
     match kind {
-        wire::Kind::Service(service) => format!("service {service}"),
-        wire::Kind::Batch(class) => format!("batch {class}"),
+        wire::TaskKind::Service(service) => format!("service {service}"),
+        wire::TaskKind::Batch(class) => format!("batch {class}"),
     }
 }
 
--- a/crates/coord/src/action.rs
+++ b/crates/coord/src/action.rs
@@ -83,7 +83,7 @@
     /// The answer to a lease request.
     Lease(wire::LeaseReply),
     /// The answer to a command.
-    Verdict(wire::Verdict),
+    Verdict(wire::CommandOutcome),
     /// No answer: the command may or may not have reached the worker.
     Unclear,
 }
--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -30,7 +30,7 @@
     /// it may be on its way. Until then the worker must not forget the run.
     pub valid_until: time::Instant,
     /// Why the worker refused it.
-    pub refused: Option<wire::Verdict>,
+    pub refused: Option<wire::CommandOutcome>,
     /// How it stood at the last report.
     pub progress_ms: u64,
     /// Its last reported checkpoint.
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -95,7 +95,7 @@
         /// The worker.
         worker: ids::WorkerId,
         /// Why.
-        verdict: wire::Verdict,
+        verdict: wire::CommandOutcome,
     },
     /// The process is to stop: everything is handed over.
     Stop,
--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -131,7 +131,7 @@
             partner,
             key,
             digest,
-            kind: wire::Kind::Batch(spec.class.clone()),
+            kind: wire::TaskKind::Batch(spec.class.clone()),
             demand: spec.demand,
             work_ms: spec.work_ms,
             tasks: spec.tasks,
@@ -194,7 +194,7 @@
             cx.reply(id, refused(codes::Code::NotFound, "There is no such job"));
             return;
         };
-        if matches!(found.kind, wire::Kind::Service(_)) {
+        if matches!(found.kind, wire::TaskKind::Service(_)) {
             cx.reply(id, refused(codes::Code::Forbidden, "Services are changed by intents"));
             return;
         }
--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -46,7 +46,7 @@
 
     fn learn_use(&self, cx: &mut Context, used: &wire::RunUsage) {
         let Some(job) = self.state.jobs.get(&used.run.task.job.number) else { return };
-        if let wire::Kind::Batch(class) = &job.kind {
+        if let wire::TaskKind::Batch(class) = &job.kind {
             cx.estimator.observe(class, job.demand.cpu, used.cpu);
         }
     }
@@ -58,7 +58,7 @@
         for (run, view) in link.runs.iter().filter(|(_, view)| view.started) {
             let Some(job) = self.state.jobs.get(&run.task.job.number) else { continue };
             let place = self.state.task(run.task).and_then(|t| t.place.as_ref());
-            let (wire::Kind::Batch(class), Some(place)) = (&job.kind, place) else { continue };
+            let (wire::TaskKind::Batch(class), Some(place)) = (&job.kind, place) else { continue };
             let speed = f64::from(view.speed) / f64::from(guard::FULL_SPEED_PER_MILLE);
             let share = f64::from(place.reserve.cpu.0) * speed / whole;
             match shares.iter_mut().find(|(known, _)| known == class) {
@@ -96,7 +96,7 @@
             .iter()
             .filter(|(run, view)| {
                 let job = self.state.jobs.get(&run.task.job.number);
-                view.started && job.is_some_and(|j| matches!(j.kind, wire::Kind::Batch(_)))
+                view.started && job.is_some_and(|j| matches!(j.kind, wire::TaskKind::Batch(_)))
             })
             .map(|(run, _)| *run)
             .collect();
@@ -145,7 +145,7 @@
             let view = &link.runs[run];
             let Some(job) = self.state.jobs.get(&run.task.job.number) else { continue };
             let Some(t) = self.state.task(run.task) else { continue };
-            let wire::Kind::Batch(class) = &job.kind else { continue };
+            let wire::TaskKind::Batch(class) = &job.kind else { continue };
             let cpu = t.place.as_ref().map_or(sizes::MilliCores(0), |p| p.reserve.cpu);
             let shares = vec![(class.clone(), f64::from(cpu.0) / whole)];
             let slowdowns = services.iter().map(|s| cx.pairing.slowdown(s, &shares, band));
--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -71,7 +71,7 @@
             for id in waiting {
                 let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
                 let patient = usable && cx.unix_ms < job.at_unix_ms + LEND_AFTER_MS;
-                let batch = matches!(job.kind, wire::Kind::Batch(_));
+                let batch = matches!(job.kind, wire::TaskKind::Batch(_));
                 if patient || !batch || job.borrowed() || lent >= LOANS_PER_TICK {
                     continue;
                 }
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -357,10 +357,15 @@
     }
 
     /// Takes in that a worker refused a request because it is leaving or has no owner here.
-    pub fn worker_refused(&mut self, cx: &mut Context, worker: &ids::WorkerId, v: wire::Verdict) {
+    pub fn worker_refused(
+        &mut self,
+        cx: &mut Context,
+        worker: &ids::WorkerId,
+        v: wire::CommandOutcome,
+    ) {
         match v {
-            wire::Verdict::StaleEpoch => self.fence(cx),
-            wire::Verdict::Leaving => {
+            wire::CommandOutcome::StaleEpoch => self.fence(cx),
+            wire::CommandOutcome::Leaving => {
                 if let Some(link) = self.links.get_mut(worker) {
                     link.step(cx, upstream::On::Leave, "the worker refused a request");
                 }
@@ -405,7 +410,7 @@
 
 fn service_of(state: &PartState, task: ids::TaskId) -> Option<ids::ServiceId> {
     match &state.jobs.get(&task.job.number)?.kind {
-        wire::Kind::Service(service) => Some(service.clone()),
-        wire::Kind::Batch(_) => None,
+        wire::TaskKind::Service(service) => Some(service.clone()),
+        wire::TaskKind::Batch(_) => None,
     }
 }
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -188,13 +188,13 @@
         cx: &mut Context,
         worker: &ids::WorkerId,
         control: &wire::ControlRequest,
-        verdict: wire::Verdict,
+        verdict: wire::CommandOutcome,
     ) {
-        if verdict == wire::Verdict::StaleEpoch {
+        if verdict == wire::CommandOutcome::StaleEpoch {
             self.fence(cx);
             return;
         }
-        let done = verdict == wire::Verdict::Done;
+        let done = verdict == wire::CommandOutcome::Done;
         if let (true, Some(link)) = (done, self.links.get_mut(worker)) {
             // The report of a stopped run frees its room, so it is fetched at once.
             if !matches!(control.control, wire::Control::Throttle(_)) {
@@ -307,7 +307,7 @@
                 view.refused.is_some() && sent_at >= view.valid_until && !view.in_flight;
             if refused_for_good {
                 let why = format!("{worker} refused it: {:?}", view.refused);
-                let failed = view.refused == Some(wire::Verdict::Failed);
+                let failed = view.refused == Some(wire::CommandOutcome::Failed);
                 self.stopped(
                     cx,
                     worker,
@@ -361,7 +361,7 @@
             let batch = runs.filter(|(run, _)| {
                 let job = self.state.jobs.get(&run.task.job.number);
                 self.assigned_here(**run, worker)
-                    && job.is_some_and(|j| matches!(j.kind, wire::Kind::Batch(_)))
+                    && job.is_some_and(|j| matches!(j.kind, wire::TaskKind::Batch(_)))
             });
             found.extend(batch.map(|(run, _)| (worker.clone(), *run)));
         }
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -60,7 +60,7 @@
             partner: ids::PartnerId::from(OWN_PARTNER),
             key: ids::RequestKey(service.id.0.clone()),
             digest: String::new(),
-            kind: wire::Kind::Service(service.id.clone()),
+            kind: wire::TaskKind::Service(service.id.clone()),
             demand: service.demand,
             work_ms: 0,
             tasks: 0,
@@ -147,8 +147,8 @@
             .jobs
             .iter()
             .filter(|(_, job)| match &job.kind {
-                wire::Kind::Service(s) => !wanted.iter().any(|(w, _)| w.id == *s),
-                wire::Kind::Batch(_) => false,
+                wire::TaskKind::Service(s) => !wanted.iter().any(|(w, _)| w.id == *s),
+                wire::TaskKind::Batch(_) => false,
             })
             .filter(|(_, job)| job.tasks.iter().any(|t| !t.is.is_final() && !t.unwanted))
             .map(|(number, _)| *number)
@@ -165,7 +165,7 @@
             .state
             .jobs
             .iter()
-            .filter(|(_, job)| matches!(job.kind, wire::Kind::Batch(_)) && job.ended())
+            .filter(|(_, job)| matches!(job.kind, wire::TaskKind::Batch(_)) && job.ended())
             .filter(|(_, job)| {
                 // A lender asks after its task for as long as it has not stored its end.
                 let keep_ms = if job.borrowed() { cx.timing.once_keep.0 } else { keep_ms };
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -25,7 +25,7 @@
     /// Partners none of whose waiting tasks fits now.
     skip: Vec<ids::PartnerId>,
     /// Shapes that found no worker: at least this much of this kind, for this partner.
-    failed: Vec<(ids::PartnerId, wire::Kind, sizes::Resources)>,
+    failed: Vec<(ids::PartnerId, wire::TaskKind, sizes::Resources)>,
     /// The first urgent task that found no worker.
     urgent: Option<ids::TaskId>,
 }
@@ -80,7 +80,7 @@
                 let Some(t) = self.state.task(run.task) else { continue };
                 let Some(job) = self.state.jobs.get(&run.task.job.number) else { continue };
                 let reserve = t.place.as_ref().map(|p| p.reserve).unwrap_or_default();
-                let ordinary = matches!(job.kind, wire::Kind::Batch(_)) && !job.urgent;
+                let ordinary = matches!(job.kind, wire::TaskKind::Batch(_)) && !job.urgent;
                 if ordinary && free.plus(&reserve).holds(&demand) {
                     runs.push((worker.clone(), *run));
                     victims.push(guard::Victim {
@@ -123,7 +123,7 @@
 
     fn is_batch(&self, id: ids::TaskId) -> bool {
         let job = self.state.jobs.get(&id.job.number);
-        job.is_some_and(|j| matches!(j.kind, wire::Kind::Batch(_)))
+        job.is_some_and(|j| matches!(j.kind, wire::TaskKind::Batch(_)))
     }
 
     /// Tries a partner's waiting tasks in their order, but no shape twice; returns whether one was
@@ -140,7 +140,7 @@
         for id in shown {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             let (kind, demand) = (job.kind.clone(), job.demand);
-            let known = |(p, k, d): &(ids::PartnerId, wire::Kind, sizes::Resources)| {
+            let known = |(p, k, d): &(ids::PartnerId, wire::TaskKind, sizes::Resources)| {
                 p == partner && *k == kind && demand.holds(d)
             };
             if round.failed.iter().any(known) {
@@ -161,7 +161,7 @@
         id: ids::TaskId,
     ) -> bool {
         let Some(job) = self.state.jobs.get(&id.job.number) else { return false };
-        let wire::Kind::Batch(class) = job.kind.clone() else { return false };
+        let wire::TaskKind::Batch(class) = job.kind.clone() else { return false };
         let reserve = cx.estimator.reserve(&class, &job.demand);
         let config = cx.config.clone();
         let partner = job.partner.clone();
@@ -263,7 +263,7 @@
         let band = pairing::LoadBand::of(link.load);
         for id in self.state.on_worker(worker) {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
-            if let wire::Kind::Service(service) = &job.kind {
+            if let wire::TaskKind::Service(service) = &job.kind {
                 let ceiling_us = match cx.ceiling_us(service) {
                     Some(ceiling_us) if link.load >= IDLE_LOAD => ceiling_us,
                     _ => f64::INFINITY,
@@ -274,7 +274,7 @@
         for id in self.state.on_worker(worker) {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             let Some(place) = self.state.task(id).and_then(|t| t.place.as_ref()) else { continue };
-            if let wire::Kind::Batch(class) = &job.kind {
+            if let wire::TaskKind::Batch(class) = &job.kind {
                 note_assigned(&mut c, class, &place.reserve, &cx.pairing);
                 c.used = c.used.minus(&place.reserve);
             }
--- a/crates/coord/src/partition/starting.rs
+++ b/crates/coord/src/partition/starting.rs
@@ -45,7 +45,7 @@
         }
         let leaving_and_new = leaving && view.valid_until == time::Instant(0);
         if leaving_and_new {
-            view.refused = Some(wire::Verdict::Leaving);
+            view.refused = Some(wire::CommandOutcome::Leaving);
             return;
         }
         let epoch = self.journal.epoch();
@@ -86,13 +86,15 @@
         view.retry_at = cx.now + START_RETRY;
         let WorkerAnswer::Verdict(verdict) = answer else { return };
         match verdict {
-            wire::Verdict::Done => view.mark_started(cx.now),
-            wire::Verdict::StaleEpoch => self.fence(cx),
-            wire::Verdict::TooLate | wire::Verdict::UnknownRun => {}
-            wire::Verdict::OtherBoot => link.next_lease = cx.now,
-            wire::Verdict::NoRoom | wire::Verdict::Leaving | wire::Verdict::Failed => {
+            wire::CommandOutcome::Done => view.mark_started(cx.now),
+            wire::CommandOutcome::StaleEpoch => self.fence(cx),
+            wire::CommandOutcome::TooLate | wire::CommandOutcome::UnknownRun => {}
+            wire::CommandOutcome::OtherBoot => link.next_lease = cx.now,
+            wire::CommandOutcome::NoRoom
+            | wire::CommandOutcome::Leaving
+            | wire::CommandOutcome::Failed => {
                 view.refused = Some(*verdict);
-                if *verdict == wire::Verdict::Leaving {
+                if *verdict == wire::CommandOutcome::Leaving {
                     self.worker_refused(cx, worker, *verdict);
                 }
             }
--- a/crates/coord/src/partition/survey.rs
+++ b/crates/coord/src/partition/survey.rs
@@ -95,7 +95,7 @@
     api::JobRow {
         job: id,
         partner: job.partner.clone(),
-        kind: wire::Kind::clone(&job.kind),
+        kind: wire::TaskKind::clone(&job.kind),
         queued: count(&[task::Is::Queued]),
         running: count(&[task::Is::Assigned]),
         done: count(&[task::Is::Done]),
--- a/crates/coord/src/records.rs
+++ b/crates/coord/src/records.rs
@@ -21,7 +21,7 @@
         /// A digest of the submission.
         digest: String,
         /// What it is.
-        kind: wire::Kind,
+        kind: wire::TaskKind,
         /// What one task may hold.
         demand: sizes::Resources,
         /// Declared work of one task.
--- a/crates/coord/src/state/mod.rs
+++ b/crates/coord/src/state/mod.rs
@@ -90,7 +90,7 @@
     /// A digest of the submission.
     pub digest: String,
     /// What it is.
-    pub kind: wire::Kind,
+    pub kind: wire::TaskKind,
     /// What one task may hold.
     pub demand: sizes::Resources,
     /// Declared work of one task.
--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -145,7 +145,7 @@
         }
     }
     for job in jobs {
-        let gaplock_types::wire::Kind::Batch(class) = &job.kind else { continue };
+        let gaplock_types::wire::TaskKind::Batch(class) = &job.kind else { continue };
         let had = current.placements_for(&job.partner, class).next().is_some();
         let has = wanted.placements_for(&job.partner, class).next().is_some();
         if had && !has && job.queued > 0 {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -367,9 +367,9 @@
     engine: &Arc<Engine>,
     req: &ServiceRequest,
     slot: &route::Slot,
-    verdict: wire::Verdict,
+    verdict: wire::CommandOutcome,
 ) {
-    if verdict != wire::Verdict::NoRoom {
+    if verdict != wire::CommandOutcome::NoRoom {
         engine.with_routing(|r| r.router.close(&slot.worker));
         engine.handle(Event::WorkerRefused {
             partition: slot.partition,
--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -140,7 +140,7 @@
         partner: "cold-chain-partner".into(),
         key: ids::RequestKey(format!("bundle-2026-12-02-{number}")),
         digest: "{\"class\":\"bundle\",\"demand\":{\"cpu\":1000,\"mem\":1024,\"acc\":0}}".into(),
-        kind: wire::Kind::Batch("bundle".into()),
+        kind: wire::TaskKind::Batch("bundle".into()),
         demand: sizes::Resources::new(1_000, 1_024, 0),
         work_ms: 60_000,
         tasks: 1,
--- a/crates/remote/src/worker.rs
+++ b/crates/remote/src/worker.rs
@@ -23,7 +23,7 @@
     /// The worker's whole answer.
     Answer(http::Answer),
     /// The worker refused it; it did not run.
-    Refused(wire::Verdict),
+    Refused(wire::CommandOutcome),
     /// No connection; it did not run.
     NotSent,
     /// It may have run.
@@ -87,7 +87,8 @@
         match self.http.call(call).await {
             Ok(answer) => match answer.header(wire::REFUSAL_HEADER) {
                 Some(text) => {
-                    let verdict = serde_json::from_str(text).unwrap_or(wire::Verdict::NoRoom);
+                    let verdict =
+                        serde_json::from_str(text).unwrap_or(wire::CommandOutcome::NoRoom);
                     ServiceAnswer::Refused(verdict)
                 }
                 None => ServiceAnswer::Answer(answer),
--- a/crates/soak/src/world/workers.rs
+++ b/crates/soak/src/world/workers.rs
@@ -82,7 +82,7 @@
     pub(super) fn serve_worker(&mut self, to: usize, req: &WorkerCall) -> WorkerAnswer {
         let start = matches!(req, WorkerCall::Start(_));
         if start && self.strikes(Fault::RefusedStarts, REFUSED_ONE_IN) {
-            return WorkerAnswer::Verdict(wire::Verdict::NoRoom);
+            return WorkerAnswer::Verdict(wire::CommandOutcome::NoRoom);
         }
         let now = self.worker_clock(to);
         let model = &mut self.workers[to].model;
--- a/crates/standin/src/bin/worker.rs
+++ b/crates/standin/src/bin/worker.rs
@@ -227,7 +227,7 @@
     }
 }
 
-fn refuse(verdict: wire::Verdict) -> Response {
+fn refuse(verdict: wire::CommandOutcome) -> Response {
     let mut res = Response::new(503);
     res.insert_header(wire::REFUSAL_HEADER, serde_json::to_string(&verdict).expect("json"));
     res
--- a/crates/standin/src/worker/mod.rs
+++ b/crates/standin/src/worker/mod.rs
@@ -48,7 +48,7 @@
 
 #[derive(Debug, Clone)]
 struct Running {
-    kind: wire::Kind,
+    kind: wire::TaskKind,
     demand: sizes::Resources,
     work_ms: u64,
     progress_us: u64,
@@ -191,7 +191,7 @@
             let active_ms = to.min(lease_end).since(from).0;
             r.progress_us += active_ms * u64::from(r.speed);
             let progress_ms = r.progress_us / 1000;
-            let batch = matches!(r.kind, wire::Kind::Batch(_));
+            let batch = matches!(r.kind, wire::TaskKind::Batch(_));
             let ended = if batch && bad && progress_ms >= BAD_FAILS_AFTER_MS {
                 Some(wire::RunState::Failed)
             } else if batch && progress_ms >= r.work_ms {
@@ -248,40 +248,40 @@
     }
 
     /// Refuses a command of a former owner, or one meant for another boot.
-    fn refuses(&mut self, epoch: ids::Epoch, boot: wire::Boot) -> Option<wire::Verdict> {
+    fn refuses(&mut self, epoch: ids::Epoch, boot: wire::Boot) -> Option<wire::CommandOutcome> {
         if epoch < self.epoch {
             self.counts.refused_stale += 1;
-            return Some(wire::Verdict::StaleEpoch);
+            return Some(wire::CommandOutcome::StaleEpoch);
         }
-        (boot != self.boot).then_some(wire::Verdict::OtherBoot)
+        (boot != self.boot).then_some(wire::CommandOutcome::OtherBoot)
     }
 
     /// Answers a start command.
-    pub fn start(&mut self, now: time::Instant, req: &wire::StartRequest) -> wire::Verdict {
+    pub fn start(&mut self, now: time::Instant, req: &wire::StartRequest) -> wire::CommandOutcome {
         self.advance(now);
         if let Some(verdict) = self.refuses(req.epoch, req.boot) {
             return verdict;
         }
         self.epoch = req.epoch;
         if self.runs.contains_key(&req.run) {
-            return wire::Verdict::Done;
+            return wire::CommandOutcome::Done;
         }
         let lease_until = wire::WorkerClock(req.seen.0 + req.ttl_ms);
         if self.clock(now) >= lease_until {
             self.counts.refused_late += 1;
-            return wire::Verdict::TooLate;
+            return wire::CommandOutcome::TooLate;
         }
         if self.leaving {
             if now.since(self.leaving_since).0 > self.traits.leaving_grace_ms {
                 self.counts.leaving_work += 1;
             }
-            return wire::Verdict::Leaving;
+            return wire::CommandOutcome::Leaving;
         }
         let active = self.runs.iter().filter(|(_, r)| r.state == wire::RunState::Running);
         let used = active.fold(req.demand, |sum, (_, r)| sum.plus(&r.demand));
         if !self.traits.capacity.holds(&used) {
             self.counts.over_capacity += 1;
-            return wire::Verdict::NoRoom;
+            return wire::CommandOutcome::NoRoom;
         }
         let doubled = self
             .runs
@@ -289,7 +289,7 @@
             .any(|(run, r)| run.task == req.run.task && r.state == wire::RunState::Running);
         self.counts.doubled += u64::from(doubled);
         self.begin_run(now, req, lease_until);
-        wire::Verdict::Done
+        wire::CommandOutcome::Done
     }
 
     fn begin_run(
@@ -312,7 +312,7 @@
         };
         self.stretches.push(Stretch {
             run: req.run,
-            service: matches!(req.kind, wire::Kind::Service(_)),
+            service: matches!(req.kind, wire::TaskKind::Service(_)),
             from_ms: running.started_ms,
             to_ms: None,
             resume_ms: req.resume_ms,
@@ -324,14 +324,18 @@
     }
 
     /// Answers a stop or throttle command.
-    pub fn control(&mut self, now: time::Instant, req: &wire::ControlRequest) -> wire::Verdict {
+    pub fn control(
+        &mut self,
+        now: time::Instant,
+        req: &wire::ControlRequest,
+    ) -> wire::CommandOutcome {
         self.advance(now);
         if let Some(verdict) = self.refuses(req.epoch, req.boot) {
             return verdict;
         }
-        let Some(r) = self.runs.get_mut(&req.run) else { return wire::Verdict::UnknownRun };
+        let Some(r) = self.runs.get_mut(&req.run) else { return wire::CommandOutcome::UnknownRun };
         if r.state != wire::RunState::Running {
-            return wire::Verdict::Done;
+            return wire::CommandOutcome::Done;
         }
         match req.control {
             wire::Control::Throttle(speed) => r.speed = speed.min(1000),
@@ -343,7 +347,7 @@
                 end_stretch(&mut self.stretches, req.run, now, r);
             }
         }
-        wire::Verdict::Done
+        wire::CommandOutcome::Done
     }
 
     /// Takes a slot for a service request, or refuses.
@@ -355,27 +359,27 @@
         now: time::Instant,
         epoch: ids::Epoch,
         service: &ids::ServiceId,
-    ) -> Result<u64, wire::Verdict> {
+    ) -> Result<u64, wire::CommandOutcome> {
         self.advance(now);
         if epoch < self.epoch {
             self.counts.refused_stale += 1;
-            return Err(wire::Verdict::StaleEpoch);
+            return Err(wire::CommandOutcome::StaleEpoch);
         }
         if self.leaving {
             if now.since(self.leaving_since).0 > self.traits.leaving_grace_ms {
                 self.counts.leaving_work += 1;
             }
-            return Err(wire::Verdict::Leaving);
+            return Err(wire::CommandOutcome::Leaving);
         }
         let runs_here = self.runs.values().any(|r| {
-            r.state == wire::RunState::Running && r.kind == wire::Kind::Service(service.clone())
+            r.state == wire::RunState::Running && r.kind == wire::TaskKind::Service(service.clone())
         });
         if !runs_here {
-            return Err(wire::Verdict::UnknownRun);
+            return Err(wire::CommandOutcome::UnknownRun);
         }
         if self.slots_busy >= self.traits.slots {
             self.counts.over_slots += 1;
-            return Err(wire::Verdict::NoRoom);
+            return Err(wire::CommandOutcome::NoRoom);
         }
         self.slots_busy += 1;
         Ok(self.service_time_us(service, now))
@@ -394,7 +398,7 @@
     }
 
     /// Returns the runs that are active now.
-    pub fn active(&self) -> impl Iterator<Item = (wire::Run, &wire::Kind)> {
+    pub fn active(&self) -> impl Iterator<Item = (wire::Run, &wire::TaskKind)> {
         self.runs
             .iter()
             .filter(|(_, r)| r.state == wire::RunState::Running)
--- a/crates/standin/src/worker/usage.rs
+++ b/crates/standin/src/worker/usage.rs
@@ -63,7 +63,7 @@
         let mut shares: BTreeMap<ids::BatchClass, f64> = BTreeMap::new();
         let whole = f64::from(self.traits.capacity.cpu.0.max(1));
         for r in self.runs.values().filter(|r| r.state == wire::RunState::Running) {
-            if let wire::Kind::Batch(class) = &r.kind {
+            if let wire::TaskKind::Batch(class) = &r.kind {
                 let used = f64::from(r.demand.cpu.0) * f64::from(r.speed) / 1000.0;
                 *shares.entry(class.clone()).or_default() += used / whole;
             }
--- a/crates/types/src/api.rs
+++ b/crates/types/src/api.rs
@@ -97,7 +97,7 @@
     /// The partner that submitted it.
     pub partner: ids::PartnerId,
     /// Its class or service.
-    pub kind: wire::Kind,
+    pub kind: wire::TaskKind,
     /// Its tasks.
     pub tasks: Vec<TaskStatus>,
     /// Whether every task has ended.
@@ -251,7 +251,7 @@
     /// The lender's run.
     pub run: wire::Run,
     /// What it is.
-    pub kind: wire::Kind,
+    pub kind: wire::TaskKind,
     /// On whose behalf it runs.
     pub partner: ids::PartnerId,
     /// What it may hold.
@@ -384,7 +384,7 @@
     /// Its partner.
     pub partner: ids::PartnerId,
     /// Its class or service.
-    pub kind: wire::Kind,
+    pub kind: wire::TaskKind,
     /// Tasks by state.
     pub queued: u32,
     /// Tasks assigned to a worker.
--- a/crates/types/src/wire.rs
+++ b/crates/types/src/wire.rs
@@ -35,7 +35,7 @@
 /// What a task is, for its worker and for the decisions about it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum TaskKind {
     /// A replica of a latency-critical service.
     Service(ids::ServiceId),
     /// A batch task of a class.
@@ -121,7 +121,7 @@
     /// The run.
     pub run: Run,
     /// What it is.
-    pub kind: Kind,
+    pub kind: TaskKind,
     /// What it may hold.
     pub demand: sizes::Resources,
     /// How much work it has, in milliseconds of undisturbed run time; services have none.
@@ -158,7 +158,7 @@
 /// A worker's answer to a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
+pub enum CommandOutcome {
     /// Done, or done before.
     Done,
     /// The command's epoch is below the worker's.
