--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -114,20 +114,20 @@
     RequestKey, "request key");
 
 /// Stands between a worker's name and the time of its start; no name has it.
-const STARTED_AT: char = '@';
+const START_TIME_SEPARATOR: char = '@';
 
 impl WorkerId {
     /// Builds the id of the start of a worker at `started`, in milliseconds since 1970, where that is known.
     pub fn of(name: &WorkerName, started: Option<u64>) -> Self {
         match started {
-            Some(ms) => Self(format!("{name}{STARTED_AT}{ms}")),
+            Some(ms) => Self(format!("{name}{START_TIME_SEPARATOR}{ms}")),
             None => Self(name.0.clone()),
         }
     }
 
     /// Returns the name of the worker that started.
     pub fn name(&self) -> WorkerName {
-        let name = self.0.split_once(STARTED_AT).map_or(self.as_str(), |(name, _)| name);
+        let name = self.0.split_once(START_TIME_SEPARATOR).map_or(self.as_str(), |(name, _)| name);
         WorkerName::from(name)
     }
 }
@@ -136,7 +136,7 @@
     type Err = ParseError;
     fn from_str(text: &str) -> Result<Self, ParseError> {
         const KIND: &str = "worker name";
-        let Some((name, started)) = text.split_once(STARTED_AT) else {
+        let Some((name, started)) = text.split_once(START_TIME_SEPARATOR) else {
             check_name(text, KIND)?;
             return Ok(Self(text.to_string()));
         };
