--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -12,9 +12,9 @@
 use gaplock_platform::store::Revision;
 use gaplock_remote::clock;
 use gaplock_sched::context::Term;
+use gaplock_sched::job_table::Entry;
 use gaplock_sched::message::{FencingToken, Record};
 use gaplock_sched::room::{self, Free};
-use gaplock_sched::table::Entry;
 use gaplock_sched::{commits, evacuation, Context, Event};
 use gaplock_types::time::Instant;
 
--- a/crates/sched/src/changes.rs
+++ b/crates/sched/src/changes.rs
@@ -30,4 +30,4 @@
 pub mod takeover;
 pub mod trace;
 pub mod trials;
-pub mod upkeep;
+pub mod maintenance;
--- a/crates/sched/src/changes/account.rs
+++ b/crates/sched/src/changes/account.rs
@@ -8,7 +8,7 @@
 use crate::changes::{checkpoints, ends, lifecycle, speed, trace};
 use crate::interface::message::{Account, Action, Run, RunningTask, WorkerIx};
 use crate::interface::proof::Proof;
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::worker::{Phase, Slot, AT_WORK_PERCENT};
 use crate::state::State;
 
--- a/crates/sched/src/changes/checkpoints.rs
+++ b/crates/sched/src/changes/checkpoints.rs
@@ -12,7 +12,7 @@
 use crate::changes::{commits, trace};
 use crate::interface::message::{Run, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::State;
 
 /// Returns what a former leader stored of the checkpoint of a step's task.
--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -16,7 +16,7 @@
 use crate::interface::message::{EndSeq, Record, RosterEntry, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
 use crate::state::commits::{Commits, Covered, Records};
-use crate::state::table::{Entry, StepState, Task, TaskState};
+use crate::state::job_table::{Entry, StepState, Task, TaskState};
 use crate::state::State;
 
 /// Marks a job's progress as changed.
@@ -104,7 +104,7 @@
     for (ix, seq) in covered.ends {
         let worker = cx.worker_mut(ix);
         worker.stored = worker.stored.max(seq);
-        cx.hasten_renewal(ix);
+        cx.expedite_renewal(ix);
     }
     for ix in covered.roster {
         let worker = cx.worker_mut(ix);
@@ -113,7 +113,7 @@
     }
     for record in covered.other.iter() {
         if let Record::Wave(progress) = record {
-            cx.upkeep.note_stored(progress);
+            cx.maintenance.note_stored(progress);
         }
     }
     cx.pass_wanted = true;
--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -8,7 +8,7 @@
 use crate::decisions::losses::{self, Blamed, Loss, AT_START};
 use crate::interface::message::WorkerIx;
 use crate::state::suspicion::{Saved, Started};
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::State;
 
 /// A worker's loss, as it speaks against one of the tasks that ran there.
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -10,7 +10,7 @@
 use crate::decisions::losses::{self, Loss, AT_START};
 use crate::interface::message::WorkerIx;
 use crate::state::suspicion::{Started, Suspicion};
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::State;
 
 /// How many tasks may be held back for the loss of a worker of which nobody knows what it ran. Where more
--- a/crates/sched/src/changes/crashes/verdict.rs
+++ b/crates/sched/src/changes/crashes/verdict.rs
@@ -9,7 +9,7 @@
 use crate::decisions::losses::{self, CLEARED_AFTER};
 use crate::interface::message::WorkerIx;
 use crate::state::suspicion::Saved;
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::worker::Worker;
 use crate::state::State;
 
@@ -107,7 +107,7 @@
     let mut crashed: Vec<ids::WorkerId> = Vec::new();
     let mut forgotten: Vec<ids::WorkerId> = Vec::new();
     for (id, since) in &suspicion.silent {
-        let for_so_long = now.since((*since).max(cx.directory_back));
+        let for_so_long = now.since((*since).max(cx.directory_recovered_at));
         let worker = cx.by_id.get(id).map(|&ix| cx.worker(ix));
         if for_so_long >= SILENT_FOR || worker.is_some_and(losses::has_left) {
             forgotten.push(id.clone());
--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -5,12 +5,12 @@
 
 use gaplock_types::ids;
 
-use crate::changes::{evacuation, roster, trace, upkeep};
+use crate::changes::{evacuation, roster, trace, maintenance};
 use crate::interface::message::{WorkerInfo, WorkerIx};
 use crate::state::worker::{Listing, Worker};
 use crate::state::State;
 
-pub use crate::state::Unnamed;
+pub use crate::state::UnknownPoolWorkers;
 
 /// How many such entries are kept. Workers of a pool that nobody uses are few; another writer's entries
 /// may be any number.
@@ -24,7 +24,7 @@
     if names_another_address(cx, &info) {
         return unreadable(cx, &info.id);
     }
-    cx.unnamed.remove(&info.id);
+    cx.unknown_pool_workers.remove(&info.id);
     let listing = listing_of(cx, &info);
     let is_new = !cx.by_id.contains_key(&info.id);
     let ix = known_or_new(cx, &info, listing);
@@ -35,7 +35,7 @@
         _ => listing,
     };
     worker.info = info;
-    cx.set_gone(ix, false);
+    cx.set_terminated(ix, false);
     evacuation::mark(cx, ix);
     let worker = cx.worker(ix);
     if is_new || was != listing && !is_as_stored(cx, worker) {
@@ -51,7 +51,7 @@
 /// Tells whether a successor reads for the first time of a worker that it knows from the roster, and finds it
 /// ready. A line for each of thousands would take up processor time that the survey needs.
 fn is_as_stored(cx: &State, worker: &Worker) -> bool {
-    let restoring = cx.survey.as_ref().is_some_and(|survey| survey.began == cx.now);
+    let restoring = cx.recovery_scan.as_ref().is_some_and(|survey| survey.began == cx.now);
     restoring && worker.listing == Listing::Ready
 }
 
@@ -83,14 +83,14 @@
 /// Keeps an entry whose pool is not named, and gives the worker that it names no more tasks.
 fn set_aside(cx: &mut State, info: WorkerInfo) {
     unreadable(cx, &info.id);
-    if cx.unnamed.len() < UNNAMED_MOST || cx.unnamed.contains_key(&info.id) {
-        cx.unnamed.insert(info.id.clone(), info);
+    if cx.unknown_pool_workers.len() < UNNAMED_MOST || cx.unknown_pool_workers.contains_key(&info.id) {
+        cx.unknown_pool_workers.insert(info.id.clone(), info);
     }
 }
 
 /// Takes in that the configuration has changed: entries may name workers now that did not before.
 pub fn pools_changed(cx: &mut State) {
-    for info in std::mem::take(&mut cx.unnamed).into_values() {
+    for info in std::mem::take(&mut cx.unknown_pool_workers).into_values() {
         listed(cx, info);
     }
 }
@@ -103,10 +103,10 @@
     let ix = WorkerIx(cx.workers.len() as u32);
     let name = info.id.name();
     let mut worker = Worker::new(info.clone(), listing, cx.now);
-    worker.emptying = upkeep::is_expected_down(cx, &name);
+    worker.emptying = maintenance::is_expected_down(cx, &name);
     worker.former = cx.by_name.insert(name, ix);
     cx.workers.push(worker);
-    cx.due.add(cx.now, ix);
+    cx.renewal_queue.add(cx.now, ix);
     cx.by_id.insert(info.id.clone(), ix);
     evacuation::mark(cx, ix);
     ix
@@ -115,7 +115,7 @@
 /// Takes in that the directory's entry of a worker is not what a worker writes. One that is leaving goes
 /// on leaving.
 pub fn unreadable(cx: &mut State, id: &ids::WorkerId) {
-    cx.unnamed.remove(id);
+    cx.unknown_pool_workers.remove(id);
     let Some(&ix) = cx.by_id.get(id) else { return };
     let worker = cx.worker_mut(ix);
     if matches!(worker.listing, Listing::Ready) {
@@ -127,7 +127,7 @@
 /// Takes in that the directory no longer lists a worker. It may live on, so nothing of it is
 /// given up here; see [`crate::changes::gone::check`].
 pub fn unlisted(cx: &mut State, id: &ids::WorkerId) {
-    cx.unnamed.remove(id);
+    cx.unknown_pool_workers.remove(id);
     let Some(&ix) = cx.by_id.get(id) else { return };
     let since = cx.now;
     let worker = cx.worker_mut(ix);
--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::decisions::asks::{self, First};
 use crate::decisions::choices::Choices;
 use crate::decisions::{interference, placement, room};
-use crate::state::table::{self, ReadyStep};
+use crate::state::job_table::{self, ReadyStep};
 use crate::state::State;
 
 /// A demand for which no worker had room in this pass; a demand at least as large with the same
@@ -45,7 +45,7 @@
             impatient: interference::is_impatient(first.waited),
         });
         let lasting = step.lasting.then(|| room::may_take_kept(first.waited, first.again));
-        Self { service, label: step.label.clone(), takes: table::takes(step), filling, lasting }
+        Self { service, label: step.label.clone(), takes: job_table::takes(step), filling, lasting }
     }
 
     /// Tells whether a task that is asked for now finds no worker either.
@@ -96,12 +96,12 @@
     let (most_free, largest) = most_processors(cx);
     let mut pass = Pass { blocked: Vec::new(), most_free, largest, searches: 0 };
     for step in ready {
-        if cx.has_most_starts() {
+        if cx.is_at_start_limit() {
             break;
         }
         start_step(cx, step, &mut pass);
     }
-    cx.pass_looks = pass.searches * cx.workers.len();
+    cx.pass_evaluations = pass.searches * cx.workers.len();
 }
 
 /// Tells whether a lasting step has tasks that go before all others; few steps do.
@@ -214,7 +214,7 @@
     pacing::part_of(cx, &job.steps[usize::from(ready.step)]);
     let mut choices = Choices::default();
     for &index in pending {
-        if cx.has_most_starts() {
+        if cx.is_at_start_limit() {
             return None;
         }
         let task = task_of(ready, index);
--- a/crates/sched/src/changes/doubts.rs
+++ b/crates/sched/src/changes/doubts.rs
@@ -10,7 +10,7 @@
 
 use crate::changes::trace;
 use crate::interface::message::{Action, Outcome, Refusal, Run, WorkerClock, WorkerIx};
-use crate::state::doubt::Doubt;
+use crate::state::abandoned_start::Doubt;
 use crate::state::worker::{Slot, Worker};
 use crate::state::State;
 
@@ -59,7 +59,7 @@
     }
     worker.doubts.remove(&key);
     if worker.doubts.is_empty() {
-        cx.hasten_renewal(ix);
+        cx.expedite_renewal(ix);
         cx.pass_wanted = true;
     }
 }
--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -6,7 +6,7 @@
 
 use crate::changes::{checkpoints, commits, lifecycle, speed, trace};
 use crate::interface::message::{End, How, Run, WorkerIx};
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::State;
 
 /// Takes in the ends of a worker that are new.
--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -11,7 +11,7 @@
 use crate::decisions::{asks, racks};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::proof::Proof;
-use crate::state::table::ReadyStep;
+use crate::state::job_table::ReadyStep;
 use crate::state::State;
 
 /// Starts all members of a gang under one run number, or none of them.
--- a/crates/sched/src/changes/gone.rs
+++ b/crates/sched/src/changes/gone.rs
@@ -17,7 +17,7 @@
         if !ending || worker.lapsed_by(drift).is_some_and(|at| at > now) {
             continue;
         }
-        let unsurveyed = cx.survey.is_some() && worker.answered.is_none();
+        let unsurveyed = cx.recovery_scan.is_some() && worker.answered.is_none();
         if unsurveyed {
             continue;
         }
--- a/crates/sched/src/changes/intake.rs
+++ b/crates/sched/src/changes/intake.rs
@@ -9,8 +9,8 @@
 
 use crate::changes::{commits, directory, lifecycle, permits, trace};
 use crate::interface::message::Record;
-use crate::state::survey::Survey;
-use crate::state::table::{Entry, Round};
+use crate::state::recovery_scan::Survey;
+use crate::state::job_table::{Entry, Round};
 use crate::state::State;
 
 /// Takes a version of the configuration into force; an older one is ignored.
@@ -108,7 +108,7 @@
 
 /// Begins every round that has fallen due.
 pub fn begin_due_rounds(cx: &mut State) {
-    if cx.survey.as_ref().is_some_and(Survey::is_all_in_doubt) {
+    if cx.recovery_scan.as_ref().is_some_and(Survey::is_all_in_doubt) {
         return;
     }
     let repeating = |e: &Entry| e.next_round < e.rounds_in_all() && !e.state.is_final();
@@ -144,7 +144,7 @@
     let keys: Vec<JobKey> = cx.jobs.iter().filter(|(_, e)| old(e)).map(|(key, _)| *key).collect();
     for key in keys {
         cx.jobs.remove(&key);
-        cx.pacing.forget(key);
+        cx.interference.forget(key);
         permits::forget(cx, key);
         commits::add(cx, Record::Forget(key));
     }
--- a/crates/sched/src/changes/leases.rs
+++ b/crates/sched/src/changes/leases.rs
@@ -43,7 +43,7 @@
     crashes::worker_lost(cx, ix, true);
     crashes::worker_gone(cx, ix);
     free_all(cx, ix, Proof::WorkerGone);
-    if !cx.set_gone(ix, true) {
+    if !cx.set_terminated(ix, true) {
         return false;
     }
     let worker = cx.worker_mut(ix);
@@ -51,7 +51,7 @@
     worker.lease_until = None;
     worker.in_roster = false;
     worker.roster_pending = false;
-    if !cx.survey.as_ref().is_some_and(|survey| survey.waits_for(ix)) {
+    if !cx.recovery_scan.as_ref().is_some_and(|survey| survey.waits_for(ix)) {
         roster::forget(cx, ix);
     }
     true
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -12,7 +12,7 @@
 use crate::interface::message::{Action, Run, WorkerIx};
 use crate::interface::proof::Proof;
 use crate::state::checkpoint::Checkpoint;
-use crate::state::table::{self, Entry, ReadyStep, Round, Task, TaskState};
+use crate::state::job_table::{self, Entry, ReadyStep, Round, Task, TaskState};
 use crate::state::worker::{Part, Phase, Slot};
 use crate::state::State;
 
@@ -95,7 +95,7 @@
     let part = pacing::part_of(cx, step);
     let w = cx.worker_mut(worker);
     w.occupy(key, slot_of(step, part, occupant, now));
-    cx.hasten_renewal(worker);
+    cx.expedite_renewal(worker);
     scarcity::changed(cx, worker, key);
     pacing::refresh(cx, worker);
 }
@@ -105,9 +105,9 @@
     Slot {
         run: occupant.run,
         phase: occupant.phase,
-        takes: table::takes(step),
+        takes: job_table::takes(step),
         part,
-        wants_cpu: table::filling(step),
+        wants_cpu: job_table::filling(step),
         ordered: now,
         stop_again: now,
         stop_refusals: 0,
@@ -221,7 +221,7 @@
         }
         let waiting = |t: &Task| t.state == TaskState::Waiting;
         let keys = state.tasks.iter().enumerate().filter(|(_, t)| waiting(t));
-        found.extend(keys.map(|(index, _)| table::key_of(entry.job.key, round.number, at, index)));
+        found.extend(keys.map(|(index, _)| job_table::key_of(entry.job.key, round.number, at, index)));
     }
     found
 }
--- a/crates/sched/src/changes/moving.rs
+++ b/crates/sched/src/changes/moving.rs
@@ -8,7 +8,7 @@
 use crate::decisions::placement;
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::searches::{self, Searches};
-use crate::state::model::Column;
+use crate::state::interference_model::Column;
 use crate::state::worker::{Part, Phase, Slot};
 use crate::state::State;
 
@@ -32,10 +32,10 @@
 pub fn check(cx: &mut State) -> usize {
     let searches = searches::open(cx.workers.len());
     let mut search = Search { searches, taken: FxHashSet::default(), without: Vec::new() };
-    for ix in searches::in_turn(cx.worker_ixs(), cx.places_from.0) {
+    for ix in searches::in_turn(cx.worker_ixs(), cx.rebalance_cursors.0) {
         for (key, run, column, demand) in stuck(cx, ix) {
             if search.searches.is_over() {
-                cx.places_from.0 = ix;
+                cx.rebalance_cursors.0 = ix;
                 return search.searches.made();
             }
             if search.finds_better_place(cx, ix, key, (column, demand)) {
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -14,7 +14,7 @@
 use crate::interface::message::{Action, Outcome, Refusal, Run, StepKey, WorkerClock, WorkerIx};
 use crate::interface::proof::Proof;
 use crate::state::rates::Mark;
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::worker::Phase;
 use crate::state::State;
 
@@ -176,8 +176,8 @@
     }
     let checkpoint = resumes_from.map(|checkpoint| checkpoint.text);
     let start = Action::Start { worker: ix, task: key, run, job, until, checkpoint, ticket };
-    cx.starts_under_way += 1;
-    cx.worker_mut(ix).starts_under_way += 1;
+    cx.starts_in_flight += 1;
+    cx.worker_mut(ix).starts_in_flight += 1;
     cx.actions.push(start);
 }
 
@@ -221,7 +221,7 @@
             slot.barred.get_or_insert(now);
             slot.ordered = now;
             slot.stop_again = now + Millis(limit);
-            cx.hasten_renewal(ix);
+            cx.expedite_renewal(ix);
         }
         Outcome::Refused(_) => put_off_stop(cx, ix, key),
         Outcome::NotSent | Outcome::Unclear => {}
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -75,7 +75,7 @@
 fn order_pace(cx: &mut State, ix: WorkerIx, wanted: &FillingTask) {
     let now = cx.now;
     let again_after = paces::part_of(cx.settings.tail_excess, AGAIN_AFTER);
-    let surveying = cx.survey.as_ref().is_some_and(|survey| now.since(survey.began) < FOUND_WAIT);
+    let surveying = cx.recovery_scan.as_ref().is_some_and(|survey| now.since(survey.began) < FOUND_WAIT);
     let worker = cx.worker_mut(ix);
     let Some(slot) = worker.slots.get_mut(&wanted.key) else { return };
     let edge = wanted.pace == 0 || wanted.pace == FULL_PACE;
--- a/crates/sched/src/changes/pacing/parts.rs
+++ b/crates/sched/src/changes/pacing/parts.rs
@@ -9,10 +9,10 @@
 pub fn part_of(cx: &mut State, step: &Step) -> Part {
     let image = step.image.as_deref().unwrap_or_default();
     if step.fills {
-        return Part::Filling(cx.pacing.column(image));
+        return Part::Filling(cx.interference.column(image));
     }
     match step.tail_target {
-        Some(target) => Part::Serving { row: cx.pacing.row(image), target_ms: target.0 as u32 },
+        Some(target) => Part::Serving { row: cx.interference.row(image), target_ms: target.0 as u32 },
         None => Part::Plain,
     }
 }
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -6,7 +6,7 @@
 use crate::decisions::interference::CROWDED_SHARE;
 use crate::decisions::filling::{self, SETTLE};
 use crate::interface::message::{Record, WorkerIx};
-use crate::state::model::{Column, Served};
+use crate::state::interference_model::{Column, Served};
 use crate::state::worker::Part;
 use crate::state::State;
 
@@ -39,7 +39,7 @@
         return;
     }
     for (served, tail_ms) in tails {
-        cx.pacing.learn(&served, &used, tail_ms, now);
+        cx.interference.learn(&served, &used, tail_ms, now);
     }
 }
 
@@ -55,8 +55,8 @@
 fn judge_speed(cx: &mut State, ix: WorkerIx, tails: &[(Served, f64)]) {
     let now = cx.now;
     for (served, tail_ms) in tails {
-        let load = cx.pacing.load(served.job, now, 0.0);
-        let surprise = cx.pacing.utilisation(served, *tail_ms) - load;
+        let load = cx.interference.load(served.job, now, 0.0);
+        let surprise = cx.interference.utilisation(served, *tail_ms) - load;
         let relative = if surprise > SLOW_SURPRISE { SLOW_SPEED } else { 1.0 };
         cx.worker_mut(ix).speed.record(now, relative);
     }
@@ -67,11 +67,11 @@
 
 /// Stores what was learnt now and then.
 pub fn keep_learnt(cx: &mut State) {
-    if cx.now.since(cx.learnt_kept) < KEEP_LEARNT_EVERY {
+    if cx.now.since(cx.learned_stored_at) < KEEP_LEARNT_EVERY {
         return;
     }
-    cx.learnt_kept = cx.now;
-    let learnt = cx.pacing.learnt();
+    cx.learned_stored_at = cx.now;
+    let learnt = cx.interference.learnt();
     if !learnt.images.is_empty() {
         commits::add(cx, Record::Learnt(learnt));
     }
--- a/crates/sched/src/changes/pacing/spare.rs
+++ b/crates/sched/src/changes/pacing/spare.rs
@@ -3,7 +3,7 @@
 use crate::decisions::interference::FILLED_SHARE;
 use crate::decisions::filling::{self, FillingTask};
 use crate::interface::message::WorkerIx;
-use crate::state::model::Row;
+use crate::state::interference_model::Row;
 use crate::state::worker::{Part, Worker};
 use crate::state::State;
 
@@ -28,8 +28,8 @@
     let mut spare: Vec<(Row, f64)> = Vec::new();
     for (key, slot) in &worker.slots {
         let Some(served) = filling::served(*key, slot) else { continue };
-        let pressure = cx.pacing.pressure(served.row, tasks.iter().map(FillingTask::unpaced));
-        let bearable = cx.pacing.bearable(&served, PLACED_SHARE, now, PLACED_AHEAD_S);
+        let pressure = cx.interference.pressure(served.row, tasks.iter().map(FillingTask::unpaced));
+        let bearable = cx.interference.bearable(&served, PLACED_SHARE, now, PLACED_AHEAD_S);
         let left = bearable - pressure;
         match spare.iter_mut().find(|(row, _)| *row == served.row) {
             Some((_, known)) => *known = known.min(left),
@@ -38,7 +38,7 @@
     }
     let left = spare_filling(cx, worker);
     let openness =
-        if left < TYPICAL_SHARE { 0.0 } else { cx.pacing.openness(&spare, TYPICAL_SHARE) };
+        if left < TYPICAL_SHARE { 0.0 } else { cx.interference.openness(&spare, TYPICAL_SHARE) };
     let worker = cx.worker_mut(ix);
     worker.openness = openness;
     worker.spare_pressure = spare;
@@ -53,7 +53,7 @@
     for (key, slot) in &worker.slots {
         let takes = f64::from(slot.takes.cpu.0);
         busy += match slot.part {
-            Part::Serving { .. } => takes * cx.pacing.load(key.job, cx.now, PLACED_AHEAD_S),
+            Part::Serving { .. } => takes * cx.interference.load(key.job, cx.now, PLACED_AHEAD_S),
             Part::Plain => takes,
             Part::Filling(_) => 0.0,
         };
--- a/crates/sched/src/changes/permits.rs
+++ b/crates/sched/src/changes/permits.rs
@@ -11,7 +11,7 @@
 
 use crate::changes::trace;
 use crate::interface::message::{Action, Permit, WorkerIx};
-use crate::state::table::ReadyStep;
+use crate::state::job_table::ReadyStep;
 use crate::state::State;
 
 pub use crate::interface::message::StepKey;
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -14,7 +14,7 @@
 /// Sends every renewal that is due.
 pub fn send_due(cx: &mut State) {
     let now = cx.now;
-    for ix in cx.due.take(now) {
+    for ix in cx.renewal_queue.take(now) {
         let worker = cx.worker(ix);
         if worker.gone || !matches!(worker.renewal, Renewal::Due(at) if at <= now) {
             continue;
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -12,7 +12,7 @@
 use crate::changes::lifecycle::Occupant;
 use crate::changes::{crashes, directory, gone, lifecycle, roster, trace};
 use crate::interface::message::{Account, Run, WorkerIx};
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::worker::{Listing, Phase, Slot};
 use crate::state::State;
 
@@ -31,7 +31,7 @@
     let listing = Listing::Absent { since: cx.now + ENTERED_WITHIN };
     let ix = directory::known_or_new(cx, &info, listing);
     cx.by_name.insert(id.name(), ix);
-    cx.set_gone(ix, false);
+    cx.set_terminated(ix, false);
     ix
 }
 
--- a/crates/sched/src/changes/scarcity.rs
+++ b/crates/sched/src/changes/scarcity.rs
@@ -10,10 +10,10 @@
 /// Takes in that a short task has found no room in its pool.
 pub fn short_waits(cx: &mut State, pool: &ids::ServiceId) {
     let now = cx.now;
-    match cx.short_waited.get_mut(pool) {
+    match cx.short_task_waited_at.get_mut(pool) {
         Some(at) => *at = now,
         None => {
-            cx.short_waited.insert(pool.clone(), now);
+            cx.short_task_waited_at.insert(pool.clone(), now);
         }
     }
 }
--- a/crates/sched/src/changes/starts.rs
+++ b/crates/sched/src/changes/starts.rs
@@ -7,7 +7,7 @@
 use crate::changes::{checkpoints, lifecycle, orders, trace};
 use crate::interface::message::{Run, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::worker::Phase;
 use crate::state::State;
 
--- a/crates/sched/src/changes/stragglers.rs
+++ b/crates/sched/src/changes/stragglers.rs
@@ -11,14 +11,14 @@
 use crate::decisions::{placement, slowness};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::searches;
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::State;
 
 /// Starts tasks again elsewhere that would take much longer on their slow worker. Returns how many searches
 /// that took.
 pub fn check(cx: &mut State) -> usize {
     let mut searches = searches::open(cx.workers.len());
-    for ix in searches::in_turn(cx.worker_ixs(), cx.places_from.1) {
+    for ix in searches::in_turn(cx.worker_ixs(), cx.rebalance_cursors.1) {
         let worker = cx.worker(ix);
         if worker.missed > 0 || !worker.speed.is_slow(cx.now) {
             continue;
@@ -28,7 +28,7 @@
         let slow: Vec<(TaskKey, Run)> = slow.map(|(key, slot)| (*key, slot.run)).collect();
         for (key, run) in slow {
             if searches.is_over() {
-                cx.places_from.1 = ix;
+                cx.rebalance_cursors.1 = ix;
                 return searches.made();
             }
             searches.take();
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -14,11 +14,11 @@
 use crate::changes::evacuation::{self, Evacuated};
 use crate::changes::pacing::Learnt;
 use crate::changes::{
-    checkpoints, crashes, directory, intake, leases, lifecycle, roster, trace, upkeep,
+    checkpoints, crashes, directory, intake, leases, lifecycle, roster, trace, maintenance,
 };
 use crate::interface::message::{RosterEntry, Run, WaveProgress, WorkerIx};
-use crate::state::survey::Survey;
-use crate::state::table::{Entry, Round, StepState, TaskState};
+use crate::state::recovery_scan::Survey;
+use crate::state::job_table::{Entry, Round, StepState, TaskState};
 use crate::state::worker::Listing;
 use crate::state::State;
 
@@ -48,8 +48,8 @@
     let Stored { jobs, mut progress, unreadable, cancelled, roster, learnt, waves, evacuated } =
         stored;
     evacuation::read(cx, evacuated);
-    cx.pacing.restore(&learnt);
-    upkeep::restore(cx, waves);
+    cx.interference.restore(&learnt);
+    maintenance::restore(cx, waves);
     let (mut waiting, mut closed) = (FxHashSet::default(), FxHashMap::default());
     for entry in roster {
         let ix = directory::known_or_new(cx, &entry.info, Listing::Absent { since: cx.now });
@@ -70,7 +70,7 @@
     trace::takeover_began(cx.term.number, jobs.len(), waiting.len(), closed.len());
     let lost = Vec::new();
     let survey = Survey { waiting, closed, lost, settled: false, until, began: cx.now };
-    cx.survey = Some(survey);
+    cx.recovery_scan = Some(survey);
     for job in jobs {
         let key = job.key;
         let entry = match unreadable.contains(&key) {
@@ -171,7 +171,7 @@
 /// Takes in that a worker has answered, or certainly runs nothing.
 pub fn answered(cx: &mut State, ix: WorkerIx) {
     let gone = cx.worker(ix).gone;
-    let Some(survey) = &mut cx.survey else { return };
+    let Some(survey) = &mut cx.recovery_scan else { return };
     if survey.waiting.remove(&ix) && gone {
         survey.lost.push(ix);
     }
@@ -191,7 +191,7 @@
 /// Settles what is no longer in doubt, and ends the survey once every worker has answered or its leases
 /// are over.
 pub fn check_survey(cx: &mut State) {
-    let Some(survey) = &cx.survey else { return };
+    let Some(survey) = &cx.recovery_scan else { return };
     let late = cx.now >= survey.until;
     if !survey.waiting.is_empty() && !late {
         return;
@@ -208,7 +208,7 @@
 
 /// Ends the survey: nothing is in doubt any more.
 fn end_survey(cx: &mut State) {
-    let Some(mut survey) = cx.survey.take() else { return };
+    let Some(mut survey) = cx.recovery_scan.take() else { return };
     for ix in survey.waiting {
         if cx.worker(ix).is_absent() {
             leases::give_up(cx, ix);
@@ -262,7 +262,7 @@
 /// Notes that the open workers are through, and returns the tasks that closed workers may hold and the
 /// open workers that are gone.
 fn held(cx: &mut State) -> (FxHashSet<TaskKey>, Vec<WorkerIx>) {
-    let Some(survey) = &mut cx.survey else { return Default::default() };
+    let Some(survey) = &mut cx.recovery_scan else { return Default::default() };
     survey.settled = true;
     let held = survey.closed.values().flatten().copied().collect();
     (held, mem::take(&mut survey.lost))
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -19,7 +19,7 @@
 };
 use crate::interface::proof::Proof;
 use crate::state::checkpoint::Checkpoint;
-use crate::state::table::Entry;
+use crate::state::job_table::Entry;
 use crate::state::worker::{Listing, Slot, Worker};
 use crate::state::State;
 
@@ -337,12 +337,7 @@
 }
 
 /// The platform has answered such an order, or not.
-pub fn upkeep_answered(
-    wave: WaveNumber,
-    host: &ids::HostId,
-    answer: UpkeepAnswer,
-    tries: CallAttempts,
-) {
+pub fn upkeep_answered(wave: WaveNumber, host: &ids::HostId, answer: UpkeepAnswer, tries: CallAttempts) {
     let (attempt, open) = (tries.sent(), tries.unanswered());
     info!(event = "upkeep_answered", wave = wave.0, %host, ?answer, attempt, open);
 }
@@ -365,9 +360,9 @@
         let reading = slot.reading.unwrap_or(0);
         let image = cx.step(*task).and_then(|s| s.image.as_deref());
         debug!(event = "reading", worker = %worker.info.id, %task, image, part = ?slot.part,
-            reading, pace = slot.pace, load = cx.pacing.load(task.job, cx.now, 0.0), phase = ?slot.phase,
+            reading, pace = slot.pace, load = cx.interference.load(task.job, cx.now, 0.0), phase = ?slot.phase,
             percent = slot.percent, wants = slot.wants_cpu);
     }
     debug!(event = "pressure", worker = %worker.info.id, spare = ?worker.spare_pressure,
-        factors = cx.pacing.describe());
+        factors = cx.interference.describe());
 }
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -16,7 +16,7 @@
 use crate::changes::starts;
 use crate::decisions::{asks, losses, placement};
 use crate::interface::message::WorkerIx;
-use crate::state::table::TaskState;
+use crate::state::job_table::TaskState;
 use crate::state::trial::Trial;
 use crate::state::worker::Worker;
 use crate::state::State;
@@ -84,7 +84,7 @@
     let most = if losses::are_many_lost(cx) { 0 } else { (cx.fleet_size() / TRIALS_SHARE).max(1) };
     let mut left = most.saturating_sub(under_way);
     for suspect in waiting {
-        if cx.has_most_starts() {
+        if cx.is_at_start_limit() {
             return;
         }
         let several = suspect.losses > 1;
--- a/crates/sched/src/changes/upkeep.rs
+++ b/crates/sched/src/changes/upkeep.rs
@@ -21,7 +21,7 @@
 use crate::interface::message::{
     Action, HostInfo, HostState, Record, UpkeepAnswer, WaveNumber, WaveProgress, WaveRequest,
 };
-use crate::state::upkeep::{Down, Wave};
+use crate::state::maintenance::{Down, Wave};
 use crate::state::State;
 
 /// How often the hosts are listed while a wave is under way: a host is away for about 2 s, and all
@@ -37,27 +37,27 @@
 
 /// Takes over what a former leader stored of waves.
 pub fn restore(cx: &mut State, waves: Vec<WaveProgress>) {
-    cx.upkeep.stored = waves.into_iter().map(|w| (w.number, w)).collect();
+    cx.maintenance.stored = waves.into_iter().map(|w| (w.number, w)).collect();
 }
 
 /// Tells whether the host of a worker that was just heard of may go down by an order of a former
 /// leader. Such a worker gets no tasks, also before the first list of the hosts and before the wave
 /// is heard of.
 pub fn is_expected_down(cx: &State, name: &ids::WorkerName) -> bool {
-    let known = cx.upkeep.waves.values().map(|w| &w.progress);
-    let mut open = cx.upkeep.stored.values().chain(known).filter(|w| !w.completed);
+    let known = cx.maintenance.waves.values().map(|w| &w.progress);
+    let mut open = cx.maintenance.stored.values().chain(known).filter(|w| !w.completed);
     open.any(|w| w.ordered.values().flatten().any(|worker| worker == name))
 }
 
 /// Takes in a wave that the operators ask for; one that is known already changes nothing.
 pub fn asked(cx: &mut State, request: WaveRequest) {
     let number = request.number;
-    if cx.upkeep.waves.contains_key(&number) {
+    if cx.maintenance.waves.contains_key(&number) {
         return;
     }
     let now = cx.now;
     let fresh = WaveProgress::new(number, cx.unix_ms);
-    let known = cx.upkeep.stored.remove(&number);
+    let known = cx.maintenance.stored.remove(&number);
     let is_new = known.is_none();
     let progress = known.unwrap_or(fresh);
     let age = Millis(cx.unix_ms.saturating_sub(progress.began_unix_ms));
@@ -78,18 +78,18 @@
         inherited,
         down: BTreeMap::new(),
     };
-    cx.upkeep.waves.insert(number, wave);
-    cx.upkeep.list_due = Some(now);
+    cx.maintenance.waves.insert(number, wave);
+    cx.maintenance.list_due = Some(now);
 }
 
 /// Takes in a list of all hosts that was asked for at `sent`, or that none came.
 pub fn listed(cx: &mut State, sent: Instant, hosts: Option<Vec<HostInfo>>) {
-    cx.upkeep.list_due = Some(cx.now + LIST_EVERY);
+    cx.maintenance.list_due = Some(cx.now + LIST_EVERY);
     let Some(hosts) = hosts else { return };
-    cx.upkeep.hosts = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
-    cx.upkeep.listed = Some(sent);
+    cx.maintenance.hosts = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
+    cx.maintenance.listed = Some(sent);
     let (mut returned, mut awaited) = (Vec::new(), Vec::new());
-    let upkeep = &mut cx.upkeep;
+    let upkeep = &mut cx.maintenance;
     for wave in upkeep.waves.values_mut() {
         let is_up = |h: &ids::HostId| upkeep.hosts.get(h).is_some_and(|h| h.state == HostState::Up);
         // A list that was asked for before the answer may show the host as it was before its
@@ -119,7 +119,7 @@
 /// Takes in what became of an order that a host goes down.
 pub fn answered(cx: &mut State, number: WaveNumber, host: &ids::HostId, answer: UpkeepAnswer) {
     let now = cx.now;
-    let Some(wave) = cx.upkeep.waves.get_mut(&number) else { return };
+    let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     let Some(down) = wave.down.get_mut(host) else { return };
     trace::upkeep_answered(number, host, answer, down.tries);
     match answer {
@@ -145,7 +145,7 @@
 /// Notes that the upkeep of a host has begun.
 fn begun(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
     let now = cx.now;
-    let Some(wave) = cx.upkeep.waves.get_mut(&number) else { return };
+    let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     if let Some(down) = wave.down.get_mut(host) {
         down.again = None;
         down.begun.get_or_insert(now);
@@ -159,7 +159,7 @@
 
 /// Leaves a host out that is not of the wave and that no order can take down.
 fn leave_out(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
-    let Some(wave) = cx.upkeep.waves.get_mut(&number) else { return };
+    let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     wave.left_out.insert(host.clone());
     wave.down.remove(host);
     wave.progress.ordered.remove(host);
@@ -172,15 +172,15 @@
 pub fn check(cx: &mut State) {
     let active = |w: &&Wave| w.told && !w.progress.completed;
     let numbers: Vec<WaveNumber> =
-        cx.upkeep.waves.values().filter(active).map(|w| w.request.number).collect();
+        cx.maintenance.waves.values().filter(active).map(|w| w.request.number).collect();
     if numbers.is_empty() {
         return;
     }
-    if cx.upkeep.list_due.is_some_and(|at| at <= cx.now) {
-        cx.upkeep.list_due = None;
+    if cx.maintenance.list_due.is_some_and(|at| at <= cx.now) {
+        cx.maintenance.list_due = None;
         cx.actions.push(Action::ListHosts);
     }
-    if cx.upkeep.listed.is_none() || cx.survey.is_some() {
+    if cx.maintenance.listed.is_none() || cx.recovery_scan.is_some() {
         return;
     }
     for number in numbers {
@@ -194,7 +194,7 @@
 /// Gives orders again that were not carried out, or may not have been.
 fn order_again(cx: &mut State, number: WaveNumber) {
     let now = cx.now;
-    let Some(wave) = cx.upkeep.waves.get_mut(&number) else { return };
+    let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     for (host, down) in &mut wave.down {
         if down.again.is_some_and(|at| at <= now) {
             down.again = None;
@@ -207,7 +207,7 @@
 /// Orders hosts down that are empty, or empty enough, once that is stored.
 fn order_emptied(cx: &mut State, number: WaveNumber) {
     let emptied = waves::emptied(cx, number);
-    let Some(wave) = cx.upkeep.waves.get_mut(&number) else { return };
+    let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     let (stored, others): (Vec<_>, Vec<_>) =
         emptied.into_iter().partition(|(host, _)| wave.ordered.contains_key(host));
     for (host, _) in stored {
@@ -231,14 +231,14 @@
     for host in waves::next(cx, number) {
         let now = cx.now;
         set_emptying(cx, &host, true);
-        let Some(wave) = cx.upkeep.waves.get_mut(&number) else { return };
+        let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
         wave.emptying.insert(host, now);
     }
 }
 
 /// Reports a wave as completed once the upkeep of every host that stays has begun.
 fn complete(cx: &mut State, number: WaveNumber) {
-    let Some(wave) = cx.upkeep.waves.get_mut(&number) else { return };
+    let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     if waves::left(wave).next().is_some() {
         return;
     }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -7,7 +7,7 @@
 use crate::changes::crashes::recorded;
 use crate::changes::{
     commits, crashes, directory, dispatch, drain, evacuation, freshness, gone, intake, moving,
-    orders, pacing, permits, renewals, roster, stragglers, takeover, upkeep,
+    orders, pacing, permits, renewals, roster, stragglers, takeover, maintenance,
 };
 use crate::interface::message::{Action, Event, WorkerIx};
 use crate::interface::settings::Settings;
@@ -99,7 +99,7 @@
             Event::Listed(info) => directory::listed(self, info),
             Event::Unreadable(id) => directory::unreadable(self, &id),
             Event::Unlisted(id) => directory::unlisted(self, &id),
-            Event::DirectoryBack => self.directory_back = self.now,
+            Event::DirectoryBack => self.directory_recovered_at = self.now,
             Event::DirectoryRead(read) => freshness::read(self, read),
             Event::StoreAt(mark) => freshness::marked(self, mark),
             Event::Evacuated(evacuated) => evacuation::read(self, evacuated),
@@ -119,10 +119,10 @@
             Event::Advised { step, asked, sent, answer } => {
                 permits::advised(self, step, &asked, sent, answer);
             }
-            Event::Wave(request) => upkeep::asked(self, request),
-            Event::Hosts { sent, hosts } => upkeep::listed(self, sent, hosts),
+            Event::Wave(request) => maintenance::asked(self, request),
+            Event::Hosts { sent, hosts } => maintenance::listed(self, sent, hosts),
             Event::Upkeep { wave, host, answer } => {
-                upkeep::answered(self, wave, &host, answer);
+                maintenance::answered(self, wave, &host, answer);
             }
             Event::Committed => {
                 commits::committed(self);
@@ -148,7 +148,7 @@
         orders::check(self);
         crashes::check(self);
         recorded::send_stored(self);
-        upkeep::check(self);
+        maintenance::check(self);
         drain::check(self);
         self.rearrange();
         pacing::keep_learnt(self);
@@ -178,11 +178,11 @@
 
     /// Takes in that one start fewer is under way; steps may have waited for that.
     fn start_answered(&mut self, ix: WorkerIx) {
-        let waited_for = self.has_most_starts() || self.has_most_starts_at(ix);
+        let waited_for = self.is_at_start_limit() || self.is_worker_at_start_limit(ix);
         self.pass_wanted |= waited_for && !self.ready.is_empty();
-        self.starts_under_way = self.starts_under_way.saturating_sub(1);
+        self.starts_in_flight = self.starts_in_flight.saturating_sub(1);
         let worker = self.worker_mut(ix);
-        worker.starts_under_way = worker.starts_under_way.saturating_sub(1);
+        worker.starts_in_flight = worker.starts_in_flight.saturating_sub(1);
     }
 
     /// Looks now and then for better places for what runs.
@@ -191,13 +191,13 @@
             return;
         }
         self.last_rearranged = self.now;
-        self.places_searched = moving::check(self) + stragglers::check(self);
+        self.rebalance_searches = moving::check(self) + stragglers::check(self);
     }
 
     /// Returns the least time between two passes.
     fn pass_every(&self) -> Millis {
         let by_fleet = Millis(self.fleet_size() as u64 / WORKERS_PER_MS);
-        let by_looks = Millis(self.pass_looks as u64 / LOOKS_PER_MS);
+        let by_looks = Millis(self.pass_evaluations as u64 / LOOKS_PER_MS);
         PASS_EVERY.max(by_fleet).max(by_looks)
     }
 
--- a/crates/sched/src/decisions/asks.rs
+++ b/crates/sched/src/decisions/asks.rs
@@ -6,7 +6,7 @@
 use gaplock_types::time::Millis;
 
 use crate::decisions::placement::Wanted;
-use crate::state::table::{Task, TaskState};
+use crate::state::job_table::{Task, TaskState};
 use crate::state::State;
 
 /// The task of a step that is tried first.
--- a/crates/sched/src/decisions/availability.rs
+++ b/crates/sched/src/decisions/availability.rs
@@ -2,7 +2,7 @@
 
 use gaplock_jobs::TaskKey;
 
-use crate::state::table::{Task, TaskState};
+use crate::state::job_table::{Task, TaskState};
 use crate::state::worker::{Phase, AT_WORK_PERCENT};
 use crate::state::State;
 
--- a/crates/sched/src/decisions/disturbance.rs
+++ b/crates/sched/src/decisions/disturbance.rs
@@ -8,7 +8,7 @@
 use gaplock_jobs::Step;
 use gaplock_types::time::Millis;
 
-use crate::state::model::LEAST_PUSH;
+use crate::state::interference_model::LEAST_PUSH;
 use crate::state::worker::{Part, Worker};
 use crate::state::State;
 
@@ -62,7 +62,7 @@
 /// Returns what placing a filling task costs by its push on what serves there.
 fn filling_cost(cx: &State, worker: &Worker, step: &Step, waited: Millis) -> Option<f64> {
     let image = step.image.as_deref().unwrap_or_default();
-    let column = cx.pacing.known_column(image);
+    let column = cx.interference.known_column(image);
     let share = f64::from(step.demand.cpu.0) / f64::from(worker.info.capacity.cpu.0.max(1));
     if !worker.spare_pressure.is_empty() && share > worker.spare_filling {
         return None;
@@ -73,7 +73,7 @@
         cost += (FILLED_SHARE - CROWDED_SHARE - left).max(0.0) * CROWDING_COST;
     }
     for &(row, spare) in &worker.spare_pressure {
-        let push = cx.pacing.factor(row, column) * share;
+        let push = cx.interference.factor(row, column) * share;
         if push < LEAST_PUSH {
             continue;
         }
@@ -97,7 +97,7 @@
 /// tasks of its own image.
 fn serving_cost(cx: &State, worker: &Worker, step: &Step) -> f64 {
     let image = step.image.as_deref().unwrap_or_default();
-    let row = cx.pacing.known_row(image);
+    let row = cx.interference.known_row(image);
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
     let (mut all, mut same_image) = (0.0, 0.0);
     let mut pressed = 0.0;
@@ -109,7 +109,7 @@
             }
             Part::Filling(column) => {
                 let share = f64::from(slot.wants_cpu) / cores;
-                pressed += row.map_or(0.0, |r| cx.pacing.factor(r, Some(column))) * share;
+                pressed += row.map_or(0.0, |r| cx.interference.factor(r, Some(column))) * share;
             }
             Part::Plain => {}
         }
--- a/crates/sched/src/decisions/filling.rs
+++ b/crates/sched/src/decisions/filling.rs
@@ -4,7 +4,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::interface::message::Run;
-use crate::state::model::{Column, Served};
+use crate::state::interference_model::{Column, Served};
 use crate::state::paces::FULL_PACE;
 use crate::state::worker::{Part, Phase, Slot, Worker};
 
--- a/crates/sched/src/decisions/leaving.rs
+++ b/crates/sched/src/decisions/leaving.rs
@@ -38,7 +38,7 @@
             Some(Departure { last_call: last_call(since, remaining), announced: true })
         }
         Listing::Absent { since } => {
-            let back_until = cx.directory_back + BACK_WITHIN;
+            let back_until = cx.directory_recovered_at + BACK_WITHIN;
             let from = since.max(back_until);
             let last_call = last_call(from, cx.settings.drain);
             (cx.now >= from).then_some(Departure { last_call, announced: false })
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -3,7 +3,7 @@
 use gaplock_types::time::Millis;
 
 use crate::decisions::filling::{self, FillingTask};
-use crate::state::model::{Model, Row, LEAST_PUSH};
+use crate::state::interference_model::{Model, Row, LEAST_PUSH};
 use crate::state::paces::FULL_PACE;
 use crate::state::worker::{Part, Worker};
 use crate::state::State;
@@ -28,8 +28,8 @@
     }
     for (key, slot) in &worker.slots {
         let Some(served) = filling::served(*key, slot) else { continue };
-        let bearable = cx.pacing.bearable(&served, GUARDED_SHARE, now, GUARDED_AHEAD_S);
-        relieve(&cx.pacing, served.row, bearable, &mut tasks);
+        let bearable = cx.interference.bearable(&served, GUARDED_SHARE, now, GUARDED_AHEAD_S);
+        relieve(&cx.interference, served.row, bearable, &mut tasks);
     }
     halt(cx, worker, &mut tasks);
     tasks
@@ -77,7 +77,7 @@
         };
         let lasted = cx.now.since(since);
         for task in filling.iter_mut() {
-            let push = cx.pacing.factor(row, Some(task.column)) * task.share;
+            let push = cx.interference.factor(row, Some(task.column)) * task.share;
             let suspected = lasted >= suspected_after && push >= SUSPECTED_PUSH;
             if suspected || lasted >= all_after {
                 task.pace = 0;
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -9,7 +9,7 @@
 use crate::decisions::interference;
 use crate::decisions::room;
 use crate::interface::message::{StepKey, WorkerIx};
-use crate::state::table;
+use crate::state::job_table;
 use crate::state::worker::{Part, Worker};
 use crate::state::State;
 
@@ -103,7 +103,7 @@
 impl UnfitCounts {
     /// Counts a worker without room, and what would make it.
     fn note_full(&mut self, worker: &Worker, step: &Step) {
-        let takes = table::takes(step);
+        let takes = job_table::takes(step);
         let room = worker.info.capacity.minus(&worker.used);
         self.full += 1;
         self.no_memory += u32::from(room.cpu >= takes.cpu);
@@ -180,14 +180,14 @@
 /// Checks whether a worker may and can run the task.
 pub fn fits(cx: &State, ix: WorkerIx, wanted: &Wanted<'_>) -> Result<(), Unfit> {
     let worker = cx.worker(ix);
-    let takes = table::takes(wanted.step);
+    let takes = job_table::takes(wanted.step);
     if worker.gone || worker.info.service != *wanted.service {
         return Err(Unfit::OtherPool);
     }
     if worker.evacuated {
         return Err(Unfit::Evacuated);
     }
-    if !worker.takes_tasks(cx.now) || cx.has_most_starts_at(ix) {
+    if !worker.takes_tasks(cx.now) || cx.is_worker_at_start_limit(ix) {
         return Err(Unfit::NotTaking);
     }
     if worker.trial.is_some_and(|trial| trial.keeps_out(wanted.task, cx.now)) {
--- a/crates/sched/src/decisions/room.rs
+++ b/crates/sched/src/decisions/room.rs
@@ -76,7 +76,7 @@
 pub fn is_kept(cx: &State, worker: &Worker) -> bool {
     let within = |at: &Instant, span| cx.now.since(*at) < span;
     worker.short_changed.is_some_and(|at| within(&at, KEPT_FOR))
-        && cx.short_waited.get(&worker.info.service).is_some_and(|at| within(at, SCARCE_FOR))
+        && cx.short_task_waited_at.get(&worker.info.service).is_some_and(|at| within(at, SCARCE_FOR))
 }
 
 /// Tells whether a lasting task has waited so long that it may take kept room; `again` says that it
--- a/crates/sched/src/decisions/waves.rs
+++ b/crates/sched/src/decisions/waves.rs
@@ -5,7 +5,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::interface::message::{HostState, WaveNumber, WorkerIx};
-use crate::state::upkeep::Wave;
+use crate::state::maintenance::Wave;
 use crate::state::State;
 
 /// How long short tasks may go on at a host that is to go down.
@@ -17,14 +17,14 @@
 
 /// Lists the hosts of a wave that are empty, or empty enough, with their workers.
 pub fn emptied(cx: &State, number: WaveNumber) -> Vec<(ids::HostId, Option<ids::WorkerName>)> {
-    let Some(wave) = cx.upkeep.waves.get(&number) else { return Vec::new() };
+    let Some(wave) = cx.maintenance.waves.get(&number) else { return Vec::new() };
     let late = is_late(wave, cx.now);
     let ready = |host: &ids::HostId, since: Instant| match worker_on(cx, host) {
         Some(ix) => is_empty_enough(cx, ix, late || cx.now.since(since) >= SHORT_TASKS),
         None => true,
     };
     let emptied = wave.emptying.iter().filter(|(host, since)| ready(host, **since));
-    let worker_of = |host: &ids::HostId| cx.upkeep.hosts.get(host).and_then(|h| h.worker.clone());
+    let worker_of = |host: &ids::HostId| cx.maintenance.hosts.get(host).and_then(|h| h.worker.clone());
     emptied.map(|(host, _)| (host.clone(), worker_of(host))).collect()
 }
 
@@ -51,9 +51,9 @@
 
 /// Lists as many hosts as may be emptied next, those with fewest tasks first.
 pub fn next(cx: &State, number: WaveNumber) -> Vec<ids::HostId> {
-    let Some(wave) = cx.upkeep.waves.get(&number) else { return Vec::new() };
+    let Some(wave) = cx.maintenance.waves.get(&number) else { return Vec::new() };
     let away = |h: &&ids::HostId| {
-        let up = cx.upkeep.hosts.get(*h).is_some_and(|host| host.state == HostState::Up);
+        let up = cx.maintenance.hosts.get(*h).is_some_and(|host| host.state == HostState::Up);
         wave.down.contains_key(*h) || wave.emptying.contains_key(*h) || !up
     };
     let taken = wave.request.hosts.iter().filter(away).count();
@@ -68,6 +68,6 @@
 
 /// Finds the worker on a host.
 pub fn worker_on(cx: &State, host: &ids::HostId) -> Option<WorkerIx> {
-    let name = cx.upkeep.hosts.get(host)?.worker.as_ref()?;
+    let name = cx.maintenance.hosts.get(host)?.worker.as_ref()?;
     cx.by_name.get(name).copied().filter(|ix| !cx.worker(*ix).gone)
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -17,4 +17,4 @@
 pub use interface::message::{Action, Event};
 pub use interface::settings::Settings;
 pub use interface::{claims, message, searches, settings, writing};
-pub use state::{table, worker};
+pub use state::{job_table, worker};
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -2,18 +2,18 @@
 
 pub mod checkpoint;
 pub mod commits;
-pub mod doubt;
-pub mod due;
+pub mod abandoned_start;
+pub mod renewal_queue;
 pub mod freshness;
-pub mod model;
+pub mod interference_model;
 pub mod paces;
 pub mod permits;
 pub mod rates;
-pub mod survey;
+pub mod recovery_scan;
 pub mod suspicion;
-pub mod table;
+pub mod job_table;
 pub mod trial;
-pub mod upkeep;
+pub mod maintenance;
 pub mod worker;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,18 +28,18 @@
 use crate::interface::settings::Settings;
 
 use commits::Commits;
-use due::DueRenewals;
+use renewal_queue::DueRenewals;
 use freshness::Freshness;
-use model::Model;
+use interference_model::Model;
 use permits::Permits;
-use survey::Survey;
+use recovery_scan::Survey;
 use suspicion::Crashes;
-use table::{Entry, ReadyStep, StepState, Task, TaskState};
-use upkeep::Upkeep;
+use job_table::{Entry, ReadyStep, StepState, Task, TaskState};
+use maintenance::Upkeep;
 use worker::{Renewal, Worker};
 
 /// Sound entries whose pool the configuration does not name; a later one may.
-pub type Unnamed = BTreeMap<ids::WorkerId, WorkerInfo>;
+pub type UnknownPoolWorkers = BTreeMap<ids::WorkerId, WorkerInfo>;
 
 /// A leadership: its rising number and the token that fences every earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,15 +52,15 @@
 
 /// Runs that one leader may give a task; a run's number is the term's number times this, plus the
 /// count of starts. Two leaders therefore never use the same number.
-const RUNS_PER_TERM: u64 = 1 << 12;
+const MAX_RUNS_PER_TERM: u64 = 1 << 12;
 
 /// The part of all starts under way that one worker may have, as a divisor. What takes processors goes
 /// to the fullest worker that holds it, so without a bound a few workers that have just fallen silent
 /// would take up all of them.
-const STARTS_SHARE: usize = 16;
+const WORKER_STARTS_DIVISOR: usize = 16;
 
 /// The starts that one worker may have under way on the weakest of leaders.
-const STARTS_LEAST: usize = 2;
+const MIN_STARTS_PER_WORKER: usize = 2;
 
 /// Everything that a leader knows.
 #[derive(Debug)]
@@ -82,15 +82,15 @@
     /// All workers ever seen by this leader, each start for itself.
     pub workers: Vec<Worker>,
     /// When their renewals fall due.
-    pub due: DueRenewals,
+    pub renewal_queue: DueRenewals,
     /// How many of them are gone.
-    pub gone: usize,
+    pub terminated_count: usize,
     /// Workers by their start.
     pub by_id: FxHashMap<ids::WorkerId, WorkerIx>,
     /// The last start of each worker.
     pub by_name: FxHashMap<ids::WorkerName, WorkerIx>,
     /// Entries of the directory whose pool the configuration does not name.
-    pub unnamed: Unnamed,
+    pub unknown_pool_workers: UnknownPoolWorkers,
     /// The failure domains to whose workers nothing new goes.
     pub evacuated: Evacuated,
     /// How old the view of the directory is.
@@ -98,36 +98,36 @@
     /// Steps with pending tasks.
     pub ready: BTreeSet<ReadyStep>,
     /// Set while former leaders' runs are being searched for.
-    pub survey: Option<Survey>,
+    pub recovery_scan: Option<Survey>,
     /// What is to be stored.
     pub commits: Commits,
     /// What is known of how tasks disturb each other.
-    pub pacing: Model,
+    pub interference: Model,
     /// Where steps may run whose queue asks another service.
     pub permits: Permits,
     /// Tasks under which workers were lost.
     pub crashes: Crashes,
     /// Waves of upkeep.
-    pub upkeep: Upkeep,
+    pub maintenance: Upkeep,
     /// What is to be done.
     pub actions: Vec<Action>,
     /// How many starts have been sent whose answer, or the lack of one, is not known yet.
-    pub starts_under_way: usize,
+    pub starts_in_flight: usize,
     /// Set when a dispatch pass could find something to start.
     pub pass_wanted: bool,
     /// How many looks at a worker the last dispatch pass took.
-    pub pass_looks: usize,
+    pub pass_evaluations: usize,
     /// The worker with which the next look for better places begins: for what is slowed down, and for what
     /// runs on a slow worker.
-    pub places_from: (WorkerIx, WorkerIx),
+    pub rebalance_cursors: (WorkerIx, WorkerIx),
     /// How many searches over all workers the last look for better places made.
-    pub places_searched: usize,
+    pub rebalance_searches: usize,
     /// When a short task last found no room, by pool.
-    pub short_waited: FxHashMap<ids::ServiceId, Instant>,
+    pub short_task_waited_at: FxHashMap<ids::ServiceId, Instant>,
     /// When the directory could be read again after the last outage, or was first read.
-    pub directory_back: Instant,
+    pub directory_recovered_at: Instant,
     /// When what was learnt was last stored.
-    pub learnt_kept: Instant,
+    pub learned_stored_at: Instant,
     /// How many listed runs were found of jobs that had ended before, without a stop on its way.
     pub runs_after_end: u64,
 }
@@ -144,42 +144,42 @@
             jobs: FxHashMap::default(),
             early_cancellations: FxHashMap::default(),
             workers: Vec::new(),
-            due: DueRenewals::default(),
-            gone: 0,
+            renewal_queue: DueRenewals::default(),
+            terminated_count: 0,
             by_id: FxHashMap::default(),
             by_name: FxHashMap::default(),
-            unnamed: Unnamed::default(),
+            unknown_pool_workers: UnknownPoolWorkers::default(),
             evacuated: Evacuated::default(),
             freshness: Freshness::default(),
             ready: BTreeSet::new(),
-            survey: None,
+            recovery_scan: None,
             commits: Commits::default(),
-            pacing: Model::default(),
+            interference: Model::default(),
             permits: Permits::default(),
             crashes: Crashes::default(),
-            upkeep: Upkeep::default(),
+            maintenance: Upkeep::default(),
             actions: Vec::new(),
-            starts_under_way: 0,
+            starts_in_flight: 0,
             pass_wanted: false,
-            pass_looks: 0,
-            places_from: (WorkerIx(0), WorkerIx(0)),
-            places_searched: 0,
-            short_waited: FxHashMap::default(),
-            directory_back: now,
-            learnt_kept: now,
+            pass_evaluations: 0,
+            rebalance_cursors: (WorkerIx(0), WorkerIx(0)),
+            rebalance_searches: 0,
+            short_task_waited_at: FxHashMap::default(),
+            directory_recovered_at: now,
+            learned_stored_at: now,
             runs_after_end: 0,
         }
     }
 
     /// Tells whether as many starts are under way as may be.
-    pub fn has_most_starts(&self) -> bool {
-        self.starts_under_way >= self.settings.starts_under_way_most
+    pub fn is_at_start_limit(&self) -> bool {
+        self.starts_in_flight >= self.settings.starts_under_way_most
     }
 
     /// Tells whether as many starts are under way to a worker as may be.
-    pub fn has_most_starts_at(&self, ix: WorkerIx) -> bool {
-        let most = (self.settings.starts_under_way_most / STARTS_SHARE).max(STARTS_LEAST);
-        self.worker(ix).starts_under_way >= most
+    pub fn is_worker_at_start_limit(&self, ix: WorkerIx) -> bool {
+        let most = (self.settings.starts_under_way_most / WORKER_STARTS_DIVISOR).max(MIN_STARTS_PER_WORKER);
+        self.worker(ix).starts_in_flight >= most
     }
 
     /// Returns a worker.
@@ -228,11 +228,11 @@
     /// Sets when a worker's next renewal is due.
     pub fn set_due(&mut self, ix: WorkerIx, at: Instant) {
         self.worker_mut(ix).renewal = Renewal::Due(at);
-        self.due.add(at, ix);
+        self.renewal_queue.add(at, ix);
     }
 
     /// Makes a worker's next renewal due now, unless one is in flight.
-    pub fn hasten_renewal(&mut self, ix: WorkerIx) {
+    pub fn expedite_renewal(&mut self, ix: WorkerIx) {
         let now = self.now;
         if matches!(self.worker(ix).renewal, Renewal::Due(at) if at > now) {
             self.set_due(ix, now);
@@ -241,18 +241,18 @@
 
     /// Returns how many workers may still run something.
     pub fn fleet_size(&self) -> usize {
-        self.workers.len() - self.gone
+        self.workers.len() - self.terminated_count
     }
 
     /// Notes that a worker is gone, or is there again; whether that is new.
-    pub fn set_gone(&mut self, ix: WorkerIx, gone: bool) -> bool {
+    pub fn set_terminated(&mut self, ix: WorkerIx, gone: bool) -> bool {
         let changed = std::mem::replace(&mut self.worker_mut(ix).gone, gone) != gone;
         if changed && gone {
-            self.gone += 1;
+            self.terminated_count += 1;
         } else if changed {
-            self.gone -= 1;
+            self.terminated_count -= 1;
             if let Renewal::Due(at) = self.worker(ix).renewal {
-                self.due.add(at, ix);
+                self.renewal_queue.add(at, ix);
             }
         }
         changed
@@ -266,6 +266,6 @@
 
     /// Derives the number of a task's run from how often this leader has started it.
     pub fn run_number(&self, starts: u32) -> Run {
-        Run(self.term.number * RUNS_PER_TERM + u64::from(starts))
+        Run(self.term.number * MAX_RUNS_PER_TERM + u64::from(starts))
     }
 }
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -10,8 +10,8 @@
 
 use crate::interface::message::{EndSeq, Run, WorkerClock, WorkerInfo, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
-use crate::state::doubt::Doubt;
-use crate::state::model::{Column, Row};
+use crate::state::abandoned_start::Doubt;
+use crate::state::interference_model::{Column, Row};
 use crate::state::paces::GivenPaces;
 use crate::state::rates::{Mark, Speed};
 use crate::state::trial::Trial;
@@ -164,7 +164,7 @@
     /// The renewal call.
     pub renewal: Renewal,
     /// How many starts have been sent here whose answer, or the lack of one, is not known yet.
-    pub starts_under_way: usize,
+    pub starts_in_flight: usize,
     /// The last end that the leader has taken in.
     pub noted: EndSeq,
     /// The last end that is stored.
@@ -225,7 +225,7 @@
             refuses: false,
             refuses_stops: false,
             renewal: Renewal::Due(now),
-            starts_under_way: 0,
+            starts_in_flight: 0,
             noted: EndSeq(0),
             stored: EndSeq(0),
             acknowledged: EndSeq(0),
--- a/crates/sched/tests/fleet/world/views.rs
+++ b/crates/sched/tests/fleet/world/views.rs
@@ -36,7 +36,7 @@
 
     /// Returns how many entries the leader has examined in its queue of due renewals.
     pub fn renewals_examined(&self) -> u64 {
-        self.cx.as_ref().map_or(0, |cx| cx.due.examined())
+        self.cx.as_ref().map_or(0, |cx| cx.renewal_queue.examined())
     }
 
     /// Returns how many renewals were ever sent to a worker.
@@ -46,12 +46,12 @@
 
     /// Returns how many looks at a worker the last dispatch pass took.
     pub fn looks(&self) -> usize {
-        self.cx.as_ref().map_or(0, |cx| cx.pass_looks)
+        self.cx.as_ref().map_or(0, |cx| cx.pass_evaluations)
     }
 
     /// Returns how many searches the last look for better places made.
     pub fn places_searched(&self) -> usize {
-        self.cx.as_ref().map_or(0, |cx| cx.places_searched)
+        self.cx.as_ref().map_or(0, |cx| cx.rebalance_searches)
     }
 
     /// Returns how many tasks the leader suspects of having crashed a worker.
@@ -97,7 +97,7 @@
 
     /// Tells whether the leader still searches for runs of its predecessors.
     pub fn in_survey(&self) -> bool {
-        self.cx.as_ref().is_some_and(|cx| cx.survey.is_some())
+        self.cx.as_ref().is_some_and(|cx| cx.recovery_scan.is_some())
     }
 
     /// Returns the worker at which the n-th run of a job's only task ended.
