--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -259,5 +259,5 @@
 }
 
 fn running(task: TaskKey, run: Run) -> RunningTask {
-    RunningTask { task, run, checkpoint: None, percent: 100, reading: Some(10) }
+    RunningTask { task, run, checkpoint: None, progress_percent: 100, reading: Some(10) }
 }
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -268,7 +268,7 @@
             task: *task,
             run: r.run,
             checkpoint: Some(r.saved_ms()).filter(|&ms| ms > 0).map(|ms| ms.to_string()),
-            percent: r.percent(),
+            progress_percent: r.percent(),
             reading: Some(self.reading(load, *task, r, now)),
         });
         let running = running.collect();
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -61,7 +61,8 @@
     /// connections do not add up over its starts.
     fn open_one(&self, cx: &Context, at: usize) -> Opened {
         let info = &cx.workers[at].info;
-        let former = cx.workers[at].former.and_then(|ix| self.opened.get(ix.0 as usize));
+        let former =
+            cx.workers[at].previous_incarnation.and_then(|ix| self.opened.get(ix.0 as usize));
         if let Some(former) = former.filter(|opened| opened.addr == info.addr) {
             return Opened { addr: info.addr.clone(), client: Arc::clone(&former.client) };
         }
--- a/crates/sched/src/changes/account.rs
+++ b/crates/sched/src/changes/account.rs
@@ -9,7 +9,7 @@
 use crate::interface::message::{Account, Action, Run, RunningTask, WorkerIx};
 use crate::interface::proof::Proof;
 use crate::state::job_table::TaskState;
-use crate::state::worker::{Phase, Slot, AT_WORK_PERCENT};
+use crate::state::worker::{Phase, Slot, READY_PERCENT};
 use crate::state::State;
 
 /// Takes in the account that answers a renewal which was sent at `sent`.
@@ -34,13 +34,13 @@
         slot.phase = Phase::Running;
     }
     slot.confirmed.get_or_insert(now);
-    slot.percent = row.percent;
+    slot.progress_percent = row.progress_percent;
     slot.reading = row.reading;
     speed::observe(cx, ix, row.task);
     checkpoints::take_in(cx, ix, row.task, row.run, row.checkpoint.as_deref());
     stop_after_end(cx, ix, row);
     let Some(task) = cx.task_mut(row.task) else { return };
-    if row.percent >= AT_WORK_PERCENT {
+    if row.progress_percent >= READY_PERCENT {
         task.failed_in_row = 0;
     }
 }
@@ -104,7 +104,7 @@
         lifecycle::vacate(cx, ix, row.task, old);
     }
     let (run, phase) = (row.run, Phase::Running);
-    let (percent, reading, resumes_from) = (row.percent, row.reading, None);
+    let (percent, reading, resumes_from) = (row.progress_percent, row.reading, None);
     lifecycle::occupy(cx, ix, row.task, Occupant { run, resumes_from, phase, percent, reading });
 }
 
@@ -137,7 +137,7 @@
     let before = |at: Option<Instant>| at.is_some_and(|at| at < sent);
     let settled = |slot: &Slot| match slot.phase {
         Phase::Running => before(slot.confirmed),
-        Phase::Stopping => (before(slot.confirmed) || before(slot.barred)) && slot.ordered < sent,
+        Phase::Stopping => (before(slot.confirmed) || before(slot.stop_confirmed)) && slot.ordered_at < sent,
         Phase::Starting | Phase::Uncertain => false,
     };
     let missing: Vec<(TaskKey, Run)> = worker
--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -42,7 +42,7 @@
     let worker = cx.worker_mut(ix);
     worker.roster_pending = true;
     worker.closed = false;
-    worker.forgotten = false;
+    worker.dropped_from_roster = false;
     let entry = RosterEntry { info: worker.info.clone(), holds: None };
     add(cx, Record::Worker(entry));
     cx.commits.urgent = true;
@@ -79,8 +79,8 @@
 /// Lists the last end of each worker whose ends are not all stored.
 fn uncommitted_ends(cx: &State) -> Vec<(WorkerIx, EndSeq)> {
     let workers = cx.workers.iter().enumerate();
-    let unstored = workers.filter(|(_, w)| w.noted > w.stored);
-    unstored.map(|(at, w)| (WorkerIx(at as u32), w.noted)).collect()
+    let unstored = workers.filter(|(_, w)| w.recorded_up_to > w.stored_up_to);
+    unstored.map(|(at, w)| (WorkerIx(at as u32), w.recorded_up_to)).collect()
 }
 
 /// Finds the workers that these records add to the stored roster.
@@ -103,7 +103,7 @@
     }
     for (ix, seq) in covered.ends {
         let worker = cx.worker_mut(ix);
-        worker.stored = worker.stored.max(seq);
+        worker.stored_up_to = worker.stored_up_to.max(seq);
         cx.expedite_renewal(ix);
     }
     for ix in covered.roster {
--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -49,7 +49,7 @@
         let suspicion = cx.task(key).and_then(|t| t.suspicion.as_ref());
         if suspicion.is_some_and(|s| s.saved != Saved::Yes) {
             cx.crashes.held_starts.push((ix, key, run));
-        } else if cx.worker(ix).takes_tasks(cx.now) {
+        } else if cx.worker(ix).accepts_tasks(cx.now) {
             if cx.worker(ix).trial.is_some_and(|trial| trial.task == key) {
                 kept::keep(cx, ix, key);
             }
--- a/crates/sched/src/changes/crashes/verdict.rs
+++ b/crates/sched/src/changes/crashes/verdict.rs
@@ -120,7 +120,7 @@
 }
 
 fn is_listed(worker: &Worker) -> bool {
-    !worker.gone && !worker.is_absent()
+    !worker.terminated && !worker.is_absent()
 }
 
 /// Tells whether a task's run has been at work for so long that it speaks for the task.
--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -104,7 +104,7 @@
     let name = info.id.name();
     let mut worker = Worker::new(info.clone(), listing, cx.now);
     worker.emptying = maintenance::is_expected_down(cx, &name);
-    worker.former = cx.by_name.insert(name, ix);
+    worker.previous_incarnation = cx.by_name.insert(name, ix);
     cx.workers.push(worker);
     cx.renewal_queue.add(cx.now, ix);
     cx.by_id.insert(info.id.clone(), ix);
--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -116,7 +116,7 @@
 
 /// Returns the most free processors, and the most in all, of any worker that takes tasks.
 fn most_processors(cx: &State) -> (sizes::MilliCores, sizes::MilliCores) {
-    let taking = || cx.workers.iter().filter(|w| w.takes_tasks(cx.now));
+    let taking = || cx.workers.iter().filter(|w| w.accepts_tasks(cx.now));
     let free = taking().map(|w| w.info.capacity.minus(&w.used).cpu).max();
     let largest = taking().map(|w| w.info.capacity.cpu).max();
     (free.unwrap_or_default(), largest.unwrap_or_default())
--- a/crates/sched/src/changes/doubts.rs
+++ b/crates/sched/src/changes/doubts.rs
@@ -17,9 +17,9 @@
 /// Keeps a run in doubt that is being given up, unless its worker has confirmed the run or its
 /// stop: what has begun there never begins again.
 pub fn keep(worker: &mut Worker, key: TaskKey, slot: &Slot) {
-    let unknown = slot.confirmed.is_none() && slot.barred.is_none();
+    let unknown = slot.confirmed.is_none() && slot.stop_confirmed.is_none();
     if unknown && slot.tries.sent() > 0 {
-        worker.doubts.insert(key, Doubt { run: slot.run, asked: None });
+        worker.abandoned_starts.insert(key, Doubt { run: slot.run, asked: None });
     }
 }
 
@@ -31,7 +31,7 @@
         return;
     }
     let mut due = Vec::new();
-    for (key, doubt) in &mut worker.doubts {
+    for (key, doubt) in &mut worker.abandoned_starts {
         if doubt.asked.is_some_and(|at| now.since(at) < retry) {
             continue;
         }
@@ -54,11 +54,11 @@
 ) {
     let barred = matches!(outcome, Outcome::Done(_) | Outcome::Refused(Refusal::OldRun));
     let worker = cx.worker_mut(ix);
-    if !barred || worker.doubts.get(&key).is_none_or(|doubt| doubt.run != run) {
+    if !barred || worker.abandoned_starts.get(&key).is_none_or(|doubt| doubt.run != run) {
         return;
     }
-    worker.doubts.remove(&key);
-    if worker.doubts.is_empty() {
+    worker.abandoned_starts.remove(&key);
+    if worker.abandoned_starts.is_empty() {
         cx.expedite_renewal(ix);
         cx.pass_wanted = true;
     }
--- a/crates/sched/src/changes/drain.rs
+++ b/crates/sched/src/changes/drain.rs
@@ -12,7 +12,7 @@
 pub fn check(cx: &mut State) {
     for ix in cx.worker_ixs() {
         let worker = cx.worker(ix);
-        if worker.slots.is_empty() || worker.missed > 0 {
+        if worker.slots.is_empty() || worker.unanswered_renewals > 0 {
             continue;
         }
         let Some(departure) = leaving::departure(cx, worker) else { continue };
--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -13,13 +13,13 @@
 pub fn take_in(cx: &mut State, ix: WorkerIx, ends: &[End]) {
     for end in ends {
         let worker = cx.worker(ix);
-        if end.seq <= worker.noted {
+        if end.seq <= worker.recorded_up_to {
             if worker.slots.get(&end.task).is_some_and(|slot| slot.run == end.run) {
-                trace::end_passed_over(end, &worker.info.id, worker.noted);
+                trace::end_passed_over(end, &worker.info.id, worker.recorded_up_to);
             }
             continue;
         }
-        cx.worker_mut(ix).noted = end.seq;
+        cx.worker_mut(ix).recorded_up_to = end.seq;
         take_in_end(cx, ix, end);
     }
 }
--- a/crates/sched/src/changes/evacuation.rs
+++ b/crates/sched/src/changes/evacuation.rs
@@ -44,6 +44,6 @@
 
 /// Counts the runs at the workers of a domain.
 pub fn running_in(cx: &State, domain: &ids::DomainId) -> usize {
-    let there = cx.workers.iter().filter(|w| !w.gone && w.info.domain == *domain);
+    let there = cx.workers.iter().filter(|w| !w.terminated && w.info.domain == *domain);
     there.map(|w| w.slots.len()).sum()
 }
--- a/crates/sched/src/changes/gone.rs
+++ b/crates/sched/src/changes/gone.rs
@@ -11,17 +11,17 @@
     let (drift, lease) = (cx.settings.drift_per_mille, cx.settings.lease());
     for ix in cx.worker_ixs() {
         let worker = cx.worker_mut(ix);
-        worker.refuses_stops = worker.has_refused_a_stop_for(now, lease);
+        worker.refuses_stops = worker.has_refused_stop_for(now, lease);
         let worker = cx.worker(ix);
-        let ending = worker.missed > 0 || worker.is_left_to_lapse();
-        if !ending || worker.lapsed_by(drift).is_some_and(|at| at > now) {
+        let ending = worker.unanswered_renewals > 0 || worker.lets_leases_expire();
+        if !ending || worker.leases_expired_at(drift).is_some_and(|at| at > now) {
             continue;
         }
-        let unsurveyed = cx.recovery_scan.is_some() && worker.answered.is_none();
+        let unsurveyed = cx.recovery_scan.is_some() && worker.first_answered_at.is_none();
         if unsurveyed {
             continue;
         }
-        let absent = worker.is_absent() && worker.missed > 0;
+        let absent = worker.is_absent() && worker.unanswered_renewals > 0;
         crashes::worker_lost(cx, ix, false);
         leases::lapse(cx, ix);
         roster::lapsed(cx, ix);
--- a/crates/sched/src/changes/leases.rs
+++ b/crates/sched/src/changes/leases.rs
@@ -5,7 +5,7 @@
 
 use gaplock_jobs::TaskKey;
 
-use crate::changes::{crashes, doubts, lifecycle, roster, trace};
+use crate::changes::{crashes, abandoned_starts, lifecycle, roster, trace};
 use crate::interface::message::{Run, WorkerClock, WorkerIx};
 use crate::interface::proof::Proof;
 use crate::state::worker::Slot;
@@ -22,7 +22,7 @@
     let worker = cx.worker_mut(ix);
     let slots: Vec<(TaskKey, Slot)> = worker.slots.iter().map(|(k, s)| (*k, s.clone())).collect();
     for (key, slot) in &slots {
-        doubts::keep(worker, *key, slot);
+        abandoned_starts::keep(worker, *key, slot);
     }
 }
 
@@ -62,10 +62,10 @@
 pub fn grant(cx: &mut State, ix: WorkerIx) -> Option<WorkerClock> {
     let (now, lease) = (cx.now, cx.settings.lease());
     let worker = cx.worker_mut(ix);
-    if worker.is_left_to_lapse() {
+    if worker.lets_leases_expire() {
         return None;
     }
     let until = worker.lease_end(now, lease)?;
-    worker.granted(until);
+    worker.extend_leases(until);
     Some(until)
 }
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -13,7 +13,7 @@
 use crate::interface::proof::Proof;
 use crate::state::checkpoint::Checkpoint;
 use crate::state::job_table::{self, Entry, ReadyStep, Round, Task, TaskState};
-use crate::state::worker::{Part, Phase, Slot};
+use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
 
 /// How much later than its objective a lasting step is served: room that comes free goes to work
@@ -94,49 +94,49 @@
     let Some(step) = job.steps.get(usize::from(key.step)) else { return };
     let part = pacing::part_of(cx, step);
     let w = cx.worker_mut(worker);
-    w.occupy(key, slot_of(step, part, occupant, now));
+    w.add_slot(key, slot_of(step, part, occupant, now));
     cx.expedite_renewal(worker);
     scarcity::changed(cx, worker, key);
     pacing::refresh(cx, worker);
 }
 
-fn slot_of(step: &Step, part: Part, occupant: Occupant, now: Instant) -> Slot {
+fn slot_of(step: &Step, part: TaskRole, occupant: Occupant, now: Instant) -> Slot {
     let started = occupant.phase == Phase::Starting;
     Slot {
         run: occupant.run,
         phase: occupant.phase,
         takes: job_table::takes(step),
-        part,
-        wants_cpu: job_table::filling(step),
-        ordered: now,
-        stop_again: now,
+        role: part,
+        best_effort_millicores: job_table::filling(step),
+        ordered_at: now,
+        resend_stop_at: now,
         stop_refusals: 0,
         stopping_since: now,
-        barred: None,
+        stop_confirmed: None,
         confirmed: (!started).then_some(now),
         resumes_from: occupant.resumes_from,
         tries: CallAttempts::default(),
         pace: FULL_PACE,
-        pacing: false,
-        paces: if started { GivenPaces::default() } else { GivenPaces::found() },
-        percent: occupant.percent,
+        pace_order_in_flight: false,
+        pace_orders: if started { GivenPaces::default() } else { GivenPaces::found() },
+        progress_percent: occupant.percent,
         reading: occupant.reading,
-        mark: None,
-        over_since: None,
-        slowed: None,
+        progress_sample: None,
+        over_target_since: None,
+        slowed_since: None,
     }
 }
 
 /// Records that a run is no longer at a worker.
 pub fn vacate(cx: &mut State, worker: WorkerIx, key: TaskKey, run: Run) -> Option<Slot> {
     cx.pass_wanted = true;
-    let slot = cx.worker_mut(worker).vacate(key, run)?;
+    let slot = cx.worker_mut(worker).remove_slot(key, run)?;
     if let Some(task) = cx.task_mut(key).filter(|t| t.slow_run == Some((worker, run))) {
         task.slow_run = None;
     }
-    if matches!(slot.part, Part::Filling(_)) {
+    if matches!(slot.role, TaskRole::Filling(_)) {
         let now = cx.now;
-        cx.worker_mut(worker).filling_ended = now;
+        cx.worker_mut(worker).best_effort_ended_at = now;
     }
     scarcity::changed(cx, worker, key);
     pacing::refresh(cx, worker);
@@ -282,9 +282,9 @@
         return;
     }
     slot.phase = Phase::Stopping;
-    slot.ordered = now;
+    slot.ordered_at = now;
     slot.stopping_since = now;
-    slot.stop_again = now + retry;
+    slot.resend_stop_at = now + retry;
     trace::stop_ordered(key, run, &w.info.id, why);
     cx.actions.push(Action::Stop { worker, task: key, run });
 }
--- a/crates/sched/src/changes/moving.rs
+++ b/crates/sched/src/changes/moving.rs
@@ -9,7 +9,7 @@
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::searches::{self, Searches};
 use crate::state::interference_model::Column;
-use crate::state::worker::{Part, Phase, Slot};
+use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
 
 /// How long a filling task is slowed down before it is moved.
@@ -51,11 +51,11 @@
     let now = cx.now;
     let slow = |slot: &Slot| {
         slot.phase == Phase::Running
-            && slot.slowed.is_some_and(|since| now.since(since) >= MOVE_AFTER)
+            && slot.slowed_since.is_some_and(|since| now.since(since) >= MOVE_AFTER)
     };
     let slots = cx.worker(ix).slots.iter().filter(|(_, slot)| slow(slot));
-    let filling = slots.filter_map(|(key, slot)| match slot.part {
-        Part::Filling(column) => Some((*key, slot.run, column, slot.wants_cpu)),
+    let filling = slots.filter_map(|(key, slot)| match slot.role {
+        TaskRole::Filling(column) => Some((*key, slot.run, column, slot.best_effort_millicores)),
         _ => None,
     });
     filling.collect()
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -10,7 +10,7 @@
 use gaplock_policy::tries::Execution;
 use gaplock_types::time::Millis;
 
-use crate::changes::{checkpoints, doubts, gone, leases, lifecycle, pacing, permits, trace};
+use crate::changes::{checkpoints, abandoned_starts, terminated, leases, lifecycle, pacing, permits, trace};
 use crate::interface::message::{Action, Outcome, Refusal, Run, StepKey, WorkerClock, WorkerIx};
 use crate::interface::proof::Proof;
 use crate::state::rates::Mark;
@@ -43,7 +43,7 @@
             if fate == Execution::NotDone {
                 lifecycle::requeue(cx, ix, key, run, Proof::Refused);
             }
-            gone::give_up(cx, ix);
+            terminated::give_up(cx, ix);
         }
         Outcome::Refused(refusal) => {
             spare_after(cx, ix, key, refusal);
@@ -74,12 +74,12 @@
 fn confirmed(cx: &mut State, ix: WorkerIx, key: TaskKey, clock: WorkerClock) {
     let now = cx.now;
     let worker = cx.worker_mut(ix);
-    worker.read_clock(now, clock);
+    worker.record_clock(now, clock);
     let Some(slot) = worker.slots.get_mut(&key) else { return };
     slot.phase = Phase::Running;
     slot.confirmed = Some(now);
     if slot.resumes_from.is_none() {
-        slot.mark = Some(Mark { at: now, percent: 0 });
+        slot.progress_sample = Some(Mark { at: now, percent: 0 });
     }
     if let Some(task) = cx.task_mut(key) {
         task.invalid_in_row = 0;
@@ -146,9 +146,9 @@
     if slot.tries.sent() >= most {
         return lifecycle::order_stop(cx, ix, key, run, "start not answered");
     }
-    slot.ordered = now;
+    slot.ordered_at = now;
     let worker = cx.worker(ix);
-    if worker.is_left_to_lapse() || worker.clock.is_none() {
+    if worker.lets_leases_expire() || worker.clock.is_none() {
         return lifecycle::order_stop(cx, ix, key, run, "its worker gets no lease");
     }
     send_start(cx, ix, key, run);
@@ -193,7 +193,7 @@
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     slot.stop_refusals += 1;
     if slot.confirmed.is_none() {
-        slot.stop_again = now + lifecycle::doubled(REFUSED_RETRY, slot.stop_refusals, most);
+        slot.resend_stop_at = now + lifecycle::doubled(REFUSED_RETRY, slot.stop_refusals, most);
     }
 }
 
@@ -206,21 +206,21 @@
     outcome: Outcome<WorkerClock>,
 ) {
     let now = cx.now;
-    doubts::stopped(cx, ix, key, run, &outcome);
+    abandoned_starts::stopped(cx, ix, key, run, &outcome);
     let limit = cx.settings.stop_retry.0 + cx.settings.stop_limit.0;
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     if slot.run != run || slot.phase != Phase::Stopping {
         return;
     }
     match outcome {
-        Outcome::Refused(Refusal::OtherIncarnation) => gone::give_up(cx, ix),
+        Outcome::Refused(Refusal::OtherIncarnation) => terminated::give_up(cx, ix),
         Outcome::Refused(Refusal::Fenced) => cx.actions.push(Action::ConfirmLeadership),
         // From now on the worker refuses the run, and an account that does not list it proves that
         // it is over.
         Outcome::Done(_) | Outcome::Refused(Refusal::OldRun) => {
-            slot.barred.get_or_insert(now);
-            slot.ordered = now;
-            slot.stop_again = now + Millis(limit);
+            slot.stop_confirmed.get_or_insert(now);
+            slot.ordered_at = now;
+            slot.resend_stop_at = now + Millis(limit);
             cx.expedite_renewal(ix);
         }
         Outcome::Refused(_) => put_off_stop(cx, ix, key),
@@ -232,16 +232,16 @@
 pub fn check(cx: &mut State) {
     let (now, retry) = (cx.now, cx.settings.stop_retry);
     for ix in cx.worker_ixs() {
-        doubts::settle(cx, ix);
+        abandoned_starts::settle(cx, ix);
         let worker = cx.worker_mut(ix);
         if !worker.answers() {
             continue;
         }
         let mut again = Vec::new();
         for (key, slot) in &mut worker.slots {
-            if slot.phase == Phase::Stopping && slot.stop_again <= now {
-                slot.ordered = now;
-                slot.stop_again = now + retry;
+            if slot.phase == Phase::Stopping && slot.resend_stop_at <= now {
+                slot.ordered_at = now;
+                slot.resend_stop_at = now + retry;
                 again.push((*key, slot.run));
             }
         }
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -10,8 +10,8 @@
 use crate::decisions::filling::FillingTask;
 use crate::decisions::paces;
 use crate::interface::message::{Action, Run, WorkerIx};
-use crate::state::paces::FULL_PACE;
-use crate::state::worker::{Part, Phase};
+use crate::state::pace_orders::FULL_PACE;
+use crate::state::worker::{TaskRole, Phase};
 use crate::state::State;
 
 /// Lowers the pace of what disturbs a serving task too much, and raises it again.
@@ -36,18 +36,18 @@
     let now = cx.now;
     let halt_over = paces::part_of(cx.settings.tail_excess, HALT_OVER);
     for slot in cx.worker_mut(ix).slots.values_mut() {
-        let Part::Serving { target_ms, .. } = slot.part else { continue };
+        let TaskRole::Serving { target_ms, .. } = slot.role else { continue };
         let Some(share) = slot.reading.map(|tail| f64::from(tail) / f64::from(target_ms.max(1)))
         else {
             continue;
         };
         if share >= OVER_SHARE {
-            slot.over_since.get_or_insert(now);
+            slot.over_target_since.get_or_insert(now);
         } else if share < BACK_SHARE {
-            slot.over_since = None;
+            slot.over_target_since = None;
         }
-        if slot.over_since.is_some_and(|since| now.since(since) >= halt_over) {
-            slot.over_since = Some(now);
+        if slot.over_target_since.is_some_and(|since| now.since(since) >= halt_over) {
+            slot.over_target_since = Some(now);
         }
     }
 }
@@ -81,19 +81,19 @@
     let edge = wanted.pace == 0 || wanted.pace == FULL_PACE;
     let change = wanted.pace.abs_diff(slot.pace);
     let worth_a_call = change >= PACE_STEP || edge && change > 0;
-    if slot.phase != Phase::Running || slot.pacing {
+    if slot.phase != Phase::Running || slot.pace_order_in_flight {
         return;
     }
-    if !worth_a_call && (surveying || !slot.paces.is_due(now, again_after)) {
+    if !worth_a_call && (surveying || !slot.pace_orders.is_due(now, again_after)) {
         return;
     }
     if wanted.pace >= MOVE_BELOW {
-        slot.slowed = None;
+        slot.slowed_since = None;
     } else {
-        slot.slowed.get_or_insert(now);
+        slot.slowed_since.get_or_insert(now);
     }
-    slot.pacing = true;
-    slot.paces.send(now, wanted.pace);
+    slot.pace_order_in_flight = true;
+    slot.pace_orders.send(now, wanted.pace);
     trace::pace_ordered(wanted.key, slot, &worker.info.id, wanted.pace);
     let (task, run, percent) = (wanted.key, wanted.run, wanted.pace);
     cx.actions.push(Action::Pace { worker: ix, task, run, percent });
@@ -104,13 +104,13 @@
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key).filter(|s| s.run == run) else {
         return;
     };
-    if !slot.pacing || !slot.paces.was_last(percent) {
+    if !slot.pace_order_in_flight || !slot.pace_orders.was_last(percent) {
         return;
     }
-    slot.pacing = false;
-    if slot.paces.record_outcome(fate) {
+    slot.pace_order_in_flight = false;
+    if slot.pace_orders.record_outcome(fate) {
         slot.pace = percent;
-        slot.mark = None;
+        slot.progress_sample = None;
     }
     spare::refresh(cx, ix);
 }
--- a/crates/sched/src/changes/pacing/parts.rs
+++ b/crates/sched/src/changes/pacing/parts.rs
@@ -2,17 +2,17 @@
 
 use gaplock_jobs::Step;
 
-use crate::state::worker::Part;
+use crate::state::worker::TaskRole;
 use crate::state::State;
 
 /// Returns what a step's tasks are to each other on a worker.
-pub fn part_of(cx: &mut State, step: &Step) -> Part {
+pub fn part_of(cx: &mut State, step: &Step) -> TaskRole {
     let image = step.image.as_deref().unwrap_or_default();
     if step.fills {
-        return Part::Filling(cx.interference.column(image));
+        return TaskRole::Filling(cx.interference.column(image));
     }
     match step.tail_target {
-        Some(target) => Part::Serving { row: cx.interference.row(image), target_ms: target.0 as u32 },
-        None => Part::Plain,
+        Some(target) => TaskRole::Serving { row: cx.interference.row(image), target_ms: target.0 as u32 },
+        None => TaskRole::Plain,
     }
 }
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -7,7 +7,7 @@
 use crate::decisions::filling::{self, SETTLE};
 use crate::interface::message::{Record, WorkerIx};
 use crate::state::interference_model::{Column, Served};
-use crate::state::worker::Part;
+use crate::state::worker::TaskRole;
 use crate::state::State;
 
 /// Takes in readings. All tasks of a lasting job carry the same load, which swings within seconds,
@@ -16,7 +16,7 @@
 pub(super) fn learn(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
     let worker = cx.worker(ix);
-    if now.since(worker.filling_ended) < SETTLE {
+    if now.since(worker.best_effort_ended_at) < SETTLE {
         return;
     }
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
@@ -24,7 +24,7 @@
     let mut tails = Vec::new();
     for (key, slot) in &worker.slots {
         let Some(reading) = slot.reading.map(f64::from) else { continue };
-        if let Part::Filling(column) = slot.part {
+        if let TaskRole::Filling(column) = slot.role {
             used.push((column, reading / cores));
         }
         if let Some(served) = filling::served(*key, slot).filter(|_| reading > 0.0) {
--- a/crates/sched/src/changes/pacing/spare.rs
+++ b/crates/sched/src/changes/pacing/spare.rs
@@ -4,7 +4,7 @@
 use crate::decisions::filling::{self, FillingTask};
 use crate::interface::message::WorkerIx;
 use crate::state::interference_model::Row;
-use crate::state::worker::{Part, Worker};
+use crate::state::worker::{TaskRole, Worker};
 use crate::state::State;
 
 /// Part of its target that a serving task's expected tail may reach when a task is placed beside
@@ -41,8 +41,8 @@
         if left < TYPICAL_SHARE { 0.0 } else { cx.interference.openness(&spare, TYPICAL_SHARE) };
     let worker = cx.worker_mut(ix);
     worker.openness = openness;
-    worker.spare_pressure = spare;
-    worker.spare_filling = left;
+    worker.spare_interference = spare;
+    worker.spare_best_effort_share = left;
 }
 
 /// Returns the share of a worker's processors that more filling tasks may use: what serving tasks
@@ -52,10 +52,10 @@
     let mut busy = 0.0;
     for (key, slot) in &worker.slots {
         let takes = f64::from(slot.takes.cpu.0);
-        busy += match slot.part {
-            Part::Serving { .. } => takes * cx.interference.load(key.job, cx.now, PLACED_AHEAD_S),
-            Part::Plain => takes,
-            Part::Filling(_) => 0.0,
+        busy += match slot.role {
+            TaskRole::Serving { .. } => takes * cx.interference.load(key.job, cx.now, PLACED_AHEAD_S),
+            TaskRole::Plain => takes,
+            TaskRole::Filling(_) => 0.0,
         };
     }
     let tasks = filling::filling_tasks(worker, cx.now);
--- a/crates/sched/src/changes/permits.rs
+++ b/crates/sched/src/changes/permits.rs
@@ -60,7 +60,7 @@
         let denied = known.is_some_and(|k| k.denied.contains(ix));
         !denied
             && cx.permits.ticket(step, *ix, cx.now).is_none()
-            && cx.worker(*ix).takes_tasks(cx.now)
+            && cx.worker(*ix).accepts_tasks(cx.now)
     };
     let mut found: Vec<WorkerIx> = cx.worker_ixs().into_iter().filter(fresh).collect();
     let free = |ix: &WorkerIx| {
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -4,7 +4,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::changes::{
-    account, commits, crashes, doubts, gone, leases, pacing, restarts, roster, takeover, trace,
+    account, commits, crashes, abandoned_starts, terminated, leases, pacing, restarts, roster, takeover, trace,
     trials,
 };
 use crate::interface::message::{Account, Action, Outcome, Refusal, WorkerIx};
@@ -16,7 +16,7 @@
     let now = cx.now;
     for ix in cx.renewal_queue.take(now) {
         let worker = cx.worker(ix);
-        if worker.gone || !matches!(worker.renewal, Renewal::Due(at) if at <= now) {
+        if worker.terminated || !matches!(worker.renewal, Renewal::Due(at) if at <= now) {
             continue;
         }
         send(cx, ix);
@@ -27,19 +27,19 @@
 fn send(cx: &mut State, ix: WorkerIx) {
     // A worker that does not answer is only asked: a grant that may have arrived would put off the
     // time from which its tasks are certainly over.
-    let until = if cx.worker(ix).missed == 0 { leases::grant(cx, ix) } else { None };
+    let until = if cx.worker(ix).unanswered_renewals == 0 { leases::grant(cx, ix) } else { None };
     let wait = spread(cx, ix, wait_for(cx.settings.renew_wait, cx.fleet_size()));
     let worker = cx.worker_mut(ix);
     worker.renewal = Renewal::InFlight;
     let quick = until.is_none()
-        || worker.noted > worker.stored
-        || worker.missed > 0
-        || worker.awaits_proof();
+        || worker.recorded_up_to > worker.stored_up_to
+        || worker.unanswered_renewals > 0
+        || worker.awaits_withdrawal_proof();
     let wait = if quick || worker.slots.is_empty() { Millis(0) } else { wait };
-    let wait = if worker.is_shared() { wait.min(SHARED_WAIT) } else { wait };
+    let wait = if worker.mixes_serving_and_best_effort() { wait.min(SHARED_WAIT) } else { wait };
     let wait = if worker.trial.is_some() { wait.min(trials::WAIT) } else { wait };
     let stored = worker.to_acknowledge();
-    worker.acknowledging = stored;
+    worker.acknowledging_up_to = stored;
     cx.actions.push(Action::Renew { worker: ix, stored, until, wait });
 }
 
@@ -63,7 +63,7 @@
 /// after a takeover differ from worker to worker, from a quarter of the wait on, since all workers were asked at one time and would answer
 /// at one time ever after.
 fn spread(cx: &State, ix: WorkerIx, wait: Millis) -> Millis {
-    let recent = cx.worker(ix).answered.is_some_and(|at| cx.now.since(at) < wait);
+    let recent = cx.worker(ix).first_answered_at.is_some_and(|at| cx.now.since(at) < wait);
     if !recent {
         return wait;
     }
@@ -81,7 +81,7 @@
     // What an incarnation said before it was known to be over speaks of runs that are over too; nobody
     // would look for their ends. One that is listed again is asked anew.
     cx.set_due(ix, cx.now);
-    if cx.worker(ix).gone {
+    if cx.worker(ix).terminated {
         return;
     }
     match outcome {
@@ -89,13 +89,13 @@
             Some(id) if *id != cx.worker(ix).info.id => {
                 let later = restarts::find_or_add(cx, ix, id);
                 answered_by_later(cx, later, sent, account);
-                gone::give_up(cx, ix);
+                terminated::give_up(cx, ix);
             }
             _ => answered(cx, ix, sent, account),
         },
         Outcome::Refused(Refusal::OtherIncarnation) => {
             trace::worker_gone(&cx.worker(ix).info.id, "another incarnation answers");
-            gone::give_up(cx, ix);
+            terminated::give_up(cx, ix);
         }
         Outcome::Refused(refusal) => {
             if refusal == Refusal::Fenced {
@@ -116,12 +116,12 @@
 fn missed(cx: &mut State, ix: WorkerIx) {
     let (now, retry) = (cx.now, cx.settings.renew_retry);
     let worker = cx.worker_mut(ix);
-    worker.missed += 1;
-    worker.refuses = false;
-    if worker.missed == 1 {
+    worker.unanswered_renewals += 1;
+    worker.last_renewal_refused = false;
+    if worker.unanswered_renewals == 1 {
         trace::worker_silent(&worker.info.id);
     }
-    let pause = Millis(retry.0 * u64::from(worker.missed).min(MISSED_PAUSES));
+    let pause = Millis(retry.0 * u64::from(worker.unanswered_renewals).min(MISSED_PAUSES));
     cx.set_due(ix, now + pause);
 }
 
@@ -132,8 +132,8 @@
 fn refused(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
     let worker = cx.worker_mut(ix);
-    worker.refuses = true;
-    if worker.awaits_proof() {
+    worker.last_renewal_refused = true;
+    if worker.awaits_withdrawal_proof() {
         cx.set_due(ix, now + REFUSED_RETRY);
     }
 }
@@ -151,30 +151,30 @@
 /// Takes in a worker's account.
 fn answered(cx: &mut State, ix: WorkerIx, sent: Instant, account: Account) {
     let now = cx.now;
-    if cx.worker(ix).missed > 0 {
-        trace::worker_back(&cx.worker(ix).info.id, cx.worker(ix).missed);
+    if cx.worker(ix).unanswered_renewals > 0 {
+        trace::worker_back(&cx.worker(ix).info.id, cx.worker(ix).unanswered_renewals);
         cx.pass_wanted = true;
     }
-    if cx.worker(ix).missed > 0 || cx.worker(ix).answered.is_none() {
+    if cx.worker(ix).unanswered_renewals > 0 || cx.worker(ix).first_answered_at.is_none() {
         crashes::worker_answers(cx, ix);
     }
-    let is_first = cx.worker(ix).answered.is_none();
+    let is_first = cx.worker(ix).first_answered_at.is_none();
     if is_first {
         restarts::inherit(cx, ix, sent, &account);
     }
     let worker = cx.worker_mut(ix);
-    worker.missed = 0;
-    worker.refuses = false;
-    worker.answered.get_or_insert(now);
-    worker.acknowledged = worker.acknowledged.max(worker.acknowledging);
-    worker.read_clock(now, account.clock);
+    worker.unanswered_renewals = 0;
+    worker.last_renewal_refused = false;
+    worker.first_answered_at.get_or_insert(now);
+    worker.acknowledged_up_to = worker.acknowledged_up_to.max(worker.acknowledging_up_to);
+    worker.record_clock(now, account.clock);
     account::take_in(cx, ix, sent, &account);
     if is_first {
         restarts::end_former(cx, ix);
     }
     pacing::observe(cx, ix);
     takeover::answered(cx, ix);
-    doubts::settle(cx, ix);
+    abandoned_starts::settle(cx, ix);
     roster::open(cx, ix);
     schedule_next(cx, ix);
 }
@@ -185,9 +185,9 @@
     let poll = wait_for(cx.settings.poll_every, cx.fleet_size());
     let idle = spread(cx, ix, cx.settings.idle_renew_every);
     let worker = cx.worker_mut(ix);
-    let unstored = worker.noted > worker.stored;
+    let unstored = worker.recorded_up_to > worker.stored_up_to;
     // Without a lease to ask for, a renewal does not wait at the worker.
-    let next = if unstored || worker.is_left_to_lapse() {
+    let next = if unstored || worker.lets_leases_expire() {
         now + poll
     } else if worker.slots.is_empty() {
         now + idle
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -10,7 +10,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::changes::lifecycle::Occupant;
-use crate::changes::{crashes, directory, gone, lifecycle, roster, trace};
+use crate::changes::{crashes, directory, terminated, lifecycle, roster, trace};
 use crate::interface::message::{Account, Run, WorkerIx};
 use crate::state::job_table::TaskState;
 use crate::state::worker::{Listing, Phase, Slot};
@@ -39,9 +39,9 @@
 /// answers a renewal sent at `sent`.
 pub fn inherit(cx: &mut State, ix: WorkerIx, sent: Instant, account: &Account) {
     for former in formers(cx, ix) {
-        let doubts = std::mem::take(&mut cx.worker_mut(former).doubts);
+        let doubts = std::mem::take(&mut cx.worker_mut(former).abandoned_starts);
         let unasked = doubts.into_iter().map(|(key, doubt)| (key, doubt.anew()));
-        cx.worker_mut(ix).doubts.extend(unasked);
+        cx.worker_mut(ix).abandoned_starts.extend(unasked);
         let slots: Vec<(TaskKey, Slot)> =
             cx.worker(former).slots.iter().map(|(key, slot)| (*key, slot.clone())).collect();
         let (here, rest): (Vec<_>, Vec<_>) =
@@ -56,11 +56,11 @@
         }
         // A lease that was asked of a former start may have been granted by this one.
         let until = account.clock.after(cx.settings.lease_max);
-        cx.worker_mut(ix).granted(until);
+        cx.worker_mut(ix).extend_leases(until);
     }
     let lists_something = !account.running.is_empty() || !account.ends.is_empty();
     let holds_something = lists_something || !cx.worker(ix).slots.is_empty();
-    if cx.worker(ix).former.is_some() && holds_something {
+    if cx.worker(ix).previous_incarnation.is_some() && holds_something {
         // Before the roster forgets the former start: a successor must find here what that one was told to start.
         roster::enter(cx, ix);
     }
@@ -69,16 +69,16 @@
 /// Gives the former starts of a worker up that has answered: nothing runs there any more.
 pub fn end_former(cx: &mut State, ix: WorkerIx) {
     for former in formers(cx, ix) {
-        if !cx.worker(former).gone {
+        if !cx.worker(former).terminated {
             trace::worker_gone(&cx.worker(former).info.id, "it has started again");
-            gone::give_up(cx, former);
+            terminated::give_up(cx, former);
         }
     }
 }
 
 /// Lists the earlier starts of a worker, the latest first.
 fn formers(cx: &State, ix: WorkerIx) -> Vec<WorkerIx> {
-    let before = |ix: &WorkerIx| cx.worker(*ix).former;
+    let before = |ix: &WorkerIx| cx.worker(*ix).previous_incarnation;
     std::iter::successors(before(&ix), before).collect()
 }
 
@@ -109,7 +109,7 @@
     lifecycle::vacate(cx, from, key, slot.run);
     let phase = if listed { Phase::Running } else { Phase::Starting };
     let (run, resumes_from) = (slot.run, slot.resumes_from.clone());
-    let (percent, reading) = (slot.percent, slot.reading);
+    let (percent, reading) = (slot.progress_percent, slot.reading);
     lifecycle::occupy(cx, to, key, Occupant { run, resumes_from, phase, percent, reading });
     if let Some(moved) = cx.worker_mut(to).slots.get_mut(&key) {
         moved.tries = slot.tries;
--- a/crates/sched/src/changes/roster.rs
+++ b/crates/sched/src/changes/roster.rs
@@ -28,10 +28,10 @@
 
 /// Tells whether a worker is to be closed. What it may run is known only once it has answered.
 fn should_close(worker: &Worker) -> bool {
-    if worker.closed || worker.answered.is_none() {
+    if worker.closed || worker.first_answered_at.is_none() {
         return false;
     }
-    let silent = worker.missed >= CLOSED_AFTER_MISSED;
+    let silent = worker.unanswered_renewals >= CLOSED_AFTER_MISSED;
     let leaving = worker.listing != Listing::Ready && worker.slots.is_empty();
     silent || leaving
 }
@@ -46,7 +46,7 @@
     let mut info = worker.info.clone();
     info.draining = losses::has_left(worker);
     let holds: Vec<TaskKey> = worker.slots.keys().copied().collect();
-    worker.forgotten = holds.is_empty();
+    worker.dropped_from_roster = holds.is_empty();
     trace::worker_closed(&info.id, holds.len());
     let record = match holds.is_empty() {
         true => Record::ForgetWorker(info.id),
@@ -58,17 +58,17 @@
 /// Takes a worker off the roster that certainly runs nothing any more.
 pub fn forget(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker_mut(ix);
-    if worker.forgotten {
+    if worker.dropped_from_roster {
         return;
     }
-    worker.forgotten = true;
+    worker.dropped_from_roster = true;
     let id = worker.info.id.clone();
     commits::add(cx, Record::ForgetWorker(id));
 }
 
 /// Takes a closed worker off the roster once the leases of all that it may have run are over.
 pub fn lapsed(cx: &mut State, ix: WorkerIx) {
-    if cx.worker(ix).closed && !cx.worker(ix).forgotten {
+    if cx.worker(ix).closed && !cx.worker(ix).dropped_from_roster {
         close(cx, ix);
     }
 }
@@ -76,14 +76,14 @@
 /// Tells whether a worker may run something, by its answers or by the roster.
 pub fn may_run_something(worker: &Worker) -> bool {
     let rostered = worker.in_roster || worker.roster_pending;
-    worker.answered.is_some() || rostered || (worker.closed && !worker.forgotten)
+    worker.first_answered_at.is_some() || rostered || (worker.closed && !worker.dropped_from_roster)
 }
 
 /// Opens a worker that may be given tasks, unless it is open.
 pub fn open(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker(ix);
-    let able = worker.listing == Listing::Ready && worker.missed == 0 && worker.answered.is_some();
-    if able && !worker.gone {
+    let able = worker.listing == Listing::Ready && worker.unanswered_renewals == 0 && worker.first_answered_at.is_some();
+    if able && !worker.terminated {
         enter(cx, ix);
     }
 }
--- a/crates/sched/src/changes/scarcity.rs
+++ b/crates/sched/src/changes/scarcity.rs
@@ -22,6 +22,6 @@
 pub fn changed(cx: &mut State, ix: WorkerIx, key: TaskKey) {
     let now = cx.now;
     if cx.step(key).is_some_and(room::is_short) {
-        cx.worker_mut(ix).short_changed = Some(now);
+        cx.worker_mut(ix).short_task_changed_at = Some(now);
     }
 }
--- a/crates/sched/src/changes/speed.rs
+++ b/crates/sched/src/changes/speed.rs
@@ -8,9 +8,9 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::interface::message::WorkerIx;
-use crate::state::paces::FULL_PACE;
+use crate::state::pace_orders::FULL_PACE;
 use crate::state::rates::{Mark, WHOLE_PERCENT};
-use crate::state::worker::{Part, Phase, Slot};
+use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
 
 /// The shortest time over which a rate is read.
@@ -42,7 +42,7 @@
 
 /// Takes in that a run has done its work.
 pub fn observe_end(cx: &mut State, ix: WorkerIx, key: TaskKey, slot: &Slot) {
-    let Some(mark) = slot.mark else { return };
+    let Some(mark) = slot.progress_sample else { return };
     let span = cx.now.since(mark.at);
     let left = WHOLE_PERCENT.saturating_sub(mark.percent);
     if span < READ_OVER || left < READ_PERCENT || !tells_of_worker(slot) {
@@ -71,32 +71,32 @@
 
 /// Reads a run's rate since its last mark, and sets the next mark.
 fn read_rate(slot: &mut Slot, now: Instant, typical: Option<f64>) -> Option<f64> {
-    if slot.phase != Phase::Running || matches!(slot.part, Part::Serving { .. }) {
+    if slot.phase != Phase::Running || matches!(slot.role, TaskRole::Serving { .. }) {
         return None;
     }
-    let next = Mark { at: now, percent: slot.percent };
-    let Some(mark) = slot.mark else {
-        slot.mark = Some(next);
+    let next = Mark { at: now, percent: slot.progress_percent };
+    let Some(mark) = slot.progress_sample else {
+        slot.progress_sample = Some(next);
         return None;
     };
     let span = now.since(mark.at);
-    let gained = slot.percent.saturating_sub(mark.percent);
+    let gained = slot.progress_percent.saturating_sub(mark.percent);
     let expected = typical.map_or(0.0, |rate| rate * span.0 as f64 / 1_000.0);
     let enough = gained >= READ_PERCENT || expected >= f64::from(READ_PERCENT);
     if span < READ_OVER || !enough {
         return None;
     }
-    slot.mark = Some(next);
+    slot.progress_sample = Some(next);
     tells_of_worker(slot).then(|| rate(slot, gained, span))
 }
 
 /// Tells whether nothing but its worker can hold a run up.
 fn tells_of_worker(slot: &Slot) -> bool {
-    if slot.wants_cpu == 0 {
+    if slot.best_effort_millicores == 0 {
         return true;
     }
-    let wanted = f64::from(slot.wants_cpu) * f64::from(slot.pace) / f64::from(FULL_PACE);
+    let wanted = f64::from(slot.best_effort_millicores) * f64::from(slot.pace) / f64::from(FULL_PACE);
     let used = f64::from(slot.reading.unwrap_or(0));
-    let certain = !slot.pacing && slot.paces.is_certain();
+    let certain = !slot.pace_order_in_flight && slot.pace_orders.is_certain();
     slot.pace >= READ_PACE_LEAST && certain && used >= wanted * READ_USE_LEAST
 }
--- a/crates/sched/src/changes/stragglers.rs
+++ b/crates/sched/src/changes/stragglers.rs
@@ -20,7 +20,7 @@
     let mut searches = searches::open(cx.workers.len());
     for ix in searches::in_turn(cx.worker_ixs(), cx.rebalance_cursors.1) {
         let worker = cx.worker(ix);
-        if worker.missed > 0 || !worker.speed.is_slow(cx.now) {
+        if worker.unanswered_renewals > 0 || !worker.speed.is_slow(cx.now) {
             continue;
         }
         let slow =
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -170,7 +170,7 @@
 
 /// Takes in that a worker has answered, or certainly runs nothing.
 pub fn answered(cx: &mut State, ix: WorkerIx) {
-    let gone = cx.worker(ix).gone;
+    let gone = cx.worker(ix).terminated;
     let Some(survey) = &mut cx.recovery_scan else { return };
     if survey.waiting.remove(&ix) && gone {
         survey.lost.push(ix);
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -175,7 +175,7 @@
 pub fn worker_lost(worker: &Worker, now: Instant, proof: Proof) {
     let silent_ms = worker.clock.map(|(answered, _)| now.since(answered).0);
     info!(event = "worker_lost", worker = %worker.info.id, addr = %worker.info.addr, ?proof,
-        listing = ?worker.listing, missed = worker.missed, silent_ms, runs = worker.slots.len());
+        listing = ?worker.listing, missed = worker.unanswered_renewals, silent_ms, runs = worker.slots.len());
 }
 
 /// A worker was lost under a task: how, how many have crashed under it, how long the run had been at
@@ -349,7 +349,7 @@
 
 /// A filling task's pace is ordered: changed, or put in force again.
 pub fn pace_ordered(task: TaskKey, slot: &Slot, worker: &ids::WorkerId, to: u32) {
-    let (run, from, open) = (slot.run.0, slot.pace, slot.paces.unanswered());
+    let (run, from, open) = (slot.run.0, slot.pace, slot.pace_orders.unanswered());
     info!(event = "pace_ordered", %task, run, %worker, from, to, open);
 }
 
@@ -359,10 +359,10 @@
     for (task, slot) in &worker.slots {
         let reading = slot.reading.unwrap_or(0);
         let image = cx.step(*task).and_then(|s| s.image.as_deref());
-        debug!(event = "reading", worker = %worker.info.id, %task, image, part = ?slot.part,
+        debug!(event = "reading", worker = %worker.info.id, %task, image, part = ?slot.role,
             reading, pace = slot.pace, load = cx.interference.load(task.job, cx.now, 0.0), phase = ?slot.phase,
-            percent = slot.percent, wants = slot.wants_cpu);
+            percent = slot.progress_percent, wants = slot.best_effort_millicores);
     }
-    debug!(event = "pressure", worker = %worker.info.id, spare = ?worker.spare_pressure,
+    debug!(event = "pressure", worker = %worker.info.id, spare = ?worker.spare_interference,
         factors = cx.interference.describe());
 }
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -45,7 +45,7 @@
     let pools: BTreeSet<ids::ServiceId> =
         cx.workers.iter().filter(|w| is_kept(w)).map(|w| w.info.service.clone()).collect();
     for pool in pools {
-        let of_pool = |w: &&Worker| w.info.service == pool && w.takes_tasks(now);
+        let of_pool = |w: &&Worker| w.info.service == pool && w.accepts_tasks(now);
         let all = cx.workers.iter().filter(of_pool).count();
         let mut kept: Vec<&mut Trial> = cx
             .workers
@@ -118,7 +118,7 @@
 /// Lists the workers on which nothing runs.
 fn empty_workers(cx: &State) -> Vec<WorkerIx> {
     let all = cx.workers.iter().enumerate();
-    let empty = all.filter(|(_, w)| w.slots.is_empty() && w.takes_tasks(cx.now));
+    let empty = all.filter(|(_, w)| w.slots.is_empty() && w.accepts_tasks(cx.now));
     empty.map(|(at, _)| WorkerIx(at as u32)).collect()
 }
 
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -6,7 +6,7 @@
 
 use crate::changes::crashes::recorded;
 use crate::changes::{
-    commits, crashes, directory, dispatch, drain, evacuation, freshness, gone, intake, moving,
+    commits, crashes, directory, dispatch, drain, evacuation, freshness, terminated, intake, moving,
     orders, pacing, permits, renewals, roster, stragglers, takeover, maintenance,
 };
 use crate::interface::message::{Action, Event, WorkerIx};
@@ -143,7 +143,7 @@
         takeover::check_survey(self);
         freshness::check(self);
         intake::begin_due_rounds(self);
-        gone::check(self);
+        terminated::check(self);
         roster::check(self);
         orders::check(self);
         crashes::check(self);
--- a/crates/sched/src/decisions/availability.rs
+++ b/crates/sched/src/decisions/availability.rs
@@ -3,7 +3,7 @@
 use gaplock_jobs::TaskKey;
 
 use crate::state::job_table::{Task, TaskState};
-use crate::state::worker::{Phase, AT_WORK_PERCENT};
+use crate::state::worker::{Phase, READY_PERCENT};
 use crate::state::State;
 
 /// Tells whether a task may be stopped without more of its step being away than its caller allows.
@@ -22,5 +22,5 @@
 fn is_at_work(cx: &State, key: TaskKey, task: &Task) -> bool {
     let TaskState::Active { worker, run } = task.state else { return false };
     let slot = cx.worker(worker).slots.get(&key).filter(|slot| slot.run == run);
-    slot.is_some_and(|s| s.phase == Phase::Running && s.percent >= AT_WORK_PERCENT)
+    slot.is_some_and(|s| s.phase == Phase::Running && s.progress_percent >= READY_PERCENT)
 }
--- a/crates/sched/src/decisions/disturbance.rs
+++ b/crates/sched/src/decisions/disturbance.rs
@@ -9,7 +9,7 @@
 use gaplock_types::time::Millis;
 
 use crate::state::interference_model::LEAST_PUSH;
-use crate::state::worker::{Part, Worker};
+use crate::state::worker::{TaskRole, Worker};
 use crate::state::State;
 
 /// The share of a worker's processors from which filling tasks of any image disturb what is served
@@ -64,15 +64,15 @@
     let image = step.image.as_deref().unwrap_or_default();
     let column = cx.interference.known_column(image);
     let share = f64::from(step.demand.cpu.0) / f64::from(worker.info.capacity.cpu.0.max(1));
-    if !worker.spare_pressure.is_empty() && share > worker.spare_filling {
+    if !worker.spare_interference.is_empty() && share > worker.spare_best_effort_share {
         return None;
     }
     let mut cost = worker.openness * OPEN_COST;
-    if !worker.spare_pressure.is_empty() {
-        let left = worker.spare_filling - share;
+    if !worker.spare_interference.is_empty() {
+        let left = worker.spare_best_effort_share - share;
         cost += (FILLED_SHARE - CROWDED_SHARE - left).max(0.0) * CROWDING_COST;
     }
-    for &(row, spare) in &worker.spare_pressure {
+    for &(row, spare) in &worker.spare_interference {
         let push = cx.interference.factor(row, column) * share;
         if push < LEAST_PUSH {
             continue;
@@ -102,16 +102,16 @@
     let (mut all, mut same_image) = (0.0, 0.0);
     let mut pressed = 0.0;
     for slot in worker.slots.values() {
-        match slot.part {
-            Part::Serving { row: there, .. } => {
+        match slot.role {
+            TaskRole::Serving { row: there, .. } => {
                 all += 1.0;
                 same_image += f64::from(u8::from(Some(there) == row));
             }
-            Part::Filling(column) => {
-                let share = f64::from(slot.wants_cpu) / cores;
+            TaskRole::Filling(column) => {
+                let share = f64::from(slot.best_effort_millicores) / cores;
                 pressed += row.map_or(0.0, |r| cx.interference.factor(r, Some(column))) * share;
             }
-            Part::Plain => {}
+            TaskRole::Plain => {}
         }
     }
     let alike = if all == 0.0 { 0.0 } else { (2.0 * same_image / all - 1.0) * SAME_IMAGE_WORTH };
--- a/crates/sched/src/decisions/filling.rs
+++ b/crates/sched/src/decisions/filling.rs
@@ -5,8 +5,8 @@
 
 use crate::interface::message::Run;
 use crate::state::interference_model::{Column, Served};
-use crate::state::paces::FULL_PACE;
-use crate::state::worker::{Part, Phase, Slot, Worker};
+use crate::state::pace_orders::FULL_PACE;
+use crate::state::worker::{TaskRole, Phase, Slot, Worker};
 
 /// Readings cover the last half second; a worker on which a filling task has ended within this
 /// time shows what that task did, but no longer the task.
@@ -14,8 +14,8 @@
 
 /// Returns what the model needs of a serving task, and nothing for any other.
 pub fn served(key: TaskKey, slot: &Slot) -> Option<Served> {
-    match slot.part {
-        Part::Serving { row, target_ms } => {
+    match slot.role {
+        TaskRole::Serving { row, target_ms } => {
             Some(Served { job: key.job, row, target_ms: f64::from(target_ms.max(1)) })
         }
         _ => None,
@@ -61,14 +61,14 @@
 /// Lists the filling tasks on a worker that are not being stopped.
 pub fn filling_tasks(worker: &Worker, now: Instant) -> Vec<FillingTask> {
     let running = worker.slots.iter().filter(|(_, slot)| slot.phase != Phase::Stopping);
-    let filling = running.filter_map(|(key, slot)| match slot.part {
-        Part::Filling(column) => Some(FillingTask {
+    let filling = running.filter_map(|(key, slot)| match slot.role {
+        TaskRole::Filling(column) => Some(FillingTask {
             key: *key,
             run: slot.run,
             column,
             share: full_share(slot, worker, now),
             pace: slot.pace,
-            open_most: slot.paces.open_most(),
+            open_most: slot.pace_orders.open_most(),
         }),
         _ => None,
     });
@@ -78,10 +78,10 @@
 /// Returns the share of the worker's processors that a filling task uses at full pace.
 fn full_share(slot: &Slot, worker: &Worker, now: Instant) -> f64 {
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
-    let wanted = f64::from(slot.wants_cpu) / cores;
+    let wanted = f64::from(slot.best_effort_millicores) / cores;
     let settled = slot.confirmed.is_some_and(|at| now.since(at) >= SETTLE);
     // What a run uses tells of its full pace only where it is certain to work at it.
-    let certain = slot.pace == FULL_PACE && slot.paces.is_certain();
+    let certain = slot.pace == FULL_PACE && slot.pace_orders.is_certain();
     match slot.reading {
         Some(used) if settled && certain && used > 0 => f64::from(used) / cores,
         _ => wanted,
--- a/crates/sched/src/decisions/losses.rs
+++ b/crates/sched/src/decisions/losses.rs
@@ -70,7 +70,7 @@
 /// Tells whether so many workers have fallen silent or were lost lately that one cause is likely.
 pub fn are_many_lost(cx: &State) -> bool {
     let lately = |w: &Worker| w.clock.is_some_and(|(heard, _)| cx.now.since(heard) < LATELY);
-    let silent = cx.workers.iter().filter(|w| !w.gone && !w.answers() && lately(w)).count();
+    let silent = cx.workers.iter().filter(|w| !w.terminated && !w.answers() && lately(w)).count();
     let lost = cx.crashes.lost_at.values().filter(|at| cx.now.since(**at) < AT_ONE_TIME).count();
     silent + lost >= MANY_LEAST.max(cx.worker_ixs().len() / MANY_SHARE)
 }
@@ -109,5 +109,5 @@
 
 /// Tells whether a run may ever have begun.
 fn may_have_begun(slot: &Slot) -> bool {
-    slot.confirmed.is_some() || slot.tries.sent() > 0 && slot.barred.is_none()
+    slot.confirmed.is_some() || slot.tries.sent() > 0 && slot.stop_confirmed.is_none()
 }
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -4,8 +4,8 @@
 
 use crate::decisions::filling::{self, FillingTask};
 use crate::state::interference_model::{Model, Row, LEAST_PUSH};
-use crate::state::paces::FULL_PACE;
-use crate::state::worker::{Part, Worker};
+use crate::state::pace_orders::FULL_PACE;
+use crate::state::worker::{TaskRole, Worker};
 use crate::state::State;
 
 /// Part of its target that a serving task's expected tail may reach beside what already runs:
@@ -72,7 +72,7 @@
     let suspected_after = part_of(cx.settings.tail_excess, HALT_SUSPECTED_AFTER);
     let all_after = part_of(cx.settings.tail_excess, HALT_ALL_AFTER);
     for slot in worker.slots.values() {
-        let (Part::Serving { row, .. }, Some(since)) = (slot.part, slot.over_since) else {
+        let (TaskRole::Serving { row, .. }, Some(since)) = (slot.role, slot.over_target_since) else {
             continue;
         };
         let lasted = cx.now.since(since);
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -10,7 +10,7 @@
 use crate::decisions::room;
 use crate::interface::message::{StepKey, WorkerIx};
 use crate::state::job_table;
-use crate::state::worker::{Part, Worker};
+use crate::state::worker::{TaskRole, Worker};
 use crate::state::State;
 
 /// What is asked of a worker.
@@ -113,7 +113,7 @@
 
 /// Returns the room that filling tasks take of a worker.
 fn taken_by_filling(worker: &Worker) -> Resources {
-    let filling = worker.slots.values().filter(|slot| matches!(slot.part, Part::Filling(_)));
+    let filling = worker.slots.values().filter(|slot| matches!(slot.role, TaskRole::Filling(_)));
     filling.fold(Resources::default(), |sum, slot| sum.plus(&slot.takes))
 }
 
@@ -181,13 +181,13 @@
 pub fn fits(cx: &State, ix: WorkerIx, wanted: &Wanted<'_>) -> Result<(), Unfit> {
     let worker = cx.worker(ix);
     let takes = job_table::takes(wanted.step);
-    if worker.gone || worker.info.service != *wanted.service {
+    if worker.terminated || worker.info.service != *wanted.service {
         return Err(Unfit::OtherPool);
     }
     if worker.evacuated {
         return Err(Unfit::Evacuated);
     }
-    if !worker.takes_tasks(cx.now) || cx.is_worker_at_start_limit(ix) {
+    if !worker.accepts_tasks(cx.now) || cx.is_worker_at_start_limit(ix) {
         return Err(Unfit::NotTaking);
     }
     if worker.trial.is_some_and(|trial| trial.keeps_out(wanted.task, cx.now)) {
--- a/crates/sched/src/decisions/racks.rs
+++ b/crates/sched/src/decisions/racks.rs
@@ -13,7 +13,7 @@
 /// Lists the racks of a pool with most free processors.
 pub fn by_room(cx: &State, service: &ids::ServiceId) -> Vec<String> {
     let mut racks: BTreeMap<&str, u64> = BTreeMap::new();
-    let pool = cx.workers.iter().filter(|w| w.info.service == *service && w.takes_tasks(cx.now));
+    let pool = cx.workers.iter().filter(|w| w.info.service == *service && w.accepts_tasks(cx.now));
     for worker in pool {
         let Some(rack) = worker.info.rack() else { continue };
         let free = worker.info.capacity.minus(&worker.used).cpu.0;
--- a/crates/sched/src/decisions/room.rs
+++ b/crates/sched/src/decisions/room.rs
@@ -51,7 +51,7 @@
 
 /// Adds up what is free.
 pub fn free(cx: &State) -> Free {
-    let taking = cx.workers.iter().filter(|w| w.takes_tasks(cx.now));
+    let taking = cx.workers.iter().filter(|w| w.accepts_tasks(cx.now));
     let free = taking.map(|w| w.info.capacity.minus(&w.used).cpu);
     free.fold(Free::default(), |sum, cpu| Free {
         in_all: sum.in_all + u64::from(cpu.0),
@@ -75,7 +75,7 @@
 /// Tells whether a worker's room is kept for short tasks.
 pub fn is_kept(cx: &State, worker: &Worker) -> bool {
     let within = |at: &Instant, span| cx.now.since(*at) < span;
-    worker.short_changed.is_some_and(|at| within(&at, KEPT_FOR))
+    worker.short_task_changed_at.is_some_and(|at| within(&at, KEPT_FOR))
         && cx.short_task_waited_at.get(&worker.info.service).is_some_and(|at| within(at, SCARCE_FOR))
 }
 
--- a/crates/sched/src/decisions/slowness.rs
+++ b/crates/sched/src/decisions/slowness.rs
@@ -6,7 +6,7 @@
 use crate::decisions::availability;
 use crate::interface::message::WorkerIx;
 use crate::state::rates::WHOLE_PERCENT;
-use crate::state::worker::{Part, Phase, Slot};
+use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
 
 /// What a copy costs in time besides its work: the order and the wait for its end to be seen.
@@ -35,12 +35,12 @@
     if slot.phase != Phase::Running || !cx.is_active(key, ix, slot.run) {
         return false;
     }
-    match slot.part {
-        Part::Serving { .. } => {
-            let over = slot.over_since.is_some_and(|at| cx.now.since(at) >= OVER_BEFORE_MOVE);
+    match slot.role {
+        TaskRole::Serving { .. } => {
+            let over = slot.over_target_since.is_some_and(|at| cx.now.since(at) >= OVER_BEFORE_MOVE);
             over && availability::may_take(cx, key)
         }
-        Part::Plain | Part::Filling(_) => is_late(cx, ix, key, slot),
+        TaskRole::Plain | TaskRole::Filling(_) => is_late(cx, ix, key, slot),
     }
 }
 
@@ -50,8 +50,8 @@
     let typical = cx.step_state(key).and_then(|state| state.rates.typical());
     let Some(typical) = typical.filter(|_| !step.gang && !step.lasting) else { return false };
     let left = |percent: u32, rate: f64| f64::from(WHOLE_PERCENT.saturating_sub(percent)) / rate;
-    let here = left(slot.percent, typical * cx.worker(ix).speed.relative(cx.now).max(SLOWEST));
-    let kept = if step.checkpoints { slot.percent } else { 0 };
+    let here = left(slot.progress_percent, typical * cx.worker(ix).speed.relative(cx.now).max(SLOWEST));
+    let kept = if step.checkpoints { slot.progress_percent } else { 0 };
     let there = left(kept, typical) + overhead(cx, step).0 as f64 / 1_000.0;
     here > there * WORTH_IT
 }
--- a/crates/sched/src/decisions/waves.rs
+++ b/crates/sched/src/decisions/waves.rs
@@ -69,5 +69,5 @@
 /// Finds the worker on a host.
 pub fn worker_on(cx: &State, host: &ids::HostId) -> Option<WorkerIx> {
     let name = cx.maintenance.hosts.get(host)?.worker.as_ref()?;
-    cx.by_name.get(name).copied().filter(|ix| !cx.worker(*ix).gone)
+    cx.by_name.get(name).copied().filter(|ix| !cx.worker(*ix).terminated)
 }
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -127,7 +127,7 @@
     /// The last checkpoint.
     pub checkpoint: Option<String>,
     /// How far it has come; 100 once a lasting task is at work.
-    pub percent: u32,
+    pub progress_percent: u32,
     /// For a serving task the tail of its answers in milliseconds, otherwise the processor time
     /// in use in thousandths of a core; over the last half second, roughly.
     pub reading: Option<u32>,
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -6,7 +6,7 @@
 pub mod renewal_queue;
 pub mod freshness;
 pub mod interference_model;
-pub mod paces;
+pub mod pace_orders;
 pub mod permits;
 pub mod rates;
 pub mod recovery_scan;
@@ -246,7 +246,7 @@
 
     /// Notes that a worker is gone, or is there again; whether that is new.
     pub fn set_terminated(&mut self, ix: WorkerIx, gone: bool) -> bool {
-        let changed = std::mem::replace(&mut self.worker_mut(ix).gone, gone) != gone;
+        let changed = std::mem::replace(&mut self.worker_mut(ix).terminated, gone) != gone;
         if changed && gone {
             self.terminated_count += 1;
         } else if changed {
@@ -261,7 +261,7 @@
     /// Lists the positions of all workers that may still run something.
     pub fn worker_ixs(&self) -> Vec<WorkerIx> {
         let all = 0..self.workers.len() as u32;
-        all.map(WorkerIx).filter(|&ix| !self.worker(ix).gone).collect()
+        all.map(WorkerIx).filter(|&ix| !self.worker(ix).terminated).collect()
     }
 
     /// Derives the number of a task's run from how often this leader has started it.
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -12,12 +12,12 @@
 use crate::state::checkpoint::Checkpoint;
 use crate::state::abandoned_start::Doubt;
 use crate::state::interference_model::{Column, Row};
-use crate::state::paces::GivenPaces;
+use crate::state::pace_orders::GivenPaces;
 use crate::state::rates::{Mark, Speed};
 use crate::state::trial::Trial;
 
 /// The percentage at which a lasting task is at work.
-pub const AT_WORK_PERCENT: u32 = 100;
+pub const READY_PERCENT: u32 = 100;
 
 /// What the leader believes of a run at a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,13 +42,13 @@
     /// What the run takes of the worker's room.
     pub takes: Resources,
     /// What the run is to the others on the worker.
-    pub part: Part,
+    pub role: TaskRole,
     /// The processor demand of a filling task, in thousandths of a core; nothing for others.
-    pub wants_cpu: u32,
+    pub best_effort_millicores: u32,
     /// When the order in force was sent.
-    pub ordered: Instant,
+    pub ordered_at: Instant,
     /// When a stop is sent again, unless the end of the run is seen before.
-    pub stop_again: Instant,
+    pub resend_stop_at: Instant,
     /// How often its stop was refused.
     pub stop_refusals: u32,
     /// When its first stop was sent.
@@ -56,7 +56,7 @@
     /// When the worker confirmed that the run is or was there; unset before.
     pub confirmed: Option<Instant>,
     /// When the worker confirmed a stop, after which it refuses the run for ever; unset before.
-    pub barred: Option<Instant>,
+    pub stop_confirmed: Option<Instant>,
     /// What every try of its start brings; unset also for a run that a former leader started.
     pub resumes_from: Option<Checkpoint>,
     /// The tries of its start.
@@ -64,24 +64,24 @@
     /// The share of full speed in percent that was last put in force.
     pub pace: u32,
     /// Whether an order for another pace is on its way.
-    pub pacing: bool,
+    pub pace_order_in_flight: bool,
     /// The orders of pace so far, and what they leave in doubt.
-    pub paces: GivenPaces,
+    pub pace_orders: GivenPaces,
     /// How far the run has come in percent.
-    pub percent: u32,
+    pub progress_percent: u32,
     /// The worker's last reading: tail in milliseconds or processor time in use.
     pub reading: Option<u32>,
     /// The progress from which the run's rate is read next.
-    pub mark: Option<Mark>,
+    pub progress_sample: Option<Mark>,
     /// Since when a serving task's readings have been over its target.
-    pub over_since: Option<Instant>,
+    pub over_target_since: Option<Instant>,
     /// Since when a filling task has been slowed down a lot.
-    pub slowed: Option<Instant>,
+    pub slowed_since: Option<Instant>,
 }
 
 /// What a run is to the others on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum TaskRole {
     /// It neither serves nor fills.
     Plain,
     /// It serves users of its own, whose tail has a target.
@@ -134,9 +134,9 @@
     /// How the directory shows it.
     pub listing: Listing,
     /// Set once it is proven that this incarnation runs nothing and never will.
-    pub gone: bool,
+    pub terminated: bool,
     /// The start of the worker before this one, if this leader knows of one.
-    pub former: Option<WorkerIx>,
+    pub previous_incarnation: Option<WorkerIx>,
     /// Set while it is emptied because its host is to go down for upkeep.
     pub emptying: bool,
     /// Set while its failure domain is evacuated.
@@ -148,17 +148,17 @@
     /// Set once the roster was told all that may run here, because the worker gets no tasks.
     pub closed: bool,
     /// Set while the roster does not name the worker, because it runs nothing and gets nothing.
-    pub forgotten: bool,
+    pub dropped_from_roster: bool,
     /// Its clock when it last answered, with our time of the answer.
     pub clock: Option<(Instant, WorkerClock)>,
     /// The latest end of leases that it was ever asked to grant.
     pub lease_until: Option<WorkerClock>,
     /// When it first answered under this leader; unset before.
-    pub answered: Option<Instant>,
+    pub first_answered_at: Option<Instant>,
     /// Renewals without an answer since the last answer.
-    pub missed: u32,
+    pub unanswered_renewals: u32,
     /// Whether the last renewal was refused: the worker is unwell but answers.
-    pub refuses: bool,
+    pub last_renewal_refused: bool,
     /// Whether the worker has refused a stop for the length of a lease; looked at now and then.
     pub refuses_stops: bool,
     /// The renewal call.
@@ -166,32 +166,32 @@
     /// How many starts have been sent here whose answer, or the lack of one, is not known yet.
     pub starts_in_flight: usize,
     /// The last end that the leader has taken in.
-    pub noted: EndSeq,
+    pub recorded_up_to: EndSeq,
     /// The last end that is stored.
-    pub stored: EndSeq,
+    pub stored_up_to: EndSeq,
     /// The last end that the worker certainly lists no more.
-    pub acknowledged: EndSeq,
+    pub acknowledged_up_to: EndSeq,
     /// The last end that the renewal in flight acknowledges.
-    pub acknowledging: EndSeq,
+    pub acknowledging_up_to: EndSeq,
     /// What runs here.
     pub slots: FxHashMap<TaskKey, Slot>,
     /// Runs that were given up and may still begin here; until it refuses them the worker gets
     /// nothing.
-    pub doubts: BTreeMap<TaskKey, Doubt>,
+    pub abandoned_starts: BTreeMap<TaskKey, Doubt>,
     /// The room that the slots take.
     pub used: Resources,
     /// The processor demand of filling tasks here, in thousandths of a core.
     pub filling: u32,
     /// How much more pressure each serving image here bears, by its task that bears least.
-    pub spare_pressure: Vec<(Row, f64)>,
+    pub spare_interference: Vec<(Row, f64)>,
     /// The share of the processors that more filling tasks may use without crowding what serves.
-    pub spare_filling: f64,
+    pub spare_best_effort_share: f64,
     /// The share of the known filling images that would find a place here.
     pub openness: f64,
     /// When a filling task last ended here.
-    pub filling_ended: Instant,
+    pub best_effort_ended_at: Instant,
     /// When a short task last began or ended here.
-    pub short_changed: Option<Instant>,
+    pub short_task_changed_at: Option<Instant>,
     /// How fast it is against others.
     pub speed: Speed,
     /// Failed runs since the last good one.
@@ -210,35 +210,35 @@
         Self {
             info,
             listing,
-            gone: false,
-            former: None,
+            terminated: false,
+            previous_incarnation: None,
             emptying: false,
             evacuated: false,
             in_roster: false,
             roster_pending: false,
             closed: false,
-            forgotten: false,
+            dropped_from_roster: false,
             clock: None,
             lease_until: None,
-            answered: None,
-            missed: 0,
-            refuses: false,
+            first_answered_at: None,
+            unanswered_renewals: 0,
+            last_renewal_refused: false,
             refuses_stops: false,
             renewal: Renewal::Due(now),
             starts_in_flight: 0,
-            noted: EndSeq(0),
-            stored: EndSeq(0),
-            acknowledged: EndSeq(0),
-            acknowledging: EndSeq(0),
+            recorded_up_to: EndSeq(0),
+            stored_up_to: EndSeq(0),
+            acknowledged_up_to: EndSeq(0),
+            acknowledging_up_to: EndSeq(0),
             slots: FxHashMap::default(),
-            doubts: BTreeMap::new(),
+            abandoned_starts: BTreeMap::new(),
             used: Resources::default(),
             filling: 0,
-            spare_pressure: Vec::new(),
-            spare_filling: 1.0,
+            spare_interference: Vec::new(),
+            spare_best_effort_share: 1.0,
             openness: 1.0,
-            filling_ended: Instant(0),
-            short_changed: None,
+            best_effort_ended_at: Instant(0),
+            short_task_changed_at: None,
             speed: Speed::default(),
             failures: 0,
             quarantines: 0,
@@ -254,54 +254,54 @@
     }
 
     /// Keeps the latest end of leases.
-    pub fn granted(&mut self, until: WorkerClock) {
+    pub fn extend_leases(&mut self, until: WorkerClock) {
         self.lease_until = self.lease_until.max(Some(until));
     }
 
     /// Returns when every lease at this worker is certainly over, by our clock.
-    pub fn lapsed_by(&self, drift_per_mille: u64) -> Option<Instant> {
+    pub fn leases_expired_at(&self, drift_per_mille: u64) -> Option<Instant> {
         let (read, clock) = self.clock?;
         let left = self.lease_until?.0.saturating_sub(clock.0);
         Some(read + Millis(left).with_drift(drift_per_mille + 1))
     }
 
     /// Takes in a reading of the worker's clock.
-    pub fn read_clock(&mut self, now: Instant, clock: WorkerClock) {
+    pub fn record_clock(&mut self, now: Instant, clock: WorkerClock) {
         self.clock = Some((now, clock));
     }
 
     /// Adds a run.
-    pub fn occupy(&mut self, task: TaskKey, slot: Slot) {
+    pub fn add_slot(&mut self, task: TaskKey, slot: Slot) {
         self.used = self.used.plus(&slot.takes);
-        self.filling += slot.wants_cpu;
+        self.filling += slot.best_effort_millicores;
         self.slots.insert(task, slot);
     }
 
     /// Removes a run if it is the one meant.
-    pub fn vacate(&mut self, task: TaskKey, run: Run) -> Option<Slot> {
+    pub fn remove_slot(&mut self, task: TaskKey, run: Run) -> Option<Slot> {
         if self.slots.get(&task).is_none_or(|slot| slot.run != run) {
             return None;
         }
         let slot = self.slots.remove(&task)?;
         self.trial = self.trial.filter(|trial| trial.task != task);
         self.used = self.used.minus(&slot.takes);
-        self.filling = self.filling.saturating_sub(slot.wants_cpu);
+        self.filling = self.filling.saturating_sub(slot.best_effort_millicores);
         Some(slot)
     }
 
     /// Tells whether the next account may prove that a withdrawn start was never carried out. A run
     /// that is or was here needs no such haste: its end answers a waiting renewal.
-    pub fn awaits_proof(&self) -> bool {
-        self.slots.values().any(|slot| slot.confirmed.is_none() && slot.barred.is_some())
+    pub fn awaits_withdrawal_proof(&self) -> bool {
+        self.slots.values().any(|slot| slot.confirmed.is_none() && slot.stop_confirmed.is_some())
     }
 
     /// Returns up to which end the next renewal acknowledges. It may reach the worker's next start, whose ends have
     /// the same numbers: so it names ends only while they are listed, and none to a worker that has just been
     /// silent.
     pub fn to_acknowledge(&self) -> EndSeq {
-        let needed = self.missed == 0 && self.stored > self.acknowledged;
+        let needed = self.unanswered_renewals == 0 && self.stored_up_to > self.acknowledged_up_to;
         if needed {
-            self.stored
+            self.stored_up_to
         } else {
             EndSeq(0)
         }
@@ -309,19 +309,19 @@
 
     /// Tells whether the worker answers, if only with refusals.
     pub fn answers(&self) -> bool {
-        self.missed == 0 || self.refuses
+        self.unanswered_renewals == 0 || self.last_renewal_refused
     }
 
     /// Tells whether the worker's leases are left to end: a run that was given up may begin under a
     /// new one, or the end of all leases is what frees the task of a stop that it refuses.
-    pub fn is_left_to_lapse(&self) -> bool {
-        !self.doubts.is_empty() || self.refuses_stops
+    pub fn lets_leases_expire(&self) -> bool {
+        !self.abandoned_starts.is_empty() || self.refuses_stops
     }
 
     /// Tells whether the worker has refused a stop for so long.
-    pub fn has_refused_a_stop_for(&self, now: Instant, limit: Millis) -> bool {
+    pub fn has_refused_stop_for(&self, now: Instant, limit: Millis) -> bool {
         let is_stuck = |slot: &Slot| {
-            let refused = slot.stop_refusals > 0 && slot.barred.is_none();
+            let refused = slot.stop_refusals > 0 && slot.stop_confirmed.is_none();
             slot.phase == Phase::Stopping && refused && now.since(slot.stopping_since) >= limit
         };
         self.slots.values().any(is_stuck)
@@ -333,21 +333,21 @@
     }
 
     /// Tells whether tasks fill beside tasks that serve.
-    pub fn is_shared(&self) -> bool {
-        let is = |part: fn(&Part) -> bool| self.slots.values().any(|slot| part(&slot.part));
-        is(|p| matches!(p, Part::Serving { .. })) && is(|p| matches!(p, Part::Filling(_)))
+    pub fn mixes_serving_and_best_effort(&self) -> bool {
+        let is = |part: fn(&TaskRole) -> bool| self.slots.values().any(|slot| part(&slot.role));
+        is(|p| matches!(p, TaskRole::Serving { .. })) && is(|p| matches!(p, TaskRole::Filling(_)))
     }
 
     /// Tells whether the worker may be given tasks now.
-    pub fn takes_tasks(&self, now: Instant) -> bool {
-        !self.gone
+    pub fn accepts_tasks(&self, now: Instant) -> bool {
+        !self.terminated
             && !self.emptying
             && !self.evacuated
             && self.in_roster
             && self.listing == Listing::Ready
-            && self.missed == 0
+            && self.unanswered_renewals == 0
             && self.clock.is_some()
-            && !self.is_left_to_lapse()
+            && !self.lets_leases_expire()
             && self.avoid_until <= now
     }
 }
--- a/crates/sched/tests/fleet/late_accounts.rs
+++ b/crates/sched/tests/fleet/late_accounts.rs
@@ -15,7 +15,7 @@
     let at = world.busy_worker();
     let (sent, account) = (Instant(world.now), world.account(at));
     world.crash_and_return(at);
-    while world.cx.as_ref().is_some_and(|cx| !cx.workers[at].gone) {
+    while world.cx.as_ref().is_some_and(|cx| !cx.workers[at].terminated) {
         world.run(1);
     }
     world.hear_of(at, sent, account);
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -101,7 +101,7 @@
             task,
             run: r.run,
             checkpoint: self.listed_checkpoint(task, r),
-            percent: r.percent(self.now),
+            progress_percent: r.percent(self.now),
             reading: reading.map(|tail| tail * self.workers[at].slowness as u32),
         }
     }
