--- a/crates/sched/src/changes/doubts.rs
+++ b/crates/sched/src/changes/doubts.rs
@@ -10,7 +10,7 @@
 
 use crate::changes::trace;
 use crate::interface::message::{Action, Outcome, Refusal, Run, WorkerClock, WorkerIx};
-use crate::state::abandoned_start::Doubt;
+use crate::state::abandoned_start::AbandonedStart;
 use crate::state::worker::{Slot, Worker};
 use crate::state::State;
 
@@ -19,7 +19,7 @@
 pub fn keep(worker: &mut Worker, key: TaskKey, slot: &Slot) {
     let unknown = slot.confirmed.is_none() && slot.stop_confirmed.is_none();
     if unknown && slot.tries.sent() > 0 {
-        worker.abandoned_starts.insert(key, Doubt { run: slot.run, asked: None });
+        worker.abandoned_starts.insert(key, AbandonedStart { run: slot.run, stop_sent_at: None });
     }
 }
 
@@ -32,10 +32,10 @@
     }
     let mut due = Vec::new();
     for (key, doubt) in &mut worker.abandoned_starts {
-        if doubt.asked.is_some_and(|at| now.since(at) < retry) {
+        if doubt.stop_sent_at.is_some_and(|at| now.since(at) < retry) {
             continue;
         }
-        doubt.asked = Some(now);
+        doubt.stop_sent_at = Some(now);
         due.push((*key, doubt.run));
     }
     for (task, run) in due {
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -40,7 +40,7 @@
 pub fn inherit(cx: &mut State, ix: WorkerIx, sent: Instant, account: &Account) {
     for former in formers(cx, ix) {
         let doubts = std::mem::take(&mut cx.worker_mut(former).abandoned_starts);
-        let unasked = doubts.into_iter().map(|(key, doubt)| (key, doubt.anew()));
+        let unasked = doubts.into_iter().map(|(key, doubt)| (key, doubt.with_stop_unsent()));
         cx.worker_mut(ix).abandoned_starts.extend(unasked);
         let slots: Vec<(TaskKey, Slot)> =
             cx.worker(former).slots.iter().map(|(key, slot)| (*key, slot.clone())).collect();
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -10,7 +10,7 @@
 
 use crate::interface::message::{EndSeq, Run, WorkerClock, WorkerInfo, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
-use crate::state::abandoned_start::Doubt;
+use crate::state::abandoned_start::AbandonedStart;
 use crate::state::interference_model::{Column, Row};
 use crate::state::pace_orders::GivenPaces;
 use crate::state::rates::{Mark, Speed};
@@ -177,7 +177,7 @@
     pub slots: FxHashMap<TaskKey, Slot>,
     /// Runs that were given up and may still begin here; until it refuses them the worker gets
     /// nothing.
-    pub abandoned_starts: BTreeMap<TaskKey, Doubt>,
+    pub abandoned_starts: BTreeMap<TaskKey, AbandonedStart>,
     /// The room that the slots take.
     pub used: Resources,
     /// The processor demand of filling tasks here, in thousandths of a core.
