--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -15,13 +15,13 @@
 use crate::changes::trace;
 use crate::interface::message::{EndSeq, Record, RosterEntry, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
-use crate::state::commits::{Commits, Covered, Records};
+use crate::state::commits::{Commits, InFlightCommit, Records};
 use crate::state::job_table::{Entry, StepState, Task, TaskState};
 use crate::state::State;
 
 /// Marks a job's progress as changed.
 pub fn mark(commits: &mut Commits, now: Instant, job: JobKey) {
-    commits.dirty.insert(job);
+    commits.dirty_jobs.insert(job);
     commits.since.get_or_insert(now);
 }
 
@@ -61,7 +61,7 @@
     if cx.commits.in_flight.is_some() || !due {
         return None;
     }
-    let jobs = mem::take(&mut cx.commits.dirty);
+    let jobs = mem::take(&mut cx.commits.dirty_jobs);
     let other = mem::take(&mut cx.commits.other);
     cx.commits.since = None;
     cx.commits.urgent = false;
@@ -72,7 +72,7 @@
     let covered_jobs = entries.clone().map(|e| (e.job.key, e.state)).collect();
     let mut records: Vec<Record> = entries.map(|e| Record::Progress(progress_of(e))).collect();
     records.extend(other.iter().cloned());
-    cx.commits.in_flight = Some(Covered { jobs: covered_jobs, ends, other, roster });
+    cx.commits.in_flight = Some(InFlightCommit { jobs: covered_jobs, ends, other, roster });
     Some(records)
 }
 
--- a/crates/sched/src/state/commits.rs
+++ b/crates/sched/src/state/commits.rs
@@ -12,7 +12,7 @@
 /// What a record speaks of. A transaction writes each key once, and the newer record of a subject holds all that
 /// the older one does.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Subject {
+pub(crate) enum RecordSubject {
     Progress(JobKey),
     Forgotten(JobKey),
     Worker(ids::WorkerId),
@@ -20,7 +20,7 @@
     Wave(WaveNumber),
 }
 
-impl Subject {
+impl RecordSubject {
     /// Returns what a record speaks of.
     fn of(record: &Record) -> Self {
         match record {
@@ -37,12 +37,12 @@
 /// Records by their subjects. Thousands of workers enter the roster in one commit, so a newer record finds the
 /// older one by its subject.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Records(BTreeMap<Subject, Record>);
+pub(crate) struct Records(BTreeMap<RecordSubject, Record>);
 
 impl Records {
     /// Adds a record in place of an older one of its subject.
     pub(crate) fn put(&mut self, record: Record) {
-        self.0.insert(Subject::of(&record), record);
+        self.0.insert(RecordSubject::of(&record), record);
     }
 
     /// Adds newer records.
@@ -64,16 +64,16 @@
 /// What waits to be stored, and what is being stored.
 #[derive(Debug, Default)]
 pub struct Commits {
-    pub(crate) dirty: BTreeSet<JobKey>,
+    pub(crate) dirty_jobs: BTreeSet<JobKey>,
     pub(crate) other: Records,
     pub(crate) since: Option<Instant>,
     pub(crate) urgent: bool,
-    pub(crate) in_flight: Option<Covered>,
+    pub(crate) in_flight: Option<InFlightCommit>,
 }
 
 /// What becomes true once the commit in flight is stored.
 #[derive(Debug, Default)]
-pub(crate) struct Covered {
+pub(crate) struct InFlightCommit {
     pub(crate) jobs: Vec<(JobKey, JobState)>,
     pub(crate) ends: Vec<(WorkerIx, EndSeq)>,
     pub(crate) other: Records,
