--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -14,7 +14,7 @@
 /// Sends every renewal that is due.
 pub fn send_due(cx: &mut State) {
     let now = cx.now;
-    for ix in cx.renewal_queue.take(now) {
+    for ix in cx.renewal_queue.take_due(now) {
         let worker = cx.worker(ix);
         if worker.terminated || !matches!(worker.renewal, Renewal::Due(at) if at <= now) {
             continue;
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -28,7 +28,7 @@
 use crate::interface::settings::Settings;
 
 use commits::Commits;
-use renewal_queue::DueRenewals;
+use renewal_queue::RenewalQueue;
 use freshness::Freshness;
 use interference_model::Model;
 use permits::Permits;
@@ -82,7 +82,7 @@
     /// All workers ever seen by this leader, each start for itself.
     pub workers: Vec<Worker>,
     /// When their renewals fall due.
-    pub renewal_queue: DueRenewals,
+    pub renewal_queue: RenewalQueue,
     /// How many of them are gone.
     pub terminated_count: usize,
     /// Workers by their start.
@@ -144,7 +144,7 @@
             jobs: FxHashMap::default(),
             early_cancellations: FxHashMap::default(),
             workers: Vec::new(),
-            renewal_queue: DueRenewals::default(),
+            renewal_queue: RenewalQueue::default(),
             terminated_count: 0,
             by_id: FxHashMap::default(),
             by_name: FxHashMap::default(),
--- a/crates/sched/src/state/renewal_queue.rs
+++ b/crates/sched/src/state/renewal_queue.rs
@@ -10,19 +10,19 @@
 
 /// When renewals fall due. A worker may stand here more than once; its own state says whether its renewal is due.
 #[derive(Debug, Default)]
-pub struct DueRenewals {
+pub struct RenewalQueue {
     queue: BinaryHeap<Reverse<(Instant, WorkerIx)>>,
     examined: u64,
 }
 
-impl DueRenewals {
+impl RenewalQueue {
     /// Adds a worker whose renewal falls due at `at`.
     pub fn add(&mut self, at: Instant, worker: WorkerIx) {
         self.queue.push(Reverse((at, worker)));
     }
 
     /// Takes the workers whose time has come, each of them once, in the order in which they became known.
-    pub fn take(&mut self, now: Instant) -> Vec<WorkerIx> {
+    pub fn take_due(&mut self, now: Instant) -> Vec<WorkerIx> {
         let mut due = Vec::new();
         while let Some(&Reverse((at, worker))) = self.queue.peek() {
             if at > now {
