--- a/crates/sched/src/changes/freshness.rs
+++ b/crates/sched/src/changes/freshness.rs
@@ -21,8 +21,8 @@
 /// Takes in the store's revision at a time.
 pub fn marked(cx: &mut State, mark: StoreMark) {
     let freshness = &mut cx.freshness;
-    if freshness.marks.len() < MARKS_MOST {
-        freshness.marks.push_back(mark);
+    if freshness.pending_revisions.len() < MARKS_MOST {
+        freshness.pending_revisions.push_back(mark);
     }
 }
 
@@ -32,9 +32,9 @@
     if read.whole {
         freshness.as_of = freshness.as_of.max(read.sent);
     }
-    while let Some(mark) = freshness.marks.pop_front() {
+    while let Some(mark) = freshness.pending_revisions.pop_front() {
         if mark.revision > read.revision {
-            freshness.marks.push_front(mark);
+            freshness.pending_revisions.push_front(mark);
             break;
         }
         freshness.as_of = freshness.as_of.max(mark.sent);
--- a/crates/sched/src/state/freshness.rs
+++ b/crates/sched/src/state/freshness.rs
@@ -14,7 +14,7 @@
     /// When the store was last asked for something that it has answered.
     pub(crate) answered: Instant,
     /// Marks that the reading has not reached, oldest first.
-    pub(crate) marks: VecDeque<StoreMark>,
+    pub(crate) pending_revisions: VecDeque<StoreMark>,
     /// Since when the view has been too old.
     pub(crate) behind_since: Option<Instant>,
 }
