--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -239,7 +239,7 @@
             progress: self.progress.clone(),
             cancelled: self.cancelled.iter().copied().collect(),
             roster: self.roster.values().cloned().collect(),
-            learnt: self.learnt.clone(),
+            learned: self.learnt.clone(),
             ..Stored::default()
         };
         takeover::restore(&mut cx, stored);
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -165,7 +165,7 @@
         }
     }
     stored.roster = roster.items.iter().filter_map(records::roster_entry).collect();
-    stored.learnt = readings.learnt.as_ref().and_then(records::decode).unwrap_or_default();
+    stored.learned = readings.learnt.as_ref().and_then(records::decode).unwrap_or_default();
     stored.waves = readings.waves.iter().filter_map(records::decode).collect();
     stored.evacuated = readings.evacuated;
     let directory = readings.directory.listed();
--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -14,7 +14,7 @@
 use crate::state::State;
 
 pub use crate::interface::message::{Learnt, LearntFactor, LearntImage};
-pub use crate::state::interference_model::{Column, Model, Row, Served};
+pub use crate::state::interference_model::{Column, InterferenceModel, Row, ServingTask};
 pub use crate::state::pace_orders::{GivenPaces, FULL_PACE};
 
 pub use paces::{paced, set_paces};
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -6,7 +6,7 @@
 use crate::decisions::interference::CROWDED_SHARE;
 use crate::decisions::filling::{self, SETTLE};
 use crate::interface::message::{Record, WorkerIx};
-use crate::state::interference_model::{Column, Served};
+use crate::state::interference_model::{Column, ServingTask};
 use crate::state::worker::TaskRole;
 use crate::state::State;
 
@@ -52,11 +52,11 @@
 
 /// Takes in what serving tasks that nothing fills beside tell of their worker: the tasks of one
 /// job carry one load, so one with a much longer tail is on a slow worker.
-fn judge_speed(cx: &mut State, ix: WorkerIx, tails: &[(Served, f64)]) {
+fn judge_speed(cx: &mut State, ix: WorkerIx, tails: &[(ServingTask, f64)]) {
     let now = cx.now;
     for (served, tail_ms) in tails {
         let load = cx.interference.load(served.job, now, 0.0);
-        let surprise = cx.interference.utilisation(served, *tail_ms) - load;
+        let surprise = cx.interference.utilization(served, *tail_ms) - load;
         let relative = if surprise > SLOW_SURPRISE { SLOW_SPEED } else { 1.0 };
         cx.worker_mut(ix).speed.record(now, relative);
     }
@@ -71,7 +71,7 @@
         return;
     }
     cx.learned_stored_at = cx.now;
-    let learnt = cx.interference.learnt();
+    let learnt = cx.interference.learned();
     if !learnt.images.is_empty() {
         commits::add(cx, Record::Learnt(learnt));
     }
--- a/crates/sched/src/changes/pacing/spare.rs
+++ b/crates/sched/src/changes/pacing/spare.rs
@@ -28,8 +28,8 @@
     let mut spare: Vec<(Row, f64)> = Vec::new();
     for (key, slot) in &worker.slots {
         let Some(served) = filling::served(*key, slot) else { continue };
-        let pressure = cx.interference.pressure(served.row, tasks.iter().map(FillingTask::unpaced));
-        let bearable = cx.interference.bearable(&served, PLACED_SHARE, now, PLACED_AHEAD_S);
+        let pressure = cx.interference.interference(served.row, tasks.iter().map(FillingTask::unpaced));
+        let bearable = cx.interference.tolerable_interference(&served, PLACED_SHARE, now, PLACED_AHEAD_S);
         let left = bearable - pressure;
         match spare.iter_mut().find(|(row, _)| *row == served.row) {
             Some((_, known)) => *known = known.min(left),
@@ -38,9 +38,9 @@
     }
     let left = spare_filling(cx, worker);
     let openness =
-        if left < TYPICAL_SHARE { 0.0 } else { cx.interference.openness(&spare, TYPICAL_SHARE) };
+        if left < TYPICAL_SHARE { 0.0 } else { cx.interference.fitting_image_share(&spare, TYPICAL_SHARE) };
     let worker = cx.worker_mut(ix);
-    worker.openness = openness;
+    worker.fitting_image_share = openness;
     worker.spare_interference = spare;
     worker.spare_best_effort_share = left;
 }
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -36,7 +36,7 @@
     /// Workers that may run something.
     pub roster: Vec<RosterEntry>,
     /// What was learnt of how images disturb each other.
-    pub learnt: Learnt,
+    pub learned: Learnt,
     /// How far waves of upkeep have come.
     pub waves: Vec<WaveProgress>,
     /// The failure domains that the operators have evacuated.
@@ -45,7 +45,7 @@
 
 /// Fills a new leader's state from the store and begins the survey.
 pub fn restore(cx: &mut State, stored: Stored) {
-    let Stored { jobs, mut progress, unreadable, cancelled, roster, learnt, waves, evacuated } =
+    let Stored { jobs, mut progress, unreadable, cancelled, roster, learned: learnt, waves, evacuated } =
         stored;
     evacuation::read(cx, evacuated);
     cx.interference.restore(&learnt);
--- a/crates/sched/src/decisions/disturbance.rs
+++ b/crates/sched/src/decisions/disturbance.rs
@@ -8,7 +8,7 @@
 use gaplock_jobs::Step;
 use gaplock_types::time::Millis;
 
-use crate::state::interference_model::LEAST_PUSH;
+use crate::state::interference_model::MIN_INTERFERENCE;
 use crate::state::worker::{TaskRole, Worker};
 use crate::state::State;
 
@@ -67,14 +67,14 @@
     if !worker.spare_interference.is_empty() && share > worker.spare_best_effort_share {
         return None;
     }
-    let mut cost = worker.openness * OPEN_COST;
+    let mut cost = worker.fitting_image_share * OPEN_COST;
     if !worker.spare_interference.is_empty() {
         let left = worker.spare_best_effort_share - share;
         cost += (FILLED_SHARE - CROWDED_SHARE - left).max(0.0) * CROWDING_COST;
     }
     for &(row, spare) in &worker.spare_interference {
         let push = cx.interference.factor(row, column) * share;
-        if push < LEAST_PUSH {
+        if push < MIN_INTERFERENCE {
             continue;
         }
         let excess = push - spare;
--- a/crates/sched/src/decisions/filling.rs
+++ b/crates/sched/src/decisions/filling.rs
@@ -4,7 +4,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::interface::message::Run;
-use crate::state::interference_model::{Column, Served};
+use crate::state::interference_model::{Column, ServingTask};
 use crate::state::pace_orders::FULL_PACE;
 use crate::state::worker::{TaskRole, Phase, Slot, Worker};
 
@@ -13,10 +13,10 @@
 pub const SETTLE: Millis = Millis(650);
 
 /// Returns what the model needs of a serving task, and nothing for any other.
-pub fn served(key: TaskKey, slot: &Slot) -> Option<Served> {
+pub fn served(key: TaskKey, slot: &Slot) -> Option<ServingTask> {
     match slot.role {
         TaskRole::Serving { row, target_ms } => {
-            Some(Served { job: key.job, row, target_ms: f64::from(target_ms.max(1)) })
+            Some(ServingTask { job: key.job, row, target_ms: f64::from(target_ms.max(1)) })
         }
         _ => None,
     }
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -3,7 +3,7 @@
 use gaplock_types::time::Millis;
 
 use crate::decisions::filling::{self, FillingTask};
-use crate::state::interference_model::{Model, Row, LEAST_PUSH};
+use crate::state::interference_model::{InterferenceModel, Row, MIN_INTERFERENCE};
 use crate::state::pace_orders::FULL_PACE;
 use crate::state::worker::{TaskRole, Worker};
 use crate::state::State;
@@ -28,7 +28,7 @@
     }
     for (key, slot) in &worker.slots {
         let Some(served) = filling::served(*key, slot) else { continue };
-        let bearable = cx.interference.bearable(&served, GUARDED_SHARE, now, GUARDED_AHEAD_S);
+        let bearable = cx.interference.tolerable_interference(&served, GUARDED_SHARE, now, GUARDED_AHEAD_S);
         relieve(&cx.interference, served.row, bearable, &mut tasks);
     }
     halt(cx, worker, &mut tasks);
@@ -38,13 +38,13 @@
 /// Lowers paces until the pressure on a serving image is bearable, beginning with what presses
 /// most. A run in doubt is held to press with the worst of the paces that may be in force, so
 /// others beside it are lowered for what it may press with.
-fn relieve(model: &Model, row: Row, bearable: f64, filling: &mut [FillingTask]) {
+fn relieve(model: &InterferenceModel, row: Row, bearable: f64, filling: &mut [FillingTask]) {
     let push = |f: &FillingTask| model.factor(row, Some(f.column)) * f.share;
     filling.sort_by(|a, b| push(b).total_cmp(&push(a)));
-    let mut excess = model.pressure(row, filling.iter().map(FillingTask::paced)) - bearable;
+    let mut excess = model.interference(row, filling.iter().map(FillingTask::paced)) - bearable;
     for task in filling {
         let full = push(task);
-        if excess <= 0.0 || full < LEAST_PUSH {
+        if excess <= 0.0 || full < MIN_INTERFERENCE {
             return;
         }
         let pressing = full * f64::from(task.worst()) / 100.0;
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -2,7 +2,7 @@
 
 mod evacuated;
 mod hosts;
-mod learnt;
+mod learned;
 mod readings;
 mod steps;
 
@@ -17,7 +17,7 @@
 
 pub use evacuated::Evacuated;
 pub use hosts::{HostInfo, HostState, UpkeepAnswer, WaveNumber, WaveProgress, WaveRequest};
-pub use learnt::{Learnt, LearntFactor, LearntImage};
+pub use learned::{Learnt, LearntFactor, LearntImage};
 pub use readings::{DirectoryRead, StoreMark};
 pub use steps::StepKey;
 
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -30,7 +30,7 @@
 use commits::Commits;
 use renewal_queue::RenewalQueue;
 use freshness::Freshness;
-use interference_model::Model;
+use interference_model::InterferenceModel;
 use permits::Permits;
 use recovery_scan::Survey;
 use suspicion::Crashes;
@@ -102,7 +102,7 @@
     /// What is to be stored.
     pub commits: Commits,
     /// What is known of how tasks disturb each other.
-    pub interference: Model,
+    pub interference: InterferenceModel,
     /// Where steps may run whose queue asks another service.
     pub permits: Permits,
     /// Tasks under which workers were lost.
@@ -154,7 +154,7 @@
             ready: BTreeSet::new(),
             recovery_scan: None,
             commits: Commits::default(),
-            interference: Model::default(),
+            interference: InterferenceModel::default(),
             permits: Permits::default(),
             crashes: Crashes::default(),
             maintenance: Upkeep::default(),
--- a/crates/sched/src/state/interference_model.rs
+++ b/crates/sched/src/state/interference_model.rs
@@ -21,26 +21,26 @@
 pub struct Column(pub u16);
 
 /// A filling task whose push on a serving image is less than this is left alone.
-pub const LEAST_PUSH: f64 = 0.02;
+pub const MIN_INTERFERENCE: f64 = 0.02;
 
 /// The most filling images that are told apart; further ones share the last column.
-const MOST_COLUMNS: usize = 48;
+const MAX_COLUMNS: usize = 48;
 
 /// What a factor is held to be before anything was seen; measured ones are 0 or 1 to 4.
 const FACTOR_PRIOR: f64 = 0.4;
 
 /// How uncertain that is, as a variance.
-const FACTOR_VARIANCE: f64 = 1.5;
+const FACTOR_PRIOR_VARIANCE: f64 = 1.5;
 
 /// The variance of one utilisation around the model, as measured.
-const NOISE_VARIANCE: f64 = 0.02;
+const UTILIZATION_NOISE_VARIANCE: f64 = 0.02;
 
 /// How much of the past each reading keeps; half of it is gone after some 1,400 readings.
-const KEPT: f64 = 0.9995;
+const FORGETTING_FACTOR: f64 = 0.9995;
 
 /// The utilisation from which a reading only says "at least": tails far above the target vary
 /// wildly.
-const SATURATED: f64 = 0.93;
+const SATURATED_UTILIZATION: f64 = 0.93;
 
 /// The load that a job is held to have before its first reading: the middle of measured ones.
 const LOAD_PRIOR: f64 = 0.5;
@@ -56,31 +56,31 @@
 const SLOPE_GAIN: f64 = 0.05;
 
 /// The steepest slope of a load, per second; measured ones reach 0.1.
-const SLOPE_MOST: f64 = 0.12;
+const MAX_SLOPE_PER_S: f64 = 0.12;
 
 /// How far a slope is carried on without a reading, in seconds.
 const SLOPE_HORIZON_S: f64 = 2.0;
 
 /// The lowest reading seen is taken at this load: measured loads never fell far below it.
-const LOWEST_LOAD: f64 = 0.2;
+const LOAD_AT_LOWEST_TAIL: f64 = 0.2;
 
 /// The share of its target that an image's unloaded tail is held to be at most, at first.
-const UNLOADED_SHARE_MOST: f64 = 0.25;
+const MAX_UNLOADED_SHARE_OF_TARGET: f64 = 0.25;
 
 /// How fast the lowest reading is forgotten, for each reading.
-const LOWEST_LEAK: f64 = 1.0002;
+const LOWEST_TAIL_GROWTH: f64 = 1.0002;
 
 /// One serving image.
 #[derive(Debug, Clone)]
-struct Image {
+struct ServingImage {
     lowest_ms: f64,
     factors: Vec<f64>,
     covariance: Vec<Vec<f64>>,
 }
 
-impl Image {
+impl ServingImage {
     fn unloaded_ms(&self) -> f64 {
-        self.lowest_ms * (1.0 - LOWEST_LOAD)
+        self.lowest_ms * (1.0 - LOAD_AT_LOWEST_TAIL)
     }
 
     fn grow(&mut self, size: usize) {
@@ -89,7 +89,7 @@
                 row.push(0.0);
             }
             let mut row = vec![0.0; self.factors.len()];
-            row.push(FACTOR_VARIANCE);
+            row.push(FACTOR_PRIOR_VARIANCE);
             self.covariance.push(row);
             self.factors.push(FACTOR_PRIOR);
         }
@@ -102,14 +102,14 @@
     /// One step of recursive least squares.
     fn update(&mut self, inputs: &[f64], output: f64) {
         let gains: Vec<f64> = self.covariance.iter().map(|row| dot(row, inputs)).collect();
-        let scale = NOISE_VARIANCE + dot(inputs, &gains);
+        let scale = UTILIZATION_NOISE_VARIANCE + dot(inputs, &gains);
         let surprise = output - dot(&self.factors, inputs);
         for (factor, gain) in self.factors.iter_mut().zip(&gains) {
             *factor += gain / scale * surprise;
         }
         for (row, gain) in self.covariance.iter_mut().zip(&gains) {
             for (cell, other) in row.iter_mut().zip(&gains) {
-                *cell = (*cell - gain * other / scale) / KEPT;
+                *cell = (*cell - gain * other / scale) / FORGETTING_FACTOR;
             }
         }
         self.bound_covariance();
@@ -119,10 +119,10 @@
     fn bound_covariance(&mut self) {
         for at in 0..self.factors.len() {
             let variance = self.covariance[at][at];
-            if variance <= FACTOR_VARIANCE {
+            if variance <= FACTOR_PRIOR_VARIANCE {
                 continue;
             }
-            let shrink = (FACTOR_VARIANCE / variance).sqrt();
+            let shrink = (FACTOR_PRIOR_VARIANCE / variance).sqrt();
             for other in 0..self.factors.len() {
                 self.covariance[at][other] *= shrink;
                 self.covariance[other][at] *= shrink;
@@ -154,7 +154,7 @@
 
 /// A serving task, as far as the model needs it.
 #[derive(Debug, Clone, Copy)]
-pub struct Served {
+pub struct ServingTask {
     /// The lasting job.
     pub job: JobKey,
     /// The image.
@@ -164,18 +164,18 @@
 }
 
 /// The least variance that a factor keeps over a change of leader: it may have shifted meanwhile.
-const CARRIED_VARIANCE: f64 = 0.1;
+const MIN_RESTORED_VARIANCE: f64 = 0.1;
 
 /// What is known of how images disturb each other.
 #[derive(Debug, Default)]
-pub struct Model {
+pub struct InterferenceModel {
     rows: FxHashMap<String, Row>,
     columns: FxHashMap<String, Column>,
-    images: Vec<Image>,
+    images: Vec<ServingImage>,
     loads: FxHashMap<JobKey, Load>,
 }
 
-impl Model {
+impl InterferenceModel {
     /// Returns a serving image's row, adding it where it is new.
     pub fn row(&mut self, image: &str) -> Row {
         if let Some(&row) = self.rows.get(image) {
@@ -183,7 +183,7 @@
         }
         let row = Row(self.images.len() as u16);
         let (factors, covariance) = (Vec::new(), Vec::new());
-        self.images.push(Image { lowest_ms: f64::INFINITY, factors, covariance });
+        self.images.push(ServingImage { lowest_ms: f64::INFINITY, factors, covariance });
         self.rows.insert(image.to_string(), row);
         row
     }
@@ -193,7 +193,7 @@
         if let Some(&column) = self.columns.get(image) {
             return column;
         }
-        let column = Column(self.columns.len().min(MOST_COLUMNS - 1) as u16);
+        let column = Column(self.columns.len().min(MAX_COLUMNS - 1) as u16);
         self.columns.insert(image.to_string(), column);
         column
     }
@@ -209,7 +209,7 @@
     }
 
     /// Returns what has been learnt, rounded, for a successor.
-    pub fn learnt(&self) -> Learnt {
+    pub fn learned(&self) -> Learnt {
         let round = |x: f64| (x * 100.0).round() / 100.0;
         let mut images: Vec<LearntImage> = Vec::new();
         for (name, row) in &self.rows {
@@ -240,7 +240,7 @@
             for factor in &known.factors {
                 self.column(&factor.image);
             }
-            let columns = self.columns.len().min(MOST_COLUMNS);
+            let columns = self.columns.len().min(MAX_COLUMNS);
             let placed: Vec<(usize, &LearntFactor)> = known
                 .factors
                 .iter()
@@ -251,7 +251,7 @@
             image.grow(columns);
             for (at, factor) in placed {
                 image.factors[at] = factor.factor;
-                image.covariance[at][at] = factor.variance.clamp(CARRIED_VARIANCE, FACTOR_VARIANCE);
+                image.covariance[at][at] = factor.variance.clamp(MIN_RESTORED_VARIANCE, FACTOR_PRIOR_VARIANCE);
             }
         }
     }
@@ -263,21 +263,21 @@
     }
 
     /// Returns the pressure of filling tasks on a serving image.
-    pub fn pressure(&self, row: Row, filling: impl Iterator<Item = (Column, f64)>) -> f64 {
+    pub fn interference(&self, row: Row, filling: impl Iterator<Item = (Column, f64)>) -> f64 {
         let image = &self.images[usize::from(row.0)];
         filling.map(|(column, share)| image.factor(column) * share).sum()
     }
 
     /// Returns the share of the known filling images of which one more task, on so much of a worker's
     /// processors, is bearable beside serving images with so much pressure to spare.
-    pub fn openness(&self, spare: &[(Row, f64)], share: f64) -> f64 {
-        let columns = self.columns.len().min(MOST_COLUMNS);
+    pub fn fitting_image_share(&self, spare: &[(Row, f64)], share: f64) -> f64 {
+        let columns = self.columns.len().min(MAX_COLUMNS);
         if columns == 0 {
             return 1.0;
         }
         let bearable = |column: Column| {
             let push = |row: Row| self.factor(row, Some(column)) * share;
-            spare.iter().all(|&(row, left)| push(row) < LEAST_PUSH || push(row) <= left)
+            spare.iter().all(|&(row, left)| push(row) < MIN_INTERFERENCE || push(row) <= left)
         };
         let open = (0..columns as u16).filter(|&c| bearable(Column(c))).count();
         open as f64 / columns as f64
@@ -295,14 +295,14 @@
 
     /// Returns the pressure under which a serving task's tail stays below `share` of its target,
     /// `ahead_s` seconds from now; it may be negative.
-    pub fn bearable(&self, served: &Served, share: f64, now: Instant, ahead_s: f64) -> f64 {
-        let limit = self.utilisation(served, served.target_ms * share);
+    pub fn tolerable_interference(&self, served: &ServingTask, share: f64, now: Instant, ahead_s: f64) -> f64 {
+        let limit = self.utilization(served, served.target_ms * share);
         limit / self.load(served.job, now, ahead_s) - 1.0
     }
 
     /// Returns the utilisation that a tail tells of.
-    pub fn utilisation(&self, served: &Served, tail_ms: f64) -> f64 {
-        let most = served.target_ms * UNLOADED_SHARE_MOST;
+    pub fn utilization(&self, served: &ServingTask, tail_ms: f64) -> f64 {
+        let most = served.target_ms * MAX_UNLOADED_SHARE_OF_TARGET;
         let unloaded = self.images[usize::from(served.row.0)].unloaded_ms().min(most);
         (1.0 - unloaded / tail_ms.max(1.0)).max(0.0)
     }
@@ -310,21 +310,21 @@
     /// Takes in one reading of a serving task's tail beside filling tasks.
     pub fn learn(
         &mut self,
-        served: &Served,
+        served: &ServingTask,
         filling: &[(Column, f64)],
         tail_ms: f64,
         now: Instant,
     ) {
-        let columns = self.columns.len().min(MOST_COLUMNS);
+        let columns = self.columns.len().min(MAX_COLUMNS);
         let image = &mut self.images[usize::from(served.row.0)];
-        image.lowest_ms = (image.lowest_ms * LOWEST_LEAK).min(tail_ms);
+        image.lowest_ms = (image.lowest_ms * LOWEST_TAIL_GROWTH).min(tail_ms);
         image.grow(columns);
-        let utilisation = self.utilisation(served, tail_ms);
-        let pressure = self.pressure(served.row, filling.iter().copied());
+        let utilisation = self.utilization(served, tail_ms);
+        let pressure = self.interference(served.row, filling.iter().copied());
         let load = self.load(served.job, now, 0.0);
         let expected = load * (1.0 + pressure);
-        let saturated = utilisation >= SATURATED;
-        if saturated && expected >= SATURATED {
+        let saturated = utilisation >= SATURATED_UTILIZATION;
+        if saturated && expected >= SATURATED_UTILIZATION {
             return;
         }
         if !filling.is_empty() {
@@ -334,11 +334,11 @@
             }
             self.images[usize::from(served.row.0)].update(&inputs, utilisation - load);
         }
-        self.follow_load(served.job, utilisation, pressure, now);
+        self.update_load(served.job, utilisation, pressure, now);
     }
 
     /// Lets a job's load follow a reading, the less the more presses on it.
-    fn follow_load(&mut self, job: JobKey, utilisation: f64, pressure: f64, now: Instant) {
+    fn update_load(&mut self, job: JobKey, utilisation: f64, pressure: f64, now: Instant) {
         let fresh = Load { value: LOAD_PRIOR, slope: 0.0, at: now };
         let load = self.loads.entry(job).or_insert(fresh);
         let value = load.expected(now, 0.0);
@@ -346,7 +346,7 @@
         let surprise = utilisation / (1.0 + pressure) - value;
         let slope = load.slope + SLOPE_GAIN * trust * surprise;
         load.value = (value + LOAD_GAIN * trust * surprise).clamp(LOAD_RANGE.0, LOAD_RANGE.1);
-        load.slope = slope.clamp(-SLOPE_MOST, SLOPE_MOST);
+        load.slope = slope.clamp(-MAX_SLOPE_PER_S, MAX_SLOPE_PER_S);
         load.at = now;
     }
 
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -187,7 +187,7 @@
     /// The share of the processors that more filling tasks may use without crowding what serves.
     pub spare_best_effort_share: f64,
     /// The share of the known filling images that would find a place here.
-    pub openness: f64,
+    pub fitting_image_share: f64,
     /// When a filling task last ended here.
     pub best_effort_ended_at: Instant,
     /// When a short task last began or ended here.
@@ -236,7 +236,7 @@
             filling: 0,
             spare_interference: Vec::new(),
             spare_best_effort_share: 1.0,
-            openness: 1.0,
+            fitting_image_share: 1.0,
             best_effort_ended_at: Instant(0),
             short_task_changed_at: None,
             speed: Speed::default(),
--- a/crates/sched/tests/fleet/world/store.rs
+++ b/crates/sched/tests/fleet/world/store.rs
@@ -30,7 +30,7 @@
             unreadable: self.unreadable.clone(),
             cancelled: self.cancelled.iter().copied().collect(),
             roster: self.roster.values().cloned().collect(),
-            learnt: self.learnt.clone(),
+            learned: self.learnt.clone(),
             waves: self.wave_progress.values().cloned().collect(),
             evacuated: self.evacuated(),
         };
--- a/crates/sched/tests/floors/table.rs
+++ b/crates/sched/tests/floors/table.rs
@@ -12,7 +12,7 @@
             "interface::writing",
             "interface::message::evacuated",
             "interface::message::hosts",
-            "interface::message::learnt",
+            "interface::message::learned",
             "interface::message::readings",
             "interface::message::steps",
             "interface::message",
--- a/crates/sched/tests/pacing.rs
+++ b/crates/sched/tests/pacing.rs
@@ -1,7 +1,7 @@
 //! The model of disturbance, fed with readings of queues whose true figures are known.
 
 use gaplock_jobs::JobKey;
-use gaplock_sched::pacing::{Column, Model, Row, Served};
+use gaplock_sched::pacing::{Column, InterferenceModel, Row, ServingTask};
 use gaplock_types::time::Instant;
 
 const UNLOADED_MS: f64 = 10.0;
@@ -9,19 +9,19 @@
 const READING_EVERY_MS: u64 = 160;
 
 struct Truth {
-    model: Model,
+    model: InterferenceModel,
     row: Row,
     heavy: Column,
     light: Column,
     now: u64,
 }
 
-fn served(job: u64, row: Row) -> Served {
-    Served { job: JobKey(job), row, target_ms: TARGET_MS }
+fn served(job: u64, row: Row) -> ServingTask {
+    ServingTask { job: JobKey(job), row, target_ms: TARGET_MS }
 }
 
 fn truth() -> Truth {
-    let mut model = Model::default();
+    let mut model = InterferenceModel::default();
     let row = model.row("serving");
     let heavy = model.column("heavy");
     let light = model.column("light");
@@ -90,7 +90,7 @@
         truth.read(0.0, 0.0);
         let at = Instant(truth.now);
         let load = load_at(truth.now);
-        bearable.push((load, truth.model.bearable(&served, 1.0, at, 0.0)));
+        bearable.push((load, truth.model.tolerable_interference(&served, 1.0, at, 0.0)));
     }
     let mean = |low: f64, high: f64| {
         let within: Vec<f64> =
@@ -115,8 +115,8 @@
     let mut truth = truth();
     truth.day(400);
     let heavy = truth.model.factor(truth.row, Some(truth.heavy));
-    let stored = truth.model.learnt();
-    let mut successor = Model::default();
+    let stored = truth.model.learned();
+    let mut successor = InterferenceModel::default();
     // A successor may meet the images in another order.
     successor.column("another");
     successor.column("light");
@@ -124,5 +124,5 @@
     let row = successor.known_row("serving").expect("the image is known");
     let kept = successor.factor(row, successor.known_column("heavy"));
     assert!((kept - heavy).abs() < 0.01, "{kept} instead of {heavy}");
-    assert_eq!(successor.learnt().images[0].lowest_ms, stored.images[0].lowest_ms);
+    assert_eq!(successor.learned().images[0].lowest_ms, stored.images[0].lowest_ms);
 }
