--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -7,7 +7,7 @@
 
 use std::sync::Arc;
 
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_types::{api, config, ids, time};
 use serde::{Deserialize, Serialize};
 
--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -6,7 +6,7 @@
 //! on it, so the document that was read is taken over, and never the writer's own.
 
 use gaplock_chart::table::intent;
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_types::{api, codes, ids, time};
 
 use crate::action::{CallId, ReplyId, StoreAnswer, StoreCall};
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -1,6 +1,6 @@
 //! Puts configurations in force and carries confirmed plans into the store.
 
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_types::{api, codes};
 
 use super::Node;
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use async_std::task;
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_remote::clock;
 use gaplock_types::{api, codes, config, ids};
 use serde::Serialize;
--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -1,7 +1,7 @@
 //! Calls between the leader and its workers.
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_sched::message::{EndSeq, Outcome, Refusal, Run, WorkerClock, WorkerIx};
 use gaplock_sched::{Action, Event};
 use gaplock_types::time::Instant;
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -10,8 +10,8 @@
 use gaplock_platform::advice::Answer;
 use gaplock_platform::store::Revision;
 use gaplock_platform::worker::{self, Start, Worker};
+use gaplock_policy::attempts::Execution;
 use gaplock_policy::connections;
-use gaplock_policy::tries::Execution;
 use gaplock_sched::message::{
     Account, EndSeq, FencingToken, Outcome, Permit, Run, UpkeepAnswer, WaveNumber, WorkerClock,
     WorkerIx,
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -6,8 +6,8 @@
 use async_std::task;
 use gaplock_jobs::{Job, JobKey};
 use gaplock_platform::store::{Revision, StoreError, Txn};
+use gaplock_policy::attempts::{CallAttempts, Execution};
 use gaplock_policy::handing::{self, LeaderReply, StoreOutcome, StoredJob};
-use gaplock_policy::tries::{CallAttempts, Execution};
 
 use crate::keys;
 use crate::ledger;
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use gaplock_platform::store::{LeaseId, Revision, Store, StoreError, Txn};
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_sched::claims::{self, LeaderRecord};
 use gaplock_sched::writing::CommitMark;
 use gaplock_types::time::{Instant, Millis};
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use gaplock_platform::store::{self, Revision, Store, StoreError, Txn};
 use gaplock_platform::waves;
-use gaplock_policy::tries::CallAttempts;
+use gaplock_policy::attempts::CallAttempts;
 use gaplock_remote::clock;
 use gaplock_sched::message::Record;
 use gaplock_sched::writing::{self, Answer, CommitMark, CommitRevision, Next, Sight, Writer};
@@ -95,8 +95,8 @@
         };
         let next = self.writer.answered(answer);
         match answer {
-            Answer::Refused => log_refused(mark, self.writer.tries(), records),
-            Answer::Silent => log_unclear(mark, self.writer.tries(), records),
+            Answer::Refused => log_refused(mark, self.writer.attempts(), records),
+            Answer::Silent => log_unclear(mark, self.writer.attempts(), records),
             Answer::Stored(_) | Answer::Conflict => {}
         }
         next
@@ -110,7 +110,7 @@
         });
         let next = self.writer.looked(sight);
         if next == Next::Stored {
-            log_found(mark, self.writer.tries(), records);
+            log_found(mark, self.writer.attempts(), records);
         }
         next
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -17,4 +17,4 @@
 pub mod route;
 pub mod succession;
 pub mod tail;
-pub mod tries;
+pub mod attempts;
--- a/crates/policy/tests/tries.rs
+++ b/crates/policy/tests/tries.rs
@@ -1,6 +1,6 @@
 //! What the answers to a repeated call prove.
 
-use gaplock_policy::tries::{CallAttempts, Execution};
+use gaplock_policy::attempts::{CallAttempts, Execution};
 
 /// Sends a try for each of these fates and returns what became of the call after each.
 fn settle(fates: &[Execution]) -> Vec<Execution> {
--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -42,7 +42,7 @@
     for (ix, key, run) in mem::take(&mut cx.crashes.held_starts) {
         let slot = cx.worker(ix).slots.get(&key);
         let is_held =
-            slot.is_some_and(|s| s.run == run && s.phase == Phase::Starting && s.tries.sent() == 0);
+            slot.is_some_and(|s| s.run == run && s.phase == Phase::Starting && s.attempts.sent() == 0);
         if !is_held {
             continue;
         }
--- a/crates/sched/src/changes/doubts.rs
+++ b/crates/sched/src/changes/doubts.rs
@@ -18,7 +18,7 @@
 /// stop: what has begun there never begins again.
 pub fn keep(worker: &mut Worker, key: TaskKey, slot: &Slot) {
     let unknown = slot.confirmed.is_none() && slot.stop_confirmed.is_none();
-    if unknown && slot.tries.sent() > 0 {
+    if unknown && slot.attempts.sent() > 0 {
         worker.abandoned_starts.insert(key, AbandonedStart { run: slot.run, stop_sent_at: None });
     }
 }
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -4,10 +4,10 @@
 
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::{JobKey, Step, TaskKey};
-use gaplock_policy::tries::CallAttempts;
+use gaplock_policy::attempts::CallAttempts;
 use gaplock_types::time::{Instant, Millis};
 
-use crate::changes::pacing::{self, GivenPaces, FULL_PACE};
+use crate::changes::pacing::{self, PaceOrders, FULL_PACE};
 use crate::changes::{commits, scarcity, trace};
 use crate::interface::message::{Action, Run, WorkerIx};
 use crate::interface::proof::Proof;
@@ -115,10 +115,10 @@
         stop_confirmed: None,
         confirmed: (!started).then_some(now),
         resumes_from: occupant.resumes_from,
-        tries: CallAttempts::default(),
+        attempts: CallAttempts::default(),
         pace: FULL_PACE,
         pace_order_in_flight: false,
-        pace_orders: if started { GivenPaces::default() } else { GivenPaces::found() },
+        pace_orders: if started { PaceOrders::default() } else { PaceOrders::adopted() },
         progress_percent: occupant.percent,
         reading: occupant.reading,
         progress_sample: None,
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -7,7 +7,7 @@
 //! (`docs/PLATFORM.md`, section Repeated calls).
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_types::time::Millis;
 
 use crate::changes::{checkpoints, abandoned_starts, terminated, leases, lifecycle, pacing, permits, trace};
@@ -31,7 +31,7 @@
     if slot.run != run {
         return;
     }
-    let fate = slot.tries.record_outcome(outcome.fate());
+    let fate = slot.attempts.record_outcome(outcome.fate());
     if !matches!(slot.phase, Phase::Starting | Phase::Uncertain) {
         return;
     }
@@ -66,7 +66,7 @@
 /// Logs a start that was not simply carried out, with the try that the answer belongs to.
 fn trace_answer(cx: &State, ix: WorkerIx, key: TaskKey, run: Run, outcome: &Outcome<WorkerClock>) {
     let worker = cx.worker(ix);
-    let tries = worker.slots.get(&key).filter(|s| s.run == run).map(|s| s.tries);
+    let tries = worker.slots.get(&key).filter(|s| s.run == run).map(|s| s.attempts);
     trace::start_answered(key, run, &worker.info.id, tries.unwrap_or_default(), outcome);
 }
 
@@ -143,7 +143,7 @@
     if evacuated {
         return lifecycle::order_stop(cx, ix, key, run, "its failure domain is evacuated");
     }
-    if slot.tries.sent() >= most {
+    if slot.attempts.sent() >= most {
         return lifecycle::order_stop(cx, ix, key, run, "start not answered");
     }
     slot.ordered_at = now;
@@ -169,8 +169,8 @@
     let Some(until) = leases::grant(cx, ix) else { return };
     let ticket = cx.permits.ticket(StepKey::of(key), ix, cx.now);
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
-    slot.tries.record_send();
-    let (attempt, resumes_from) = (slot.tries.sent(), slot.resumes_from.clone());
+    slot.attempts.record_send();
+    let (attempt, resumes_from) = (slot.attempts.sent(), slot.resumes_from.clone());
     if let Some(checkpoint) = &resumes_from {
         trace::start_resumes(cx, (key, run), ix, attempt, checkpoint);
     }
--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -15,7 +15,7 @@
 
 pub use crate::interface::message::{Learnt, LearntFactor, LearntImage};
 pub use crate::state::interference_model::{Column, InterferenceModel, Row, ServingTask};
-pub use crate::state::pace_orders::{GivenPaces, FULL_PACE};
+pub use crate::state::pace_orders::{PaceOrders, FULL_PACE};
 
 pub use paces::{paced, set_paces};
 pub use parts::part_of;
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -2,7 +2,7 @@
 //! again.
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_types::time::Millis;
 
 use super::spare;
@@ -84,7 +84,7 @@
     if slot.phase != Phase::Running || slot.pace_order_in_flight {
         return;
     }
-    if !worth_a_call && (surveying || !slot.pace_orders.is_due(now, again_after)) {
+    if !worth_a_call && (surveying || !slot.pace_orders.must_resend(now, again_after)) {
         return;
     }
     if wanted.pace >= MOVE_BELOW {
@@ -104,7 +104,7 @@
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key).filter(|s| s.run == run) else {
         return;
     };
-    if !slot.pace_order_in_flight || !slot.pace_orders.was_last(percent) {
+    if !slot.pace_order_in_flight || !slot.pace_orders.may_answer_last(percent) {
         return;
     }
     slot.pace_order_in_flight = false;
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -93,7 +93,7 @@
 fn ended_before(slot: &Slot, sent: Instant) -> bool {
     let calls_under_way = matches!(slot.phase, Phase::Starting | Phase::Uncertain);
     let confirmed = slot.confirmed.is_some_and(|at| at < sent);
-    confirmed && !calls_under_way && slot.tries.unanswered() == 0
+    confirmed && !calls_under_way && slot.attempts.unanswered() == 0
 }
 
 /// Moves a run to the later start: as running there where that lists it, and as withdrawn where it may yet begin.
@@ -112,7 +112,7 @@
     let (percent, reading) = (slot.progress_percent, slot.reading);
     lifecycle::occupy(cx, to, key, Occupant { run, resumes_from, phase, percent, reading });
     if let Some(moved) = cx.worker_mut(to).slots.get_mut(&key) {
-        moved.tries = slot.tries;
+        moved.attempts = slot.attempts;
     }
     if let Some(task) = cx.task_mut(key) {
         if was_slow {
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -5,7 +5,7 @@
 
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::{JobKey, TaskKey};
-use gaplock_policy::tries::CallAttempts;
+use gaplock_policy::attempts::CallAttempts;
 use gaplock_types::ids;
 use gaplock_types::sizes::Resources;
 use gaplock_types::time::{Instant, Millis};
@@ -163,7 +163,7 @@
     released: Option<(&Slot, Instant)>,
 ) {
     let slot = released.map(|(slot, _)| slot);
-    let tries = slot.map(|s| s.tries).unwrap_or_default();
+    let tries = slot.map(|s| s.attempts).unwrap_or_default();
     let confirmed = slot.is_some_and(|s| s.confirmed.is_some());
     let held_ms = released.and_then(|(s, now)| s.confirmed.map(|at| now.since(at).0));
     info!(event = "run_released", %task, run = run.0, %worker, ?proof, phase = ?slot.map(|s| s.phase),
--- a/crates/sched/src/changes/upkeep.rs
+++ b/crates/sched/src/changes/upkeep.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_types::ids;
 use gaplock_types::time::{Instant, Millis};
 
@@ -121,7 +121,7 @@
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     let Some(down) = wave.down.get_mut(host) else { return };
-    trace::upkeep_answered(number, host, answer, down.tries);
+    trace::upkeep_answered(number, host, answer, down.attempts);
     match answer {
         UpkeepAnswer::Begun => begun(cx, number, host),
         UpkeepAnswer::NotOfWave => {
@@ -198,7 +198,7 @@
     for (host, down) in &mut wave.down {
         if down.again.is_some_and(|at| at <= now) {
             down.again = None;
-            down.tries.record_send();
+            down.attempts.record_send();
             cx.actions.push(Action::Upkeep { wave: number, host: host.clone() });
         }
     }
@@ -213,7 +213,7 @@
     for (host, _) in stored {
         wave.emptying.remove(&host);
         let mut down = Down::new(wave.inherited.contains(&host));
-        down.tries.record_send();
+        down.attempts.record_send();
         wave.down.insert(host.clone(), down);
         trace::upkeep_ordered(number, &host);
         cx.actions.push(Action::Upkeep { wave: number, host });
--- a/crates/sched/src/decisions/filling.rs
+++ b/crates/sched/src/decisions/filling.rs
@@ -68,7 +68,7 @@
             column,
             share: full_share(slot, worker, now),
             pace: slot.pace,
-            open_most: slot.pace_orders.open_most(),
+            open_most: slot.pace_orders.max_unanswered_percent(),
         }),
         _ => None,
     });
--- a/crates/sched/src/decisions/losses.rs
+++ b/crates/sched/src/decisions/losses.rs
@@ -109,5 +109,5 @@
 
 /// Tells whether a run may ever have begun.
 fn may_have_begun(slot: &Slot) -> bool {
-    slot.confirmed.is_some() || slot.tries.sent() > 0 && slot.stop_confirmed.is_none()
+    slot.confirmed.is_some() || slot.attempts.sent() > 0 && slot.stop_confirmed.is_none()
 }
--- a/crates/sched/src/interface/claims.rs
+++ b/crates/sched/src/interface/claims.rs
@@ -5,7 +5,7 @@
 //! it takes for stored, so it must know which one that is: another try's claim goes with another
 //! lease.
 
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_types::ids;
 
 /// The stored claim.
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use gaplock_jobs::{config, progress, Job, JobKey, TaskKey};
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_types::time::{Instant, Millis};
 use gaplock_types::{ids, sizes};
 
--- a/crates/sched/src/interface/writing.rs
+++ b/crates/sched/src/interface/writing.rs
@@ -8,7 +8,7 @@
 //! so reading the last mark says which one is stored. A driver carries out what [`Writer`] asks for
 //! and hands the answers back.
 
-use gaplock_policy::tries::{CallAttempts, Execution};
+use gaplock_policy::attempts::{Execution, CallAttempts};
 
 /// The stored number of the leadership and of its last commit.
 #[derive(
@@ -79,14 +79,14 @@
     mark: CommitMark,
     /// The last commit that is stored.
     last: CommitRevision,
-    tries: CallAttempts,
+    attempts: CallAttempts,
     /// Whether any try met a conflict, which a leadership that stands cannot cause by itself.
     conflict: bool,
 }
 
 /// Builds the writes of a leadership whose claim bears `mark` and is stored at `last`.
 pub fn open(mark: CommitMark, last: CommitRevision) -> Writer {
-    Writer { mark, last, tries: CallAttempts::default(), conflict: false }
+    Writer { mark, last, attempts: CallAttempts::default(), conflict: false }
 }
 
 impl Writer {
@@ -94,7 +94,7 @@
     /// transactions that were built, so no two of them ever share one.
     pub fn begin(&mut self) -> CommitMark {
         self.mark.number += 1;
-        self.tries = CallAttempts::default();
+        self.attempts = CallAttempts::default();
         self.conflict = false;
         self.mark
     }
@@ -105,13 +105,13 @@
     }
 
     /// Returns the tries of the transaction so far.
-    pub fn tries(&self) -> CallAttempts {
-        self.tries
+    pub fn attempts(&self) -> CallAttempts {
+        self.attempts
     }
 
     /// Takes in that a try is being sent.
     pub fn sent(&mut self) {
-        self.tries.record_send();
+        self.attempts.record_send();
     }
 
     /// Takes in what the last try was answered.
@@ -122,7 +122,7 @@
             Answer::Silent => Execution::Unknown,
         };
         self.conflict |= answer == Answer::Conflict;
-        match self.tries.record_outcome(fate) {
+        match self.attempts.record_outcome(fate) {
             // Its conflict says that the claim or the last commit is another's.
             Execution::NotDone if !self.conflict => Next::NotStored,
             _ => Next::Look,
--- a/crates/sched/src/state/maintenance.rs
+++ b/crates/sched/src/state/maintenance.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gaplock_policy::tries::{Execution, CallAttempts};
+use gaplock_policy::attempts::{Execution, CallAttempts};
 use gaplock_types::ids;
 use gaplock_types::time::Instant;
 use rustc_hash::FxHashMap;
@@ -57,7 +57,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Down {
     /// The tries of its order, with one for those of former leaders.
-    pub(crate) tries: CallAttempts,
+    pub(crate) attempts: CallAttempts,
     /// When its order is to be given again.
     pub(crate) again: Option<Instant>,
     /// When the platform was heard to say that its upkeep has begun.
@@ -69,8 +69,8 @@
     pub(crate) fn new(inherited: bool) -> Self {
         let mut down = Self::default();
         if inherited {
-            down.tries.record_send();
-            down.tries.record_outcome(Execution::Unknown);
+            down.attempts.record_send();
+            down.attempts.record_outcome(Execution::Unknown);
         }
         down
     }
@@ -79,6 +79,6 @@
     /// enough; returns what became of the host.
     pub(crate) fn record_outcome(&mut self, last: Execution, again: Instant) -> Execution {
         self.again = Some(again);
-        self.tries.record_outcome(last)
+        self.attempts.record_outcome(last)
     }
 }
--- a/crates/sched/src/state/pace_orders.rs
+++ b/crates/sched/src/state/pace_orders.rs
@@ -5,7 +5,7 @@
 //! for as long as it lasts: its wanted pace is put in force again and again, and what runs beside
 //! it reckons with the worst.
 
-use gaplock_policy::tries::{Execution, CallAttempts};
+use gaplock_policy::attempts::{Execution, CallAttempts};
 use gaplock_types::time::{Instant, Millis};
 
 /// The pace at which every run begins, in percent of full speed.
@@ -13,34 +13,34 @@
 
 /// The orders of pace that a run was given.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct GivenPaces {
+pub struct PaceOrders {
     /// One for each order: whatever its pace, it may undo the others.
-    tries: CallAttempts,
+    attempts: CallAttempts,
     /// The last order: when it was sent, and the pace.
     last: Option<(Instant, u32)>,
     /// Whether nothing is known of the pace in force, or the last order has got no answer.
-    unsettled: bool,
+    pace_unknown: bool,
     /// The highest pace among the orders without an answer.
-    open_most: u32,
+    max_unanswered_percent: u32,
 }
 
-impl GivenPaces {
+impl PaceOrders {
     /// Builds what is known of a run that a former leader started. The account that lists the run
     /// answers a call of this leader, so its worker refuses what a former leader may have under
     /// way: just the pace in force is not known, and one order that is answered settles it.
-    pub fn found() -> Self {
-        Self { unsettled: true, ..Self::default() }
+    pub fn adopted() -> Self {
+        Self { pace_unknown: true, ..Self::default() }
     }
 
     /// Counts an order that is being sent.
     pub fn send(&mut self, now: Instant, percent: u32) {
-        self.tries.record_send();
+        self.attempts.record_send();
         self.last = Some((now, percent));
     }
 
     /// Tells whether an answer can be that of the last order; any other belongs to an order before
     /// the run was given up and found again.
-    pub fn was_last(&self, percent: u32) -> bool {
+    pub fn may_answer_last(&self, percent: u32) -> bool {
         self.last.is_some_and(|(_, last)| last == percent)
     }
 
@@ -48,13 +48,13 @@
     /// says nothing of the orders before it.
     pub fn record_outcome(&mut self, fate: Execution) -> bool {
         let percent = self.last.map_or(FULL_PACE, |(_, percent)| percent);
-        self.tries.record_outcome(fate);
+        self.attempts.record_outcome(fate);
         match fate {
-            Execution::Done => self.unsettled = false,
+            Execution::Done => self.pace_unknown = false,
             Execution::NotDone => {}
             Execution::Unknown => {
-                self.unsettled = true;
-                self.open_most = self.open_most.max(percent);
+                self.pace_unknown = true;
+                self.max_unanswered_percent = self.max_unanswered_percent.max(percent);
             }
         }
         fate == Execution::Done
@@ -62,23 +62,23 @@
 
     /// Tells whether the wanted pace must be ordered although it is held to be in force: at once
     /// where that is not known, and after `every` where an older order may have undone it.
-    pub fn is_due(&self, now: Instant, every: Millis) -> bool {
+    pub fn must_resend(&self, now: Instant, every: Millis) -> bool {
         let waited = self.last.is_none_or(|(at, _)| now.since(at) >= every);
-        self.unsettled || self.tries.unanswered() > 0 && waited
+        self.pace_unknown || self.attempts.unanswered() > 0 && waited
     }
 
     /// Tells whether the pace last confirmed is in force for certain.
     pub fn is_certain(&self) -> bool {
-        !self.unsettled && self.tries.unanswered() == 0
+        !self.pace_unknown && self.attempts.unanswered() == 0
     }
 
     /// Returns the highest pace that may come into force whatever is ordered.
-    pub fn open_most(&self) -> u32 {
-        self.open_most
+    pub fn max_unanswered_percent(&self) -> u32 {
+        self.max_unanswered_percent
     }
 
     /// Returns how many orders got no answer.
     pub fn unanswered(&self) -> u32 {
-        self.tries.unanswered()
+        self.attempts.unanswered()
     }
 }
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::CallAttempts;
+use gaplock_policy::attempts::CallAttempts;
 use gaplock_types::sizes::Resources;
 use gaplock_types::time::{Instant, Millis};
 use rustc_hash::FxHashMap;
@@ -12,7 +12,7 @@
 use crate::state::checkpoint::Checkpoint;
 use crate::state::abandoned_start::AbandonedStart;
 use crate::state::interference_model::{Column, Row};
-use crate::state::pace_orders::GivenPaces;
+use crate::state::pace_orders::PaceOrders;
 use crate::state::rates::{Mark, Speed};
 use crate::state::trial::Trial;
 
@@ -60,13 +60,13 @@
     /// What every try of its start brings; unset also for a run that a former leader started.
     pub resumes_from: Option<Checkpoint>,
     /// The tries of its start.
-    pub tries: CallAttempts,
+    pub attempts: CallAttempts,
     /// The share of full speed in percent that was last put in force.
     pub pace: u32,
     /// Whether an order for another pace is on its way.
     pub pace_order_in_flight: bool,
     /// The orders of pace so far, and what they leave in doubt.
-    pub pace_orders: GivenPaces,
+    pub pace_orders: PaceOrders,
     /// How far the run has come in percent.
     pub progress_percent: u32,
     /// The worker's last reading: tail in milliseconds or processor time in use.
--- a/crates/sched/tests/claims.rs
+++ b/crates/sched/tests/claims.rs
@@ -4,7 +4,7 @@
 //! leases, so an earlier try that was carried out late would have been taken for the later one, and
 //! its lease left to end.
 
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_sched::claims::{self, LeaderRecord};
 use gaplock_types::ids;
 
--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -1,7 +1,7 @@
 //! Calls between the leader and its workers, and what may go wrong with each of them.
 
 use gaplock_jobs::TaskKey;
-use gaplock_policy::tries::Execution;
+use gaplock_policy::attempts::Execution;
 use gaplock_sched::message::{EndSeq, Outcome, Permit, Refusal, Run, WorkerClock, WorkerIx};
 use gaplock_sched::permits::StepKey;
 use gaplock_sched::writing::CommitMark;
