--- a/crates/sched/src/changes/permits.rs
+++ b/crates/sched/src/changes/permits.rs
@@ -39,16 +39,16 @@
     let step = StepKey { job: ready.job, round: ready.round, step: ready.step };
     let now = cx.now;
     let known = cx.permits.steps.entry(step).or_default();
-    if known.asking || known.not_before > now || cx.permits.under_way >= MOST_CALLS {
+    if known.call_in_flight || known.not_before > now || cx.permits.calls_in_flight >= MOST_CALLS {
         return;
     }
     let workers = candidates(cx, step, pending);
     if workers.is_empty() {
         return;
     }
-    cx.permits.under_way += 1;
+    cx.permits.calls_in_flight += 1;
     if let Some(known) = cx.permits.steps.get_mut(&step) {
-        known.asking = true;
+        known.call_in_flight = true;
     }
     cx.actions.push(Action::Advise { step, workers });
 }
@@ -81,9 +81,9 @@
     answer: Option<(Vec<Permit>, Millis)>,
 ) {
     let now = cx.now;
-    cx.permits.under_way = cx.permits.under_way.saturating_sub(1);
+    cx.permits.calls_in_flight = cx.permits.calls_in_flight.saturating_sub(1);
     let Some(known) = cx.permits.steps.get_mut(&step) else { return };
-    known.asking = false;
+    known.call_in_flight = false;
     let Some((permits, valid)) = answer else {
         known.not_before = now + FAILED_PAUSE;
         trace::advice_missing(step.job, step.step, asked.len());
--- a/crates/sched/src/state/permits.rs
+++ b/crates/sched/src/state/permits.rs
@@ -7,18 +7,18 @@
 
 /// What is known of one step's permissions.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
+pub(crate) struct StepPermits {
     pub(crate) tickets: FxHashMap<WorkerIx, (String, Instant)>,
     pub(crate) denied: FxHashSet<WorkerIx>,
-    pub(crate) asking: bool,
+    pub(crate) call_in_flight: bool,
     pub(crate) not_before: Instant,
 }
 
 /// All permissions, and how many calls are under way.
 #[derive(Debug, Default)]
 pub struct Permits {
-    pub(crate) steps: FxHashMap<StepKey, Known>,
-    pub(crate) under_way: usize,
+    pub(crate) steps: FxHashMap<StepKey, StepPermits>,
+    pub(crate) calls_in_flight: usize,
 }
 
 impl Permits {
