--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -13,7 +13,7 @@
 use crate::changes::{checkpoints, abandoned_starts, terminated, leases, lifecycle, pacing, permits, trace};
 use crate::interface::message::{Action, Outcome, Refusal, Run, StepKey, WorkerClock, WorkerIx};
 use crate::interface::proof::Proof;
-use crate::state::rates::Mark;
+use crate::state::rates::ProgressSample;
 use crate::state::job_table::TaskState;
 use crate::state::worker::Phase;
 use crate::state::State;
@@ -79,7 +79,7 @@
     slot.phase = Phase::Running;
     slot.confirmed = Some(now);
     if slot.resumes_from.is_none() {
-        slot.progress_sample = Some(Mark { at: now, percent: 0 });
+        slot.progress_sample = Some(ProgressSample { at: now, percent: 0 });
     }
     if let Some(task) = cx.task_mut(key) {
         task.invalid_in_row = 0;
--- a/crates/sched/src/changes/speed.rs
+++ b/crates/sched/src/changes/speed.rs
@@ -9,7 +9,7 @@
 
 use crate::interface::message::WorkerIx;
 use crate::state::pace_orders::FULL_PACE;
-use crate::state::rates::{Mark, WHOLE_PERCENT};
+use crate::state::rates::{ProgressSample, COMPLETE_PERCENT};
 use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
 
@@ -34,7 +34,7 @@
         return;
     }
     let now = cx.now;
-    let typical = cx.step_state(key).and_then(|step| step.rates.typical());
+    let typical = cx.step_state(key).and_then(|step| step.rates.median());
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     let Some(rate) = read_rate(slot, now, typical) else { return };
     note(cx, ix, key, rate, typical);
@@ -44,11 +44,11 @@
 pub fn observe_end(cx: &mut State, ix: WorkerIx, key: TaskKey, slot: &Slot) {
     let Some(mark) = slot.progress_sample else { return };
     let span = cx.now.since(mark.at);
-    let left = WHOLE_PERCENT.saturating_sub(mark.percent);
+    let left = COMPLETE_PERCENT.saturating_sub(mark.percent);
     if span < READ_OVER || left < READ_PERCENT || !tells_of_worker(slot) {
         return;
     }
-    let typical = cx.step_state(key).and_then(|step| step.rates.typical());
+    let typical = cx.step_state(key).and_then(|step| step.rates.median());
     note(cx, ix, key, rate(slot, left, span), typical);
 }
 
@@ -74,7 +74,7 @@
     if slot.phase != Phase::Running || matches!(slot.role, TaskRole::Serving { .. }) {
         return None;
     }
-    let next = Mark { at: now, percent: slot.progress_percent };
+    let next = ProgressSample { at: now, percent: slot.progress_percent };
     let Some(mark) = slot.progress_sample else {
         slot.progress_sample = Some(next);
         return None;
--- a/crates/sched/src/decisions/slowness.rs
+++ b/crates/sched/src/decisions/slowness.rs
@@ -5,7 +5,7 @@
 
 use crate::decisions::availability;
 use crate::interface::message::WorkerIx;
-use crate::state::rates::WHOLE_PERCENT;
+use crate::state::rates::COMPLETE_PERCENT;
 use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
 
@@ -47,9 +47,9 @@
 /// Tells whether a run would be done much sooner elsewhere, its stop included.
 fn is_late(cx: &State, ix: WorkerIx, key: TaskKey, slot: &Slot) -> bool {
     let Some(step) = cx.step(key) else { return false };
-    let typical = cx.step_state(key).and_then(|state| state.rates.typical());
+    let typical = cx.step_state(key).and_then(|state| state.rates.median());
     let Some(typical) = typical.filter(|_| !step.gang && !step.lasting) else { return false };
-    let left = |percent: u32, rate: f64| f64::from(WHOLE_PERCENT.saturating_sub(percent)) / rate;
+    let left = |percent: u32, rate: f64| f64::from(COMPLETE_PERCENT.saturating_sub(percent)) / rate;
     let here = left(slot.progress_percent, typical * cx.worker(ix).speed.relative(cx.now).max(SLOWEST));
     let kept = if step.checkpoints { slot.progress_percent } else { 0 };
     let there = left(kept, typical) + overhead(cx, step).0 as f64 / 1_000.0;
--- a/crates/sched/src/state/rates.rs
+++ b/crates/sched/src/state/rates.rs
@@ -3,11 +3,11 @@
 use gaplock_types::time::{Instant, Millis};
 
 /// The progress of a run that has done its work, in percent.
-pub const WHOLE_PERCENT: u32 = 100;
+pub const COMPLETE_PERCENT: u32 = 100;
 
 /// A run's progress at one time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mark {
+pub struct ProgressSample {
     /// When it was read.
     pub at: Instant,
     /// The progress in percent.
@@ -15,10 +15,10 @@
 }
 
 /// How many tasks' rates are kept of a step; more would not move the median by much.
-const RATES_KEPT: usize = 15;
+const MAX_RATES_PER_STEP: usize = 15;
 
 /// From how many tasks on the median says something: with fewer, one slow worker decides it.
-const RATES_LEAST: usize = 4;
+const MIN_RATES_FOR_MEDIAN: usize = 4;
 
 /// The latest rates of some tasks of a step, in percent a second at full pace.
 #[derive(Debug, Clone, Default)]
@@ -32,17 +32,17 @@
     pub fn record(&mut self, index: u32, rate: f64) {
         if let Some((_, known)) = self.latest.iter_mut().find(|(of, _)| *of == index) {
             *known = rate;
-        } else if self.latest.len() < RATES_KEPT {
+        } else if self.latest.len() < MAX_RATES_PER_STEP {
             self.latest.push((index, rate));
         } else {
             self.latest[self.next] = (index, rate);
-            self.next = (self.next + 1) % RATES_KEPT;
+            self.next = (self.next + 1) % MAX_RATES_PER_STEP;
         }
     }
 
     /// Returns the median rate, once enough tasks are known.
-    pub fn typical(&self) -> Option<f64> {
-        if self.latest.len() < RATES_LEAST {
+    pub fn median(&self) -> Option<f64> {
+        if self.latest.len() < MIN_RATES_FOR_MEDIAN {
             return None;
         }
         let mut rates: Vec<f64> = self.latest.iter().map(|(_, rate)| *rate).collect();
@@ -71,10 +71,10 @@
 /// The relative speed below which a worker is slow. On the users' sites healthy runs lie between
 /// 0.6 and 1.5 of their step's median, those on slow workers between 0.1 and 0.3; where tasks of
 /// one step differ by a third, long ones come down to a half.
-const SLOW_BELOW: f64 = 0.4;
+const SLOW_RELATIVE_SPEED: f64 = 0.4;
 
 /// How long a worker's speed is believed without a new reading.
-const BELIEVED_FOR: Millis = Millis(3_000);
+const SPEED_VALID_FOR: Millis = Millis(3_000);
 
 impl Speed {
     /// Takes in how fast a run on the worker was against its step.
@@ -86,7 +86,7 @@
 
     /// Returns the worker's speed; 1 where nothing is known.
     pub fn relative(&self, now: Instant) -> f64 {
-        if now.since(self.at) > BELIEVED_FOR {
+        if now.since(self.at) > SPEED_VALID_FOR {
             return 1.0;
         }
         self.relative
@@ -94,6 +94,6 @@
 
     /// Tells whether the worker is much slower than others.
     pub fn is_slow(&self, now: Instant) -> bool {
-        self.relative(now) < SLOW_BELOW
+        self.relative(now) < SLOW_RELATIVE_SPEED
     }
 }
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -13,7 +13,7 @@
 use crate::state::abandoned_start::AbandonedStart;
 use crate::state::interference_model::{Column, Row};
 use crate::state::pace_orders::PaceOrders;
-use crate::state::rates::{Mark, Speed};
+use crate::state::rates::{ProgressSample, Speed};
 use crate::state::trial::Trial;
 
 /// The percentage at which a lasting task is at work.
@@ -72,7 +72,7 @@
     /// The worker's last reading: tail in milliseconds or processor time in use.
     pub reading: Option<u32>,
     /// The progress from which the run's rate is read next.
-    pub progress_sample: Option<Mark>,
+    pub progress_sample: Option<ProgressSample>,
     /// Since when a serving task's readings have been over its target.
     pub over_target_since: Option<Instant>,
     /// Since when a filling task has been slowed down a lot.
