--- a/crates/sched/src/changes/intake.rs
+++ b/crates/sched/src/changes/intake.rs
@@ -9,7 +9,7 @@
 
 use crate::changes::{commits, directory, lifecycle, permits, trace};
 use crate::interface::message::Record;
-use crate::state::recovery_scan::Survey;
+use crate::state::recovery_scan::RecoveryScan;
 use crate::state::job_table::{Entry, Round};
 use crate::state::State;
 
@@ -108,7 +108,7 @@
 
 /// Begins every round that has fallen due.
 pub fn begin_due_rounds(cx: &mut State) {
-    if cx.recovery_scan.as_ref().is_some_and(Survey::is_all_in_doubt) {
+    if cx.recovery_scan.as_ref().is_some_and(RecoveryScan::any_task_may_be_running) {
         return;
     }
     let repeating = |e: &Entry| e.next_round < e.rounds_in_all() && !e.state.is_final();
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -17,7 +17,7 @@
     checkpoints, crashes, directory, intake, leases, lifecycle, roster, trace, maintenance,
 };
 use crate::interface::message::{RosterEntry, Run, WaveProgress, WorkerIx};
-use crate::state::recovery_scan::Survey;
+use crate::state::recovery_scan::RecoveryScan;
 use crate::state::job_table::{Entry, Round, StepState, TaskState};
 use crate::state::worker::Listing;
 use crate::state::State;
@@ -69,7 +69,7 @@
     let until = cx.now + lease + cx.settings.takeover_margin;
     trace::takeover_began(cx.term.number, jobs.len(), waiting.len(), closed.len());
     let lost = Vec::new();
-    let survey = Survey { waiting, closed, lost, settled: false, until, began: cx.now };
+    let survey = RecoveryScan { unanswered_open: waiting, unanswered_closed: closed, terminated: lost, open_workers_resolved: false, leases_over_at: until, began: cx.now };
     cx.recovery_scan = Some(survey);
     for job in jobs {
         let key = job.key;
@@ -172,11 +172,11 @@
 pub fn answered(cx: &mut State, ix: WorkerIx) {
     let gone = cx.worker(ix).terminated;
     let Some(survey) = &mut cx.recovery_scan else { return };
-    if survey.waiting.remove(&ix) && gone {
-        survey.lost.push(ix);
+    if survey.unanswered_open.remove(&ix) && gone {
+        survey.terminated.push(ix);
     }
-    let held = survey.closed.remove(&ix);
-    let is_narrowed = survey.waiting.is_empty();
+    let held = survey.unanswered_closed.remove(&ix);
+    let is_narrowed = survey.unanswered_open.is_empty();
     if let Some(held) = held {
         if gone {
             crashes::holder_lost(cx, ix, &held, true);
@@ -192,16 +192,16 @@
 /// are over.
 pub fn check_survey(cx: &mut State) {
     let Some(survey) = &cx.recovery_scan else { return };
-    let late = cx.now >= survey.until;
-    if !survey.waiting.is_empty() && !late {
+    let late = cx.now >= survey.leases_over_at;
+    if !survey.unanswered_open.is_empty() && !late {
         return;
     }
-    let (took, silent) = (cx.now.since(survey.began), survey.waiting.len());
-    if survey.closed.is_empty() || late {
+    let (took, silent) = (cx.now.since(survey.began), survey.unanswered_open.len());
+    if survey.unanswered_closed.is_empty() || late {
         end_survey(cx);
         trace::survey_ended(took, silent);
-    } else if !survey.settled {
-        trace::survey_narrowed(took, survey.closed.len());
+    } else if !survey.open_workers_resolved {
+        trace::survey_narrowed(took, survey.unanswered_closed.len());
         settle_all(cx);
     }
 }
@@ -209,20 +209,20 @@
 /// Ends the survey: nothing is in doubt any more.
 fn end_survey(cx: &mut State) {
     let Some(mut survey) = cx.recovery_scan.take() else { return };
-    for ix in survey.waiting {
+    for ix in survey.unanswered_open {
         if cx.worker(ix).is_absent() {
             leases::give_up(cx, ix);
-            survey.lost.push(ix);
+            survey.terminated.push(ix);
         }
     }
-    for (ix, held) in survey.closed {
+    for (ix, held) in survey.unanswered_closed {
         let gone = cx.worker(ix).is_absent();
         crashes::holder_lost(cx, ix, &held, gone);
         if gone {
             leases::give_up(cx, ix);
         }
     }
-    settle(cx, &FxHashSet::default(), &survey.lost);
+    settle(cx, &FxHashSet::default(), &survey.terminated);
 }
 
 /// Decides about the tasks that are no longer in doubt once the open workers are through.
@@ -263,9 +263,9 @@
 /// open workers that are gone.
 fn held(cx: &mut State) -> (FxHashSet<TaskKey>, Vec<WorkerIx>) {
     let Some(survey) = &mut cx.recovery_scan else { return Default::default() };
-    survey.settled = true;
-    let held = survey.closed.values().flatten().copied().collect();
-    (held, mem::take(&mut survey.lost))
+    survey.open_workers_resolved = true;
+    let held = survey.unanswered_closed.values().flatten().copied().collect();
+    (held, mem::take(&mut survey.terminated))
 }
 
 /// Lists the tasks that may have run and were found nowhere.
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -32,7 +32,7 @@
 use freshness::Freshness;
 use interference_model::InterferenceModel;
 use permits::Permits;
-use recovery_scan::Survey;
+use recovery_scan::RecoveryScan;
 use suspicion::Crashes;
 use job_table::{Entry, ReadyStep, StepState, Task, TaskState};
 use maintenance::Upkeep;
@@ -98,7 +98,7 @@
     /// Steps with pending tasks.
     pub ready: BTreeSet<ReadyStep>,
     /// Set while former leaders' runs are being searched for.
-    pub recovery_scan: Option<Survey>,
+    pub recovery_scan: Option<RecoveryScan>,
     /// What is to be stored.
     pub commits: Commits,
     /// What is known of how tasks disturb each other.
