--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -167,7 +167,7 @@
     let noted = |t: &Task| t.state != TaskState::Done && is_noted(t);
     let crashed = |t: &Task| t.suspicion.as_ref().map(|s| s.crashed.clone()).unwrap_or_default();
     let waits = |t: &Task| matches!(t.state, TaskState::Waiting | TaskState::Pending);
-    let started = |t: &Task| t.suspicion.as_ref()?.started_to_store(waits(t));
+    let started = |t: &Task| t.suspicion.as_ref()?.possible_workers_to_store(waits(t));
     let notes = tasks.filter(|(_, t)| noted(t)).map(|(index, t)| TaskRecord {
         index,
         failed: t.failed,
@@ -175,7 +175,7 @@
         checkpoint: t.checkpoint.as_ref().map(|c| c.text.to_string()),
         checkpoint_run: t.checkpoint.as_ref().map_or(0, |c| c.run.0),
         crashed: crashed(t),
-        perhaps_crashed: t.suspicion.as_ref().and_then(|s| s.perhaps.clone()),
+        perhaps_crashed: t.suspicion.as_ref().and_then(|s| s.possible_crash.clone()),
         started: started(t),
     });
     StepProgress { done: progress::pack(done), notes: notes.collect() }
--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -7,7 +7,7 @@
 use crate::changes::{commits, trace};
 use crate::decisions::losses::{self, Blamed, Loss, AT_START};
 use crate::interface::message::WorkerIx;
-use crate::state::suspicion::{Saved, Started};
+use crate::state::suspicion::{Saved, RecordedStart};
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
@@ -36,7 +36,7 @@
     let (together, blamed) = (worker.slots.len(), losses::blamed(worker));
     let many = losses::are_many_lost(cx);
     if loss == Loss::Crashed {
-        cx.crashes.lost_at.insert(addr, cx.now);
+        cx.crashes.last_crash_by_addr.insert(addr, cx.now);
     }
     for Blamed { key, confirmed, lived } in blamed {
         if many && !cx.crashes.suspects.contains(&key) {
@@ -60,22 +60,22 @@
         return;
     };
     let suspicion = task.suspicion.get_or_insert_default();
-    if suspicion.names(worker) {
+    if suspicion.involves(worker) {
         return;
     }
     match loss {
         Loss::Crashed => suspicion.crashed.push(worker.clone()),
         Loss::Silent => suspicion.silent.push((worker.clone(), now)),
     }
-    suspicion.started = match loss {
-        Loss::Crashed => Started::Nowhere,
-        Loss::Silent => Started::At(worker.clone()),
+    suspicion.recorded_start = match loss {
+        Loss::Crashed => RecordedStart::Nowhere,
+        Loss::Silent => RecordedStart::At(worker.clone()),
     };
     let first = suspicion.crashed.len() + suspicion.silent.len() == 1;
     let at_start = evidence.confirmed && evidence.lived < AT_START;
-    suspicion.at_start = at_start && (first || suspicion.at_start);
-    (suspicion.lived, suspicion.ordinary) = (evidence.lived, is_gang);
-    suspicion.alone = evidence.alone;
+    suspicion.all_at_start = at_start && (first || suspicion.all_at_start);
+    (suspicion.last_run_duration, suspicion.exempt_from_trial) = (evidence.lived, is_gang);
+    suspicion.last_was_alone = evidence.alone;
     let crashes = suspicion.crashed.len();
     if loss == Loss::Crashed {
         suspicion.saved = Saved::No;
@@ -93,8 +93,8 @@
         return false;
     };
     let suspicion = task.suspicion.get_or_insert_default();
-    suspicion.perhaps = Some(worker.clone());
-    suspicion.ordinary = true;
+    suspicion.possible_crash = Some(worker.clone());
+    suspicion.exempt_from_trial = true;
     cx.crashes.add(key, worker);
     trace::task_doubted(key, worker);
     true
@@ -105,6 +105,6 @@
     let now = cx.now;
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
     let Some(suspicion) = cx.task_mut(key).and_then(|t| t.suspicion.as_mut()) else { return };
-    (suspicion.saved, suspicion.ordinary) = (Saved::No, is_gang);
+    (suspicion.saved, suspicion.exempt_from_trial) = (Saved::No, is_gang);
     commits::mark_urgent(&mut cx.commits, now, key.job);
 }
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -9,7 +9,7 @@
 use crate::changes::commits;
 use crate::decisions::losses::{self, Loss, AT_START};
 use crate::interface::message::WorkerIx;
-use crate::state::suspicion::{Started, Suspicion};
+use crate::state::suspicion::{RecordedStart, CrashEvidence};
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
@@ -22,16 +22,16 @@
 const DOUBTED_MOST: usize = 1_000;
 
 /// Puts what a former leader stored of a task's crashes back.
-pub fn restored(note: &TaskRecord) -> Option<Box<Suspicion>> {
+pub fn restored(note: &TaskRecord) -> Option<Box<CrashEvidence>> {
     let (crashed, perhaps) = (note.crashed.clone(), note.perhaps_crashed.clone());
     if crashed.is_empty() && perhaps.is_none() {
         return None;
     }
     let started = match &note.started {
-        None => Started::Unrecorded,
-        Some(workers) => workers.first().cloned().map_or(Started::Nowhere, Started::At),
+        None => RecordedStart::Unrecorded,
+        Some(workers) => workers.first().cloned().map_or(RecordedStart::Nowhere, RecordedStart::At),
     };
-    Some(Box::new(Suspicion { crashed, perhaps, started, ..Suspicion::default() }))
+    Some(Box::new(CrashEvidence { crashed, possible_crash: perhaps, recorded_start: started, ..CrashEvidence::default() }))
 }
 
 /// Finds the suspects of a job that was restored.
@@ -40,8 +40,8 @@
     let gangs: Vec<bool> = entry.job.steps.iter().map(|step| step.gang).collect();
     for (key, task) in entry.keyed_tasks_mut() {
         let Some(suspicion) = &mut task.suspicion else { continue };
-        suspicion.ordinary = gangs[usize::from(key.step)];
-        for worker in suspicion.crashed.iter().chain(&suspicion.perhaps) {
+        suspicion.exempt_from_trial = gangs[usize::from(key.step)];
+        for worker in suspicion.crashed.iter().chain(&suspicion.possible_crash) {
             cx.crashes.add(key, worker);
         }
     }
@@ -79,7 +79,7 @@
     let id = cx.worker(ix).info.id.clone();
     let doubted = |key: &TaskKey| {
         let suspicion = cx.task(*key).and_then(|t| t.suspicion.as_ref());
-        suspicion.is_some_and(|s| s.perhaps.is_some())
+        suspicion.is_some_and(|s| s.possible_crash.is_some())
     };
     let (twice, others): (Vec<TaskKey>, Vec<TaskKey>) =
         unfound.iter().partition(|key| doubted(key));
@@ -111,14 +111,14 @@
     let mut unknown = FxHashSet::default();
     for &key in unfound {
         let suspicion = cx.task(key).and_then(|t| t.suspicion.as_ref());
-        match suspicion.map(|s| s.started.clone()).unwrap_or_default() {
-            Started::Unrecorded => {
+        match suspicion.map(|s| s.recorded_start.clone()).unwrap_or_default() {
+            RecordedStart::Unrecorded => {
                 unknown.insert(key);
             }
-            Started::At(id) if crashed.contains(&id) => {
+            RecordedStart::At(id) if crashed.contains(&id) => {
                 suspect(cx, key, &unknown_lives(&id, 1));
             }
-            Started::Nowhere | Started::At(_) => {}
+            RecordedStart::Nowhere | RecordedStart::At(_) => {}
         }
     }
     unknown
@@ -127,6 +127,6 @@
 /// Notes that a suspect waits, so that its next start is stored before it is sent.
 fn note_unstarted(cx: &mut State, key: TaskKey) {
     if let Some(suspicion) = cx.task_mut(key).and_then(|t| t.suspicion.as_mut()) {
-        suspicion.started = Started::Nowhere;
+        suspicion.recorded_start = RecordedStart::Nowhere;
     }
 }
--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -12,7 +12,7 @@
 use crate::changes::{commits, lifecycle, orders};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::proof::Proof;
-use crate::state::suspicion::{Saved, Started};
+use crate::state::suspicion::{Saved, RecordedStart};
 use crate::state::worker::Phase;
 use crate::state::State;
 
@@ -23,12 +23,12 @@
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
     let Some(suspicion) = cx.task_mut(key).and_then(|t| t.suspicion.as_mut()) else { return false };
     if is_gang {
-        suspicion.started = Started::Unrecorded;
+        suspicion.recorded_start = RecordedStart::Unrecorded;
     }
-    if suspicion.started == Started::Unrecorded {
+    if suspicion.recorded_start == RecordedStart::Unrecorded {
         return false;
     }
-    (suspicion.started, suspicion.saved) = (Started::At(id), Saved::No);
+    (suspicion.recorded_start, suspicion.saved) = (RecordedStart::At(id), Saved::No);
     cx.crashes.held_starts.push((ix, key, run));
     commits::mark_urgent(&mut cx.commits, cx.now, key.job);
     true
--- a/crates/sched/src/changes/crashes/verdict.rs
+++ b/crates/sched/src/changes/crashes/verdict.rs
@@ -48,7 +48,7 @@
     if !suspicion.resolve(worker, crashed) {
         return;
     }
-    let level = suspicion.level();
+    let level = suspicion.possible_losses();
     if suspicion.to_store() != stored {
         suspicion.saved = Saved::No;
         commits::mark(&mut cx.commits, now, key.job);
@@ -74,11 +74,11 @@
 /// Does what time alone calls for: judges silent workers, clears tasks that have been at work for long,
 /// and fails the jobs of those that have crashed too many workers.
 pub fn check(cx: &mut State) {
-    if cx.now.since(cx.crashes.checked) < CHECK_EVERY {
+    if cx.now.since(cx.crashes.last_checked) < CHECK_EVERY {
         return;
     }
-    cx.crashes.checked = cx.now;
-    cx.crashes.forget_old(cx.now);
+    cx.crashes.last_checked = cx.now;
+    cx.crashes.evict_old(cx.now);
     let suspects: Vec<TaskKey> = cx.crashes.suspects.iter().copied().collect();
     for key in suspects {
         judge_silent(cx, key);
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -72,7 +72,7 @@
 /// Starts suspects alone on empty workers, those with most losses first. The others start like any task
 /// from now on, at once or after some patience.
 pub fn start(cx: &mut State) {
-    if !cx.crashes.may_wait {
+    if !cx.crashes.suspect_may_wait {
         return;
     }
     let waiting = waiting(cx);
@@ -103,14 +103,14 @@
     let mut found: Vec<Waiting> = Vec::new();
     for &key in &cx.crashes.suspects {
         let Some(task) = cx.task(key).filter(|t| t.state == TaskState::Pending) else { continue };
-        let Some(suspicion) = task.suspicion.as_ref().filter(|s| !s.ordinary) else { continue };
+        let Some(suspicion) = task.suspicion.as_ref().filter(|s| !s.exempt_from_trial) else { continue };
         any = true;
         if task.not_before <= now && suspicion.may_start() {
-            let (losses, lived) = (suspicion.losses(), suspicion.lived);
+            let (losses, lived) = (suspicion.losses(), suspicion.last_run_duration);
             found.push(Waiting { task: key, losses, lived, waited: now.since(task.since) });
         }
     }
-    cx.crashes.may_wait = any;
+    cx.crashes.suspect_may_wait = any;
     found.sort_by_key(|w| (Reverse(w.losses), w.lived, w.task));
     found
 }
@@ -132,7 +132,7 @@
     let rank = |ix: WorkerIx| {
         let worker = cx.worker(ix);
         let heard = worker.clock.map(|(heard, _)| heard);
-        (cx.crashes.lost_at.get(&worker.info.addr).copied(), Reverse(heard))
+        (cx.crashes.last_crash_by_addr.get(&worker.info.addr).copied(), Reverse(heard))
     };
     let fit =
         empty.iter().enumerate().filter(|(_, ix)| placement::value(cx, **ix, &wanted).is_some());
@@ -147,6 +147,6 @@
 fn start_like_others(cx: &mut State, key: TaskKey) {
     let suspicion = cx.task_mut(key).and_then(|t| t.suspicion.as_mut());
     if let Some(suspicion) = suspicion {
-        suspicion.ordinary = true;
+        suspicion.exempt_from_trial = true;
     }
 }
--- a/crates/sched/src/decisions/losses.rs
+++ b/crates/sched/src/decisions/losses.rs
@@ -71,7 +71,7 @@
 pub fn are_many_lost(cx: &State) -> bool {
     let lately = |w: &Worker| w.clock.is_some_and(|(heard, _)| cx.now.since(heard) < LATELY);
     let silent = cx.workers.iter().filter(|w| !w.terminated && !w.answers() && lately(w)).count();
-    let lost = cx.crashes.lost_at.values().filter(|at| cx.now.since(**at) < AT_ONE_TIME).count();
+    let lost = cx.crashes.last_crash_by_addr.values().filter(|at| cx.now.since(**at) < AT_ONE_TIME).count();
     silent + lost >= MANY_LEAST.max(cx.worker_ixs().len() / MANY_SHARE)
 }
 
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -33,7 +33,7 @@
 use interference_model::InterferenceModel;
 use permits::Permits;
 use recovery_scan::RecoveryScan;
-use suspicion::Crashes;
+use suspicion::CrashTracker;
 use job_table::{Entry, ReadyStep, StepState, Task, TaskState};
 use maintenance::Upkeep;
 use worker::{Renewal, Worker};
@@ -106,7 +106,7 @@
     /// Where steps may run whose queue asks another service.
     pub permits: Permits,
     /// Tasks under which workers were lost.
-    pub crashes: Crashes,
+    pub crashes: CrashTracker,
     /// Waves of upkeep.
     pub maintenance: Upkeep,
     /// What is to be done.
@@ -156,7 +156,7 @@
             commits: Commits::default(),
             interference: InterferenceModel::default(),
             permits: Permits::default(),
-            crashes: Crashes::default(),
+            crashes: CrashTracker::default(),
             maintenance: Upkeep::default(),
             actions: Vec::new(),
             starts_in_flight: 0,
--- a/crates/sched/src/state/crash_evidence.rs
+++ b/crates/sched/src/state/crash_evidence.rs
@@ -11,20 +11,20 @@
 
 /// How many workers may crash under a task before its job fails, whatever else is known. Users bear five
 /// starts of a task that crashes its workers; one of them may be forgotten with its leader.
-pub const MOST_CRASHES: usize = 4;
+pub const MAX_CRASHES: usize = 4;
 
 /// How many are enough where each crash followed the start at once and the last one took a worker that
 /// the task had to itself: two may crash by chance while an unlucky task is there, a third hardly so.
-const CRASHES_AT_START: usize = 3;
+const MAX_CRASHES_AT_START: usize = 3;
 
 /// How many workers speak against one suspect at most; more are those of former ones.
-const WORKERS_PER_SUSPECT: usize = MOST_CRASHES + 1;
+const MAX_WORKERS_PER_SUSPECT: usize = MAX_CRASHES + 1;
 
 /// How many addresses are kept before those are dropped that have lost no worker for long.
-const ADDRESSES_KEPT: usize = 1_024;
+const MAX_CRASH_ADDRESSES: usize = 1_024;
 
 /// For how long the loss of a worker speaks against its address: hosts that fail do so within minutes.
-const LOSS_REMEMBERED: Millis = Millis(600_000);
+const CRASH_ADDRESS_RETENTION: Millis = Millis(600_000);
 
 /// Whether what is known of a suspect is stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -40,7 +40,7 @@
 
 /// What is stored of where a suspect was started since what speaks against it was noted.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub(crate) enum Started {
+pub(crate) enum RecordedStart {
     /// Nothing: it may have been started anywhere.
     #[default]
     Unrecorded,
@@ -52,29 +52,29 @@
 
 /// What speaks against a task under which workers were lost.
 #[derive(Debug, Clone, Default)]
-pub struct Suspicion {
+pub struct CrashEvidence {
     /// The workers that crashed under it.
     pub crashed: Vec<ids::WorkerId>,
     /// One more that may have crashed under it, at a change of leader or together with many others.
-    pub perhaps: Option<ids::WorkerId>,
+    pub possible_crash: Option<ids::WorkerId>,
     /// Workers under it that were silent past all leases while the directory listed them, and since when.
     pub(crate) silent: Vec<(ids::WorkerId, Instant)>,
     pub(crate) saved: Saved,
-    pub(crate) started: Started,
+    pub(crate) recorded_start: RecordedStart,
     /// How long its last lost run was known to have been at work.
-    pub(crate) lived: Millis,
+    pub(crate) last_run_duration: Millis,
     /// Whether each crash followed a start at once, as far as is known.
-    pub(crate) at_start: bool,
+    pub(crate) all_at_start: bool,
     /// Whether the last crash took a worker that the task had to itself.
-    pub(crate) alone: bool,
+    pub(crate) last_was_alone: bool,
     /// Whether it starts like any other task, because it cannot be tried alone.
-    pub(crate) ordinary: bool,
+    pub(crate) exempt_from_trial: bool,
 }
 
-impl Suspicion {
+impl CrashEvidence {
     /// Returns how many workers were lost under the task, for all that is known.
-    pub(crate) fn level(&self) -> usize {
-        self.crashed.len() + self.silent.len() + usize::from(self.perhaps.is_some())
+    pub(crate) fn possible_losses(&self) -> usize {
+        self.crashed.len() + self.silent.len() + usize::from(self.possible_crash.is_some())
     }
 
     /// Returns how many losses the task is tried for; one that is only possible adds nothing to others.
@@ -84,32 +84,32 @@
 
     /// Returns what a successor must know: how many workers crashed, and whether one more may have.
     pub(crate) fn to_store(&self) -> (usize, bool) {
-        (self.crashed.len(), self.perhaps.is_some())
+        (self.crashed.len(), self.possible_crash.is_some())
     }
 
     /// Returns where a successor is to suppose the task at work; nothing where starts are not recorded.
-    pub(crate) fn started_to_store(&self, waits: bool) -> Option<Vec<ids::WorkerId>> {
-        match &self.started {
-            Started::Unrecorded => None,
-            Started::At(worker) if !waits || !self.silent.is_empty() => Some(vec![worker.clone()]),
-            Started::Nowhere | Started::At(_) => Some(Vec::new()),
+    pub(crate) fn possible_workers_to_store(&self, waits: bool) -> Option<Vec<ids::WorkerId>> {
+        match &self.recorded_start {
+            RecordedStart::Unrecorded => None,
+            RecordedStart::At(worker) if !waits || !self.silent.is_empty() => Some(vec![worker.clone()]),
+            RecordedStart::Nowhere | RecordedStart::At(_) => Some(Vec::new()),
         }
     }
 
     /// Tells whether the task is held to crash its workers.
     pub(crate) fn is_proven(&self) -> bool {
-        let at_start = self.at_start && self.alone && self.crashed.len() >= CRASHES_AT_START;
-        at_start || self.crashed.len() >= MOST_CRASHES
+        let at_start = self.all_at_start && self.last_was_alone && self.crashed.len() >= MAX_CRASHES_AT_START;
+        at_start || self.crashed.len() >= MAX_CRASHES
     }
 
-    pub(crate) fn names(&self, worker: &ids::WorkerId) -> bool {
+    pub(crate) fn involves(&self, worker: &ids::WorkerId) -> bool {
         self.crashed.contains(worker) || self.silent.iter().any(|(id, _)| id == worker)
     }
 
     /// Tells whether the task may start. With as many losses as a task may have it waits until it is
     /// known which of them were crashes.
     pub(crate) fn may_start(&self) -> bool {
-        let undecided = self.crashed.len() + self.silent.len() >= MOST_CRASHES;
+        let undecided = self.crashed.len() + self.silent.len() >= MAX_CRASHES;
         self.saved == Saved::Yes && !undecided && !self.is_proven()
     }
 
@@ -122,30 +122,30 @@
             self.crashed.extend(was_silent.then(|| worker.clone()));
             return was_silent;
         }
-        let before = self.level();
+        let before = self.possible_losses();
         self.crashed.retain(|id| id != worker);
-        self.perhaps = self.perhaps.take().filter(|id| id != worker);
-        was_silent || self.level() != before
+        self.possible_crash = self.possible_crash.take().filter(|id| id != worker);
+        was_silent || self.possible_losses() != before
     }
 }
 
 /// What the leader knows of crashes beyond single tasks.
 #[derive(Debug, Default)]
-pub struct Crashes {
+pub struct CrashTracker {
     /// All tasks with a suspicion.
     pub suspects: BTreeSet<TaskKey>,
     /// The suspects that a lost worker speaks or spoke against.
     pub(crate) by_worker: FxHashMap<ids::WorkerId, Vec<TaskKey>>,
     /// When a worker at an address last crashed.
-    pub(crate) lost_at: FxHashMap<String, Instant>,
+    pub(crate) last_crash_by_addr: FxHashMap<String, Instant>,
     /// Set when a suspect may wait to be tried alone.
-    pub(crate) may_wait: bool,
-    pub(crate) checked: Instant,
+    pub(crate) suspect_may_wait: bool,
+    pub(crate) last_checked: Instant,
     /// Starts of suspects that are sent once they are stored.
     pub(crate) held_starts: Vec<(WorkerIx, TaskKey, Run)>,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Adds a suspect and the worker that speaks against it.
     pub(crate) fn add(&mut self, key: TaskKey, worker: &ids::WorkerId) {
         self.suspects.insert(key);
@@ -154,18 +154,18 @@
     }
 
     /// Drops workers that speak against no suspect any more, and addresses that lost none for long.
-    pub(crate) fn forget_old(&mut self, now: Instant) {
-        if self.by_worker.len() > self.suspects.len() * WORKERS_PER_SUSPECT {
+    pub(crate) fn evict_old(&mut self, now: Instant) {
+        if self.by_worker.len() > self.suspects.len() * MAX_WORKERS_PER_SUSPECT {
             let suspects = &self.suspects;
             self.by_worker.retain(|_, keys| keys.iter().any(|key| suspects.contains(key)));
         }
-        if self.lost_at.len() > ADDRESSES_KEPT {
-            self.lost_at.retain(|_, at| now.since(*at) < LOSS_REMEMBERED);
+        if self.last_crash_by_addr.len() > MAX_CRASH_ADDRESSES {
+            self.last_crash_by_addr.retain(|_, at| now.since(*at) < CRASH_ADDRESS_RETENTION);
         }
     }
 
     /// Takes in that a suspect waits for a worker.
     pub fn note_waiting(&mut self) {
-        self.may_wait = true;
+        self.suspect_may_wait = true;
     }
 }
--- a/crates/sched/src/state/job_table.rs
+++ b/crates/sched/src/state/job_table.rs
@@ -12,7 +12,7 @@
 use crate::interface::message::{Run, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
 use crate::state::rates::StepRates;
-use crate::state::suspicion::Suspicion;
+use crate::state::suspicion::CrashEvidence;
 
 /// Where a task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,7 +63,7 @@
     /// A run on a slow worker that goes on while a copy is started elsewhere.
     pub slow_run: Option<(WorkerIx, Run)>,
     /// What speaks against it, if workers were lost under it; few tasks have any.
-    pub suspicion: Option<Box<Suspicion>>,
+    pub suspicion: Option<Box<CrashEvidence>>,
 }
 
 impl Task {
