--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -12,7 +12,7 @@
 use gaplock_platform::store::Revision;
 use gaplock_remote::clock;
 use gaplock_sched::context::Term;
-use gaplock_sched::job_table::Entry;
+use gaplock_sched::job_table::JobEntry;
 use gaplock_sched::message::{FencingToken, Record};
 use gaplock_sched::room::{self, Free};
 use gaplock_sched::{commits, evacuation, Context, Event};
@@ -149,10 +149,10 @@
         match message {
             Message::Event(event) => self.cx.handle(clock::now(), clock::unix_ms(), event),
             Message::Status(key, tx) => {
-                let known = |e: &&Entry| !e.unreadable || e.shown.is_final();
+                let known = |e: &&JobEntry| !e.unreadable || e.stored_state.is_final();
                 let entry = self.cx.jobs.get(&key).filter(known);
                 let answer = entry.map_or(StatusAnswer::Unknown, |entry| {
-                    StatusAnswer::State(presentable(entry.state, entry.shown))
+                    StatusAnswer::State(presentable(entry.state, entry.stored_state))
                 });
                 if tx.try_send(answer).is_err() {
                     tracing::debug!(event = "status_not_wanted", job = %key);
--- a/crates/sched/src/changes/account.rs
+++ b/crates/sched/src/changes/account.rs
@@ -41,7 +41,7 @@
     stop_after_end(cx, ix, row);
     let Some(task) = cx.task_mut(row.task) else { return };
     if row.progress_percent >= READY_PERCENT {
-        task.failed_in_row = 0;
+        task.consecutive_failures = 0;
     }
 }
 
--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -16,7 +16,7 @@
 use crate::interface::message::{EndSeq, Record, RosterEntry, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
 use crate::state::commits::{Commits, InFlightCommit, Records};
-use crate::state::job_table::{Entry, StepState, Task, TaskState};
+use crate::state::job_table::{JobEntry, StepState, Task, TaskState};
 use crate::state::State;
 
 /// Marks a job's progress as changed.
@@ -98,7 +98,7 @@
     saved::commit_ended(cx, true);
     for (key, state) in covered.jobs {
         if let Some(entry) = cx.jobs.get_mut(&key) {
-            entry.shown = state;
+            entry.stored_state = state;
         }
     }
     for (ix, seq) in covered.ends {
@@ -134,10 +134,10 @@
 }
 
 /// Builds the stored form of a job's progress.
-pub fn progress_of(entry: &Entry) -> Progress {
+pub fn progress_of(entry: &JobEntry) -> Progress {
     let mut rounds: Vec<RoundProgress> = Vec::new();
     if !entry.state.is_final() {
-        let finished = entry.finished.iter();
+        let finished = entry.finished_rounds.iter();
         rounds.extend(finished.map(|&round| RoundProgress {
             round,
             finished: true,
@@ -163,11 +163,11 @@
     let tasks = step.tasks.iter().enumerate().map(|(index, task)| (index as u32, task));
     let done = tasks.clone().filter(|(_, t)| t.state == TaskState::Done).map(|(index, _)| index);
     let kept = |t: &Task| t.checkpoint.as_ref().is_some_and(|c| !is_at_worker(t, c));
-    let is_noted = |t: &Task| t.failed > 0 || kept(t) || t.suspicion.is_some();
+    let is_noted = |t: &Task| t.failed > 0 || kept(t) || t.crash_evidence.is_some();
     let noted = |t: &Task| t.state != TaskState::Done && is_noted(t);
-    let crashed = |t: &Task| t.suspicion.as_ref().map(|s| s.crashed.clone()).unwrap_or_default();
+    let crashed = |t: &Task| t.crash_evidence.as_ref().map(|s| s.crashed.clone()).unwrap_or_default();
     let waits = |t: &Task| matches!(t.state, TaskState::Waiting | TaskState::Pending);
-    let started = |t: &Task| t.suspicion.as_ref()?.possible_workers_to_store(waits(t));
+    let started = |t: &Task| t.crash_evidence.as_ref()?.possible_workers_to_store(waits(t));
     let notes = tasks.filter(|(_, t)| noted(t)).map(|(index, t)| TaskRecord {
         index,
         failed: t.failed,
@@ -175,7 +175,7 @@
         checkpoint: t.checkpoint.as_ref().map(|c| c.text.to_string()),
         checkpoint_run: t.checkpoint.as_ref().map_or(0, |c| c.run.0),
         crashed: crashed(t),
-        perhaps_crashed: t.suspicion.as_ref().and_then(|s| s.possible_crash.clone()),
+        perhaps_crashed: t.crash_evidence.as_ref().and_then(|s| s.possible_crash.clone()),
         started: started(t),
     });
     StepProgress { done: progress::pack(done), notes: notes.collect() }
--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -7,7 +7,7 @@
 use crate::changes::{commits, trace};
 use crate::decisions::losses::{self, Blamed, Loss, AT_START};
 use crate::interface::message::WorkerIx;
-use crate::state::suspicion::{Saved, RecordedStart};
+use crate::state::crash_evidence::{Saved, RecordedStart};
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
@@ -59,7 +59,7 @@
     let Some(task) = cx.task_mut(key).filter(|t| live && t.state != TaskState::Done) else {
         return;
     };
-    let suspicion = task.suspicion.get_or_insert_default();
+    let suspicion = task.crash_evidence.get_or_insert_default();
     if suspicion.involves(worker) {
         return;
     }
@@ -92,7 +92,7 @@
     let Some(task) = cx.task_mut(key).filter(|t| live && t.state != TaskState::Done) else {
         return false;
     };
-    let suspicion = task.suspicion.get_or_insert_default();
+    let suspicion = task.crash_evidence.get_or_insert_default();
     suspicion.possible_crash = Some(worker.clone());
     suspicion.exempt_from_trial = true;
     cx.crashes.add(key, worker);
@@ -104,7 +104,7 @@
 pub(super) fn hold_until_saved(cx: &mut State, key: TaskKey) {
     let now = cx.now;
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
-    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.suspicion.as_mut()) else { return };
+    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else { return };
     (suspicion.saved, suspicion.exempt_from_trial) = (Saved::No, is_gang);
     commits::mark_urgent(&mut cx.commits, now, key.job);
 }
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -9,7 +9,7 @@
 use crate::changes::commits;
 use crate::decisions::losses::{self, Loss, AT_START};
 use crate::interface::message::WorkerIx;
-use crate::state::suspicion::{RecordedStart, CrashEvidence};
+use crate::state::crash_evidence::{RecordedStart, CrashEvidence};
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
@@ -39,7 +39,7 @@
     let Some(entry) = cx.jobs.get_mut(&job) else { return };
     let gangs: Vec<bool> = entry.job.steps.iter().map(|step| step.gang).collect();
     for (key, task) in entry.keyed_tasks_mut() {
-        let Some(suspicion) = &mut task.suspicion else { continue };
+        let Some(suspicion) = &mut task.crash_evidence else { continue };
         suspicion.exempt_from_trial = gangs[usize::from(key.step)];
         for worker in suspicion.crashed.iter().chain(&suspicion.possible_crash) {
             cx.crashes.add(key, worker);
@@ -78,7 +78,7 @@
     let Some(&ix) = crashed else { return };
     let id = cx.worker(ix).info.id.clone();
     let doubted = |key: &TaskKey| {
-        let suspicion = cx.task(*key).and_then(|t| t.suspicion.as_ref());
+        let suspicion = cx.task(*key).and_then(|t| t.crash_evidence.as_ref());
         suspicion.is_some_and(|s| s.possible_crash.is_some())
     };
     let (twice, others): (Vec<TaskKey>, Vec<TaskKey>) =
@@ -110,7 +110,7 @@
     let crashed: Vec<ids::WorkerId> = crashed.map(|w| w.info.id.clone()).collect();
     let mut unknown = FxHashSet::default();
     for &key in unfound {
-        let suspicion = cx.task(key).and_then(|t| t.suspicion.as_ref());
+        let suspicion = cx.task(key).and_then(|t| t.crash_evidence.as_ref());
         match suspicion.map(|s| s.recorded_start.clone()).unwrap_or_default() {
             RecordedStart::Unrecorded => {
                 unknown.insert(key);
@@ -126,7 +126,7 @@
 
 /// Notes that a suspect waits, so that its next start is stored before it is sent.
 fn note_unstarted(cx: &mut State, key: TaskKey) {
-    if let Some(suspicion) = cx.task_mut(key).and_then(|t| t.suspicion.as_mut()) {
+    if let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) {
         suspicion.recorded_start = RecordedStart::Nowhere;
     }
 }
--- a/crates/sched/src/changes/crashes/kept.rs
+++ b/crates/sched/src/changes/crashes/kept.rs
@@ -29,5 +29,5 @@
 }
 
 fn losses(cx: &State, key: TaskKey) -> usize {
-    cx.task(key).and_then(|t| t.suspicion.as_ref()).map_or(0, |s| s.losses())
+    cx.task(key).and_then(|t| t.crash_evidence.as_ref()).map_or(0, |s| s.losses())
 }
--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -12,7 +12,7 @@
 use crate::changes::{commits, lifecycle, orders};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::proof::Proof;
-use crate::state::suspicion::{Saved, RecordedStart};
+use crate::state::crash_evidence::{Saved, RecordedStart};
 use crate::state::worker::Phase;
 use crate::state::State;
 
@@ -21,7 +21,7 @@
 pub fn hold(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) -> bool {
     let id = cx.worker(ix).info.id.clone();
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
-    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.suspicion.as_mut()) else { return false };
+    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else { return false };
     if is_gang {
         suspicion.recorded_start = RecordedStart::Unrecorded;
     }
@@ -46,7 +46,7 @@
         if !is_held {
             continue;
         }
-        let suspicion = cx.task(key).and_then(|t| t.suspicion.as_ref());
+        let suspicion = cx.task(key).and_then(|t| t.crash_evidence.as_ref());
         if suspicion.is_some_and(|s| s.saved != Saved::Yes) {
             cx.crashes.held_starts.push((ix, key, run));
         } else if cx.worker(ix).accepts_tasks(cx.now) {
--- a/crates/sched/src/changes/crashes/saved.rs
+++ b/crates/sched/src/changes/crashes/saved.rs
@@ -4,7 +4,7 @@
 
 use gaplock_jobs::{JobKey, TaskKey};
 
-use crate::state::suspicion::Saved;
+use crate::state::crash_evidence::Saved;
 use crate::state::State;
 
 /// Takes in that the progress of these jobs is being stored.
@@ -22,7 +22,7 @@
 fn change_saved(cx: &mut State, of: impl Fn(&TaskKey) -> bool, from: Saved, to: Saved) {
     let suspects: Vec<TaskKey> = cx.crashes.suspects.iter().copied().filter(of).collect();
     for key in suspects {
-        let suspicion = cx.task_mut(key).and_then(|t| t.suspicion.as_mut());
+        let suspicion = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut());
         if let Some(suspicion) = suspicion.filter(|s| s.saved == from) {
             suspicion.saved = to;
         }
--- a/crates/sched/src/changes/crashes/verdict.rs
+++ b/crates/sched/src/changes/crashes/verdict.rs
@@ -8,7 +8,7 @@
 use crate::changes::{commits, lifecycle, trace};
 use crate::decisions::losses::{self, CLEARED_AFTER};
 use crate::interface::message::WorkerIx;
-use crate::state::suspicion::Saved;
+use crate::state::crash_evidence::Saved;
 use crate::state::job_table::TaskState;
 use crate::state::worker::Worker;
 use crate::state::State;
@@ -43,7 +43,7 @@
 
 fn resolve_for(cx: &mut State, key: TaskKey, worker: &ids::WorkerId, crashed: bool) {
     let now = cx.now;
-    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.suspicion.as_mut()) else { return };
+    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else { return };
     let stored = suspicion.to_store();
     if !suspicion.resolve(worker, crashed) {
         return;
@@ -63,7 +63,7 @@
 fn clear(cx: &mut State, key: TaskKey) {
     cx.crashes.suspects.remove(&key);
     if let Some(task) = cx.task_mut(key) {
-        task.suspicion = None;
+        task.crash_evidence = None;
     }
     cx.pass_wanted = true;
 }
@@ -84,7 +84,7 @@
         judge_silent(cx, key);
         let live = cx.jobs.get(&key.job).is_some_and(|entry| !entry.state.is_final());
         let task = cx.task(key).filter(|t| live && t.state != TaskState::Done);
-        let Some(suspicion) = task.and_then(|t| t.suspicion.as_ref()) else {
+        let Some(suspicion) = task.and_then(|t| t.crash_evidence.as_ref()) else {
             cx.crashes.suspects.remove(&key);
             continue;
         };
@@ -103,7 +103,7 @@
 /// Decides about workers that have been silent for so long that the directory tells what became of them.
 fn judge_silent(cx: &mut State, key: TaskKey) {
     let now = cx.now;
-    let Some(suspicion) = cx.task(key).and_then(|t| t.suspicion.as_ref()) else { return };
+    let Some(suspicion) = cx.task(key).and_then(|t| t.crash_evidence.as_ref()) else { return };
     let mut crashed: Vec<ids::WorkerId> = Vec::new();
     let mut forgotten: Vec<ids::WorkerId> = Vec::new();
     for (id, since) in &suspicion.silent {
--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -45,7 +45,7 @@
             impatient: interference::is_impatient(first.waited),
         });
         let lasting = step.lasting.then(|| room::may_take_kept(first.waited, first.again));
-        Self { service, label: step.label.clone(), takes: job_table::takes(step), filling, lasting }
+        Self { service, label: step.label.clone(), takes: job_table::reservation(step), filling, lasting }
     }
 
     /// Tells whether a task that is asked for now finds no worker either.
@@ -239,10 +239,10 @@
     let Some(waited) = cx.task(task).map(|t| now.since(t.since)) else { return };
     let round = cx.jobs.get_mut(&task.job).and_then(|e| e.round_mut(task.round));
     let Some(state) = round.map(|r| &mut r.steps[usize::from(task.step)]) else { return };
-    if waited < EXPLAIN_EVERY || now.since(state.explained) < EXPLAIN_EVERY {
+    if waited < EXPLAIN_EVERY || now.since(state.last_explained_at) < EXPLAIN_EVERY {
         return;
     }
-    state.explained = now;
+    state.last_explained_at = now;
     let Some(wanted) = asks::wanted(cx, job, service, task) else { return };
     let counts = placement::explain(cx, &wanted);
     trace::step_waits(task, pending, waited, &wanted.step.demand, &counts);
--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -101,11 +101,11 @@
         task.counted_runs.remove(0);
     }
     task.counted_runs.push(run);
-    let first = task.failed_in_row == 0;
+    let first = task.consecutive_failures == 0;
     task.failed += 1;
-    task.failed_in_row += 1;
+    task.consecutive_failures += 1;
     task.failed_on = Some(ix);
-    let (failed, in_row) = (task.failed, task.failed_in_row);
+    let (failed, in_row) = (task.failed, task.consecutive_failures);
     commits::mark(&mut cx.commits, cx.now, key.job);
     // A task that can never be done fails everywhere, so only its first failure speaks against the
     // worker.
--- a/crates/sched/src/changes/intake.rs
+++ b/crates/sched/src/changes/intake.rs
@@ -10,7 +10,7 @@
 use crate::changes::{commits, directory, lifecycle, permits, trace};
 use crate::interface::message::Record;
 use crate::state::recovery_scan::RecoveryScan;
-use crate::state::job_table::{Entry, Round};
+use crate::state::job_table::{JobEntry, Round};
 use crate::state::State;
 
 /// Takes a version of the configuration into force; an older one is ignored.
@@ -37,18 +37,18 @@
 const ALLOWED_MOST: Millis = Millis(315_360_000_000);
 
 /// Builds the entry of a job that nothing is known to have happened to.
-pub fn entry(cx: &State, job: Arc<Job>) -> Entry {
+pub fn entry(cx: &State, job: Arc<Job>) -> JobEntry {
     let queue = cx.config.as_ref().and_then(|c| c.queue(&job.queue));
     let chain = longest_chain(&job);
     let stretch = queue.map_or(1.0, |q| q.stretch);
     let allowed = (chain.0 as f64 * stretch) as u64;
     let allowed = allowed.saturating_add(queue.map_or(0, |q| q.slack.0)).min(ALLOWED_MOST.0);
     let age = Millis(cx.unix_ms.saturating_sub(job.accepted_unix_ms));
-    Entry {
+    JobEntry {
         state: JobState::Queued,
-        shown: JobState::Queued,
+        stored_state: JobState::Queued,
         rounds: Vec::new(),
-        finished: BTreeSet::new(),
+        finished_rounds: BTreeSet::new(),
         next_round: 0,
         ended_unix_ms: 0,
         due: Instant((cx.now.0 + allowed).saturating_sub(age.0)),
@@ -90,14 +90,14 @@
         let unix_ms = cx.unix_ms;
         let Some(entry) = cx.jobs.get_mut(&key) else { return };
         let next = entry.next_round;
-        if entry.state.is_final() || next >= entry.rounds_in_all() || entry.has_most_rounds() {
+        if entry.state.is_final() || next >= entry.total_rounds() || entry.is_at_round_limit() {
             return;
         }
         if entry.due_unix_ms(next) > unix_ms {
             return;
         }
         entry.next_round += 1;
-        if entry.finished.contains(&next) || entry.round(next).is_some() {
+        if entry.finished_rounds.contains(&next) || entry.round(next).is_some() {
             continue;
         }
         let round = Round::new(next, &entry.job);
@@ -111,7 +111,7 @@
     if cx.recovery_scan.as_ref().is_some_and(RecoveryScan::any_task_may_be_running) {
         return;
     }
-    let repeating = |e: &Entry| e.next_round < e.rounds_in_all() && !e.state.is_final();
+    let repeating = |e: &JobEntry| e.next_round < e.total_rounds() && !e.state.is_final();
     let keys: Vec<JobKey> =
         cx.jobs.iter().filter(|(_, e)| repeating(e)).map(|(key, _)| *key).collect();
     for key in keys {
@@ -140,7 +140,7 @@
     let keep = cx.settings.keep_finished.0;
     let unix_ms = cx.unix_ms;
     let old =
-        |e: &Entry| e.shown.is_final() && e.ended_unix_ms > 0 && e.ended_unix_ms + keep < unix_ms;
+        |e: &JobEntry| e.stored_state.is_final() && e.ended_unix_ms > 0 && e.ended_unix_ms + keep < unix_ms;
     let keys: Vec<JobKey> = cx.jobs.iter().filter(|(_, e)| old(e)).map(|(key, _)| *key).collect();
     for key in keys {
         cx.jobs.remove(&key);
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -12,7 +12,7 @@
 use crate::interface::message::{Action, Run, WorkerIx};
 use crate::interface::proof::Proof;
 use crate::state::checkpoint::Checkpoint;
-use crate::state::job_table::{self, Entry, ReadyStep, Round, Task, TaskState};
+use crate::state::job_table::{self, JobEntry, ReadyStep, Round, Task, TaskState};
 use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
 
@@ -21,7 +21,7 @@
 const LASTING_LATER: Millis = Millis(600_000);
 
 /// Builds the place of a step among those with pending tasks.
-fn ready_step(entry: &Entry, round: u32, step: u16) -> ReadyStep {
+fn ready_step(entry: &JobEntry, round: u32, step: u16) -> ReadyStep {
     let lasting = entry.job.steps.get(usize::from(step)).is_some_and(|s| s.lasting);
     let due = if lasting { entry.due + LASTING_LATER } else { entry.due };
     ReadyStep { priority: entry.priority, due, job: entry.job.key, round, step }
@@ -39,7 +39,7 @@
     task.state = TaskState::Pending;
     task.not_before = now + pause;
     task.since = now;
-    let is_suspect = task.suspicion.is_some();
+    let is_suspect = task.crash_evidence.is_some();
     let is_saved = task.checkpoint.is_some();
     if let Some(round) = entry.round_mut(key.round) {
         round.steps[usize::from(key.step)].pending.insert(key.index);
@@ -105,9 +105,9 @@
     Slot {
         run: occupant.run,
         phase: occupant.phase,
-        takes: job_table::takes(step),
+        reservation: job_table::reservation(step),
         role: part,
-        best_effort_millicores: job_table::filling(step),
+        best_effort_millicores: job_table::best_effort_millicores(step),
         ordered_at: now,
         resend_stop_at: now,
         stop_refusals: 0,
@@ -179,11 +179,11 @@
     }
     task.state = TaskState::Done;
     task.checkpoint = None;
-    task.suspicion = None;
+    task.crash_evidence = None;
     let Some(round) = entry.round_mut(key.round) else { return };
     let step = &mut round.steps[usize::from(key.step)];
-    step.left = step.left.saturating_sub(1);
-    let step_done = step.left == 0;
+    step.unfinished = step.unfinished.saturating_sub(1);
+    let step_done = step.unfinished == 0;
     let round_done = step_done && round.is_done();
     commits::mark(&mut cx.commits, cx.now, key.job);
     if round_done {
@@ -196,8 +196,8 @@
 fn finish_round(cx: &mut State, job: JobKey, number: u32) {
     let Some(entry) = cx.jobs.get_mut(&job) else { return };
     entry.rounds.retain(|r| r.number != number);
-    entry.finished.insert(number);
-    if entry.finished.len() as u32 == entry.rounds_in_all() {
+    entry.finished_rounds.insert(number);
+    if entry.finished_rounds.len() as u32 == entry.total_rounds() {
         end_job(cx, job, JobState::Completed);
     }
 }
@@ -213,15 +213,15 @@
 }
 
 /// Lists the waiting tasks of steps whose earlier steps are done.
-fn waiting_tasks(entry: &Entry, round: &Round) -> Vec<TaskKey> {
+fn waiting_tasks(entry: &JobEntry, round: &Round) -> Vec<TaskKey> {
     let mut found = Vec::new();
     for (at, (step, state)) in entry.job.steps.iter().zip(&round.steps).enumerate() {
-        if state.left == 0 || !round.may_begin(step) {
+        if state.unfinished == 0 || !round.may_begin(step) {
             continue;
         }
         let waiting = |t: &Task| t.state == TaskState::Waiting;
         let keys = state.tasks.iter().enumerate().filter(|(_, t)| waiting(t));
-        found.extend(keys.map(|(index, _)| job_table::key_of(entry.job.key, round.number, at, index)));
+        found.extend(keys.map(|(index, _)| job_table::task_key(entry.job.key, round.number, at, index)));
     }
     found
 }
@@ -265,7 +265,7 @@
 }
 
 /// Lists every step of the rounds under way.
-fn ready_steps(entry: &Entry) -> Vec<ReadyStep> {
+fn ready_steps(entry: &JobEntry) -> Vec<ReadyStep> {
     let steps = entry
         .rounds
         .iter()
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -82,7 +82,7 @@
         slot.progress_sample = Some(ProgressSample { at: now, percent: 0 });
     }
     if let Some(task) = cx.task_mut(key) {
-        task.invalid_in_row = 0;
+        task.consecutive_invalid_starts = 0;
     }
     pacing::set_paces(cx, ix);
 }
@@ -101,8 +101,8 @@
 /// Lets a task pause whose start was refused as invalid: the next worker most likely refuses it, too.
 fn put_off_invalid(cx: &mut State, key: TaskKey) {
     let Some(task) = cx.task_mut(key) else { return };
-    task.invalid_in_row += 1;
-    let in_row = task.invalid_in_row;
+    task.consecutive_invalid_starts += 1;
+    let in_row = task.consecutive_invalid_starts;
     let until = cx.now + lifecycle::pause_after(cx, in_row);
     let task = cx.task_mut(key).filter(|task| task.state == TaskState::Pending);
     if let Some(task) = task {
--- a/crates/sched/src/changes/pacing/spare.rs
+++ b/crates/sched/src/changes/pacing/spare.rs
@@ -51,7 +51,7 @@
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
     let mut busy = 0.0;
     for (key, slot) in &worker.slots {
-        let takes = f64::from(slot.takes.cpu.0);
+        let takes = f64::from(slot.reservation.cpu.0);
         busy += match slot.role {
             TaskRole::Serving { .. } => takes * cx.interference.load(key.job, cx.now, PLACED_AHEAD_S),
             TaskRole::Plain => takes,
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -18,7 +18,7 @@
 };
 use crate::interface::message::{RosterEntry, Run, WaveProgress, WorkerIx};
 use crate::state::recovery_scan::RecoveryScan;
-use crate::state::job_table::{Entry, Round, StepState, TaskState};
+use crate::state::job_table::{JobEntry, Round, StepState, TaskState};
 use crate::state::worker::Listing;
 use crate::state::State;
 
@@ -88,33 +88,33 @@
 
 /// Builds the entry of a job whose progress cannot be read. Taken for a new one it would run tasks again that are
 /// done; only tasks that last are started again however they ended.
-fn set_aside(cx: &State, job: Arc<Job>) -> Entry {
+fn set_aside(cx: &State, job: Arc<Job>) -> JobEntry {
     if job.steps.iter().all(|step| step.lasting) {
         return restored(cx, job, None);
     }
     trace::job_set_aside(job.key);
     let mut entry = intake::entry(cx, job);
-    (entry.state, entry.shown) = (JobState::Active, JobState::Active);
-    entry.next_round = entry.rounds_in_all();
+    (entry.state, entry.stored_state) = (JobState::Active, JobState::Active);
+    entry.next_round = entry.total_rounds();
     entry.unreadable = true;
     entry
 }
 
 /// Builds the entry of a job from its stored progress, if any was stored.
-fn restored(cx: &State, job: Arc<Job>, progress: Option<Progress>) -> Entry {
+fn restored(cx: &State, job: Arc<Job>, progress: Option<Progress>) -> JobEntry {
     let mut entry = intake::entry(cx, job);
     let Some(progress) = progress else {
         return with_unknown_first_rounds(entry, cx.unix_ms);
     };
     entry.state = progress.state;
-    entry.shown = progress.state;
+    entry.stored_state = progress.state;
     entry.ended_unix_ms = progress.ended_unix_ms;
     if entry.state.is_final() {
         return entry;
     }
     for stored in progress.rounds {
         if stored.finished {
-            entry.finished.insert(stored.round);
+            entry.finished_rounds.insert(stored.round);
             continue;
         }
         let mut round = Round::new(stored.round, &entry.job);
@@ -129,14 +129,14 @@
 
 /// Adds rounds that a former leader may have begun without storing anything of them, and puts
 /// every task that is not done in doubt.
-fn with_unknown_first_rounds(mut entry: Entry, unix_ms: u64) -> Entry {
-    while entry.next_round < entry.rounds_in_all() && !entry.has_most_rounds() {
+fn with_unknown_first_rounds(mut entry: JobEntry, unix_ms: u64) -> JobEntry {
+    while entry.next_round < entry.total_rounds() && !entry.is_at_round_limit() {
         let number = entry.next_round;
         if entry.due_unix_ms(number) > unix_ms {
             break;
         }
         entry.next_round += 1;
-        if !entry.finished.contains(&number) && entry.round(number).is_none() {
+        if !entry.finished_rounds.contains(&number) && entry.round(number).is_none() {
             let round = Round::new(number, &entry.job);
             entry.rounds.push(round);
         }
@@ -157,13 +157,13 @@
             task.state = TaskState::Done;
         }
     }
-    state.left = state.tasks.iter().filter(|t| t.state != TaskState::Done).count() as u32;
+    state.unfinished = state.tasks.iter().filter(|t| t.state != TaskState::Done).count() as u32;
     for note in &stored.notes {
         if let Some(task) = state.tasks.get_mut(note.index as usize) {
             task.failed = note.failed;
             task.counted_runs = note.counted_runs.iter().copied().map(Run).collect();
             task.checkpoint = checkpoints::restored(step, note);
-            task.suspicion = crashes::restored(note);
+            task.crash_evidence = crashes::restored(note);
         }
     }
 }
@@ -285,8 +285,8 @@
     let Some(entry) = cx.jobs.get_mut(&key) else { return };
     let done: Vec<u32> = entry.rounds.iter().filter(|r| r.is_done()).map(|r| r.number).collect();
     entry.rounds.retain(|r| !done.contains(&r.number));
-    entry.finished.extend(done);
-    if entry.finished.len() as u32 == entry.rounds_in_all() {
+    entry.finished_rounds.extend(done);
+    if entry.finished_rounds.len() as u32 == entry.total_rounds() {
         lifecycle::end_job(cx, key, JobState::Completed);
     }
 }
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -19,12 +19,12 @@
 };
 use crate::interface::proof::Proof;
 use crate::state::checkpoint::Checkpoint;
-use crate::state::job_table::Entry;
+use crate::state::job_table::JobEntry;
 use crate::state::worker::{Listing, Slot, Worker};
 use crate::state::State;
 
 /// The leader has heard of a job.
-pub fn job_known(entry: &Entry) {
+pub fn job_known(entry: &JobEntry) {
     let tasks: u32 = entry.job.steps.iter().map(|s| s.count).sum();
     info!(event = "job_known", job = %entry.job.key, queue = %entry.job.queue, tasks,
         steps = entry.job.steps.len(), priority = entry.priority, due = entry.due.0);
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -103,7 +103,7 @@
     let mut found: Vec<Waiting> = Vec::new();
     for &key in &cx.crashes.suspects {
         let Some(task) = cx.task(key).filter(|t| t.state == TaskState::Pending) else { continue };
-        let Some(suspicion) = task.suspicion.as_ref().filter(|s| !s.exempt_from_trial) else { continue };
+        let Some(suspicion) = task.crash_evidence.as_ref().filter(|s| !s.exempt_from_trial) else { continue };
         any = true;
         if task.not_before <= now && suspicion.may_start() {
             let (losses, lived) = (suspicion.losses(), suspicion.last_run_duration);
@@ -145,7 +145,7 @@
 
 /// Lets a suspect start where any task would.
 fn start_like_others(cx: &mut State, key: TaskKey) {
-    let suspicion = cx.task_mut(key).and_then(|t| t.suspicion.as_mut());
+    let suspicion = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut());
     if let Some(suspicion) = suspicion {
         suspicion.exempt_from_trial = true;
     }
--- a/crates/sched/src/decisions/asks.rs
+++ b/crates/sched/src/decisions/asks.rs
@@ -58,5 +58,5 @@
 
 /// Tells whether a pending task may start like any other one.
 fn may_start_like_others(task: &Task) -> bool {
-    task.suspicion.as_ref().is_none_or(|s| s.exempt_from_trial && s.may_start())
+    task.crash_evidence.as_ref().is_none_or(|s| s.exempt_from_trial && s.may_start())
 }
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -103,7 +103,7 @@
 impl UnfitCounts {
     /// Counts a worker without room, and what would make it.
     fn note_full(&mut self, worker: &Worker, step: &Step) {
-        let takes = job_table::takes(step);
+        let takes = job_table::reservation(step);
         let room = worker.info.capacity.minus(&worker.used);
         self.full += 1;
         self.no_memory += u32::from(room.cpu >= takes.cpu);
@@ -114,7 +114,7 @@
 /// Returns the room that filling tasks take of a worker.
 fn taken_by_filling(worker: &Worker) -> Resources {
     let filling = worker.slots.values().filter(|slot| matches!(slot.role, TaskRole::Filling(_)));
-    filling.fold(Resources::default(), |sum, slot| sum.plus(&slot.takes))
+    filling.fold(Resources::default(), |sum, slot| sum.plus(&slot.reservation))
 }
 
 /// Counts why no worker gets a task.
@@ -180,7 +180,7 @@
 /// Checks whether a worker may and can run the task.
 pub fn fits(cx: &State, ix: WorkerIx, wanted: &Wanted<'_>) -> Result<(), Unfit> {
     let worker = cx.worker(ix);
-    let takes = job_table::takes(wanted.step);
+    let takes = job_table::reservation(wanted.step);
     if worker.terminated || worker.info.service != *wanted.service {
         return Err(Unfit::OtherPool);
     }
@@ -250,7 +250,7 @@
 /// what fills goes where most of it is left.
 fn spread(worker: &Worker) -> f64 {
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
-    (cores - f64::from(worker.used.cpu.0) - f64::from(worker.filling)) / cores
+    (cores - f64::from(worker.used.cpu.0) - f64::from(worker.best_effort_millicores)) / cores
 }
 
 /// Returns how good a place a worker is for the task, in whole workers, or nothing
--- a/crates/sched/src/decisions/slowness.rs
+++ b/crates/sched/src/decisions/slowness.rs
@@ -29,7 +29,7 @@
 /// Tells whether a run is better off elsewhere.
 pub fn is_straggler(cx: &State, ix: WorkerIx, key: TaskKey, slot: &Slot) -> bool {
     // A copy of a task that crashes its workers would take two of them down.
-    if cx.task(key).is_some_and(|task| task.suspicion.is_some()) {
+    if cx.task(key).is_some_and(|task| task.crash_evidence.is_some()) {
         return false;
     }
     if slot.phase != Phase::Running || !cx.is_active(key, ix, slot.run) {
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -10,7 +10,7 @@
 pub mod permits;
 pub mod rates;
 pub mod recovery_scan;
-pub mod suspicion;
+pub mod crash_evidence;
 pub mod job_table;
 pub mod trial;
 pub mod maintenance;
@@ -33,8 +33,8 @@
 use interference_model::InterferenceModel;
 use permits::Permits;
 use recovery_scan::RecoveryScan;
-use suspicion::CrashTracker;
-use job_table::{Entry, ReadyStep, StepState, Task, TaskState};
+use crash_evidence::CrashTracker;
+use job_table::{JobEntry, ReadyStep, StepState, Task, TaskState};
 use maintenance::Upkeep;
 use worker::{Renewal, Worker};
 
@@ -76,7 +76,7 @@
     /// The wall clock at that time, in milliseconds since 1970.
     pub unix_ms: u64,
     /// All jobs whose state is still kept.
-    pub jobs: FxHashMap<JobKey, Entry>,
+    pub jobs: FxHashMap<JobKey, JobEntry>,
     /// Cancellations of jobs that are not known yet, and when they came.
     pub early_cancellations: FxHashMap<JobKey, Instant>,
     /// All workers ever seen by this leader, each start for itself.
--- a/crates/sched/src/state/job_table.rs
+++ b/crates/sched/src/state/job_table.rs
@@ -12,7 +12,7 @@
 use crate::interface::message::{Run, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
 use crate::state::rates::StepRates;
-use crate::state::suspicion::CrashEvidence;
+use crate::state::crash_evidence::CrashEvidence;
 
 /// Where a task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,9 +46,9 @@
     /// The last runs that were counted as failed, in the order of counting.
     pub counted_runs: Vec<Run>,
     /// Failures since the task last worked, for the pause before the next start.
-    pub failed_in_row: u32,
+    pub consecutive_failures: u32,
     /// Starts in a row that were refused as invalid, for the pause before the next one.
-    pub invalid_in_row: u32,
+    pub consecutive_invalid_starts: u32,
     /// No start before this time.
     pub not_before: Instant,
     /// Where the next run resumes.
@@ -63,7 +63,7 @@
     /// A run on a slow worker that goes on while a copy is started elsewhere.
     pub slow_run: Option<(WorkerIx, Run)>,
     /// What speaks against it, if workers were lost under it; few tasks have any.
-    pub suspicion: Option<Box<CrashEvidence>>,
+    pub crash_evidence: Option<Box<CrashEvidence>>,
 }
 
 impl Task {
@@ -73,15 +73,15 @@
             starts: 0,
             failed: 0,
             counted_runs: Vec::new(),
-            failed_in_row: 0,
-            invalid_in_row: 0,
+            consecutive_failures: 0,
+            consecutive_invalid_starts: 0,
             not_before: Instant(0),
             checkpoint: None,
             failed_on: None,
             since: Instant(0),
             may_have_run: false,
             slow_run: None,
-            suspicion: None,
+            crash_evidence: None,
         }
     }
 }
@@ -92,11 +92,11 @@
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// How many tasks are not done.
-    pub left: u32,
+    pub unfinished: u32,
     /// The indices of pending tasks.
     pub pending: BTreeSet<u32>,
     /// When the log last said why its tasks wait.
-    pub explained: Instant,
+    pub last_explained_at: Instant,
     /// How fast its tasks come along.
     pub rates: StepRates,
 }
@@ -115,9 +115,9 @@
     pub fn new(number: u32, job: &Job) -> Self {
         let step = |s: &Step| StepState {
             tasks: vec![Task::new(); s.count as usize],
-            left: s.count,
+            unfinished: s.count,
             pending: BTreeSet::new(),
-            explained: Instant(0),
+            last_explained_at: Instant(0),
             rates: StepRates::default(),
         };
         Self { number, steps: job.steps.iter().map(step).collect() }
@@ -125,28 +125,28 @@
 
     /// Tells whether every task is done.
     pub fn is_done(&self) -> bool {
-        self.steps.iter().all(|s| s.left == 0)
+        self.steps.iter().all(|s| s.unfinished == 0)
     }
 
     /// Tells whether the steps that `step` follows are done.
     pub fn may_begin(&self, step: &Step) -> bool {
-        step.after.iter().all(|&before| self.steps[usize::from(before)].left == 0)
+        step.after.iter().all(|&before| self.steps[usize::from(before)].unfinished == 0)
     }
 }
 
 /// A job with its progress.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct JobEntry {
     /// What the caller asked for.
     pub job: Arc<Job>,
     /// The state by the leader's knowledge.
     pub state: JobState,
     /// The state that is stored and may be shown.
-    pub shown: JobState,
+    pub stored_state: JobState,
     /// Rounds that have begun and are not finished; none once the job has ended.
     pub rounds: Vec<Round>,
     /// Numbers of finished rounds.
-    pub finished: BTreeSet<u32>,
+    pub finished_rounds: BTreeSet<u32>,
     /// The next round to begin; equal to the count of rounds once all have begun.
     pub next_round: u32,
     /// When the job ended, in milliseconds since 1970.
@@ -162,9 +162,9 @@
     pub unreadable: bool,
 }
 
-impl Entry {
+impl JobEntry {
     /// Returns how many rounds the job has in all.
-    pub fn rounds_in_all(&self) -> u32 {
+    pub fn total_rounds(&self) -> u32 {
         self.job.repeat.map_or(1, |r| r.times)
     }
 
@@ -176,7 +176,7 @@
 
     /// Tells whether as many rounds are under way as may be: together they have no more tasks than one
     /// job may have, so that no request makes a leader keep more.
-    pub fn has_most_rounds(&self) -> bool {
+    pub fn is_at_round_limit(&self) -> bool {
         let tasks: u64 = self.job.steps.iter().map(|step| u64::from(step.count)).sum();
         self.rounds.len() as u64 >= (job::MOST_TASKS / tasks.max(1)).max(1)
     }
@@ -194,7 +194,7 @@
             let steps = round.steps.iter_mut().enumerate();
             steps.flat_map(move |(step, state)| {
                 let tasks = state.tasks.iter_mut().enumerate();
-                tasks.map(move |(index, task)| (key_of(job, number, step, index), task))
+                tasks.map(move |(index, task)| (task_key(job, number, step, index), task))
             })
         })
     }
@@ -240,18 +240,18 @@
 }
 
 /// Calls `f` for every task of the rounds under way.
-fn for_each_task(entry: &Entry, mut f: impl FnMut(TaskKey, &Task)) {
+fn for_each_task(entry: &JobEntry, mut f: impl FnMut(TaskKey, &Task)) {
     for round in &entry.rounds {
         for (step, state) in round.steps.iter().enumerate() {
             for (index, task) in state.tasks.iter().enumerate() {
-                f(key_of(entry.job.key, round.number, step, index), task);
+                f(task_key(entry.job.key, round.number, step, index), task);
             }
         }
     }
 }
 
 /// Builds a task's key from positions.
-pub fn key_of(job: JobKey, round: u32, step: usize, index: usize) -> TaskKey {
+pub fn task_key(job: JobKey, round: u32, step: usize, index: usize) -> TaskKey {
     TaskKey { job, round, step: step as u16, index: index as u32 }
 }
 
@@ -271,7 +271,7 @@
 }
 
 /// Returns what a task takes of a worker's room; a filling task takes no processors of its own.
-pub fn takes(step: &Step) -> Resources {
+pub fn reservation(step: &Step) -> Resources {
     if step.fills {
         return Resources::new(0, step.demand.mem.0, step.demand.acc);
     }
@@ -279,7 +279,7 @@
 }
 
 /// Returns the processor demand of a filling task, and nothing for any other.
-pub fn filling(step: &Step) -> u32 {
+pub fn best_effort_millicores(step: &Step) -> u32 {
     if step.fills {
         return step.demand.cpu.0;
     }
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -40,7 +40,7 @@
     /// How far the order has come.
     pub phase: Phase,
     /// What the run takes of the worker's room.
-    pub takes: Resources,
+    pub reservation: Resources,
     /// What the run is to the others on the worker.
     pub role: TaskRole,
     /// The processor demand of a filling task, in thousandths of a core; nothing for others.
@@ -181,7 +181,7 @@
     /// The room that the slots take.
     pub used: Resources,
     /// The processor demand of filling tasks here, in thousandths of a core.
-    pub filling: u32,
+    pub best_effort_millicores: u32,
     /// How much more pressure each serving image here bears, by its task that bears least.
     pub spare_interference: Vec<(Row, f64)>,
     /// The share of the processors that more filling tasks may use without crowding what serves.
@@ -233,7 +233,7 @@
             slots: FxHashMap::default(),
             abandoned_starts: BTreeMap::new(),
             used: Resources::default(),
-            filling: 0,
+            best_effort_millicores: 0,
             spare_interference: Vec::new(),
             spare_best_effort_share: 1.0,
             fitting_image_share: 1.0,
@@ -272,8 +272,8 @@
 
     /// Adds a run.
     pub fn add_slot(&mut self, task: TaskKey, slot: Slot) {
-        self.used = self.used.plus(&slot.takes);
-        self.filling += slot.best_effort_millicores;
+        self.used = self.used.plus(&slot.reservation);
+        self.best_effort_millicores += slot.best_effort_millicores;
         self.slots.insert(task, slot);
     }
 
@@ -284,8 +284,8 @@
         }
         let slot = self.slots.remove(&task)?;
         self.trial = self.trial.filter(|trial| trial.task != task);
-        self.used = self.used.minus(&slot.takes);
-        self.filling = self.filling.saturating_sub(slot.best_effort_millicores);
+        self.used = self.used.minus(&slot.reservation);
+        self.best_effort_millicores = self.best_effort_millicores.saturating_sub(slot.best_effort_millicores);
         Some(slot)
     }
 
--- a/crates/sched/tests/fleet/world/views.rs
+++ b/crates/sched/tests/fleet/world/views.rs
@@ -63,7 +63,7 @@
     pub fn crashes_counted(&self, key: u64) -> usize {
         let Some(cx) = &self.cx else { return 0 };
         let of_job = cx.crashes.suspects.iter().filter(|task| task.job == JobKey(key));
-        let suspicions = of_job.filter_map(|task| cx.task(*task)?.suspicion.as_ref());
+        let suspicions = of_job.filter_map(|task| cx.task(*task)?.crash_evidence.as_ref());
         suspicions.map(|s| s.crashed.len()).sum()
     }
 
@@ -81,7 +81,7 @@
 
     /// Returns how many rounds of a job are finished.
     pub fn rounds_finished(&self, key: u64) -> usize {
-        self.cx.as_ref().map_or(0, |cx| cx.jobs[&JobKey(key)].finished.len())
+        self.cx.as_ref().map_or(0, |cx| cx.jobs[&JobKey(key)].finished_rounds.len())
     }
 
     /// Returns how many starts wait for their answer.
--- a/crates/sched/tests/floors/table.rs
+++ b/crates/sched/tests/floors/table.rs
@@ -31,7 +31,7 @@
             "state::abandoned_start",
             "state::renewal_queue",
             "state::trial",
-            "state::suspicion",
+            "state::crash_evidence",
             "state::permits",
             "state::maintenance",
             "state::commits",
