--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -190,7 +190,7 @@
     if !worker.accepts_tasks(cx.now) || cx.is_worker_at_start_limit(ix) {
         return Err(Unfit::NotTaking);
     }
-    if worker.trial.is_some_and(|trial| trial.keeps_out(wanted.task, cx.now)) {
+    if worker.trial.is_some_and(|trial| trial.excludes(wanted.task, cx.now)) {
         return Err(Unfit::NotTaking);
     }
     let taken = worker.used.plus(&takes);
--- a/crates/sched/src/state/trial.rs
+++ b/crates/sched/src/state/trial.rs
@@ -16,7 +16,7 @@
 
 impl Trial {
     /// Tells whether the worker is kept from a task of another job.
-    pub fn keeps_out(&self, task: TaskKey, now: Instant) -> bool {
+    pub fn excludes(&self, task: TaskKey, now: Instant) -> bool {
         self.until > now && self.task.job != task.job
     }
 }
