--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -58,7 +58,7 @@
             // No queue asks for advice, no wave is under way, and no leader is in doubt of its term.
             Action::Advise { .. }
             | Action::ListHosts
-            | Action::Upkeep { .. }
+            | Action::Maintenance { .. }
             | Action::ConfirmLeadership => return,
         };
         let trip = Trip { at: self.worker_of(ix), ix, term: self.term };
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -124,7 +124,7 @@
         Action::ListHosts => {
             task::spawn(list_hosts(calls, sent));
         }
-        Action::Upkeep { wave, host } => {
+        Action::Maintenance { wave, host } => {
             task::spawn(upkeep(calls, wave, host));
         }
         Action::ConfirmLeadership => {
@@ -221,7 +221,7 @@
         Some(hosts) => hosts.upkeep(calls.token, wave, &host).await,
         None => UpkeepAnswer::Busy,
     };
-    calls.engine.send(Event::Upkeep { wave, host, answer });
+    calls.engine.send(Event::Maintenance { wave, host, answer });
 }
 
 /// Makes sure that this host still leads.
@@ -246,7 +246,9 @@
             Event::Advised { step, asked: workers, sent, answer: None }
         }
         Action::ListHosts => Event::Hosts { sent, hosts: None },
-        Action::Upkeep { wave, host } => Event::Upkeep { wave, host, answer: UpkeepAnswer::Busy },
+        Action::Maintenance { wave, host } => {
+            Event::Maintenance { wave, host, answer: UpkeepAnswer::Busy }
+        }
         Action::ConfirmLeadership => return None,
     };
     Some(event)
--- a/crates/sched/src/changes/upkeep.rs
+++ b/crates/sched/src/changes/upkeep.rs
@@ -21,7 +21,7 @@
 use crate::interface::message::{
     Action, HostInfo, HostState, Record, UpkeepAnswer, WaveNumber, WaveProgress, WaveRequest,
 };
-use crate::state::maintenance::{Down, Wave};
+use crate::state::maintenance::{DownHost, Wave};
 use crate::state::State;
 
 /// How often the hosts are listed while a wave is under way: a host is away for about 2 s, and all
@@ -72,8 +72,8 @@
         until,
         ordered: progress.ordered.clone(),
         progress,
-        told: !is_new,
-        left_out: BTreeSet::new(),
+        operators_notified: !is_new,
+        excluded: BTreeSet::new(),
         emptying: inherited.iter().map(|host| (host.clone(), now)).collect(),
         inherited,
         down: BTreeMap::new(),
@@ -87,14 +87,14 @@
     cx.maintenance.list_due = Some(cx.now + LIST_EVERY);
     let Some(hosts) = hosts else { return };
     cx.maintenance.hosts = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
-    cx.maintenance.listed = Some(sent);
+    cx.maintenance.hosts_listed_at = Some(sent);
     let (mut returned, mut awaited) = (Vec::new(), Vec::new());
     let upkeep = &mut cx.maintenance;
     for wave in upkeep.waves.values_mut() {
         let is_up = |h: &ids::HostId| upkeep.hosts.get(h).is_some_and(|h| h.state == HostState::Up);
         // A list that was asked for before the answer may show the host as it was before its
         // upkeep.
-        let is_back = |h: &ids::HostId, d: &Down| is_up(h) && d.begun.is_some_and(|at| sent > at);
+        let is_back = |h: &ids::HostId, d: &DownHost| is_up(h) && d.begun.is_some_and(|at| sent > at);
         let back = wave.down.iter().filter(|(h, d)| is_back(h, d)).map(|(h, _)| h.clone());
         let back: Vec<ids::HostId> = back.collect();
         wave.down.retain(|h, _| !back.contains(h));
@@ -104,7 +104,7 @@
             awaited.extend(expected.chain(wave.emptying.keys()).cloned());
         }
         let gone = wave.request.hosts.iter().filter(|h| !upkeep.hosts.contains_key(*h));
-        wave.left_out.extend(gone.cloned());
+        wave.excluded.extend(gone.cloned());
     }
     for host in returned {
         set_emptying(cx, &host, false);
@@ -147,7 +147,7 @@
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     if let Some(down) = wave.down.get_mut(host) {
-        down.again = None;
+        down.resend_at = None;
         down.begun.get_or_insert(now);
     }
     if wave.progress.begun.insert(host.clone()) {
@@ -160,7 +160,7 @@
 /// Leaves a host out that is not of the wave and that no order can take down.
 fn leave_out(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
-    wave.left_out.insert(host.clone());
+    wave.excluded.insert(host.clone());
     wave.down.remove(host);
     wave.progress.ordered.remove(host);
     let progress = wave.progress.clone();
@@ -170,7 +170,7 @@
 
 /// Brings every wave on.
 pub fn check(cx: &mut State) {
-    let active = |w: &&Wave| w.told && !w.progress.completed;
+    let active = |w: &&Wave| w.operators_notified && !w.progress.completed;
     let numbers: Vec<WaveNumber> =
         cx.maintenance.waves.values().filter(active).map(|w| w.request.number).collect();
     if numbers.is_empty() {
@@ -180,7 +180,7 @@
         cx.maintenance.list_due = None;
         cx.actions.push(Action::ListHosts);
     }
-    if cx.maintenance.listed.is_none() || cx.recovery_scan.is_some() {
+    if cx.maintenance.hosts_listed_at.is_none() || cx.recovery_scan.is_some() {
         return;
     }
     for number in numbers {
@@ -196,10 +196,10 @@
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     for (host, down) in &mut wave.down {
-        if down.again.is_some_and(|at| at <= now) {
-            down.again = None;
+        if down.resend_at.is_some_and(|at| at <= now) {
+            down.resend_at = None;
             down.attempts.record_send();
-            cx.actions.push(Action::Upkeep { wave: number, host: host.clone() });
+            cx.actions.push(Action::Maintenance { wave: number, host: host.clone() });
         }
     }
 }
@@ -212,11 +212,11 @@
         emptied.into_iter().partition(|(host, _)| wave.ordered.contains_key(host));
     for (host, _) in stored {
         wave.emptying.remove(&host);
-        let mut down = Down::new(wave.inherited.contains(&host));
+        let mut down = DownHost::new(wave.inherited.contains(&host));
         down.attempts.record_send();
         wave.down.insert(host.clone(), down);
         trace::upkeep_ordered(number, &host);
-        cx.actions.push(Action::Upkeep { wave: number, host });
+        cx.actions.push(Action::Maintenance { wave: number, host });
     }
     let known = wave.progress.ordered.len();
     wave.progress.ordered.extend(others);
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -121,7 +121,7 @@
             }
             Event::Wave(request) => maintenance::asked(self, request),
             Event::Hosts { sent, hosts } => maintenance::listed(self, sent, hosts),
-            Event::Upkeep { wave, host, answer } => {
+            Event::Maintenance { wave, host, answer } => {
                 maintenance::answered(self, wave, &host, answer);
             }
             Event::Committed => {
--- a/crates/sched/src/decisions/waves.rs
+++ b/crates/sched/src/decisions/waves.rs
@@ -45,7 +45,7 @@
 
 /// Lists the hosts whose upkeep has not begun.
 pub(crate) fn left(wave: &Wave) -> impl Iterator<Item = &ids::HostId> {
-    let over = |h: &ids::HostId| wave.progress.begun.contains(h) || wave.left_out.contains(h);
+    let over = |h: &ids::HostId| wave.progress.begun.contains(h) || wave.excluded.contains(h);
     wave.request.hosts.iter().filter(move |h| !over(h))
 }
 
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -293,7 +293,7 @@
         hosts: Option<Vec<HostInfo>>,
     },
     /// An order that a host goes down was answered or not.
-    Upkeep {
+    Maintenance {
         /// The wave.
         wave: WaveNumber,
         /// The host.
@@ -385,7 +385,7 @@
     /// List all hosts.
     ListHosts,
     /// Order a host down for its upkeep.
-    Upkeep {
+    Maintenance {
         /// The wave.
         wave: WaveNumber,
         /// The host.
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -35,7 +35,7 @@
 use recovery_scan::RecoveryScan;
 use crash_evidence::CrashTracker;
 use job_table::{JobEntry, ReadyStep, StepState, Task, TaskState};
-use maintenance::Upkeep;
+use maintenance::Maintenance;
 use worker::{Renewal, Worker};
 
 /// Sound entries whose pool the configuration does not name; a later one may.
@@ -108,7 +108,7 @@
     /// Tasks under which workers were lost.
     pub crashes: CrashTracker,
     /// Waves of upkeep.
-    pub maintenance: Upkeep,
+    pub maintenance: Maintenance,
     /// What is to be done.
     pub actions: Vec<Action>,
     /// How many starts have been sent whose answer, or the lack of one, is not known yet.
@@ -157,7 +157,7 @@
             interference: InterferenceModel::default(),
             permits: Permits::default(),
             crashes: CrashTracker::default(),
-            maintenance: Upkeep::default(),
+            maintenance: Maintenance::default(),
             actions: Vec::new(),
             starts_in_flight: 0,
             pass_wanted: false,
--- a/crates/sched/src/state/maintenance.rs
+++ b/crates/sched/src/state/maintenance.rs
@@ -11,22 +11,22 @@
 
 /// Everything known of waves and of the hosts that they name.
 #[derive(Debug, Default)]
-pub struct Upkeep {
+pub struct Maintenance {
     pub(crate) waves: BTreeMap<WaveNumber, Wave>,
     /// What a former leader stored of waves that have not been heard of again yet.
     pub(crate) stored: BTreeMap<WaveNumber, WaveProgress>,
     pub(crate) hosts: FxHashMap<ids::HostId, HostInfo>,
     /// When the list of hosts in hand was asked for.
-    pub(crate) listed: Option<Instant>,
+    pub(crate) hosts_listed_at: Option<Instant>,
     /// When the list is wanted next; unset while a call is under way.
     pub(crate) list_due: Option<Instant>,
 }
 
-impl Upkeep {
+impl Maintenance {
     /// Takes in that a wave's progress is stored.
     pub(crate) fn note_stored(&mut self, progress: &WaveProgress) {
         if let Some(wave) = self.waves.get_mut(&progress.number) {
-            wave.told = true;
+            wave.operators_notified = true;
             wave.ordered.clone_from(&progress.ordered);
         }
     }
@@ -40,9 +40,9 @@
     pub(crate) until: Instant,
     pub(crate) progress: WaveProgress,
     /// Whether the operators have been told of the wave; nothing goes down before.
-    pub(crate) told: bool,
+    pub(crate) operators_notified: bool,
     /// Hosts that are not of the wave after all.
-    pub(crate) left_out: BTreeSet<ids::HostId>,
+    pub(crate) excluded: BTreeSet<ids::HostId>,
     /// Hosts that are being emptied, and since when.
     pub(crate) emptying: BTreeMap<ids::HostId, Instant>,
     /// Hosts that are stored as ordered, with their workers; none else is ordered down.
@@ -50,21 +50,21 @@
     /// Hosts that a former leader may have ordered down.
     pub(crate) inherited: BTreeSet<ids::HostId>,
     /// Hosts that were ordered down and may be down, or may go down yet.
-    pub(crate) down: BTreeMap<ids::HostId, Down>,
+    pub(crate) down: BTreeMap<ids::HostId, DownHost>,
 }
 
 /// A host that was ordered down.
 #[derive(Debug, Default)]
-pub(crate) struct Down {
+pub(crate) struct DownHost {
     /// The tries of its order, with one for those of former leaders.
     pub(crate) attempts: CallAttempts,
     /// When its order is to be given again.
-    pub(crate) again: Option<Instant>,
+    pub(crate) resend_at: Option<Instant>,
     /// When the platform was heard to say that its upkeep has begun.
     pub(crate) begun: Option<Instant>,
 }
 
-impl Down {
+impl DownHost {
     /// Builds the state of a host before its first order; orders of former leaders may be open.
     pub(crate) fn new(inherited: bool) -> Self {
         let mut down = Self::default();
@@ -78,7 +78,7 @@
     /// Takes in what became of the last order, to be given again after `pause` unless that is proof
     /// enough; returns what became of the host.
     pub(crate) fn record_outcome(&mut self, last: Execution, again: Instant) -> Execution {
-        self.again = Some(again);
+        self.resend_at = Some(again);
         self.attempts.record_outcome(last)
     }
 }
--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -134,7 +134,7 @@
                     self.list_hosts();
                     continue;
                 }
-                Action::Upkeep { wave, host } => {
+                Action::Maintenance { wave, host } => {
                     self.order_down(wave, host);
                     continue;
                 }
--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -156,7 +156,7 @@
 
     fn answer_order(&mut self, order: &HostOrder, after: u64, answer: UpkeepAnswer) {
         let (wave, host, leader) = (order.wave, order.host.clone(), order.leader);
-        let event = Event::Upkeep { wave, host, answer };
+        let event = Event::Maintenance { wave, host, answer };
         self.send(after, Delivery::ToLeader { event, leader });
     }
 
