--- a/crates/sched/src/changes/account.rs
+++ b/crates/sched/src/changes/account.rs
@@ -13,8 +13,8 @@
 use crate::state::State;
 
 /// Takes in the account that answers a renewal which was sent at `sent`.
-pub fn take_in(cx: &mut State, ix: WorkerIx, sent: Instant, account: &Account) {
-    ends::take_in(cx, ix, &account.ends);
+pub fn apply(cx: &mut State, ix: WorkerIx, sent: Instant, account: &Account) {
+    ends::apply(cx, ix, &account.ends);
     for row in &account.running {
         take_in_running(cx, ix, row);
     }
@@ -37,7 +37,7 @@
     slot.progress_percent = row.progress_percent;
     slot.reading = row.reading;
     speed::observe(cx, ix, row.task);
-    checkpoints::take_in(cx, ix, row.task, row.run, row.checkpoint.as_deref());
+    checkpoints::apply(cx, ix, row.task, row.run, row.checkpoint.as_deref());
     stop_after_end(cx, ix, row);
     let Some(task) = cx.task_mut(row.task) else { return };
     if row.progress_percent >= READY_PERCENT {
@@ -94,7 +94,7 @@
     occupy_found(cx, ix, row);
     let Some(task) = cx.task_mut(key) else { return };
     task.state = TaskState::Active { worker: ix, run: row.run };
-    checkpoints::take_in(cx, ix, key, row.run, row.checkpoint.as_deref());
+    checkpoints::apply(cx, ix, key, row.run, row.checkpoint.as_deref());
     trace::run_adopted(key, row.run, &cx.worker(ix).info.id);
 }
 
--- a/crates/sched/src/changes/checkpoints.rs
+++ b/crates/sched/src/changes/checkpoints.rs
@@ -35,7 +35,7 @@
 }
 
 /// Takes in the checkpoint that a worker lists beside a run, and tells whether its task has a new one.
-pub fn take_in(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, listed: Option<&str>) -> bool {
+pub fn apply(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, listed: Option<&str>) -> bool {
     let Some(text) = listed else { return false };
     if let Some(why) = unfit(cx, key, run) {
         trace::checkpoint_passed_over(key, run, &cx.worker(ix).info.id, why);
--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -10,7 +10,7 @@
 use crate::state::State;
 
 /// Takes in the ends of a worker that are new.
-pub fn take_in(cx: &mut State, ix: WorkerIx, ends: &[End]) {
+pub fn apply(cx: &mut State, ix: WorkerIx, ends: &[End]) {
     for end in ends {
         let worker = cx.worker(ix);
         if end.seq <= worker.recorded_up_to {
@@ -27,7 +27,7 @@
 /// Frees the room of a run that ended, and decides what becomes of its task.
 fn take_in_end(cx: &mut State, ix: WorkerIx, end: &End) {
     let was_active = cx.is_active(end.task, ix, end.run);
-    let saved = checkpoints::take_in(cx, ix, end.task, end.run, end.checkpoint.as_deref());
+    let saved = checkpoints::apply(cx, ix, end.task, end.run, end.checkpoint.as_deref());
     let slot = lifecycle::vacate(cx, ix, end.task, end.run);
     if let Some(slot) = slot.filter(|_| end.how == How::Done) {
         speed::observe_end(cx, ix, end.task, &slot);
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -168,7 +168,7 @@
     worker.first_answered_at.get_or_insert(now);
     worker.acknowledged_up_to = worker.acknowledged_up_to.max(worker.acknowledging_up_to);
     worker.record_clock(now, account.clock);
-    account::take_in(cx, ix, sent, &account);
+    account::apply(cx, ix, sent, &account);
     if is_first {
         restarts::end_former(cx, ix);
     }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -16,7 +16,7 @@
 pub use crate::state::Term;
 
 /// How often a dispatch pass may run while events pour in; a pass looks at every ready step.
-const PASS_EVERY: Millis = Millis(4);
+const MIN_PASS_INTERVAL: Millis = Millis(4);
 
 /// A pass goes over all workers, so on large fleets it runs less often: once in a millisecond for
 /// so many of them.
@@ -25,17 +25,17 @@
 /// A pass that held many waiting steps against many workers is followed by a longer pause: one
 /// millisecond for so many looks at a worker. Without that the passes of a full installation leave no
 /// processor time for its renewals.
-const LOOKS_PER_MS: u64 = 2_000;
+const EVALUATIONS_PER_MS: u64 = 2_000;
 
 /// How often due renewals are looked for while events pour in; a look goes over all workers.
-const RENEWALS_EVERY: Millis = Millis(2);
+const RENEWAL_CHECK_INTERVAL: Millis = Millis(2);
 
 /// How often bounds of time are checked.
-const HOUSEKEEPING_EVERY: Millis = Millis(50);
+const HOUSEKEEPING_INTERVAL: Millis = Millis(50);
 
 /// How often better places are looked for: each look goes over all workers for every image that is
 /// stuck, and moves one task to a worker.
-const REARRANGE_EVERY: Millis = Millis(200);
+const REBALANCE_INTERVAL: Millis = Millis(200);
 
 /// What a leader knows, with the times at which it was last looked over. A driver reads the state through
 /// it as if it were the state.
@@ -45,9 +45,9 @@
     last_pass: Instant,
     last_renewals: Instant,
     /// Set when renewals may be due that were not looked for.
-    renewals_left: bool,
+    renewals_postponed: bool,
     last_housekeeping: Instant,
-    last_rearranged: Instant,
+    last_rebalanced: Instant,
 }
 
 impl Deref for Context {
@@ -71,9 +71,9 @@
             state: State::open(settings, term, now, unix_ms),
             last_pass: Instant(0),
             last_renewals: Instant(0),
-            renewals_left: false,
+            renewals_postponed: false,
             last_housekeeping: Instant(0),
-            last_rearranged: Instant(0),
+            last_rebalanced: Instant(0),
         }
     }
 
@@ -82,14 +82,14 @@
     pub fn handle(&mut self, now: Instant, unix_ms: u64, event: Event) {
         self.now = now;
         self.unix_ms = unix_ms;
-        self.take_in(event);
-        self.keep_house();
-        self.renew();
-        self.start();
+        self.apply(event);
+        self.run_housekeeping();
+        self.send_renewals();
+        self.run_due_pass();
     }
 
     /// Hands an event to the one module that takes it in.
-    fn take_in(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
             Event::Tick => {}
             Event::Settings(settings) => self.settings = *settings,
@@ -135,8 +135,8 @@
     /// Checks bounds of time now and then. What is over comes first, since it frees tasks and room; then what
     /// it proves of the tasks that ran there; then what has to leave its worker, by need and by wish; then what
     /// is kept or forgotten.
-    fn keep_house(&mut self) {
-        if self.now.since(self.last_housekeeping) < HOUSEKEEPING_EVERY {
+    fn run_housekeeping(&mut self) {
+        if self.now.since(self.last_housekeeping) < HOUSEKEEPING_INTERVAL {
             return;
         }
         self.last_housekeeping = self.now;
@@ -150,24 +150,24 @@
         recorded::send_stored(self);
         maintenance::check(self);
         drain::check(self);
-        self.rearrange();
+        self.rebalance();
         pacing::keep_learnt(self);
         intake::forget_finished(self);
         self.pass_wanted |= !self.ready.is_empty();
     }
 
     /// Sends the renewals that are due.
-    fn renew(&mut self) {
-        self.renewals_left = self.now.since(self.last_renewals) < RENEWALS_EVERY;
-        if !self.renewals_left {
+    fn send_renewals(&mut self) {
+        self.renewals_postponed = self.now.since(self.last_renewals) < RENEWAL_CHECK_INTERVAL;
+        if !self.renewals_postponed {
             self.last_renewals = self.now;
             renewals::send_due(self);
         }
     }
 
     /// Starts what can start, last of all: with what has come free by now.
-    fn start(&mut self) {
-        if self.pass_wanted && self.now.since(self.last_pass) >= self.pass_every() {
+    fn run_due_pass(&mut self) {
+        if self.pass_wanted && self.now.since(self.last_pass) >= self.min_pass_interval() {
             self.last_pass = self.now;
             self.pass_wanted = false;
             if !self.freshness.is_behind() {
@@ -186,30 +186,30 @@
     }
 
     /// Looks now and then for better places for what runs.
-    fn rearrange(&mut self) {
-        if self.now.since(self.last_rearranged) < REARRANGE_EVERY {
+    fn rebalance(&mut self) {
+        if self.now.since(self.last_rebalanced) < REBALANCE_INTERVAL {
             return;
         }
-        self.last_rearranged = self.now;
+        self.last_rebalanced = self.now;
         self.rebalance_searches = moving::check(self) + stragglers::check(self);
     }
 
     /// Returns the least time between two passes.
-    fn pass_every(&self) -> Millis {
+    fn min_pass_interval(&self) -> Millis {
         let by_fleet = Millis(self.fleet_size() as u64 / WORKERS_PER_MS);
-        let by_looks = Millis(self.pass_evaluations as u64 / LOOKS_PER_MS);
-        PASS_EVERY.max(by_fleet).max(by_looks)
+        let by_looks = Millis(self.pass_evaluations as u64 / EVALUATIONS_PER_MS);
+        MIN_PASS_INTERVAL.max(by_fleet).max(by_looks)
     }
 
     /// Returns when [`Event::Tick`] is wanted next.
     pub fn next_wake(&self) -> Instant {
-        let pass = self.last_pass + self.pass_every();
-        let mut wake = self.last_housekeeping + HOUSEKEEPING_EVERY;
+        let pass = self.last_pass + self.min_pass_interval();
+        let mut wake = self.last_housekeeping + HOUSEKEEPING_INTERVAL;
         if self.pass_wanted {
             wake = wake.min(pass);
         }
-        if self.renewals_left {
-            wake = wake.min(self.last_renewals + RENEWALS_EVERY);
+        if self.renewals_postponed {
+            wake = wake.min(self.last_renewals + RENEWAL_CHECK_INTERVAL);
         }
         wake
     }
