--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -137,7 +137,7 @@
     let term = Term { number: 1, token: FencingToken(1) };
     let now = 10_000;
     // All starts of one pass are wanted in one figure.
-    let settings = Settings { starts_under_way_most: usize::MAX, ..Settings::default() };
+    let settings = Settings { max_starts_in_flight: usize::MAX, ..Settings::default() };
     let cx = Context::open(settings, term, Instant(now), now);
     let mut fleet = Fleet { cx, now, next_job: 1 };
     fleet.event(Event::Config(config()));
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -61,7 +61,8 @@
 fn a_worse_policy_shows_as_worse() {
     let pattern = with_failing_images();
     let ours = play(&pattern, &Settings::default());
-    let worse = Settings { worker_failures: 1, quarantine: Millis(30_000), ..Settings::default() };
+    let worse =
+        Settings { max_worker_failures: 1, quarantine: Millis(30_000), ..Settings::default() };
     let theirs = play(&pattern, &worse);
     let (mean, error, pairs) =
         compare::difference(pattern.name, &ours, &theirs, |l| l.outcome.worth.mean);
@@ -93,7 +94,7 @@
 /// The clairvoyant packing is held against this scheduler and against a worse one.
 #[test]
 fn no_policy_gets_more_than_what_is_possible() {
-    let worse = Settings { worker_failures: 1, starts_under_way_most: 1, ..Settings::default() };
+    let worse = Settings { max_worker_failures: 1, max_starts_in_flight: 1, ..Settings::default() };
     for pattern in ["small", "more-load", "uneven"].map(quarter) {
         for settings in [Settings::default(), worse.clone()] {
             for line in play(&pattern, &settings) {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -75,10 +75,7 @@
     let mut cfg = Settings {
         renew_wait: Millis(values.number(RENEW_WAIT)),
         commit_delay: Millis(values.number(COMMIT_DELAY)),
-        starts_under_way_most: starts_under_way_most(
-            installation.cpu_share,
-            installation.link_mbps,
-        ),
+        max_starts_in_flight: starts_under_way_most(installation.cpu_share, installation.link_mbps),
         ..Settings::default()
     };
     installation::apply(installation, &mut cfg);
--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -70,7 +70,7 @@
     if !info.draining {
         return Listing::Ready;
     }
-    let remaining = info.remaining.unwrap_or(cx.settings.drain);
+    let remaining = info.remaining.unwrap_or(cx.settings.min_drain);
     Listing::Draining { since: cx.now, remaining }
 }
 
--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -130,7 +130,7 @@
 
 /// Counts a failure against the worker, which gets no new tasks for a while after several.
 fn blame_worker(cx: &mut State, ix: WorkerIx) {
-    let (now, limit, quarantine) = (cx.now, cx.settings.worker_failures, cx.settings.quarantine);
+    let (now, limit, quarantine) = (cx.now, cx.settings.max_worker_failures, cx.settings.quarantine);
     let worker = cx.worker_mut(ix);
     worker.failures += 1;
     if worker.failures < limit {
--- a/crates/sched/src/changes/freshness.rs
+++ b/crates/sched/src/changes/freshness.rs
@@ -45,7 +45,7 @@
 /// Looks whether the view is too old, and says so when that changes.
 pub fn check(cx: &mut State) {
     let (now, lag) = (cx.now, cx.freshness.lag());
-    let behind = lag > lag_most(cx.settings.drain);
+    let behind = lag > lag_most(cx.settings.min_drain);
     match (cx.freshness.behind_since, behind) {
         (None, true) => {
             cx.freshness.behind_since = Some(now);
--- a/crates/sched/src/changes/gone.rs
+++ b/crates/sched/src/changes/gone.rs
@@ -8,7 +8,7 @@
 /// over, and workers that are neither listed nor answering.
 pub fn check(cx: &mut State) {
     let now = cx.now;
-    let (drift, lease) = (cx.settings.drift_per_mille, cx.settings.lease());
+    let (drift, lease) = (cx.settings.clock_drift_per_mille, cx.settings.lease());
     for ix in cx.worker_ixs() {
         let worker = cx.worker_mut(ix);
         worker.refuses_stops = worker.has_refused_stop_for(now, lease);
--- a/crates/sched/src/changes/intake.rs
+++ b/crates/sched/src/changes/intake.rs
@@ -137,7 +137,7 @@
 pub fn forget_finished(cx: &mut State) {
     let now = cx.now;
     cx.early_cancellations.retain(|_, since| now.since(*since) < EARLY_FOR);
-    let keep = cx.settings.keep_finished.0;
+    let keep = cx.settings.finished_job_retention.0;
     let unix_ms = cx.unix_ms;
     let old =
         |e: &JobEntry| e.stored_state.is_final() && e.ended_unix_ms > 0 && e.ended_unix_ms + keep < unix_ms;
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -135,7 +135,7 @@
 /// go to its worker any more.
 fn unclear(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
     let now = cx.now;
-    let most = cx.settings.start_tries;
+    let most = cx.settings.max_start_attempts;
     suspect(cx, ix);
     let evacuated = cx.worker(ix).evacuated;
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -34,7 +34,7 @@
 /// outlasted both stages of halting, its cause lies elsewhere and the time begins anew.
 pub(super) fn watch_targets(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
-    let halt_over = paces::part_of(cx.settings.tail_excess, HALT_OVER);
+    let halt_over = paces::part_of(cx.settings.max_tail_excess, HALT_OVER);
     for slot in cx.worker_mut(ix).slots.values_mut() {
         let TaskRole::Serving { target_ms, .. } = slot.role else { continue };
         let Some(share) = slot.reading.map(|tail| f64::from(tail) / f64::from(target_ms.max(1)))
@@ -74,7 +74,7 @@
 /// since.
 fn order_pace(cx: &mut State, ix: WorkerIx, wanted: &FillingTask) {
     let now = cx.now;
-    let again_after = paces::part_of(cx.settings.tail_excess, AGAIN_AFTER);
+    let again_after = paces::part_of(cx.settings.max_tail_excess, AGAIN_AFTER);
     let surveying = cx.recovery_scan.as_ref().is_some_and(|survey| now.since(survey.began) < FOUND_WAIT);
     let worker = cx.worker_mut(ix);
     let Some(slot) = worker.slots.get_mut(&wanted.key) else { return };
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -65,7 +65,7 @@
             }
         }
     }
-    let lease = cx.settings.lease().with_drift(cx.settings.drift_per_mille);
+    let lease = cx.settings.lease().with_drift(cx.settings.clock_drift_per_mille);
     let until = cx.now + lease + cx.settings.takeover_margin;
     trace::takeover_began(cx.term.number, jobs.len(), waiting.len(), closed.len());
     let lost = Vec::new();
--- a/crates/sched/src/decisions/leaving.rs
+++ b/crates/sched/src/decisions/leaving.rs
@@ -40,7 +40,7 @@
         Listing::Absent { since } => {
             let back_until = cx.directory_recovered_at + BACK_WITHIN;
             let from = since.max(back_until);
-            let last_call = last_call(from, cx.settings.drain);
+            let last_call = last_call(from, cx.settings.min_drain);
             (cx.now >= from).then_some(Departure { last_call, announced: false })
         }
     }
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -69,8 +69,8 @@
 /// Halts fillers beside a serving task that stays over its target: first what may press on it by
 /// the model, then, whatever the model says, everything.
 fn halt(cx: &State, worker: &Worker, filling: &mut [FillingTask]) {
-    let suspected_after = part_of(cx.settings.tail_excess, HALT_SUSPECTED_AFTER);
-    let all_after = part_of(cx.settings.tail_excess, HALT_ALL_AFTER);
+    let suspected_after = part_of(cx.settings.max_tail_excess, HALT_SUSPECTED_AFTER);
+    let all_after = part_of(cx.settings.max_tail_excess, HALT_ALL_AFTER);
     for slot in worker.slots.values() {
         let (TaskRole::Serving { row, .. }, Some(since)) = (slot.role, slot.over_target_since) else {
             continue;
--- a/crates/sched/src/interface/settings.rs
+++ b/crates/sched/src/interface/settings.rs
@@ -11,10 +11,10 @@
     /// The longest time that a stop takes at a worker; set by the installation.
     pub stop_limit: Millis,
     /// How long a draining worker serves at least; set by the installation.
-    pub drain: Millis,
+    pub min_drain: Millis,
     /// How much slower than ours a worker's clock may run, in parts per thousand; the workers'
     /// interface names 2 %.
-    pub drift_per_mille: u64,
+    pub clock_drift_per_mille: u64,
     /// How long a renewal of leases may wait at a worker for a task's end. Shorter waits cost a
     /// call each, longer ones let readings of serving tasks grow old.
     pub renew_wait: Millis,
@@ -25,10 +25,10 @@
     /// How often a worker without tasks is asked, for its clock's sake.
     pub idle_renew_every: Millis,
     /// How many times a start without an answer is sent again before it is stopped instead.
-    pub start_tries: u32,
+    pub max_start_attempts: u32,
     /// How many starts may be under way at one time; set from the host's share of a processor. More
     /// at once than a host can send and hear of delays the renewals behind them.
-    pub starts_under_way_most: usize,
+    pub max_starts_in_flight: usize,
     /// How long an ordered stop may go unanswered or unlisted before it is sent again.
     pub stop_retry: Millis,
     /// How long ends are gathered into one commit.
@@ -39,29 +39,29 @@
     /// installation expects a lasting task to be at work again.
     pub retry_pause_max: Millis,
     /// How many runs in a row a worker may fail before it gets no new tasks for a while.
-    pub worker_failures: u32,
+    pub max_worker_failures: u32,
     /// How long a worker that fails what it starts gets no new tasks; doubles with each time.
     pub quarantine: Millis,
     /// How long a worker that refused a task for want of room is not offered tasks.
     pub full_pause: Millis,
     /// How long a serving task may exceed its target at a stretch; set by the installation.
-    pub tail_excess: Millis,
+    pub max_tail_excess: Millis,
     /// How long a successor waits for workers that do not answer, beyond the longest lease.
     pub takeover_margin: Millis,
     /// How long a finished job's state is kept; set by the installation, with a margin.
-    pub keep_finished: Millis,
+    pub finished_job_retention: Millis,
 }
 
 /// The longest lease that is asked for, whatever workers would grant. A task at a worker that is lost
 /// starts elsewhere only once its lease is over, and a successor that cannot reach a worker starts
 /// nothing for as long; the users expect lasting tasks at work again some 7 s after trouble has ended.
 /// A change of leader takes up to 3 s.
-const LEASE_WANTED: Millis = Millis(6_000);
+const MAX_LEASE_REQUESTED: Millis = Millis(6_000);
 
 impl Settings {
     /// Returns the length of the leases that are asked for.
     pub fn lease(&self) -> Millis {
-        self.lease_max.min(LEASE_WANTED)
+        self.lease_max.min(MAX_LEASE_REQUESTED)
     }
 }
 
@@ -70,24 +70,24 @@
         Self {
             lease_max: Millis(6_000),
             stop_limit: Millis(900),
-            drain: Millis(2_000),
-            drift_per_mille: 20,
+            min_drain: Millis(2_000),
+            clock_drift_per_mille: 20,
             renew_wait: Millis(1_000),
             poll_every: Millis(250),
             renew_retry: Millis(200),
             idle_renew_every: Millis(4_000),
-            start_tries: 3,
-            starts_under_way_most: 256,
+            max_start_attempts: 3,
+            max_starts_in_flight: 256,
             stop_retry: Millis(400),
             commit_delay: Millis(60),
             retry_pause: Millis(100),
             retry_pause_max: Millis(1_500),
-            worker_failures: 3,
+            max_worker_failures: 3,
             quarantine: Millis(3_000),
             full_pause: Millis(300),
-            tail_excess: Millis(4_000),
+            max_tail_excess: Millis(4_000),
             takeover_margin: Millis(500),
-            keep_finished: Millis(150_000),
+            finished_job_retention: Millis(150_000),
         }
     }
 }
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -173,12 +173,12 @@
 
     /// Tells whether as many starts are under way as may be.
     pub fn is_at_start_limit(&self) -> bool {
-        self.starts_in_flight >= self.settings.starts_under_way_most
+        self.starts_in_flight >= self.settings.max_starts_in_flight
     }
 
     /// Tells whether as many starts are under way to a worker as may be.
     pub fn is_worker_at_start_limit(&self, ix: WorkerIx) -> bool {
-        let most = (self.settings.starts_under_way_most / WORKER_STARTS_DIVISOR).max(MIN_STARTS_PER_WORKER);
+        let most = (self.settings.max_starts_in_flight / WORKER_STARTS_DIVISOR).max(MIN_STARTS_PER_WORKER);
         self.worker(ix).starts_in_flight >= most
     }
 
--- a/crates/sched/tests/fleet/bursts.rs
+++ b/crates/sched/tests/fleet/bursts.rs
@@ -13,7 +13,7 @@
 fn a_burst_is_sent_in_turn_and_still_all_started() {
     let mut world = World::open(91, WORKERS);
     world.work_ms = 60_000;
-    world.settings.starts_under_way_most = MOST;
+    world.settings.max_starts_in_flight = MOST;
     world.take_over();
     world.run(1_000);
     for key in 0..12 {
@@ -34,7 +34,7 @@
 fn silent_workers_do_not_take_up_all_the_starts_that_may_be_under_way() {
     let mut world = World::open(92, WORKERS);
     world.work_ms = 60_000;
-    world.settings.starts_under_way_most = MOST;
+    world.settings.max_starts_in_flight = MOST;
     world.take_over();
     world.run(1_000);
     for worker in 0..10 {
--- a/crates/sched/tests/fleet/cancelled_runs.rs
+++ b/crates/sched/tests/fleet/cancelled_runs.rs
@@ -387,7 +387,7 @@
 #[test]
 fn a_run_ends_whose_job_is_forgotten() {
     let mut world = World::open(429, 3);
-    world.settings.keep_finished = Millis(500);
+    world.settings.finished_job_retention = Millis(500);
     world.take_over();
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(6, &[])]));
--- a/crates/sched/tests/fleet/late_paces.rs
+++ b/crates/sched/tests/fleet/late_paces.rs
@@ -93,7 +93,7 @@
         world.run(1);
         working += 1;
     }
-    let most = world.settings.tail_excess.0 / 2;
+    let most = world.settings.max_tail_excess.0 / 2;
     assert!(working > 0, "the late order was not carried out");
     assert!(working < most, "it went on for {working} ms beside what it disturbs");
     assert_kept(&world);
--- a/crates/sched/tests/fleet/world/directory.rs
+++ b/crates/sched/tests/fleet/world/directory.rs
@@ -88,7 +88,7 @@
     /// leaves.
     pub(super) fn check_leaving(&mut self, at: usize, task: TaskKey, sent: u64) {
         let Some(&(since, _)) = self.directory.leaving.get(&at) else { return };
-        if sent > since + self.settings.drain.0 {
+        if sent > since + self.settings.min_drain.0 {
             let late = sent - since;
             let violation = format!("{sent}: {task} starts {late} ms after {at} said it leaves");
             self.violations.push(violation);
