--- a/crates/sched/src/changes/account.rs
+++ b/crates/sched/src/changes/account.rs
@@ -7,7 +7,7 @@
 use crate::changes::lifecycle::Occupant;
 use crate::changes::{checkpoints, ends, lifecycle, speed, trace};
 use crate::interface::message::{Account, Action, Run, RunningTask, WorkerIx};
-use crate::interface::proof::Proof;
+use crate::interface::proof::ReleaseProof;
 use crate::state::job_table::TaskState;
 use crate::state::worker::{Phase, Slot, READY_PERCENT};
 use crate::state::State;
@@ -147,7 +147,7 @@
         .map(|(key, slot)| (*key, slot.run))
         .collect();
     for (key, run) in missing {
-        lifecycle::requeue(cx, ix, key, run, Proof::NotListed);
+        lifecycle::requeue(cx, ix, key, run, ReleaseProof::NotListed);
     }
 }
 
--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -11,7 +11,7 @@
 use crate::changes::crashes::kept;
 use crate::changes::{commits, lifecycle, orders};
 use crate::interface::message::{Run, WorkerIx};
-use crate::interface::proof::Proof;
+use crate::interface::proof::ReleaseProof;
 use crate::state::crash_evidence::{Saved, RecordedStart};
 use crate::state::worker::Phase;
 use crate::state::State;
@@ -55,7 +55,7 @@
             }
             orders::send_start(cx, ix, key, run);
         } else {
-            lifecycle::requeue(cx, ix, key, run, Proof::NeverSent);
+            lifecycle::requeue(cx, ix, key, run, ReleaseProof::NeverSent);
         }
     }
 }
--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -10,7 +10,7 @@
 use crate::decisions::placement::{self, Wanted};
 use crate::decisions::{asks, racks};
 use crate::interface::message::{Run, WorkerIx};
-use crate::interface::proof::Proof;
+use crate::interface::proof::ReleaseProof;
 use crate::state::job_table::ReadyStep;
 use crate::state::State;
 
@@ -92,7 +92,7 @@
 /// Frees the room of the members placed so far; nothing of them was sent.
 fn undo(cx: &mut State, placed: &[(TaskKey, WorkerIx)], run: Run) {
     for &(task, ix) in placed {
-        lifecycle::requeue(cx, ix, task, run, Proof::NeverSent);
+        lifecycle::requeue(cx, ix, task, run, ReleaseProof::NeverSent);
     }
 }
 
--- a/crates/sched/src/changes/leases.rs
+++ b/crates/sched/src/changes/leases.rs
@@ -7,14 +7,14 @@
 
 use crate::changes::{crashes, abandoned_starts, lifecycle, roster, trace};
 use crate::interface::message::{Run, WorkerClock, WorkerIx};
-use crate::interface::proof::Proof;
+use crate::interface::proof::ReleaseProof;
 use crate::state::worker::Slot;
 use crate::state::State;
 
 /// Gives up every run at a worker whose leases are certainly over.
 pub fn lapse(cx: &mut State, ix: WorkerIx) {
     keep_doubts(cx, ix);
-    free_all(cx, ix, Proof::LeaseOver);
+    free_all(cx, ix, ReleaseProof::LeaseOver);
 }
 
 /// Remembers the runs at a worker that may still begin there once it gets leases again.
@@ -27,7 +27,7 @@
 }
 
 /// Gives up every run at a worker.
-fn free_all(cx: &mut State, ix: WorkerIx, proof: Proof) {
+fn free_all(cx: &mut State, ix: WorkerIx, proof: ReleaseProof) {
     let slots: Vec<(TaskKey, Run)> =
         cx.worker(ix).slots.iter().map(|(key, slot)| (*key, slot.run)).collect();
     if !slots.is_empty() {
@@ -42,7 +42,7 @@
 pub fn give_up(cx: &mut State, ix: WorkerIx) -> bool {
     crashes::worker_lost(cx, ix, true);
     crashes::worker_gone(cx, ix);
-    free_all(cx, ix, Proof::WorkerGone);
+    free_all(cx, ix, ReleaseProof::WorkerGone);
     if !cx.set_terminated(ix, true) {
         return false;
     }
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -10,7 +10,7 @@
 use crate::changes::pacing::{self, PaceOrders, FULL_PACE};
 use crate::changes::{commits, scarcity, trace};
 use crate::interface::message::{Action, Run, WorkerIx};
-use crate::interface::proof::Proof;
+use crate::interface::proof::ReleaseProof;
 use crate::state::checkpoint::Checkpoint;
 use crate::state::job_table::{self, JobEntry, ReadyStep, Round, Task, TaskState};
 use crate::state::worker::{TaskRole, Phase, Slot};
@@ -145,7 +145,7 @@
 
 /// Takes a run off a worker by a proof that it is not there, and makes its task pending again if
 /// that was held to be there.
-pub fn requeue(cx: &mut State, worker: WorkerIx, key: TaskKey, run: Run, proof: Proof) {
+pub fn requeue(cx: &mut State, worker: WorkerIx, key: TaskKey, run: Run, proof: ReleaseProof) {
     let was_active = cx.is_active(key, worker, run);
     let slot = vacate(cx, worker, key, run);
     let released = slot.as_ref().map(|slot| (slot, cx.now));
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -12,7 +12,7 @@
 
 use crate::changes::{checkpoints, abandoned_starts, terminated, leases, lifecycle, pacing, permits, trace};
 use crate::interface::message::{Action, Outcome, Refusal, Run, StepKey, WorkerClock, WorkerIx};
-use crate::interface::proof::Proof;
+use crate::interface::proof::ReleaseProof;
 use crate::state::rates::ProgressSample;
 use crate::state::job_table::TaskState;
 use crate::state::worker::Phase;
@@ -41,7 +41,7 @@
             trace::worker_gone(&cx.worker(ix).info.id, "another incarnation answers");
             // A start of which no try is open did not reach the worker that is lost.
             if fate == Execution::NotDone {
-                lifecycle::requeue(cx, ix, key, run, Proof::Refused);
+                lifecycle::requeue(cx, ix, key, run, ReleaseProof::Refused);
             }
             terminated::give_up(cx, ix);
         }
@@ -50,14 +50,14 @@
             if refusal == Refusal::Invalid {
                 checkpoints::refused(cx, ix, key);
             }
-            not_done(cx, ix, key, run, fate, Proof::Refused);
+            not_done(cx, ix, key, run, fate, ReleaseProof::Refused);
             if refusal == Refusal::Invalid {
                 put_off_invalid(cx, key);
             }
         }
         Outcome::NotSent => {
             spare(cx, ix, cx.settings.renew_retry);
-            not_done(cx, ix, key, run, fate, Proof::NeverSent);
+            not_done(cx, ix, key, run, fate, ReleaseProof::NeverSent);
         }
         Outcome::Unclear => unclear(cx, ix, key, run),
     }
@@ -89,7 +89,7 @@
 
 /// Frees a task whose start was certainly not carried out, or withdraws the start while a try of it
 /// is open: that one may be carried out when the task has long ended elsewhere.
-fn not_done(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, fate: Execution, proof: Proof) {
+fn not_done(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, fate: Execution, proof: ReleaseProof) {
     match fate {
         Execution::NotDone => lifecycle::requeue(cx, ix, key, run, proof),
         Execution::Done | Execution::Unknown => {
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -17,7 +17,7 @@
     End, EndSeq, Outcome, Run, UpkeepAnswer, WaveNumber, WaveRequest, WorkerClock, WorkerInfo,
     WorkerIx,
 };
-use crate::interface::proof::Proof;
+use crate::interface::proof::ReleaseProof;
 use crate::state::checkpoint::Checkpoint;
 use crate::state::job_table::JobEntry;
 use crate::state::worker::{Listing, Slot, Worker};
@@ -159,7 +159,7 @@
     task: TaskKey,
     run: Run,
     worker: &ids::WorkerId,
-    proof: Proof,
+    proof: ReleaseProof,
     released: Option<(&Slot, Instant)>,
 ) {
     let slot = released.map(|(slot, _)| slot);
@@ -172,7 +172,7 @@
 
 /// All runs at a worker are given up: how the directory showed it, since when it had not answered,
 /// and how many runs go together.
-pub fn worker_lost(worker: &Worker, now: Instant, proof: Proof) {
+pub fn worker_lost(worker: &Worker, now: Instant, proof: ReleaseProof) {
     let silent_ms = worker.clock.map(|(answered, _)| now.since(answered).0);
     info!(event = "worker_lost", worker = %worker.info.id, addr = %worker.info.addr, ?proof,
         listing = ?worker.listing, missed = worker.unanswered_renewals, silent_ms, runs = worker.slots.len());
--- a/crates/sched/src/interface/proof.rs
+++ b/crates/sched/src/interface/proof.rs
@@ -2,7 +2,7 @@
 
 /// Why the task of a run may go elsewhere though no end of the run is listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Proof {
+pub enum ReleaseProof {
     /// No try of its start left this host.
     NeverSent,
     /// The worker refused its start.
