--- a/crates/sched/src/changes/moving.rs
+++ b/crates/sched/src/changes/moving.rs
@@ -7,7 +7,7 @@
 use crate::changes::lifecycle;
 use crate::decisions::placement;
 use crate::interface::message::{Run, WorkerIx};
-use crate::interface::searches::{self, Searches};
+use crate::interface::searches::{self, SearchBudget};
 use crate::state::interference_model::Column;
 use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 struct Search {
     /// How many more times it may go over all workers.
-    searches: Searches,
+    searches: SearchBudget,
     /// Workers to which a task moves already: each takes one at a time.
     taken: FxHashSet<WorkerIx>,
     /// Images and processor demands for which no worker was found that is not taken; larger ones find none
@@ -32,9 +32,9 @@
 pub fn check(cx: &mut State) -> usize {
     let searches = searches::open(cx.workers.len());
     let mut search = Search { searches, taken: FxHashSet::default(), without: Vec::new() };
-    for ix in searches::in_turn(cx.worker_ixs(), cx.rebalance_cursors.0) {
+    for ix in searches::rotated_to(cx.worker_ixs(), cx.rebalance_cursors.0) {
         for (key, run, column, demand) in stuck(cx, ix) {
-            if search.searches.is_over() {
+            if search.searches.is_exhausted() {
                 cx.rebalance_cursors.0 = ix;
                 return search.searches.made();
             }
@@ -76,7 +76,7 @@
         if !can_resume || self.without.iter().any(larger) {
             return false;
         }
-        self.searches.take();
+        self.searches.spend_one();
         let place = placement::elsewhere(cx, here, key);
         let found = place.is_some_and(|place| self.taken.insert(place));
         if !found {
--- a/crates/sched/src/changes/stragglers.rs
+++ b/crates/sched/src/changes/stragglers.rs
@@ -18,7 +18,7 @@
 /// that took.
 pub fn check(cx: &mut State) -> usize {
     let mut searches = searches::open(cx.workers.len());
-    for ix in searches::in_turn(cx.worker_ixs(), cx.rebalance_cursors.1) {
+    for ix in searches::rotated_to(cx.worker_ixs(), cx.rebalance_cursors.1) {
         let worker = cx.worker(ix);
         if worker.unanswered_renewals > 0 || !worker.speed.is_slow(cx.now) {
             continue;
@@ -27,11 +27,11 @@
             worker.slots.iter().filter(|(key, slot)| slowness::is_straggler(cx, ix, **key, slot));
         let slow: Vec<(TaskKey, Run)> = slow.map(|(key, slot)| (*key, slot.run)).collect();
         for (key, run) in slow {
-            if searches.is_over() {
+            if searches.is_exhausted() {
                 cx.rebalance_cursors.1 = ix;
                 return searches.made();
             }
-            searches.take();
+            searches.spend_one();
             if placement::elsewhere(cx, ix, key).is_some() {
                 start_again(cx, ix, key, run);
             }
--- a/crates/sched/src/interface/searches.rs
+++ b/crates/sched/src/interface/searches.rs
@@ -8,31 +8,31 @@
 use crate::interface::message::WorkerIx;
 
 /// The looks at a worker that one check may take: some 0.15 us each, 3 ms of a processor five times a second.
-const LOOKS_MOST: usize = 20_000;
+const MAX_EVALUATIONS_PER_CHECK: usize = 20_000;
 
 /// The searches that one check may make on the largest fleet.
-const SEARCHES_LEAST: usize = 4;
+const MIN_SEARCHES_PER_CHECK: usize = 4;
 
 /// The searches that are left of a check.
 #[derive(Debug)]
-pub struct Searches {
+pub struct SearchBudget {
     left: usize,
     made: usize,
 }
 
 /// Begins a check on a fleet of so many workers.
-pub fn open(workers: usize) -> Searches {
-    Searches { left: (LOOKS_MOST / workers.max(1)).max(SEARCHES_LEAST), made: 0 }
+pub fn open(workers: usize) -> SearchBudget {
+    SearchBudget { left: (MAX_EVALUATIONS_PER_CHECK / workers.max(1)).max(MIN_SEARCHES_PER_CHECK), made: 0 }
 }
 
-impl Searches {
+impl SearchBudget {
     /// Tells whether no more searches may be made.
-    pub fn is_over(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         self.left == 0
     }
 
     /// Takes in that a search is made.
-    pub fn take(&mut self) {
+    pub fn spend_one(&mut self) {
         self.left = self.left.saturating_sub(1);
         self.made += 1;
     }
@@ -44,7 +44,7 @@
 }
 
 /// Turns workers round so that those from a position on come first.
-pub fn in_turn(mut workers: Vec<WorkerIx>, from: WorkerIx) -> Vec<WorkerIx> {
+pub fn rotated_to(mut workers: Vec<WorkerIx>, from: WorkerIx) -> Vec<WorkerIx> {
     let at = workers.partition_point(|ix| *ix < from);
     workers.rotate_left(at);
     workers
