--- a/crates/node/src/following.rs
+++ b/crates/node/src/following.rs
@@ -167,7 +167,7 @@
             Ok(Holder::Host(_, revision)) if revision == seen => {}
             // An earlier try was carried out late, under a lease that nobody renews: it is
             // replaced.
-            Ok(Holder::Host(record, revision)) if record.is_by_process_of(&me) => seen = revision,
+            Ok(Holder::Host(record, revision)) if record.is_same_process(&me) => seen = revision,
             Ok(Holder::Host(..)) => break,
             Err(e) => tracing::debug!(event = "store_silent", error = %e),
         }
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -116,7 +116,7 @@
             let found = current(store).await.map_err(|_| StoreError::Unclear)?;
             match found {
                 Holder::Host(stored, revision)
-                    if claims::fate(&record, &stored) == Execution::Done =>
+                    if claims::execution_of_unanswered(&record, &stored) == Execution::Done =>
                 {
                     Ok(Claim { term, revision, lease, mark })
                 }
--- a/crates/sched/src/interface/claims.rs
+++ b/crates/sched/src/interface/claims.rs
@@ -26,14 +26,14 @@
 
 impl LeaderRecord {
     /// Tells whether the same process made both claims, be it in one try or in two.
-    pub fn is_by_process_of(&self, other: &LeaderRecord) -> bool {
+    pub fn is_same_process(&self, other: &LeaderRecord) -> bool {
         (&self.host, self.incarnation) == (&other.host, other.incarnation)
     }
 }
 
 /// Tells what became of a try without an answer, by a claim that is stored after it. Any other
 /// claim than the try itself leaves it open, also one that an earlier try of the same process made.
-pub fn fate(sent: &LeaderRecord, stored: &LeaderRecord) -> Execution {
+pub fn execution_of_unanswered(sent: &LeaderRecord, stored: &LeaderRecord) -> Execution {
     if stored == sent {
         Execution::Done
     } else {
--- a/crates/sched/tests/claims.rs
+++ b/crates/sched/tests/claims.rs
@@ -21,17 +21,25 @@
 #[test]
 fn a_try_is_known_by_its_own_lease_only() {
     let sent = try_of("a", 1, 31);
-    assert_eq!(claims::fate(&sent, &sent.clone()), Execution::Done);
-    assert_eq!(claims::fate(&sent, &try_of("a", 1, 30)), Execution::Unknown, "an earlier try");
-    assert_eq!(claims::fate(&sent, &try_of("b", 1, 31)), Execution::Unknown, "another host");
+    assert_eq!(claims::execution_of_unanswered(&sent, &sent.clone()), Execution::Done);
+    assert_eq!(
+        claims::execution_of_unanswered(&sent, &try_of("a", 1, 30)),
+        Execution::Unknown,
+        "an earlier try"
+    );
+    assert_eq!(
+        claims::execution_of_unanswered(&sent, &try_of("b", 1, 31)),
+        Execution::Unknown,
+        "another host"
+    );
 }
 
 #[test]
 fn tries_of_one_process_are_known_as_its_own() {
     let me = try_of("a", 1, 0);
-    assert!(try_of("a", 1, 30).is_by_process_of(&me));
-    assert!(!try_of("a", 2, 30).is_by_process_of(&me), "a former process of the host");
-    assert!(!try_of("b", 1, 30).is_by_process_of(&me));
+    assert!(try_of("a", 1, 30).is_same_process(&me));
+    assert!(!try_of("a", 2, 30).is_same_process(&me), "a former process of the host");
+    assert!(!try_of("b", 1, 30).is_same_process(&me));
 }
 
 #[test]
