--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -10,7 +10,7 @@
 use gaplock_platform::store::{LeaseId, Revision, Store, StoreError, Txn};
 use gaplock_policy::attempts::Execution;
 use gaplock_sched::claims::{self, LeaderRecord};
-use gaplock_sched::writing::CommitMark;
+use gaplock_sched::writing::CommitId;
 use gaplock_types::time::{Instant, Millis};
 
 use crate::keys;
@@ -43,7 +43,7 @@
     /// The lease of the leader's key.
     pub lease: LeaseId,
     /// The mark of the first commit.
-    pub mark: CommitMark,
+    pub mark: CommitId,
 }
 
 /// Who holds the leadership.
@@ -99,7 +99,7 @@
     let (lease, last) = (lease?, last?);
     let commits = last.as_ref().map_or(Revision(0), |item| item.revision);
     let term = last.and_then(|item| ledger::decode_mark(&item.value)).map_or(1, |m| m.term + 1);
-    let mark = CommitMark { term, number: 0 };
+    let mark = CommitId { term, number: 0 };
     let record = LeaderRecord { term, lease: lease.0, ..me.clone() };
     let txn = Txn {
         expected: vec![(keys::LEADER.to_string(), seen), (keys::COMMITS.to_string(), commits)],
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -9,7 +9,9 @@
 use gaplock_policy::attempts::CallAttempts;
 use gaplock_remote::clock;
 use gaplock_sched::message::Record;
-use gaplock_sched::writing::{self, Answer, CommitMark, CommitRevision, Next, Sight, Writer};
+use gaplock_sched::writing::{
+    self, CommitAnswer, CommitId, CommitRevision, CommitWriter, NextStep, StoreView,
+};
 
 use crate::keys;
 use crate::leadership::{Claim, Right, Standing};
@@ -30,7 +32,7 @@
     store: Arc<Store>,
     standing: Arc<Standing>,
     leader: Revision,
-    writer: Writer,
+    writer: CommitWriter,
 }
 
 /// Entries of a transaction that are left for records: two go to its conditions and one to the
@@ -70,58 +72,58 @@
     async fn write_part(&mut self, records: &[Record]) -> Result<(), CommitError> {
         let mark = self.writer.begin();
         let txn = self.transaction(records, mark);
-        let mut next = Next::Send;
+        let mut next = NextStep::Send;
         loop {
             next = match next {
-                Next::Send => self.send(&txn, mark, records.len()).await,
-                Next::Look => self.look(mark, records.len()).await,
-                Next::Wait => self.wait().await,
-                Next::Stored => return Ok(()),
-                Next::NotStored => return Err(CommitError::Away),
-                Next::Over => return Err(CommitError::Deposed),
+                NextStep::Send => self.send(&txn, mark, records.len()).await,
+                NextStep::ReadStore => self.look(mark, records.len()).await,
+                NextStep::Wait => self.wait().await,
+                NextStep::Stored => return Ok(()),
+                NextStep::NotStored => return Err(CommitError::Away),
+                NextStep::LeadershipOver => return Err(CommitError::Deposed),
             };
         }
     }
 
     /// Sends a try of a transaction.
-    async fn send(&mut self, txn: &Txn, mark: CommitMark, records: usize) -> Next {
+    async fn send(&mut self, txn: &Txn, mark: CommitId, records: usize) -> NextStep {
         self.writer.sent();
         let answer = match self.store.commit(txn).await {
-            Ok(revision) => Answer::Stored(CommitRevision(revision.0)),
-            Err(StoreError::Conflict) => Answer::Conflict,
+            Ok(revision) => CommitAnswer::Stored(CommitRevision(revision.0)),
+            Err(StoreError::Conflict) => CommitAnswer::Conflict,
             // No key of a commit is under a lease, so none can be missing: nothing was done.
-            Err(StoreError::Away | StoreError::Gone) => Answer::Refused,
-            Err(StoreError::Unclear) => Answer::Silent,
+            Err(StoreError::Away | StoreError::Gone) => CommitAnswer::Refused,
+            Err(StoreError::Unclear) => CommitAnswer::Silent,
         };
         let next = self.writer.answered(answer);
         match answer {
-            Answer::Refused => log_refused(mark, self.writer.attempts(), records),
-            Answer::Silent => log_unclear(mark, self.writer.attempts(), records),
-            Answer::Stored(_) | Answer::Conflict => {}
+            CommitAnswer::Refused => log_refused(mark, self.writer.attempts(), records),
+            CommitAnswer::Silent => log_unclear(mark, self.writer.attempts(), records),
+            CommitAnswer::Stored(_) | CommitAnswer::Conflict => {}
         }
         next
     }
 
     /// Looks which commit is the last one and whether the claim still stands.
-    async fn look(&mut self, mark: CommitMark, records: usize) -> Next {
+    async fn look(&mut self, mark: CommitId, records: usize) -> NextStep {
         let sight = self.sight().await.unwrap_or_else(|e| {
             tracing::debug!(event = "store_silent", error = %e);
-            Sight::Nothing
+            StoreView::Nothing
         });
-        let next = self.writer.looked(sight);
-        if next == Next::Stored {
+        let next = self.writer.store_read(sight);
+        if next == NextStep::Stored {
             log_found(mark, self.writer.attempts(), records);
         }
         next
     }
 
-    async fn sight(&self) -> Result<Sight, StoreError> {
+    async fn sight(&self) -> Result<StoreView, StoreError> {
         let commits = self.store.get(keys::COMMITS).await?;
         let mark = commits.as_ref().and_then(|item| decode_mark(&item.value));
         let revision = CommitRevision(commits.map_or(0, |item| item.revision.0));
         // Where something newer is stored, that alone decides.
         let leads = revision == self.writer.last() && self.leads().await?;
-        Ok(Sight::Last { mark, revision, leads })
+        Ok(StoreView::Last { mark, revision, leads })
     }
 
     /// Tells whether the claim is still stored.
@@ -130,12 +132,12 @@
         Ok(leader.is_some_and(|item| item.revision == self.leader))
     }
 
-    async fn wait(&self) -> Next {
+    async fn wait(&self) -> NextStep {
         task::sleep(UNCLEAR_PAUSE).await;
         self.writer.waited(self.standing.right(clock::now()) != Right::Lost)
     }
 
-    fn transaction(&self, records: &[Record], mark: CommitMark) -> Txn {
+    fn transaction(&self, records: &[Record], mark: CommitId) -> Txn {
         let mut txn = Txn {
             expected: vec![
                 (keys::LEADER.to_string(), self.leader),
@@ -172,22 +174,22 @@
 }
 
 /// Logs that the last try of a commit was refused.
-fn log_refused(mark: CommitMark, tries: CallAttempts, records: usize) {
-    let CommitMark { term, number } = mark;
+fn log_refused(mark: CommitId, tries: CallAttempts, records: usize) {
+    let CommitId { term, number } = mark;
     let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_refused", term, number, attempt, open, records);
 }
 
 /// Logs that the last try of a commit got no answer.
-fn log_unclear(mark: CommitMark, tries: CallAttempts, records: usize) {
-    let CommitMark { term, number } = mark;
+fn log_unclear(mark: CommitId, tries: CallAttempts, records: usize) {
+    let CommitId { term, number } = mark;
     let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_unclear", term, number, attempt, open, records);
 }
 
 /// Logs that a commit without an answer is stored, by the mark in the store.
-fn log_found(mark: CommitMark, tries: CallAttempts, records: usize) {
-    let CommitMark { term, number } = mark;
+fn log_found(mark: CommitId, tries: CallAttempts, records: usize) {
+    let CommitId { term, number } = mark;
     let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_found", term, number, attempt, open, records);
 }
@@ -217,6 +219,6 @@
 }
 
 /// Decodes the mark of the last commit.
-pub fn decode_mark(value: &[u8]) -> Option<CommitMark> {
+pub fn decode_mark(value: &[u8]) -> Option<CommitId> {
     serde_json::from_slice(value).ok()
 }
--- a/crates/sched/src/interface/writing.rs
+++ b/crates/sched/src/interface/writing.rs
@@ -14,7 +14,7 @@
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
-pub struct CommitMark {
+pub struct CommitId {
     /// The leadership.
     pub term: u64,
     /// The transaction within it.
@@ -27,7 +27,7 @@
 
 /// What a try of a transaction was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum CommitAnswer {
     /// It is stored.
     Stored(CommitRevision),
     /// The store did not take it on; this try never will be carried out.
@@ -40,12 +40,12 @@
 
 /// What a look at the store showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sight {
+pub enum StoreView {
     /// The last commit that is stored, and, where that is the last one known, whether the claim
     /// stands.
     Last {
         /// Its mark, where it can be read.
-        mark: Option<CommitMark>,
+        mark: Option<CommitId>,
         /// Its revision.
         revision: CommitRevision,
         /// Whether the leadership is still stored as it was claimed.
@@ -57,11 +57,11 @@
 
 /// What the driver does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Sends the transaction, and hands the answer to [`Writer::answered`].
     Send,
     /// Looks at the last commit and the claim, and hands both to [`Writer::looked`].
-    Look,
+    ReadStore,
     /// Waits a while and calls [`Writer::waited`].
     Wait,
     /// Ends: the transaction is stored.
@@ -69,14 +69,14 @@
     /// Ends: the transaction is not stored and never will be; its records may be written anew.
     NotStored,
     /// Ends: the leadership is over, and nothing more is written under it.
-    Over,
+    LeadershipOver,
 }
 
 /// The writes of one leadership, one transaction at a time.
 #[derive(Debug)]
-pub struct Writer {
+pub struct CommitWriter {
     /// The mark of the last transaction that was built, be it stored or not.
-    mark: CommitMark,
+    mark: CommitId,
     /// The last commit that is stored.
     last: CommitRevision,
     attempts: CallAttempts,
@@ -85,14 +85,14 @@
 }
 
 /// Builds the writes of a leadership whose claim bears `mark` and is stored at `last`.
-pub fn open(mark: CommitMark, last: CommitRevision) -> Writer {
-    Writer { mark, last, attempts: CallAttempts::default(), conflict: false }
+pub fn open(mark: CommitId, last: CommitRevision) -> CommitWriter {
+    CommitWriter { mark, last, attempts: CallAttempts::default(), conflict: false }
 }
 
-impl Writer {
+impl CommitWriter {
     /// Begins a transaction that expects the last commit, and returns its mark. Marks count the
     /// transactions that were built, so no two of them ever share one.
-    pub fn begin(&mut self) -> CommitMark {
+    pub fn begin(&mut self) -> CommitId {
         self.mark.number += 1;
         self.attempts = CallAttempts::default();
         self.conflict = false;
@@ -115,45 +115,45 @@
     }
 
     /// Takes in what the last try was answered.
-    pub fn answered(&mut self, answer: Answer) -> Next {
+    pub fn answered(&mut self, answer: CommitAnswer) -> NextStep {
         let fate = match answer {
-            Answer::Stored(revision) => return self.stored(revision),
-            Answer::Refused | Answer::Conflict => Execution::NotDone,
-            Answer::Silent => Execution::Unknown,
+            CommitAnswer::Stored(revision) => return self.stored(revision),
+            CommitAnswer::Refused | CommitAnswer::Conflict => Execution::NotDone,
+            CommitAnswer::Silent => Execution::Unknown,
         };
-        self.conflict |= answer == Answer::Conflict;
+        self.conflict |= answer == CommitAnswer::Conflict;
         match self.attempts.record_outcome(fate) {
             // Its conflict says that the claim or the last commit is another's.
-            Execution::NotDone if !self.conflict => Next::NotStored,
-            _ => Next::Look,
+            Execution::NotDone if !self.conflict => NextStep::NotStored,
+            _ => NextStep::ReadStore,
         }
     }
 
     /// Takes in a look at the store. A mark other than this transaction's, at another revision than
     /// that of the last commit, is another leader's: each earlier transaction is stored as that
     /// commit or never will be.
-    pub fn looked(&mut self, sight: Sight) -> Next {
-        let Sight::Last { mark, revision, leads } = sight else { return Next::Wait };
+    pub fn store_read(&mut self, sight: StoreView) -> NextStep {
+        let StoreView::Last { mark, revision, leads } = sight else { return NextStep::Wait };
         if mark == Some(self.mark) {
             return self.stored(revision);
         }
         if revision != self.last || !leads {
-            return Next::Over;
+            return NextStep::LeadershipOver;
         }
-        Next::Wait
+        NextStep::Wait
     }
 
     /// Takes in that a while has passed; against a silent store the loop ends with the leadership.
-    pub fn waited(&self, leads: bool) -> Next {
+    pub fn waited(&self, leads: bool) -> NextStep {
         if leads {
-            Next::Send
+            NextStep::Send
         } else {
-            Next::Over
+            NextStep::LeadershipOver
         }
     }
 
-    fn stored(&mut self, revision: CommitRevision) -> Next {
+    fn stored(&mut self, revision: CommitRevision) -> NextStep {
         self.last = revision;
-        Next::Stored
+        NextStep::Stored
     }
 }
--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -4,7 +4,7 @@
 use gaplock_policy::attempts::Execution;
 use gaplock_sched::message::{EndSeq, Outcome, Permit, Refusal, Run, WorkerClock, WorkerIx};
 use gaplock_sched::permits::StepKey;
-use gaplock_sched::writing::CommitMark;
+use gaplock_sched::writing::CommitId;
 use gaplock_sched::{Action, Event};
 use gaplock_types::ids;
 use gaplock_types::sizes::Resources;
@@ -79,7 +79,7 @@
     /// The directory shows the entry of a worker that has started again under its name.
     Entered { at: usize, id: ids::WorkerId },
     /// The leader hears of its write, or has waited before it goes on.
-    FromStore { mark: CommitMark, heard: Heard },
+    FromStore { mark: CommitId, heard: Heard },
 }
 
 /// How long a leader waits for an answer, in milliseconds: as long as the product waits for the
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -3,7 +3,9 @@
 //! product.
 
 use gaplock_sched::message::Record;
-use gaplock_sched::writing::{self, Answer, CommitMark, CommitRevision, Next, Sight, Writer};
+use gaplock_sched::writing::{
+    self, CommitAnswer, CommitId, CommitRevision, CommitWriter, NextStep, StoreView,
+};
 use gaplock_sched::Event;
 use rand::Rng;
 
@@ -54,7 +56,7 @@
 /// One transaction. Its serial number tells it from every other one, whatever its mark.
 #[derive(Debug, Clone)]
 pub struct Write {
-    mark: CommitMark,
+    mark: CommitId,
     expects: CommitRevision,
     serial: u64,
     records: Vec<Record>,
@@ -63,7 +65,7 @@
 /// What the leader hears of the write in flight.
 #[derive(Debug, Clone, Copy)]
 pub enum Heard {
-    Answer(Answer),
+    Answer(CommitAnswer),
     Looks,
     Waited,
 }
@@ -71,9 +73,9 @@
 /// The leader's writes and what the store holds of them.
 #[derive(Debug)]
 pub struct Writes {
-    writer: Writer,
+    writer: CommitWriter,
     in_flight: Option<Write>,
-    mark: CommitMark,
+    mark: CommitId,
     revision: CommitRevision,
     serial: u64,
     last_serial: u64,
@@ -81,7 +83,7 @@
 
 impl Default for Writes {
     fn default() -> Self {
-        let (mark, revision) = (CommitMark { term: 0, number: 0 }, CommitRevision(0));
+        let (mark, revision) = (CommitId { term: 0, number: 0 }, CommitRevision(0));
         let writer = writing::open(mark, revision);
         Self { writer, in_flight: None, mark, revision, serial: 0, last_serial: 0 }
     }
@@ -90,21 +92,21 @@
 impl Writes {
     /// Stores a claim: whatever expects an earlier commit is never carried out from here on.
     pub fn claim(&mut self, term: u64) {
-        self.mark = CommitMark { term, number: 0 };
+        self.mark = CommitId { term, number: 0 };
         self.revision.0 += 1;
         self.writer = writing::open(self.mark, self.revision);
         self.in_flight = None;
     }
 
     /// Carries a write out if what it expects holds.
-    fn carry_out(&mut self, write: &Write) -> Answer {
+    fn carry_out(&mut self, write: &Write) -> CommitAnswer {
         if write.expects != self.revision {
-            return Answer::Conflict;
+            return CommitAnswer::Conflict;
         }
         self.revision.0 += 1;
         self.mark = write.mark;
         self.last_serial = write.serial;
-        Answer::Stored(self.revision)
+        CommitAnswer::Stored(self.revision)
     }
 }
 
@@ -115,25 +117,25 @@
         writes.serial += 1;
         let (mark, expects) = (writes.writer.begin(), writes.writer.last());
         writes.in_flight = Some(Write { mark, expects, serial: writes.serial, records });
-        self.write_next(Next::Send);
+        self.write_next(NextStep::Send);
     }
 
     /// Does what the leader's writer asks for.
-    fn write_next(&mut self, next: Next) {
+    fn write_next(&mut self, next: NextStep) {
         match next {
-            Next::Send => self.send_write(),
-            Next::Look => self.hears_later(CALL_MS, Heard::Looks),
-            Next::Wait => self.hears_later(PAUSE_MS, Heard::Waited),
-            Next::Stored => {
+            NextStep::Send => self.send_write(),
+            NextStep::ReadStore => self.hears_later(CALL_MS, Heard::Looks),
+            NextStep::Wait => self.hears_later(PAUSE_MS, Heard::Waited),
+            NextStep::Stored => {
                 self.check_stored();
                 self.writes.in_flight = None;
                 self.event(Event::Committed);
             }
-            Next::NotStored => {
+            NextStep::NotStored => {
                 self.writes.in_flight = None;
                 self.event(Event::CommitFailed);
             }
-            Next::Over => {
+            NextStep::LeadershipOver => {
                 self.writes.in_flight = None;
                 if self.cx.is_some() {
                     self.violations.push(format!("{}: a leader lost its term", self.now));
@@ -157,7 +159,7 @@
         let Some(write) = self.writes.in_flight.clone() else { return };
         self.writes.writer.sent();
         if self.store_down {
-            return self.hears_later(REFUSED_MS, Heard::Answer(Answer::Refused));
+            return self.hears_later(REFUSED_MS, Heard::Answer(CommitAnswer::Refused));
         }
         let f = self.write_faults;
         // Worlds without such faults draw nothing, so that their seeds play as they always have.
@@ -168,15 +170,15 @@
             roll < most
         };
         if falls(f.refused_per_mille) {
-            return self.hears_later(REFUSED_MS, Heard::Answer(Answer::Refused));
+            return self.hears_later(REFUSED_MS, Heard::Answer(CommitAnswer::Refused));
         }
         if falls(f.lost_per_mille) {
-            return self.hears_later(LIMIT_MS, Heard::Answer(Answer::Silent));
+            return self.hears_later(LIMIT_MS, Heard::Answer(CommitAnswer::Silent));
         }
         let late = falls(f.late_per_mille);
         let answered = !late && !falls(f.unanswered_per_mille);
         if !answered {
-            self.hears_later(LIMIT_MS, Heard::Answer(Answer::Silent));
+            self.hears_later(LIMIT_MS, Heard::Answer(CommitAnswer::Silent));
         }
         let after = if late { self.rng.random_range(LATE_MS) } else { CALL_MS };
         self.send(after, Delivery::ToStore { write, answered });
@@ -191,7 +193,7 @@
     pub(super) fn at_store(&mut self, write: Write, answered: bool) {
         let answer = self.writes.carry_out(&write);
         let mark = write.mark;
-        if matches!(answer, Answer::Stored(_)) {
+        if matches!(answer, CommitAnswer::Stored(_)) {
             self.store(write.records);
         }
         if answered {
@@ -200,7 +202,7 @@
     }
 
     /// Lets the leader hear of its write; an answer to an earlier one goes nowhere.
-    pub(super) fn hear_of_write(&mut self, mark: CommitMark, heard: Heard) {
+    pub(super) fn hear_of_write(&mut self, mark: CommitId, heard: Heard) {
         if self.writes.in_flight.as_ref().is_none_or(|w| w.mark != mark) {
             return;
         }
@@ -208,18 +210,18 @@
         let writer = &mut self.writes.writer;
         let next = match heard {
             Heard::Answer(answer) => writer.answered(answer),
-            Heard::Looks => writer.looked(sight),
+            Heard::Looks => writer.store_read(sight),
             Heard::Waited => writer.waited(leads),
         };
         self.write_next(next);
     }
 
     /// Returns what a look at the store shows.
-    fn sight(&self) -> Sight {
+    fn sight(&self) -> StoreView {
         if self.store_down {
-            return Sight::Nothing;
+            return StoreView::Nothing;
         }
         let (mark, revision) = (Some(self.writes.mark), self.writes.revision);
-        Sight::Last { mark, revision, leads: true }
+        StoreView::Last { mark, revision, leads: true }
     }
 }
