--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -10,7 +10,8 @@
 use gaplock_policy::succession::{self, Candidate};
 use gaplock_sched::context::Term;
 use gaplock_sched::message::{
-    Account, Action, FencingToken, Outcome, Run, RunningTask, WorkerClock, WorkerInfo, WorkerIx,
+    Action, FencingToken, Outcome, Run, RunningTask, WorkerClock, WorkerInfo, WorkerIx,
+    WorkerReport,
 };
 use gaplock_sched::{commits, renewals, Context, Event, Settings};
 use gaplock_types::sizes::Resources;
@@ -206,7 +207,8 @@
         let slots = self.cx.worker(worker).slots.iter();
         let running = slots.map(|(task, slot)| running(*task, slot.run)).collect();
         let clock = WorkerClock(self.now);
-        let outcome = Outcome::Done(Account { worker: None, clock, running, ends: Vec::new() });
+        let outcome =
+            Outcome::Done(WorkerReport { worker: None, clock, running, ends: Vec::new() });
         let sent = Instant(self.now);
         self.event(Event::Renewed { worker, sent, outcome });
         self.cx.take_actions();
--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -222,7 +222,7 @@
                 Outcome::Refused(_) | Outcome::NotSent => Execution::NotDone,
                 Outcome::Unclear => Execution::Unknown,
             };
-            Event::Paced { worker, task, run, percent, fate }
+            Event::Paced { worker, task, run, percent, execution: fate }
         }
         Call::Renew { sent, .. } => {
             let outcome = match outcome {
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gaplock_jobs::{JobKey, TaskKey};
-use gaplock_sched::message::How;
+use gaplock_sched::message::EndCause;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
@@ -211,19 +211,19 @@
         &mut self,
         load: &Load,
         (task, at): (TaskKey, usize),
-        how: How,
+        how: EndCause,
         run: &Running,
         now: u64,
     ) {
         let state = self.tasks.entry(task).or_default();
         let job = load.job(task.job);
-        if how == How::Done && !std::mem::replace(&mut state.done, true) {
+        if how == EndCause::Done && !std::mem::replace(&mut state.done, true) {
             return self.step_came_along(load, task, now);
         }
         if job.class != Class::Lasting {
             self.lost_core_s += run.unsaved_core_s();
         }
-        if how == How::Stopped && !state.done && now < job.leaves {
+        if how == EndCause::Stopped && !state.done && now < job.leaves {
             state.stopped_at = Some(at);
             self.stops += 1;
             self.course.gave_way.push((now, job.class));
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -4,7 +4,7 @@
 
 use gaplock_jobs::{Step, TaskKey};
 use gaplock_sched::message::{
-    Account, End, EndSeq, How, Run, RunningTask, WorkerClock, WorkerInfo, WorkerIx,
+    EndCause, EndSeq, Run, RunEnd, RunningTask, WorkerClock, WorkerInfo, WorkerIx, WorkerReport,
 };
 use gaplock_types::sizes::Resources;
 use gaplock_types::time::Instant;
@@ -96,7 +96,7 @@
     /// What it runs.
     pub running: BTreeMap<TaskKey, Running>,
     /// Ends that were not acknowledged.
-    pub ends: Vec<End>,
+    pub ends: Vec<RunEnd>,
     /// The highest fencing token that it has seen.
     pub token: u64,
     /// The end of its leases.
@@ -183,13 +183,13 @@
     }
 
     /// Ends a run and lists its end.
-    pub fn end(&mut self, task: TaskKey, how: How) -> Option<Running> {
+    pub fn end(&mut self, task: TaskKey, how: EndCause) -> Option<Running> {
         let running = self.running.remove(&task)?;
         self.bar(task, running.run);
         let seq = EndSeq(self.next_seq);
         self.next_seq += 1;
         let checkpoint = Some(running.saved_ms()).filter(|&ms| ms > 0).map(|ms| ms.to_string());
-        self.ends.push(End { seq, task, run: running.run, how, checkpoint });
+        self.ends.push(RunEnd { seq, task, run: running.run, cause: how, checkpoint });
         Some(running)
     }
 
@@ -222,10 +222,10 @@
     }
 
     /// Returns how a run ends whose time is over.
-    pub fn how_it_ends(&self, task: TaskKey) -> How {
+    pub fn how_it_ends(&self, task: TaskKey) -> EndCause {
         match self.running.get(&task).is_some_and(|r| r.fails) {
-            true => How::Failed,
-            false => How::Done,
+            true => EndCause::Failed,
+            false => EndCause::Done,
         }
     }
 
@@ -263,7 +263,7 @@
     }
 
     /// Returns the worker's account of itself.
-    pub fn account(&self, load: &Load, now: u64) -> Account {
+    pub fn account(&self, load: &Load, now: u64) -> WorkerReport {
         let running = self.running.iter().map(|(task, r)| RunningTask {
             task: *task,
             run: r.run,
@@ -272,7 +272,7 @@
             reading: Some(self.reading(load, *task, r, now)),
         });
         let running = running.collect();
-        Account { worker: None, clock: WorkerClock(now), running, ends: self.ends.clone() }
+        WorkerReport { worker: None, clock: WorkerClock(now), running, ends: self.ends.clone() }
     }
 
     fn reading(&self, load: &Load, task: TaskKey, r: &Running, now: u64) -> u32 {
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -12,9 +12,9 @@
 use gaplock_jobs::{Job, JobKey, TaskKey};
 use gaplock_sched::context::Term;
 use gaplock_sched::message::{
-    FencingToken, How, Record, RosterEntry, Run, WorkerClock, WorkerInfo,
+    EndCause, FencingToken, Record, RosterEntry, Run, WorkerClock, WorkerInfo,
 };
-use gaplock_sched::pacing::Learnt;
+use gaplock_sched::pacing::Learned;
 use gaplock_sched::takeover::{self, Stored};
 use gaplock_sched::{commits, Context, Event, Settings};
 use gaplock_types::ids;
@@ -86,7 +86,7 @@
     cancelled: BTreeSet<JobKey>,
     progress: BTreeMap<JobKey, Progress>,
     roster: BTreeMap<ids::WorkerId, RosterEntry>,
-    learnt: Learnt,
+    learnt: Learned,
 }
 
 /// Plays a pattern's load under the scheduler with these settings.
@@ -114,7 +114,7 @@
             cancelled: BTreeSet::new(),
             progress: BTreeMap::new(),
             roster: BTreeMap::new(),
-            learnt: Learnt::default(),
+            learnt: Learned::default(),
             load,
         };
         for at in 0..world.load.workers.len() {
@@ -184,7 +184,7 @@
             Happening::Ends(at, task, run) => self.may_end(at, task, run),
             Happening::Stopped(at, task, run) => {
                 if self.workers[at].running.get(&task).is_some_and(|r| r.run == run) {
-                    self.end(at, task, How::Stopped);
+                    self.end(at, task, EndCause::Stopped);
                 }
             }
             Happening::Lease(at) => self.check_lease(at),
@@ -269,7 +269,7 @@
                 Record::ForgetWorker(id) => {
                     self.roster.remove(&id);
                 }
-                Record::Learnt(learnt) => self.learnt = learnt,
+                Record::Learned(learnt) => self.learnt = learnt,
                 Record::Wave(_) => {}
             }
         }
@@ -305,7 +305,7 @@
     }
 
     /// Ends a run, and lets a waiting renewal tell of it.
-    pub(super) fn end(&mut self, at: usize, task: TaskKey, how: How) {
+    pub(super) fn end(&mut self, at: usize, task: TaskKey, how: EndCause) {
         let mut ended = None;
         self.changed(at, |worker| ended = worker.end(task, how));
         let Some(running) = ended else { return };
@@ -320,7 +320,7 @@
             return self.at(until, Happening::Lease(at));
         }
         for task in worker.running.keys().copied().collect::<Vec<_>>() {
-            self.end(at, task, How::Lapsed);
+            self.end(at, task, EndCause::Lapsed);
         }
     }
 
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -13,8 +13,8 @@
 use gaplock_policy::attempts::Execution;
 use gaplock_policy::connections;
 use gaplock_sched::message::{
-    Account, EndSeq, FencingToken, Outcome, Permit, Run, UpkeepAnswer, WaveNumber, WorkerClock,
-    WorkerIx,
+    EndSeq, FencingToken, Outcome, Permit, Run, UpkeepAnswer, WaveNumber, WorkerClock, WorkerIx,
+    WorkerReport,
 };
 use gaplock_sched::permits::StepKey;
 use gaplock_sched::{Action, Context, Event};
@@ -114,7 +114,13 @@
             let client = clients.of(cx, worker);
             task::spawn(async move {
                 let fate = calls.pace(&client, key, run, percent).await;
-                calls.engine.send(Event::Paced { worker, task: key, run, percent, fate });
+                calls.engine.send(Event::Paced {
+                    worker,
+                    task: key,
+                    run,
+                    percent,
+                    execution: fate,
+                });
             });
         }
         Action::Advise { step, workers } => {
@@ -140,7 +146,7 @@
         stored: EndSeq,
         until: Option<WorkerClock>,
         wait: Millis,
-    ) -> Outcome<Account> {
+    ) -> Outcome<WorkerReport> {
         let outcome = client.renew(self.token, stored, until, wait.as_duration()).await;
         self.count("renew", &outcome);
         outcome
@@ -165,7 +171,7 @@
     async fn pace(&self, client: &Worker, key: TaskKey, run: Run, percent: u32) -> Execution {
         let outcome = client.pace(self.token, key, run, percent).await;
         self.count("pace", &outcome);
-        outcome.fate()
+        outcome.execution()
     }
 
     /// Counts a call to a worker for the metrics.
@@ -240,7 +246,7 @@
             Event::Stopped { worker, task, run, outcome: Outcome::NotSent }
         }
         Action::Pace { worker, task, run, percent } => {
-            Event::Paced { worker, task, run, percent, fate: Execution::NotDone }
+            Event::Paced { worker, task, run, percent, execution: Execution::NotDone }
         }
         Action::Advise { step, workers } => {
             Event::Advised { step, asked: workers, sent, answer: None }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -90,6 +90,6 @@
 /// Tells the engine, once, that the directory can be read again.
 fn back(engine: &Engine, away: &mut bool) {
     if std::mem::take(away) {
-        engine.send(Event::DirectoryBack);
+        engine.send(Event::DirectoryRecovered);
     }
 }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -164,7 +164,7 @@
                     txn.set.push((keys::wave(progress.number), encode(progress), None));
                     txn.set.push((waves::status_key(progress.number), status, None));
                 }
-                Record::Learnt(learnt) => {
+                Record::Learned(learnt) => {
                     txn.set.push((keys::LEARNT.to_string(), encode(learnt), None));
                 }
             }
@@ -207,7 +207,7 @@
 /// Returns how many entries of a transaction a record needs.
 fn entries_of(record: &Record) -> usize {
     match record {
-        Record::Progress(_) | Record::Worker(_) | Record::ForgetWorker(_) | Record::Learnt(_) => 1,
+        Record::Progress(_) | Record::Worker(_) | Record::ForgetWorker(_) | Record::Learned(_) => 1,
         Record::Wave(_) => 2,
         Record::Forget(_) => 3,
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -187,7 +187,7 @@
             tracing::info!(event = "store_back", silent_ms = self.store_age().0);
             // Entries of workers that lapsed meanwhile need time to come back.
             if let Role::Leader(engine) = self.role() {
-                engine.send(Event::DirectoryBack);
+                engine.send(Event::DirectoryRecovered);
             }
         }
         self.store_answered.fetch_max(clock::now().0, Ordering::Relaxed);
@@ -196,7 +196,7 @@
     /// Takes in which revision the store was at when it was asked.
     pub fn store_was_at(&self, mark: StoreMark) {
         if let Role::Leader(engine) = self.role() {
-            engine.send(Event::StoreAt(mark));
+            engine.send(Event::StoreRevision(mark));
         }
     }
 
--- a/crates/sched/src/changes/account.rs
+++ b/crates/sched/src/changes/account.rs
@@ -6,14 +6,14 @@
 
 use crate::changes::lifecycle::Occupant;
 use crate::changes::{checkpoints, ends, lifecycle, speed, trace};
-use crate::interface::message::{Account, Action, Run, RunningTask, WorkerIx};
+use crate::interface::message::{WorkerReport, Action, Run, RunningTask, WorkerIx};
 use crate::interface::proof::ReleaseProof;
 use crate::state::job_table::TaskState;
 use crate::state::worker::{Phase, Slot, READY_PERCENT};
 use crate::state::State;
 
 /// Takes in the account that answers a renewal which was sent at `sent`.
-pub fn apply(cx: &mut State, ix: WorkerIx, sent: Instant, account: &Account) {
+pub fn apply(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
     ends::apply(cx, ix, &account.ends);
     for row in &account.running {
         take_in_running(cx, ix, row);
@@ -126,7 +126,7 @@
 
 /// Gives up runs that the worker had confirmed before this renewal was sent, but neither lists as
 /// running nor as ended.
-fn forget_missing(cx: &mut State, ix: WorkerIx, sent: Instant, account: &Account) {
+fn forget_missing(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
     if account.ends.len() >= MOST_ENDS_LISTED {
         return;
     }
--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -5,12 +5,12 @@
 use gaplock_types::time::Millis;
 
 use crate::changes::{checkpoints, commits, lifecycle, speed, trace};
-use crate::interface::message::{End, How, Run, WorkerIx};
+use crate::interface::message::{RunEnd, EndCause, Run, WorkerIx};
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
 /// Takes in the ends of a worker that are new.
-pub fn apply(cx: &mut State, ix: WorkerIx, ends: &[End]) {
+pub fn apply(cx: &mut State, ix: WorkerIx, ends: &[RunEnd]) {
     for end in ends {
         let worker = cx.worker(ix);
         if end.seq <= worker.recorded_up_to {
@@ -25,11 +25,11 @@
 }
 
 /// Frees the room of a run that ended, and decides what becomes of its task.
-fn take_in_end(cx: &mut State, ix: WorkerIx, end: &End) {
+fn take_in_end(cx: &mut State, ix: WorkerIx, end: &RunEnd) {
     let was_active = cx.is_active(end.task, ix, end.run);
     let saved = checkpoints::apply(cx, ix, end.task, end.run, end.checkpoint.as_deref());
     let slot = lifecycle::vacate(cx, ix, end.task, end.run);
-    if let Some(slot) = slot.filter(|_| end.how == How::Done) {
+    if let Some(slot) = slot.filter(|_| end.cause == EndCause::Done) {
         speed::observe_end(cx, ix, end.task, &slot);
     }
     trace::run_ended(end, &cx.worker(ix).info.id, was_active);
@@ -41,10 +41,10 @@
         // The worker forgets the text with the acknowledged end, whether or not a newer run goes on.
         commits::mark(&mut cx.commits, cx.now, end.task.job);
     }
-    match end.how {
-        How::Done => done(cx, ix, end.task, end.run),
-        How::Failed => failed(cx, ix, end.task, end.run, was_active),
-        How::Stopped | How::Lapsed | How::Broken | How::Alone => {
+    match end.cause {
+        EndCause::Done => done(cx, ix, end.task, end.run),
+        EndCause::Failed => failed(cx, ix, end.task, end.run, was_active),
+        EndCause::Stopped | EndCause::Lapsed | EndCause::Broken | EndCause::Alone => {
             if was_active {
                 lifecycle::make_pending(cx, end.task, Millis(0));
             }
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -31,7 +31,7 @@
     if slot.run != run {
         return;
     }
-    let fate = slot.attempts.record_outcome(outcome.fate());
+    let fate = slot.attempts.record_outcome(outcome.execution());
     if !matches!(slot.phase, Phase::Starting | Phase::Uncertain) {
         return;
     }
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -73,6 +73,6 @@
     cx.learned_stored_at = cx.now;
     let learnt = cx.interference.learned();
     if !learnt.images.is_empty() {
-        commits::add(cx, Record::Learnt(learnt));
+        commits::add(cx, Record::Learned(learnt));
     }
 }
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -7,7 +7,7 @@
     account, commits, crashes, abandoned_starts, terminated, leases, pacing, restarts, roster, takeover, trace,
     trials,
 };
-use crate::interface::message::{Account, Action, Outcome, Refusal, WorkerIx};
+use crate::interface::message::{WorkerReport, Action, Outcome, Refusal, WorkerIx};
 use crate::state::worker::Renewal;
 use crate::state::State;
 
@@ -77,7 +77,7 @@
 const SHARED_WAIT: Millis = Millis(350);
 
 /// Takes in what became of a renewal.
-pub fn renewed(cx: &mut State, ix: WorkerIx, sent: Instant, outcome: Outcome<Account>) {
+pub fn renewed(cx: &mut State, ix: WorkerIx, sent: Instant, outcome: Outcome<WorkerReport>) {
     // What an incarnation said before it was known to be over speaks of runs that are over too; nobody
     // would look for their ends. One that is listed again is asked anew.
     cx.set_due(ix, cx.now);
@@ -140,7 +140,7 @@
 
 /// Takes in the account that a worker gave in answer to a renewal of its former start; one of its own may be in
 /// flight.
-fn answered_by_later(cx: &mut State, ix: WorkerIx, sent: Instant, account: Account) {
+fn answered_by_later(cx: &mut State, ix: WorkerIx, sent: Instant, account: WorkerReport) {
     let renewal = cx.worker(ix).renewal;
     answered(cx, ix, sent, account);
     if renewal == Renewal::InFlight {
@@ -149,7 +149,7 @@
 }
 
 /// Takes in a worker's account.
-fn answered(cx: &mut State, ix: WorkerIx, sent: Instant, account: Account) {
+fn answered(cx: &mut State, ix: WorkerIx, sent: Instant, account: WorkerReport) {
     let now = cx.now;
     if cx.worker(ix).unanswered_renewals > 0 {
         trace::worker_back(&cx.worker(ix).info.id, cx.worker(ix).unanswered_renewals);
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -11,7 +11,7 @@
 
 use crate::changes::lifecycle::Occupant;
 use crate::changes::{crashes, directory, terminated, lifecycle, roster, trace};
-use crate::interface::message::{Account, Run, WorkerIx};
+use crate::interface::message::{WorkerReport, Run, WorkerIx};
 use crate::state::job_table::TaskState;
 use crate::state::worker::{Listing, Phase, Slot};
 use crate::state::State;
@@ -37,7 +37,7 @@
 
 /// Moves to a start that answers for the first time what it may hold of its former ones, by its account that
 /// answers a renewal sent at `sent`.
-pub fn inherit(cx: &mut State, ix: WorkerIx, sent: Instant, account: &Account) {
+pub fn inherit(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
     for former in formers(cx, ix) {
         let doubts = std::mem::take(&mut cx.worker_mut(former).abandoned_starts);
         let unasked = doubts.into_iter().map(|(key, doubt)| (key, doubt.with_stop_unsent()));
@@ -83,7 +83,7 @@
 }
 
 /// Tells whether an account names a run.
-fn lists(account: &Account, key: TaskKey, run: Run) -> bool {
+fn lists(account: &WorkerReport, key: TaskKey, run: Run) -> bool {
     let runs = account.running.iter().any(|row| (row.task, row.run) == (key, run));
     runs || account.ends.iter().any(|end| (end.task, end.run) == (key, run))
 }
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -12,7 +12,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::changes::evacuation::{self, Evacuated};
-use crate::changes::pacing::Learnt;
+use crate::changes::pacing::Learned;
 use crate::changes::{
     checkpoints, crashes, directory, intake, leases, lifecycle, roster, trace, maintenance,
 };
@@ -36,7 +36,7 @@
     /// Workers that may run something.
     pub roster: Vec<RosterEntry>,
     /// What was learnt of how images disturb each other.
-    pub learned: Learnt,
+    pub learned: Learned,
     /// How far waves of upkeep have come.
     pub waves: Vec<WaveProgress>,
     /// The failure domains that the operators have evacuated.
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -14,7 +14,7 @@
 use crate::decisions::losses::Loss;
 use crate::decisions::placement::UnfitCounts;
 use crate::interface::message::{
-    End, EndSeq, Outcome, Run, UpkeepAnswer, WaveNumber, WaveRequest, WorkerClock, WorkerInfo,
+    RunEnd, EndSeq, Outcome, Run, UpkeepAnswer, WaveNumber, WaveRequest, WorkerClock, WorkerInfo,
     WorkerIx,
 };
 use crate::interface::proof::ReleaseProof;
@@ -127,14 +127,14 @@
 }
 
 /// A worker listed an end.
-pub fn run_ended(end: &End, worker: &ids::WorkerId, expected: bool) {
-    info!(event = "run_ended", task = %end.task, run = end.run.0, %worker, how = ?end.how,
+pub fn run_ended(end: &RunEnd, worker: &ids::WorkerId, expected: bool) {
+    info!(event = "run_ended", task = %end.task, run = end.run.0, %worker, how = ?end.cause,
         seq = end.seq.0, expected);
 }
 
 /// A worker lists an end under a number that is known, of a run that is held to be there.
-pub fn end_passed_over(end: &End, worker: &ids::WorkerId, noted: EndSeq) {
-    warn!(event = "end_passed_over", task = %end.task, run = end.run.0, %worker, how = ?end.how,
+pub fn end_passed_over(end: &RunEnd, worker: &ids::WorkerId, noted: EndSeq) {
+    warn!(event = "end_passed_over", task = %end.task, run = end.run.0, %worker, how = ?end.cause,
         seq = end.seq.0, noted = noted.0);
 }
 
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -99,9 +99,9 @@
             Event::Listed(info) => directory::listed(self, info),
             Event::Unreadable(id) => directory::unreadable(self, &id),
             Event::Unlisted(id) => directory::unlisted(self, &id),
-            Event::DirectoryBack => self.directory_recovered_at = self.now,
+            Event::DirectoryRecovered => self.directory_recovered_at = self.now,
             Event::DirectoryRead(read) => freshness::read(self, read),
-            Event::StoreAt(mark) => freshness::marked(self, mark),
+            Event::StoreRevision(mark) => freshness::marked(self, mark),
             Event::Evacuated(evacuated) => evacuation::read(self, evacuated),
             Event::Renewed { worker, sent, outcome } => {
                 renewals::renewed(self, worker, sent, outcome);
@@ -113,7 +113,7 @@
             Event::Stopped { worker, task, run, outcome } => {
                 orders::stopped(self, worker, task, run, outcome);
             }
-            Event::Paced { worker, task, run, percent, fate } => {
+            Event::Paced { worker, task, run, percent, execution: fate } => {
                 pacing::paced(self, worker, task, run, percent, fate);
             }
             Event::Advised { step, asked, sent, answer } => {
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -17,7 +17,7 @@
 
 pub use evacuated::Evacuated;
 pub use hosts::{HostInfo, HostState, UpkeepAnswer, WaveNumber, WaveProgress, WaveRequest};
-pub use learned::{Learnt, LearntFactor, LearntImage};
+pub use learned::{Learned, LearntFactor, LearntImage};
 pub use readings::{DirectoryRead, StoreMark};
 pub use steps::StepKey;
 
@@ -87,7 +87,7 @@
 
 /// How a run ended, by the worker's word.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum How {
+pub enum EndCause {
     /// It finished its work.
     Done,
     /// It failed.
@@ -104,7 +104,7 @@
 
 /// One line of a worker's list of ends.
 #[derive(Debug, Clone, PartialEq)]
-pub struct End {
+pub struct RunEnd {
     /// Its number.
     pub seq: EndSeq,
     /// The task.
@@ -112,7 +112,7 @@
     /// The run that ended.
     pub run: Run,
     /// How it ended.
-    pub how: How,
+    pub cause: EndCause,
     /// The last checkpoint.
     pub checkpoint: Option<String>,
 }
@@ -135,7 +135,7 @@
 
 /// A worker's account of itself.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Account {
+pub struct WorkerReport {
     /// The start of the worker that gives the account, where it says so. A call that was meant for an earlier start
     /// may be answered by a later one.
     pub worker: Option<ids::WorkerId>,
@@ -144,7 +144,7 @@
     /// What runs.
     pub running: Vec<RunningTask>,
     /// What has ended since the acknowledged number.
-    pub ends: Vec<End>,
+    pub ends: Vec<RunEnd>,
 }
 
 /// Why a worker did not do as asked.
@@ -192,7 +192,7 @@
 
 impl<T> Outcome<T> {
     /// Returns what the answer, or its absence, says of the try that it belongs to.
-    pub fn fate(&self) -> Execution {
+    pub fn execution(&self) -> Execution {
         match self {
             Self::Done(_) => Execution::Done,
             Self::Refused(_) | Self::NotSent => Execution::NotDone,
@@ -221,11 +221,11 @@
     /// The directory no longer lists a worker.
     Unlisted(ids::WorkerId),
     /// The directory can be read again after it could not be; entries may have lapsed meanwhile.
-    DirectoryBack,
+    DirectoryRecovered,
     /// The directory was read; the events of what had changed came before.
     DirectoryRead(DirectoryRead),
     /// The store was at a revision at a time.
-    StoreAt(StoreMark),
+    StoreRevision(StoreMark),
     /// The operators' word on evacuated failure domains was read.
     Evacuated(Evacuated),
     /// A renewal was answered or not.
@@ -235,7 +235,7 @@
         /// When it was sent.
         sent: Instant,
         /// What came of it.
-        outcome: Outcome<Account>,
+        outcome: Outcome<WorkerReport>,
     },
     /// A start was answered or not.
     Started {
@@ -281,7 +281,7 @@
         /// The share of full speed that was asked for.
         percent: u32,
         /// What became of the order.
-        fate: Execution,
+        execution: Execution,
     },
     /// The operators ask for a wave of upkeep.
     Wave(WaveRequest),
@@ -319,7 +319,7 @@
     /// A worker that certainly runs nothing any more.
     ForgetWorker(ids::WorkerId),
     /// What is known of how images disturb each other.
-    Learnt(Learnt),
+    Learned(Learned),
     /// How far a wave of upkeep has come.
     Wave(WaveProgress),
 }
--- a/crates/sched/src/interface/message/learnt.rs
+++ b/crates/sched/src/interface/message/learned.rs
@@ -24,7 +24,7 @@
 
 /// What was learnt of all images.
 #[derive(Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize)]
-pub struct Learnt {
+pub struct Learned {
     /// The serving images.
     pub images: Vec<LearntImage>,
 }
--- a/crates/sched/src/state/commits.rs
+++ b/crates/sched/src/state/commits.rs
@@ -16,7 +16,7 @@
     Progress(JobKey),
     Forgotten(JobKey),
     Worker(ids::WorkerId),
-    Learnt,
+    Learned,
     Wave(WaveNumber),
 }
 
@@ -28,7 +28,7 @@
             Record::Forget(key) => Self::Forgotten(*key),
             Record::Worker(entry) => Self::Worker(entry.info.id.clone()),
             Record::ForgetWorker(id) => Self::Worker(id.clone()),
-            Record::Learnt(_) => Self::Learnt,
+            Record::Learned(_) => Self::Learned,
             Record::Wave(progress) => Self::Wave(progress.number),
         }
     }
--- a/crates/sched/src/state/interference_model.rs
+++ b/crates/sched/src/state/interference_model.rs
@@ -10,7 +10,7 @@
 use gaplock_types::time::Instant;
 use rustc_hash::FxHashMap;
 
-use crate::interface::message::{Learnt, LearntFactor, LearntImage};
+use crate::interface::message::{Learned, LearntFactor, LearntImage};
 
 /// A serving image by its position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -209,7 +209,7 @@
     }
 
     /// Returns what has been learnt, rounded, for a successor.
-    pub fn learned(&self) -> Learnt {
+    pub fn learned(&self) -> Learned {
         let round = |x: f64| (x * 100.0).round() / 100.0;
         let mut images: Vec<LearntImage> = Vec::new();
         for (name, row) in &self.rows {
@@ -230,11 +230,11 @@
             images.push(LearntImage { image: name.clone(), lowest_ms, factors });
         }
         images.sort_by(|a, b| a.image.cmp(&b.image));
-        Learnt { images }
+        Learned { images }
     }
 
     /// Takes over what a former leader has learnt.
-    pub fn restore(&mut self, learnt: &Learnt) {
+    pub fn restore(&mut self, learnt: &Learned) {
         for known in &learnt.images {
             let row = self.row(&known.image);
             for factor in &known.factors {
--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -270,7 +270,7 @@
             task: *task,
             run: *run,
             percent: *percent,
-            fate: match outcome {
+            execution: match outcome {
                 Outcome::Done(_) => Execution::Done,
                 Outcome::Refused(_) | Outcome::NotSent => Execution::NotDone,
                 Outcome::Unclear => Execution::Unknown,
--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use gaplock_jobs::{Step, TaskKey};
-use gaplock_sched::message::{How, Run};
+use gaplock_sched::message::{EndCause, Run};
 
 use super::worker::SimRun;
 use super::World;
@@ -119,10 +119,15 @@
     }
 
     /// Returns the checkpoint that a worker lists with an end; a stop saves all that was done.
-    pub(super) fn last_checkpoint(&mut self, task: TaskKey, sim: &SimRun, how: How) -> Brought {
+    pub(super) fn last_checkpoint(
+        &mut self,
+        task: TaskKey,
+        sim: &SimRun,
+        how: EndCause,
+    ) -> Brought {
         match how {
-            How::Done => None,
-            How::Stopped => self.save(task, sim.saves.done_ms(sim.began, self.now)),
+            EndCause::Done => None,
+            EndCause::Stopped => self.save(task, sim.saves.done_ms(sim.began, self.now)),
             _ => self.listed_checkpoint(task, sim),
         }
     }
--- a/crates/sched/tests/fleet/world/directory.rs
+++ b/crates/sched/tests/fleet/world/directory.rs
@@ -53,7 +53,7 @@
         }
         let sent = Instant(self.now);
         if self.now.is_multiple_of(ANSWERED_EVERY_MS) {
-            self.event(Event::StoreAt(StoreMark { sent, revision: self.now }));
+            self.event(Event::StoreRevision(StoreMark { sent, revision: self.now }));
             if let Some(cx) = &mut self.cx {
                 cx.freshness.answered(sent);
             }
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -31,8 +31,8 @@
 use gaplock_jobs::config::{Advice, Config, Pool};
 use gaplock_jobs::progress::Progress;
 use gaplock_jobs::{Job, JobKey, TaskKey};
-use gaplock_sched::message::{Account, Outcome, RosterEntry, WaveNumber, WaveProgress};
-use gaplock_sched::pacing::Learnt;
+use gaplock_sched::message::{Outcome, RosterEntry, WaveNumber, WaveProgress, WorkerReport};
+use gaplock_sched::pacing::Learned;
 use gaplock_sched::{Context, Event, Settings};
 use gaplock_types::ids;
 use gaplock_types::sizes::Resources;
@@ -110,7 +110,7 @@
     /// How the service that says where steps may run is asked, if at all.
     pub advice: Option<Advice>,
     /// What a successor finds stored of how images disturb each other.
-    pub learnt: Learnt,
+    pub learnt: Learned,
     /// What workers read of each job's tasks.
     pub readings: BTreeMap<JobKey, u32>,
     /// What lies beneath the workers.
@@ -167,7 +167,7 @@
             store_down: false,
             work_ms: 500,
             advice: None,
-            learnt: Learnt::default(),
+            learnt: Learned::default(),
             readings: BTreeMap::new(),
             hosts: Hosts::default(),
             crashes: Crashes::default(),
@@ -242,7 +242,7 @@
     }
 
     /// Hands the leader an account that a worker gave before, as the answer to a renewal of that time.
-    pub fn hear_of(&mut self, worker: usize, sent: Instant, account: Account) {
+    pub fn hear_of(&mut self, worker: usize, sent: Instant, account: WorkerReport) {
         let id = &self.workers[worker].info.id;
         let ix = self.cx.as_ref().and_then(|cx| cx.by_id.get(id).copied());
         let worker = ix.expect("the leader knows the worker");
@@ -299,7 +299,7 @@
 
     /// Says that the directory can be read again after an outage.
     pub fn directory_back(&mut self) {
-        self.event(Event::DirectoryBack);
+        self.event(Event::DirectoryRecovered);
     }
 
     /// Lists a worker as draining.
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -2,7 +2,7 @@
 
 use gaplock_jobs::TaskKey;
 use gaplock_sched::message::{
-    Account, End, EndSeq, How, Outcome, Refusal, RunningTask, WorkerClock,
+    EndCause, EndSeq, Outcome, Refusal, RunEnd, RunningTask, WorkerClock, WorkerReport,
 };
 use gaplock_sched::Event;
 use gaplock_types::time::Instant;
@@ -44,11 +44,12 @@
 
     fn acknowledge(&mut self, at: usize, stored: EndSeq) {
         let ends = std::mem::take(&mut self.workers[at].ends);
-        let (noted, left): (Vec<End>, Vec<End>) = ends.into_iter().partition(|e| e.seq <= stored);
+        let (noted, left): (Vec<RunEnd>, Vec<RunEnd>) =
+            ends.into_iter().partition(|e| e.seq <= stored);
         self.workers[at].ends = left;
         for end in noted {
-            match end.how {
-                How::Done => {
+            match end.cause {
+                EndCause::Done => {
                     let came = self.workers[at].ended_at.get(&end.seq).copied().unwrap_or(0);
                     let lapsed = self.workers[at].lapsed_at >= came;
                     let again = self.started_at.get(&end.task).is_some_and(|s| *s > came);
@@ -62,7 +63,7 @@
                     }
                     self.noted_done.insert(end.task);
                 }
-                How::Failed => *self.noted_failed.entry(end.task).or_default() += 1,
+                EndCause::Failed => *self.noted_failed.entry(end.task).or_default() += 1,
                 _ => {}
             }
         }
@@ -81,7 +82,7 @@
     }
 
     /// Returns a worker's account of itself.
-    pub fn account(&mut self, at: usize) -> Account {
+    pub fn account(&mut self, at: usize) -> WorkerReport {
         let runs: Vec<(TaskKey, SimRun)> =
             self.workers[at].running.iter().map(|(task, r)| (*task, r.clone())).collect();
         let running: Vec<RunningTask> =
@@ -91,7 +92,7 @@
         ends.iter().for_each(|end| self.told(end.task, &end.checkpoint));
         let worker = &self.workers[at];
         let clock = WorkerClock(self.now + worker.clock_offset);
-        Account { worker: Some(worker.info.id.clone()), clock, running, ends }
+        WorkerReport { worker: Some(worker.info.id.clone()), clock, running, ends }
     }
 
     /// Returns the line of a worker's account for one of its runs.
--- a/crates/sched/tests/fleet/world/store.rs
+++ b/crates/sched/tests/fleet/world/store.rs
@@ -96,7 +96,7 @@
                 Record::ForgetWorker(id) => {
                     self.roster.remove(&id);
                 }
-                Record::Learnt(_) => {}
+                Record::Learned(_) => {}
                 Record::Wave(progress) => {
                     self.check_wave(&progress);
                     self.wave_progress.insert(progress.number, progress);
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use gaplock_jobs::{Step, TaskKey};
-use gaplock_sched::message::{End, EndSeq, How, Outcome, Refusal, Run, WorkerClock, WorkerInfo};
+use gaplock_sched::message::{
+    EndCause, EndSeq, Outcome, Refusal, Run, RunEnd, WorkerClock, WorkerInfo,
+};
 use gaplock_sched::Event;
 use gaplock_types::ids;
 use gaplock_types::sizes::Resources;
@@ -97,7 +99,7 @@
     /// How many times as long as elsewhere work takes.
     pub slowness: u64,
     pub(super) running: BTreeMap<TaskKey, SimRun>,
-    pub(super) ends: Vec<End>,
+    pub(super) ends: Vec<RunEnd>,
     pub(super) next_seq: u64,
     /// When each end came, and when its lease was last over.
     pub(super) ended_at: BTreeMap<EndSeq, u64>,
@@ -229,10 +231,10 @@
             let waited = !over.is_empty();
             for (task, fails, stopped) in over {
                 let how = match (lapsed, fails) {
-                    (true, _) => How::Lapsed,
-                    _ if stopped => How::Stopped,
-                    (false, true) => How::Failed,
-                    (false, false) => How::Done,
+                    (true, _) => EndCause::Lapsed,
+                    _ if stopped => EndCause::Stopped,
+                    (false, true) => EndCause::Failed,
+                    (false, false) => EndCause::Done,
                 };
                 self.end(at, task, how);
             }
@@ -313,7 +315,7 @@
                     r.stops_at.get_or_insert(over);
                 }
                 if at_once {
-                    self.end(at, *task, How::Stopped);
+                    self.end(at, *task, EndCause::Stopped);
                 }
                 Ok(())
             }
@@ -384,7 +386,7 @@
         Ok(())
     }
 
-    fn end(&mut self, at: usize, task: TaskKey, how: How) {
+    fn end(&mut self, at: usize, task: TaskKey, how: EndCause) {
         let Some(sim) = self.workers[at].running.remove(&task) else { return };
         let checkpoint = self.last_checkpoint(task, &sim, how);
         let worker = &mut self.workers[at];
@@ -393,12 +395,12 @@
         let seq = EndSeq(worker.next_seq);
         worker.next_seq += 1;
         worker.ended_at.insert(seq, self.now);
-        worker.ends.push(End { seq, task, run: sim.run, how, checkpoint });
+        worker.ends.push(RunEnd { seq, task, run: sim.run, cause: how, checkpoint });
         match how {
-            How::Done => {
+            EndCause::Done => {
                 self.done.insert(task);
             }
-            How::Failed => *self.failed.entry(task).or_default() += 1,
+            EndCause::Failed => *self.failed.entry(task).or_default() += 1,
             _ => {}
         }
     }
--- a/crates/sched/tests/growth.rs
+++ b/crates/sched/tests/growth.rs
@@ -4,7 +4,7 @@
 
 use gaplock_sched::context::Term;
 use gaplock_sched::message::{
-    Account, FencingToken, Outcome, Record, WorkerClock, WorkerInfo, WorkerIx,
+    FencingToken, Outcome, Record, WorkerClock, WorkerInfo, WorkerIx, WorkerReport,
 };
 use gaplock_sched::{commits, Context, Event, Settings};
 use gaplock_types::ids;
@@ -35,7 +35,7 @@
     }
     for n in 0..workers {
         let (running, ends) = (Vec::new(), Vec::new());
-        let account = Account { worker: None, clock: WorkerClock(NOW), running, ends };
+        let account = WorkerReport { worker: None, clock: WorkerClock(NOW), running, ends };
         let (worker, sent) = (WorkerIx(n as u32), Instant(NOW));
         let outcome = Outcome::Done(account);
         cx.handle(Instant(NOW), NOW, Event::Renewed { worker, sent, outcome });
