--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -13,7 +13,7 @@
 use crate::interface::message::WorkerIx;
 use crate::state::State;
 
-pub use crate::interface::message::{Learned, LearntFactor, LearntImage};
+pub use crate::interface::message::{Learned, LearnedFactor, LearnedImage};
 pub use crate::state::interference_model::{Column, InterferenceModel, Row, ServingTask};
 pub use crate::state::pace_orders::{PaceOrders, FULL_PACE};
 
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -17,7 +17,7 @@
 
 pub use evacuated::Evacuated;
 pub use hosts::{HostInfo, HostState, UpkeepAnswer, WaveNumber, WaveProgress, WaveRequest};
-pub use learned::{Learned, LearntFactor, LearntImage};
+pub use learned::{Learned, LearnedFactor, LearnedImage};
 pub use readings::{DirectoryRead, StoreMark};
 pub use steps::StepKey;
 
--- a/crates/sched/src/interface/message/learned.rs
+++ b/crates/sched/src/interface/message/learned.rs
@@ -2,18 +2,18 @@
 
 /// What was learnt of one serving image, in the form in which it outlives a leader.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct LearntImage {
+pub struct LearnedImage {
     /// The serving image.
     pub image: String,
     /// Its lowest tail in milliseconds.
     pub lowest_ms: f64,
     /// The pressure that filling images put on it.
-    pub factors: Vec<LearntFactor>,
+    pub factors: Vec<LearnedFactor>,
 }
 
 /// What was learnt of one pair of images.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct LearntFactor {
+pub struct LearnedFactor {
     /// The filling image.
     pub image: String,
     /// Its factor.
@@ -26,5 +26,5 @@
 #[derive(Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize)]
 pub struct Learned {
     /// The serving images.
-    pub images: Vec<LearntImage>,
+    pub images: Vec<LearnedImage>,
 }
--- a/crates/sched/src/state/interference_model.rs
+++ b/crates/sched/src/state/interference_model.rs
@@ -10,7 +10,7 @@
 use gaplock_types::time::Instant;
 use rustc_hash::FxHashMap;
 
-use crate::interface::message::{Learned, LearntFactor, LearntImage};
+use crate::interface::message::{Learned, LearnedFactor, LearnedImage};
 
 /// A serving image by its position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -211,15 +211,15 @@
     /// Returns what has been learnt, rounded, for a successor.
     pub fn learned(&self) -> Learned {
         let round = |x: f64| (x * 100.0).round() / 100.0;
-        let mut images: Vec<LearntImage> = Vec::new();
+        let mut images: Vec<LearnedImage> = Vec::new();
         for (name, row) in &self.rows {
             let image = &self.images[usize::from(row.0)];
             if !image.lowest_ms.is_finite() {
                 continue;
             }
             let known = self.columns.iter().filter(|(_, c)| usize::from(c.0) < image.factors.len());
-            let mut factors: Vec<LearntFactor> = known
-                .map(|(name, column)| LearntFactor {
+            let mut factors: Vec<LearnedFactor> = known
+                .map(|(name, column)| LearnedFactor {
                     image: name.clone(),
                     factor: round(image.factor(*column)),
                     variance: round(image.covariance[usize::from(column.0)][usize::from(column.0)]),
@@ -227,7 +227,7 @@
                 .collect();
             factors.sort_by(|a, b| a.image.cmp(&b.image));
             let lowest_ms = round(image.lowest_ms);
-            images.push(LearntImage { image: name.clone(), lowest_ms, factors });
+            images.push(LearnedImage { image: name.clone(), lowest_ms, factors });
         }
         images.sort_by(|a, b| a.image.cmp(&b.image));
         Learned { images }
@@ -241,7 +241,7 @@
                 self.column(&factor.image);
             }
             let columns = self.columns.len().min(MAX_COLUMNS);
-            let placed: Vec<(usize, &LearntFactor)> = known
+            let placed: Vec<(usize, &LearnedFactor)> = known
                 .factors
                 .iter()
                 .filter_map(|f| Some((usize::from(self.known_column(&f.image)?.0), f)))
--- a/crates/sched/tests/fleet/sharing.rs
+++ b/crates/sched/tests/fleet/sharing.rs
@@ -1,7 +1,7 @@
 //! Tasks that fill beside tasks that serve, on virtual time.
 
 use gaplock_jobs::{Job, JobKey, Step};
-use gaplock_sched::pacing::{Learned, LearntFactor, LearntImage};
+use gaplock_sched::pacing::{Learned, LearnedFactor, LearnedImage};
 use gaplock_types::time::Millis;
 
 use crate::world::{assert_kept, job, step, World};
@@ -66,8 +66,8 @@
 /// What a leader has learnt of two serving images, of which one bears everything, and of two filling images,
 /// of which one presses on the other serving image.
 fn learnt() -> Learned {
-    let factor = |image: &str, factor| LearntFactor { image: image.into(), factor, variance: 0.1 };
-    let image = |image: &str, heavy| LearntImage {
+    let factor = |image: &str, factor| LearnedFactor { image: image.into(), factor, variance: 0.1 };
+    let image = |image: &str, heavy| LearnedImage {
         image: image.into(),
         lowest_ms: f64::from(CALM_MS),
         factors: vec![factor("heavy", heavy), factor("light", 0.0)],
