--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -13,8 +13,8 @@
 use gaplock_policy::attempts::Execution;
 use gaplock_policy::connections;
 use gaplock_sched::message::{
-    EndSeq, FencingToken, Outcome, Permit, Run, UpkeepAnswer, WaveNumber, WorkerClock, WorkerIx,
-    WorkerReport,
+    EndSeq, FencingToken, MaintenanceAnswer, Outcome, Permit, Run, WaveNumber, WorkerClock,
+    WorkerIx, WorkerReport,
 };
 use gaplock_sched::permits::StepKey;
 use gaplock_sched::{Action, Context, Event};
@@ -225,7 +225,7 @@
 async fn upkeep(calls: Calls, wave: WaveNumber, host: ids::HostId) {
     let answer = match &calls.node.hosts {
         Some(hosts) => hosts.upkeep(calls.token, wave, &host).await,
-        None => UpkeepAnswer::Busy,
+        None => MaintenanceAnswer::Busy,
     };
     calls.engine.send(Event::Maintenance { wave, host, answer });
 }
@@ -253,7 +253,7 @@
         }
         Action::ListHosts => Event::Hosts { sent, hosts: None },
         Action::Maintenance { wave, host } => {
-            Event::Maintenance { wave, host, answer: UpkeepAnswer::Busy }
+            Event::Maintenance { wave, host, answer: MaintenanceAnswer::Busy }
         }
         Action::ConfirmLeadership => return None,
     };
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -14,7 +14,7 @@
 use crate::decisions::losses::Loss;
 use crate::decisions::placement::UnfitCounts;
 use crate::interface::message::{
-    RunEnd, EndSeq, Outcome, Run, UpkeepAnswer, WaveNumber, WaveRequest, WorkerClock, WorkerInfo,
+    RunEnd, EndSeq, Outcome, Run, MaintenanceAnswer, WaveNumber, WaveRequest, WorkerClock, WorkerInfo,
     WorkerIx,
 };
 use crate::interface::proof::ReleaseProof;
@@ -337,7 +337,7 @@
 }
 
 /// The platform has answered such an order, or not.
-pub fn upkeep_answered(wave: WaveNumber, host: &ids::HostId, answer: UpkeepAnswer, tries: CallAttempts) {
+pub fn upkeep_answered(wave: WaveNumber, host: &ids::HostId, answer: MaintenanceAnswer, tries: CallAttempts) {
     let (attempt, open) = (tries.sent(), tries.unanswered());
     info!(event = "upkeep_answered", wave = wave.0, %host, ?answer, attempt, open);
 }
--- a/crates/sched/src/changes/upkeep.rs
+++ b/crates/sched/src/changes/upkeep.rs
@@ -19,7 +19,7 @@
 use crate::changes::{commits, trace};
 use crate::decisions::waves;
 use crate::interface::message::{
-    Action, HostInfo, HostState, Record, UpkeepAnswer, WaveNumber, WaveProgress, WaveRequest,
+    Action, HostInfo, HostState, Record, MaintenanceAnswer, WaveNumber, WaveProgress, WaveRequest,
 };
 use crate::state::maintenance::{DownHost, Wave};
 use crate::state::State;
@@ -117,26 +117,26 @@
 }
 
 /// Takes in what became of an order that a host goes down.
-pub fn answered(cx: &mut State, number: WaveNumber, host: &ids::HostId, answer: UpkeepAnswer) {
+pub fn answered(cx: &mut State, number: WaveNumber, host: &ids::HostId, answer: MaintenanceAnswer) {
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     let Some(down) = wave.down.get_mut(host) else { return };
     trace::upkeep_answered(number, host, answer, down.attempts);
     match answer {
-        UpkeepAnswer::Begun => begun(cx, number, host),
-        UpkeepAnswer::NotOfWave => {
+        MaintenanceAnswer::Begun => begun(cx, number, host),
+        MaintenanceAnswer::NotOfWave => {
             if down.record_outcome(Execution::NotDone, now + ASK_AGAIN) == Execution::NotDone {
                 leave_out(cx, number, host);
             }
         }
-        UpkeepAnswer::Fenced => {
+        MaintenanceAnswer::Fenced => {
             down.record_outcome(Execution::NotDone, now + ORDER_AGAIN);
             cx.actions.push(Action::ConfirmLeadership);
         }
-        UpkeepAnswer::Busy => {
+        MaintenanceAnswer::Busy => {
             down.record_outcome(Execution::NotDone, now + ORDER_AGAIN);
         }
-        UpkeepAnswer::Unclear => {
+        MaintenanceAnswer::Unclear => {
             down.record_outcome(Execution::Unknown, now + ORDER_AGAIN);
         }
     }
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -16,7 +16,7 @@
 use crate::interface::settings::Settings;
 
 pub use evacuated::Evacuated;
-pub use hosts::{HostInfo, HostState, UpkeepAnswer, WaveNumber, WaveProgress, WaveRequest};
+pub use hosts::{HostInfo, HostState, MaintenanceAnswer, WaveNumber, WaveProgress, WaveRequest};
 pub use learned::{Learned, LearnedFactor, LearnedImage};
 pub use readings::{DirectoryRead, StoreMark};
 pub use steps::StepKey;
@@ -299,7 +299,7 @@
         /// The host.
         host: ids::HostId,
         /// What came of it.
-        answer: UpkeepAnswer,
+        answer: MaintenanceAnswer,
     },
     /// The commit in flight is stored.
     Committed,
--- a/crates/sched/src/interface/message/hosts.rs
+++ b/crates/sched/src/interface/message/hosts.rs
@@ -74,7 +74,7 @@
 
 /// What became of an order that a host goes down for its upkeep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum UpkeepAnswer {
+pub enum MaintenanceAnswer {
     /// Its upkeep has begun, now or earlier.
     Begun,
     /// It is not up, or is leaving; nothing was done.
--- a/crates/sched/tests/fleet/late_upkeeps.rs
+++ b/crates/sched/tests/fleet/late_upkeeps.rs
@@ -7,13 +7,15 @@
 //! were down at one time than may be.
 
 use gaplock_jobs::Step;
-use gaplock_sched::message::{UpkeepAnswer, WaveProgress};
+use gaplock_sched::message::{MaintenanceAnswer, WaveProgress};
 
 use crate::world::{assert_kept, host_name, job, step, Faults, OrderFate, World};
 
 #[test]
 fn an_order_carried_out_after_its_repeat_was_refused_counts_as_a_host_that_is_down() {
-    for refusal in [UpkeepAnswer::NotOfWave, UpkeepAnswer::Busy, UpkeepAnswer::Fenced] {
+    for refusal in
+        [MaintenanceAnswer::NotOfWave, MaintenanceAnswer::Busy, MaintenanceAnswer::Fenced]
+    {
         let mut world = World::open(141, 4);
         world.hosts.fates.extend([OrderFate::Unanswered(3_500), OrderFate::Refused(refusal)]);
         world.ask_wave(1, 3, 60_000, 1);
@@ -153,7 +155,7 @@
         0..3 => OrderFate::Unanswered(2_000 + world.draw(10_000)),
         3 => OrderFate::Unanswered(0),
         4 => OrderFate::Lost,
-        5 => OrderFate::Refused(UpkeepAnswer::Busy),
+        5 => OrderFate::Refused(MaintenanceAnswer::Busy),
         _ => OrderFate::Answered(world.draw(200)),
     }
 }
--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use gaplock_sched::message::{
-    HostInfo, HostState, UpkeepAnswer, WaveNumber, WaveProgress, WaveRequest,
+    HostInfo, HostState, MaintenanceAnswer, WaveNumber, WaveProgress, WaveRequest,
 };
 use gaplock_sched::Event;
 use gaplock_types::ids;
@@ -37,7 +37,7 @@
     /// It never arrives and gets no answer.
     Lost,
     /// Nothing is done, and that is the answer.
-    Refused(UpkeepAnswer),
+    Refused(MaintenanceAnswer),
 }
 
 /// An order on its way to the platform.
@@ -131,7 +131,7 @@
             OrderFate::Refused(answer) => return self.answer_order(&order, CALL_MS, answer),
         };
         if !answered {
-            self.answer_order(&order, ORDER_LIMIT_MS, UpkeepAnswer::Unclear);
+            self.answer_order(&order, ORDER_LIMIT_MS, MaintenanceAnswer::Unclear);
         }
         if let Some(ms) = after {
             self.send(ms, Delivery::ToHost { order, answered });
@@ -149,12 +149,12 @@
             r if r < f.lost_per_mille => OrderFate::Lost,
             r if r < late => OrderFate::Unanswered(self.rng.random_range(LATE_MS)),
             r if r < unanswered => OrderFate::Unanswered(0),
-            r if r < refused => OrderFate::Refused(UpkeepAnswer::Busy),
+            r if r < refused => OrderFate::Refused(MaintenanceAnswer::Busy),
             _ => OrderFate::Answered(0),
         }
     }
 
-    fn answer_order(&mut self, order: &HostOrder, after: u64, answer: UpkeepAnswer) {
+    fn answer_order(&mut self, order: &HostOrder, after: u64, answer: MaintenanceAnswer) {
         let (wave, host, leader) = (order.wave, order.host.clone(), order.leader);
         let event = Event::Maintenance { wave, host, answer };
         self.send(after, Delivery::ToLeader { event, leader });
@@ -176,7 +176,8 @@
             self.hosts.most_down = self.hosts.most_down.max(self.hosts.down_until.len());
         }
         if answered {
-            let answer = if of_wave { UpkeepAnswer::Begun } else { UpkeepAnswer::NotOfWave };
+            let answer =
+                if of_wave { MaintenanceAnswer::Begun } else { MaintenanceAnswer::NotOfWave };
             self.answer_order(&order, CALL_MS, answer);
         }
     }
