--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -57,7 +57,7 @@
                     entries.changed(change).into_iter().for_each(|event| engine.send(event));
                 }
                 let whole = watched.changes.len() < MORE_WAIT_FROM;
-                let read = DirectoryRead { sent, revision: from.0, whole };
+                let read = DirectoryRead { sent, revision: from.0, complete: whole };
                 engine.send(Event::DirectoryRead(read));
                 if whole {
                     task::sleep(DIRECTORY_PAUSE).await;
@@ -69,7 +69,7 @@
                     from = listed.revision;
                     let events = entries.listed(&listed.items);
                     events.into_iter().for_each(|event| engine.send(event));
-                    let read = DirectoryRead { sent, revision: from.0, whole: true };
+                    let read = DirectoryRead { sent, revision: from.0, complete: true };
                     engine.send(Event::DirectoryRead(read));
                 }
                 Err(e) => {
--- a/crates/node/src/following.rs
+++ b/crates/node/src/following.rs
@@ -12,7 +12,7 @@
 use gaplock_policy::succession;
 use gaplock_remote::clock;
 use gaplock_sched::claims::LeaderRecord;
-use gaplock_sched::freshness::StoreMark;
+use gaplock_sched::freshness::RevisionSample;
 use gaplock_types::time::{Instant, Millis};
 
 use crate::handover::Invited;
@@ -303,7 +303,7 @@
             node.store_answered();
             standing.confirm(sent);
             if let Some(store) = store {
-                node.store_was_at(StoreMark { sent, revision: store.0 });
+                node.store_was_at(RevisionSample { sent, revision: store.0 });
             }
         }
         // A leadership that was handed over meanwhile is not lost once more.
--- a/crates/node/src/leading.rs
+++ b/crates/node/src/leading.rs
@@ -62,7 +62,7 @@
     let read = DirectoryRead {
         sent: state.directory_asked,
         revision: state.directory.revision.0,
-        whole: true,
+        complete: true,
     };
     cx.handle(now, unix_ms, Event::DirectoryRead(read));
     let driver = engine::open(node, cx, Arc::clone(standing), ledger);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -12,7 +12,7 @@
 use gaplock_platform::store::Store;
 use gaplock_policy::succession::{self, LeaderCapacity};
 use gaplock_remote::clock;
-use gaplock_sched::freshness::StoreMark;
+use gaplock_sched::freshness::RevisionSample;
 use gaplock_sched::{Event, Settings};
 use gaplock_types::ids;
 use gaplock_types::time::{Instant, Millis};
@@ -194,7 +194,7 @@
     }
 
     /// Takes in which revision the store was at when it was asked.
-    pub fn store_was_at(&self, mark: StoreMark) {
+    pub fn store_was_at(&self, mark: RevisionSample) {
         if let Role::Leader(engine) = self.role() {
             engine.send(Event::StoreRevision(mark));
         }
--- a/crates/sched/src/changes/freshness.rs
+++ b/crates/sched/src/changes/freshness.rs
@@ -13,13 +13,13 @@
 use crate::changes::trace;
 use crate::state::State;
 
-pub use crate::interface::message::{DirectoryRead, StoreMark};
+pub use crate::interface::message::{DirectoryRead, RevisionSample};
 
 /// The most marks that are kept; the later ones are left out, so that the view counts as older than it is.
 const MARKS_MOST: usize = 64;
 
 /// Takes in the store's revision at a time.
-pub fn marked(cx: &mut State, mark: StoreMark) {
+pub fn marked(cx: &mut State, mark: RevisionSample) {
     let freshness = &mut cx.freshness;
     if freshness.pending_revisions.len() < MARKS_MOST {
         freshness.pending_revisions.push_back(mark);
@@ -29,7 +29,7 @@
 /// Takes in that the directory was read; all that it said has been taken in before.
 pub fn read(cx: &mut State, read: DirectoryRead) {
     let freshness = &mut cx.freshness;
-    if read.whole {
+    if read.complete {
         freshness.as_of = freshness.as_of.max(read.sent);
     }
     while let Some(mark) = freshness.pending_revisions.pop_front() {
--- a/crates/sched/src/interface/message.rs
+++ b/crates/sched/src/interface/message.rs
@@ -18,7 +18,7 @@
 pub use evacuated::Evacuated;
 pub use hosts::{HostInfo, HostState, MaintenanceAnswer, WaveNumber, WaveProgress, WaveRequest};
 pub use learned::{Learned, LearnedFactor, LearnedImage};
-pub use readings::{DirectoryRead, StoreMark};
+pub use readings::{DirectoryRead, RevisionSample};
 pub use steps::StepKey;
 
 /// A run of a task: rises with every start, over all leaders.
@@ -225,7 +225,7 @@
     /// The directory was read; the events of what had changed came before.
     DirectoryRead(DirectoryRead),
     /// The store was at a revision at a time.
-    StoreRevision(StoreMark),
+    StoreRevision(RevisionSample),
     /// The operators' word on evacuated failure domains was read.
     Evacuated(Evacuated),
     /// A renewal was answered or not.
--- a/crates/sched/src/interface/message/readings.rs
+++ b/crates/sched/src/interface/message/readings.rs
@@ -4,7 +4,7 @@
 
 /// The store's revision at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StoreMark {
+pub struct RevisionSample {
     /// When the store was asked.
     pub sent: Instant,
     /// The revision that it was at then, or later.
@@ -19,5 +19,5 @@
     /// The revision up to which it was read.
     pub revision: u64,
     /// Whether the answer left nothing out that had been written when it was asked for.
-    pub whole: bool,
+    pub complete: bool,
 }
--- a/crates/sched/src/state/freshness.rs
+++ b/crates/sched/src/state/freshness.rs
@@ -4,7 +4,7 @@
 
 use gaplock_types::time::{Instant, Millis};
 
-use crate::interface::message::StoreMark;
+use crate::interface::message::RevisionSample;
 
 /// What is known of the age of the view.
 #[derive(Debug, Default)]
@@ -14,7 +14,7 @@
     /// When the store was last asked for something that it has answered.
     pub(crate) answered: Instant,
     /// Marks that the reading has not reached, oldest first.
-    pub(crate) pending_revisions: VecDeque<StoreMark>,
+    pub(crate) pending_revisions: VecDeque<RevisionSample>,
     /// Since when the view has been too old.
     pub(crate) behind_since: Option<Instant>,
 }
--- a/crates/sched/tests/fleet/world/directory.rs
+++ b/crates/sched/tests/fleet/world/directory.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use gaplock_jobs::TaskKey;
-use gaplock_sched::freshness::{DirectoryRead, StoreMark};
+use gaplock_sched::freshness::{DirectoryRead, RevisionSample};
 use gaplock_sched::Event;
 use gaplock_types::time::{Instant, Millis};
 
@@ -53,7 +53,7 @@
         }
         let sent = Instant(self.now);
         if self.now.is_multiple_of(ANSWERED_EVERY_MS) {
-            self.event(Event::StoreRevision(StoreMark { sent, revision: self.now }));
+            self.event(Event::StoreRevision(RevisionSample { sent, revision: self.now }));
             if let Some(cx) = &mut self.cx {
                 cx.freshness.answered(sent);
             }
@@ -62,8 +62,8 @@
             return;
         }
         let read = match reading {
-            Reading::Late(by) => DirectoryRead { sent, revision: self.now - by, whole: false },
-            Reading::Quiet => DirectoryRead { sent, revision: 0, whole: true },
+            Reading::Late(by) => DirectoryRead { sent, revision: self.now - by, complete: false },
+            Reading::Quiet => DirectoryRead { sent, revision: 0, complete: true },
             Reading::Silent => return,
         };
         self.hear_who_leaves(read.revision);
