--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -8,7 +8,7 @@
 use gaplock_types::{ids, sizes};
 
 use crate::changes::{gangs, pacing, permits, scarcity, starts, trace, trials};
-use crate::decisions::asks::{self, First};
+use crate::decisions::asks::{self, WaitStatus};
 use crate::decisions::choices::Choices;
 use crate::decisions::{interference, placement, room};
 use crate::state::job_table::{self, ReadyStep};
@@ -38,13 +38,13 @@
 
 impl Blocked {
     /// Builds what is known once a task of a step has found no worker.
-    fn of(service: ids::ServiceId, step: &Step, first: First) -> Self {
+    fn of(service: ids::ServiceId, step: &Step, first: WaitStatus) -> Self {
         let filling = step.fills.then(|| BlockedFilling {
             image: step.image.clone(),
             demand: step.demand.cpu,
             impatient: interference::is_impatient(first.waited),
         });
-        let lasting = step.lasting.then(|| room::may_take_kept(first.waited, first.again));
+        let lasting = step.lasting.then(|| room::may_take_kept(first.waited, first.may_have_run));
         Self { service, label: step.label.clone(), takes: job_table::reservation(step), filling, lasting }
     }
 
@@ -150,7 +150,7 @@
     if asks::advice_of(cx, &job).is_some() {
         permits::ask(cx, ready, pending.len());
     } else if step.most_per_worker.is_none() {
-        let first = cx.task(unplaced).map_or(first, |t| asks::first_of(cx, t));
+        let first = cx.task(unplaced).map_or(first, |t| asks::wait_status(cx, t));
         pass.blocked.push(Blocked::of(service, step, first));
     }
 }
@@ -182,10 +182,10 @@
 
 /// Finds the first task of a step that may start, if there is one. Tasks of one step begin to wait
 /// together, but for those that start again.
-fn first_that_may_start(cx: &State, ready: ReadyStep, pending: &[u32]) -> Option<First> {
+fn first_that_may_start(cx: &State, ready: ReadyStep, pending: &[u32]) -> Option<WaitStatus> {
     let mut tasks = pending.iter().map(|&index| task_of(ready, index));
     let task = tasks.find(|&task| asks::may_start(cx, task))?;
-    cx.task(task).map(|t| asks::first_of(cx, t))
+    cx.task(task).map(|t| asks::wait_status(cx, t))
 }
 
 /// Logs why the first task of a step that may start finds no worker.
@@ -221,7 +221,7 @@
         if !asks::may_start(cx, task) {
             continue;
         }
-        let Some(wanted) = asks::wanted(cx, job, service, task) else { return Some(task) };
+        let Some(wanted) = asks::placement_request(cx, job, service, task) else { return Some(task) };
         let chosen = choices.take(cx, &wanted);
         debug_assert_eq!(chosen, placement::choose(cx, &wanted), "the kept order is another one");
         let Some(ix) = chosen else { return Some(task) };
@@ -243,7 +243,7 @@
         return;
     }
     state.last_explained_at = now;
-    let Some(wanted) = asks::wanted(cx, job, service, task) else { return };
+    let Some(wanted) = asks::placement_request(cx, job, service, task) else { return };
     let counts = placement::explain(cx, &wanted);
     trace::step_waits(task, pending, waited, &wanted.step.demand, &counts);
 }
--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -77,7 +77,7 @@
     let checkpoint = checkpoints::of_gang(cx, members);
     let mut placed: Vec<(TaskKey, WorkerIx)> = Vec::new();
     for &task in members {
-        let wanted = asks::wanted(cx, job, service, task).map(|w| Wanted { only_rack: rack, ..w });
+        let wanted = asks::placement_request(cx, job, service, task).map(|w| Wanted { only_rack: rack, ..w });
         let Some(ix) = wanted.and_then(|w| placement::choose(cx, &w)) else {
             undo(cx, &placed, run);
             return None;
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -128,7 +128,7 @@
 fn start_alone(cx: &mut State, key: TaskKey, empty: &mut Vec<WorkerIx>) -> bool {
     let Some(job) = cx.jobs.get(&key.job).map(|entry| entry.job.clone()) else { return false };
     let Some(service) = asks::service_of(cx, &job) else { return false };
-    let Some(wanted) = asks::wanted(cx, &job, &service, key) else { return false };
+    let Some(wanted) = asks::placement_request(cx, &job, &service, key) else { return false };
     let rank = |ix: WorkerIx| {
         let worker = cx.worker(ix);
         let heard = worker.clock.map(|(heard, _)| heard);
--- a/crates/sched/src/decisions/asks.rs
+++ b/crates/sched/src/decisions/asks.rs
@@ -11,16 +11,16 @@
 
 /// The task of a step that is tried first.
 #[derive(Debug, Clone, Copy)]
-pub struct First {
+pub struct WaitStatus {
     /// How long it has waited.
     pub waited: Millis,
     /// Whether it may have been at work before.
-    pub again: bool,
+    pub may_have_run: bool,
 }
 
 /// Says what decides of a task that is tried first.
-pub fn first_of(cx: &State, task: &Task) -> First {
-    First { waited: cx.now.since(task.since), again: task.may_have_run }
+pub fn wait_status(cx: &State, task: &Task) -> WaitStatus {
+    WaitStatus { waited: cx.now.since(task.since), may_have_run: task.may_have_run }
 }
 
 /// Returns the pool of workers that runs a job.
@@ -38,11 +38,11 @@
 /// others.
 pub fn may_start(cx: &State, task: TaskKey) -> bool {
     let due = |t: &&Task| t.state == TaskState::Pending && t.not_before <= cx.now;
-    cx.task(task).filter(due).is_some_and(may_start_like_others)
+    cx.task(task).filter(due).is_some_and(may_start_without_trial)
 }
 
 /// Says what a task asks of a worker.
-pub fn wanted<'a>(
+pub fn placement_request<'a>(
     cx: &'a State,
     job: &'a Job,
     service: &'a ids::ServiceId,
@@ -50,13 +50,13 @@
 ) -> Option<Wanted<'a>> {
     let step = &job.steps[usize::from(task.step)];
     let found = cx.task(task)?;
-    let First { waited, again } = first_of(cx, found);
+    let WaitStatus { waited, may_have_run: again } = wait_status(cx, found);
     let avoid = found.failed_on;
     let (advice, only_rack) = (advice_of(cx, job), None);
-    Some(Wanted { service, step, task, avoid, waited, again, only_rack, advice })
+    Some(Wanted { service, step, task, avoid, waited, may_have_run: again, only_rack, advice })
 }
 
 /// Tells whether a pending task may start like any other one.
-fn may_start_like_others(task: &Task) -> bool {
+fn may_start_without_trial(task: &Task) -> bool {
     task.crash_evidence.as_ref().is_none_or(|s| s.exempt_from_trial && s.may_start())
 }
--- a/crates/sched/src/decisions/choices.rs
+++ b/crates/sched/src/decisions/choices.rs
@@ -79,7 +79,7 @@
 
     /// Works the order out anew, or only the place of the worker that took the last task.
     fn bring_up_to_date(&mut self, cx: &State, wanted: &Wanted<'_>) {
-        let asked = Some(Asked { avoid: wanted.avoid, waited: wanted.waited, again: wanted.again });
+        let asked = Some(Asked { avoid: wanted.avoid, waited: wanted.waited, again: wanted.may_have_run });
         let all = 0..cx.workers.len() as u32;
         if self.asked != asked {
             self.asked = asked;
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -27,7 +27,7 @@
     /// How long the task has waited.
     pub waited: Millis,
     /// Whether it may have been at work before.
-    pub again: bool,
+    pub may_have_run: bool,
     /// Set where only workers of one rack will do.
     pub only_rack: Option<&'a String>,
     /// Set where another service says which workers may run the step.
@@ -173,7 +173,7 @@
     let queue = cx.config.as_ref()?.queue(&entry.job.queue)?;
     let (service, advice) = (&queue.service, queue.advice.as_ref());
     let (avoid, waited, again, only_rack) = (Some(here), Millis(0), true, None);
-    choose(cx, &Wanted { service, step, task: key, avoid, waited, again, only_rack, advice })
+    choose(cx, &Wanted { service, step, task: key, avoid, waited, may_have_run: again, only_rack, advice })
         .filter(|ix| *ix != here)
 }
 
@@ -218,7 +218,7 @@
     if step.most_per_worker.is_some_and(|most| same_step(worker, wanted.task) >= most) {
         return Err(Unfit::Spread);
     }
-    let may_take_kept = !step.lasting || room::may_take_kept(wanted.waited, wanted.again);
+    let may_take_kept = !step.lasting || room::may_take_kept(wanted.waited, wanted.may_have_run);
     if !may_take_kept && room::is_kept(cx, worker) {
         return Err(Unfit::Reserved);
     }
