--- a/crates/sched/src/changes/drain.rs
+++ b/crates/sched/src/changes/drain.rs
@@ -17,7 +17,7 @@
         }
         let Some(departure) = leaving::departure(cx, worker) else { continue };
         for (key, run) in leaving::to_stop(cx, ix, departure) {
-            if departure.announced || availability::may_take(cx, key) {
+            if departure.announced || availability::may_stop(cx, key) {
                 lifecycle::order_stop(cx, ix, key, run, "its worker is leaving");
             }
         }
--- a/crates/sched/src/decisions/slowness.rs
+++ b/crates/sched/src/decisions/slowness.rs
@@ -38,7 +38,7 @@
     match slot.role {
         TaskRole::Serving { .. } => {
             let over = slot.over_target_since.is_some_and(|at| cx.now.since(at) >= OVER_BEFORE_MOVE);
-            over && availability::may_take(cx, key)
+            over && availability::may_stop(cx, key)
         }
         TaskRole::Plain | TaskRole::Filling(_) => is_late(cx, ix, key, slot),
     }
