--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -9,7 +9,7 @@
 
 use crate::changes::{gangs, pacing, permits, scarcity, starts, trace, trials};
 use crate::decisions::asks::{self, WaitStatus};
-use crate::decisions::choices::Choices;
+use crate::decisions::choices::RankedWorkers;
 use crate::decisions::{interference, placement, room};
 use crate::state::job_table::{self, ReadyStep};
 use crate::state::State;
@@ -212,7 +212,7 @@
 ) -> Option<TaskKey> {
     // An image counts as known from its first task on, so that all tasks of the step find the same.
     pacing::part_of(cx, &job.steps[usize::from(ready.step)]);
-    let mut choices = Choices::default();
+    let mut choices = RankedWorkers::default();
     for &index in pending {
         if cx.is_at_start_limit() {
             return None;
@@ -222,7 +222,7 @@
             continue;
         }
         let Some(wanted) = asks::placement_request(cx, job, service, task) else { return Some(task) };
-        let chosen = choices.take(cx, &wanted);
+        let chosen = choices.take_best(cx, &wanted);
         debug_assert_eq!(chosen, placement::choose(cx, &wanted), "the kept order is another one");
         let Some(ix) = chosen else { return Some(task) };
         starts::start_at(cx, ix, task);
--- a/crates/sched/src/decisions/choices.rs
+++ b/crates/sched/src/decisions/choices.rs
@@ -15,26 +15,26 @@
 
 /// A worker and how good a place it is.
 #[derive(Debug, Clone, Copy)]
-struct Choice {
+struct Candidate {
     score: f64,
     worker: WorkerIx,
 }
 
-impl PartialEq for Choice {
+impl PartialEq for Candidate {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Choice {}
+impl Eq for Candidate {}
 
-impl PartialOrd for Choice {
+impl PartialOrd for Candidate {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Choice {
+impl Ord for Candidate {
     /// The better place is greater; of equal ones the worker that was known first.
     fn cmp(&self, other: &Self) -> Ordering {
         self.score.total_cmp(&other.score).then_with(|| other.worker.cmp(&self.worker))
@@ -43,7 +43,7 @@
 
 /// What differs between tasks of one step and changes the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Asked {
+struct RankingKey {
     avoid: Option<WorkerIx>,
     waited: Millis,
     again: bool,
@@ -52,18 +52,18 @@
 /// Workers on which tasks of one step could start now, the best one first. The step's tasks must be
 /// all that changes workers while it is used.
 #[derive(Debug, Default)]
-pub struct Choices {
-    asked: Option<Asked>,
-    order: BinaryHeap<Choice>,
+pub struct RankedWorkers {
+    asked: Option<RankingKey>,
+    order: BinaryHeap<Candidate>,
     /// The worker that took the last task.
     changed: Option<WorkerIx>,
 }
 
-impl Choices {
+impl RankedWorkers {
     /// Finds the best worker for a task, and holds it to take the task.
-    pub fn take(&mut self, cx: &State, wanted: &Wanted<'_>) -> Option<WorkerIx> {
-        self.bring_up_to_date(cx, wanted);
-        let mut unfit: Vec<Choice> = Vec::new();
+    pub fn take_best(&mut self, cx: &State, wanted: &Wanted<'_>) -> Option<WorkerIx> {
+        self.refresh_ranking(cx, wanted);
+        let mut unfit: Vec<Candidate> = Vec::new();
         let found = loop {
             let Some(choice) = self.order.pop() else { break None };
             if placement::fits(cx, choice.worker, wanted).is_ok() {
@@ -78,21 +78,21 @@
     }
 
     /// Works the order out anew, or only the place of the worker that took the last task.
-    fn bring_up_to_date(&mut self, cx: &State, wanted: &Wanted<'_>) {
-        let asked = Some(Asked { avoid: wanted.avoid, waited: wanted.waited, again: wanted.may_have_run });
+    fn refresh_ranking(&mut self, cx: &State, wanted: &Wanted<'_>) {
+        let asked = Some(RankingKey { avoid: wanted.avoid, waited: wanted.waited, again: wanted.may_have_run });
         let all = 0..cx.workers.len() as u32;
         if self.asked != asked {
             self.asked = asked;
             self.changed = None;
-            self.order = all.map(WorkerIx).filter_map(|ix| choice(cx, ix, wanted)).collect();
+            self.order = all.map(WorkerIx).filter_map(|ix| evaluate(cx, ix, wanted)).collect();
         }
         let changed = self.changed.take();
-        self.order.extend(changed.and_then(|ix| choice(cx, ix, wanted)));
+        self.order.extend(changed.and_then(|ix| evaluate(cx, ix, wanted)));
     }
 }
 
 /// Returns a worker as a choice, if the task could start there now.
-fn choice(cx: &State, worker: WorkerIx, wanted: &Wanted<'_>) -> Option<Choice> {
+fn evaluate(cx: &State, worker: WorkerIx, wanted: &Wanted<'_>) -> Option<Candidate> {
     let score = placement::value(cx, worker, wanted)?;
-    Some(Choice { score, worker })
+    Some(Candidate { score, worker })
 }
