--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -42,7 +42,7 @@
         let filling = step.fills.then(|| BlockedFilling {
             image: step.image.clone(),
             demand: step.demand.cpu,
-            impatient: interference::is_impatient(first.waited),
+            impatient: interference::may_interfere(first.waited),
         });
         let lasting = step.lasting.then(|| room::may_take_kept(first.waited, first.may_have_run));
         Self { service, label: step.label.clone(), takes: job_table::reservation(step), filling, lasting }
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -3,7 +3,7 @@
 use gaplock_types::time::Millis;
 
 use crate::changes::commits;
-use crate::decisions::interference::CROWDED_SHARE;
+use crate::decisions::interference::CONTENTION_SHARE;
 use crate::decisions::filling::{self, SETTLE};
 use crate::interface::message::{Record, WorkerIx};
 use crate::state::interference_model::{Column, ServingTask};
@@ -35,7 +35,7 @@
         judge_speed(cx, ix, &tails);
     }
     let crowded: f64 = used.iter().map(|(_, share)| share).sum();
-    if crowded > CROWDED_SHARE || cx.worker(ix).speed.is_slow(now) {
+    if crowded > CONTENTION_SHARE || cx.worker(ix).speed.is_slow(now) {
         return;
     }
     for (served, tail_ms) in tails {
--- a/crates/sched/src/changes/pacing/spare.rs
+++ b/crates/sched/src/changes/pacing/spare.rs
@@ -1,6 +1,6 @@
 //! The room that serving tasks leave on a worker for filling ones.
 
-use crate::decisions::interference::FILLED_SHARE;
+use crate::decisions::interference::MAX_BEST_EFFORT_SHARE;
 use crate::decisions::filling::{self, FillingTask};
 use crate::interface::message::WorkerIx;
 use crate::state::interference_model::Row;
@@ -61,5 +61,5 @@
     let tasks = filling::filling_tasks(worker, cx.now);
     let used: f64 = tasks.iter().map(|f| f.share).sum();
     let left = 1.0 - busy / cores;
-    left.min(FILLED_SHARE) - used
+    left.min(MAX_BEST_EFFORT_SHARE) - used
 }
--- a/crates/sched/src/decisions/disturbance.rs
+++ b/crates/sched/src/decisions/disturbance.rs
@@ -14,18 +14,18 @@
 
 /// The share of a worker's processors from which filling tasks of any image disturb what is served
 /// there, because the processors are used up; as measured. Readings beyond it teach nothing of pairs.
-pub const CROWDED_SHARE: f64 = 0.6;
+pub const CONTENTION_SHARE: f64 = 0.6;
 
 /// The share of a worker's processors that filling tasks may use: a tenth is left for the swing of what
 /// serves within the half second that a reading is old. At 0.6, from where on the processors' use itself is
 /// felt, full pools serve 0.04 less; 0.75 is half way, 1.2 no better (`docs/design/shifted-work.md`).
-pub const FILLED_SHARE: f64 = 0.9;
+pub const MAX_BEST_EFFORT_SHARE: f64 = 0.9;
 
 /// Returns how much placing a step's task on a worker would disturb, against one worker of free
 /// room, or nothing where it must not be placed there yet.
 pub fn placement_cost(cx: &State, worker: &Worker, step: &Step, waited: Millis) -> Option<f64> {
     if step.fills {
-        return filling_cost(cx, worker, step, waited);
+        return best_effort_cost(cx, worker, step, waited);
     }
     if step.tail_target.is_some() {
         return Some(serving_cost(cx, worker, step));
@@ -37,40 +37,40 @@
 /// it disturbs least, slowed down as far as needed. One that is placed only to be halted takes the room
 /// of others, so this bound only keeps a task from waiting for ever: on full pools 20 s are worth 0.016 more
 /// than 8 s and 2.5 s 0.12 less (`docs/design/shifted-work.md`).
-const PATIENCE: Millis = Millis(30_000);
+const MAX_WAIT_WITHOUT_INTERFERENCE: Millis = Millis(30_000);
 
 /// Tells whether a filling task has waited so long that it may disturb.
-pub fn is_impatient(waited: Millis) -> bool {
-    waited >= PATIENCE
+pub fn may_interfere(waited: Millis) -> bool {
+    waited >= MAX_WAIT_WITHOUT_INTERFERENCE
 }
 
 /// Cost of a unit of pressure beyond what is bearable, against one worker of free room.
-const EXCESS_COST: f64 = 20.0;
+const EXCESS_INTERFERENCE_COST: f64 = 20.0;
 
 /// Cost of a worker on which every known filling image would find a place, against one worker of free room.
 /// On full pools 1 is worth 0.027 and 3 is worth 0.018 (`docs/design/shifted-work.md`).
-const OPEN_COST: f64 = 1.0;
+const COMPATIBILITY_COST: f64 = 1.0;
 
 /// Cost of each whole share of a worker's processors that is filled beyond [`CROWDED_SHARE`], against one
 /// worker of free room: as long as another worker is as good, none is crowded. Worth 0.009 on eight pairs of
 /// four deployments (`docs/design/shifted-work.md`).
-const CROWDING_COST: f64 = 3.0;
+const CONTENTION_COST: f64 = 3.0;
 
 /// Cost of a unit of bearable pressure, against one worker of free room.
-const PRESSURE_COST: f64 = 6.0;
+const INTERFERENCE_COST: f64 = 6.0;
 
 /// Returns what placing a filling task costs by its push on what serves there.
-fn filling_cost(cx: &State, worker: &Worker, step: &Step, waited: Millis) -> Option<f64> {
+fn best_effort_cost(cx: &State, worker: &Worker, step: &Step, waited: Millis) -> Option<f64> {
     let image = step.image.as_deref().unwrap_or_default();
     let column = cx.interference.known_column(image);
     let share = f64::from(step.demand.cpu.0) / f64::from(worker.info.capacity.cpu.0.max(1));
     if !worker.spare_interference.is_empty() && share > worker.spare_best_effort_share {
         return None;
     }
-    let mut cost = worker.fitting_image_share * OPEN_COST;
+    let mut cost = worker.fitting_image_share * COMPATIBILITY_COST;
     if !worker.spare_interference.is_empty() {
         let left = worker.spare_best_effort_share - share;
-        cost += (FILLED_SHARE - CROWDED_SHARE - left).max(0.0) * CROWDING_COST;
+        cost += (MAX_BEST_EFFORT_SHARE - CONTENTION_SHARE - left).max(0.0) * CONTENTION_COST;
     }
     for &(row, spare) in &worker.spare_interference {
         let push = cx.interference.factor(row, column) * share;
@@ -79,19 +79,19 @@
         }
         let excess = push - spare;
         if excess > 0.0 {
-            if !is_impatient(waited) {
+            if !may_interfere(waited) {
                 return None;
             }
-            cost += excess * EXCESS_COST;
+            cost += excess * EXCESS_INTERFERENCE_COST;
         }
-        cost += push * PRESSURE_COST;
+        cost += push * INTERFERENCE_COST;
     }
     Some(cost)
 }
 
 /// Worth of serving tasks of one image sharing a worker: fewer workers are then closed to the
 /// filling tasks that disturb the image. Against one worker of free room.
-const SAME_IMAGE_WORTH: f64 = 3.0;
+const SAME_IMAGE_BONUS: f64 = 3.0;
 
 /// Returns what placing a serving task costs by the push of what fills there; negative beside
 /// tasks of its own image.
@@ -114,6 +114,6 @@
             TaskRole::Plain => {}
         }
     }
-    let alike = if all == 0.0 { 0.0 } else { (2.0 * same_image / all - 1.0) * SAME_IMAGE_WORTH };
-    pressed * PRESSURE_COST - alike
+    let alike = if all == 0.0 { 0.0 } else { (2.0 * same_image / all - 1.0) * SAME_IMAGE_BONUS };
+    pressed * INTERFERENCE_COST - alike
 }
