--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -7,7 +7,7 @@
 
 use super::spare;
 use crate::changes::trace;
-use crate::decisions::filling::FillingTask;
+use crate::decisions::filling::BestEffortTask;
 use crate::decisions::paces;
 use crate::interface::message::{Action, Run, WorkerIx};
 use crate::state::pace_orders::FULL_PACE;
@@ -72,7 +72,7 @@
 /// Orders a task's pace, unless the change is not worth a call or an order is on its way. The pace
 /// of a run in doubt is ordered though it was confirmed before: an older order may have undone it
 /// since.
-fn order_pace(cx: &mut State, ix: WorkerIx, wanted: &FillingTask) {
+fn order_pace(cx: &mut State, ix: WorkerIx, wanted: &BestEffortTask) {
     let now = cx.now;
     let again_after = paces::part_of(cx.settings.max_tail_excess, AGAIN_AFTER);
     let surveying = cx.recovery_scan.as_ref().is_some_and(|survey| now.since(survey.began) < FOUND_WAIT);
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -4,7 +4,7 @@
 
 use crate::changes::commits;
 use crate::decisions::interference::CONTENTION_SHARE;
-use crate::decisions::filling::{self, SETTLE};
+use crate::decisions::filling::{self, READING_WINDOW};
 use crate::interface::message::{Record, WorkerIx};
 use crate::state::interference_model::{Column, ServingTask};
 use crate::state::worker::TaskRole;
@@ -16,7 +16,7 @@
 pub(super) fn learn(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
     let worker = cx.worker(ix);
-    if now.since(worker.best_effort_ended_at) < SETTLE {
+    if now.since(worker.best_effort_ended_at) < READING_WINDOW {
         return;
     }
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
@@ -27,7 +27,7 @@
         if let TaskRole::Filling(column) = slot.role {
             used.push((column, reading / cores));
         }
-        if let Some(served) = filling::served(*key, slot).filter(|_| reading > 0.0) {
+        if let Some(served) = filling::as_served(*key, slot).filter(|_| reading > 0.0) {
             tails.push((served, reading));
         }
     }
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -2,7 +2,7 @@
 
 use gaplock_types::time::Millis;
 
-use crate::decisions::filling::{self, FillingTask};
+use crate::decisions::filling::{self, BestEffortTask};
 use crate::state::interference_model::{InterferenceModel, Row, MIN_INTERFERENCE};
 use crate::state::pace_orders::FULL_PACE;
 use crate::state::worker::{TaskRole, Worker};
@@ -17,9 +17,9 @@
 const GUARDED_AHEAD_S: f64 = 0.5;
 
 /// Lists the filling tasks on a worker with the pace that each should have.
-pub fn wanted(cx: &State, worker: &Worker) -> Vec<FillingTask> {
+pub fn wanted(cx: &State, worker: &Worker) -> Vec<BestEffortTask> {
     let now = cx.now;
-    let mut tasks = filling::filling_tasks(worker, now);
+    let mut tasks = filling::list_best_effort(worker, now);
     if tasks.is_empty() {
         return tasks;
     }
@@ -27,7 +27,7 @@
         task.pace = FULL_PACE;
     }
     for (key, slot) in &worker.slots {
-        let Some(served) = filling::served(*key, slot) else { continue };
+        let Some(served) = filling::as_served(*key, slot) else { continue };
         let bearable = cx.interference.tolerable_interference(&served, GUARDED_SHARE, now, GUARDED_AHEAD_S);
         relieve(&cx.interference, served.row, bearable, &mut tasks);
     }
@@ -38,20 +38,20 @@
 /// Lowers paces until the pressure on a serving image is bearable, beginning with what presses
 /// most. A run in doubt is held to press with the worst of the paces that may be in force, so
 /// others beside it are lowered for what it may press with.
-fn relieve(model: &InterferenceModel, row: Row, bearable: f64, filling: &mut [FillingTask]) {
-    let push = |f: &FillingTask| model.factor(row, Some(f.column)) * f.share;
+fn relieve(model: &InterferenceModel, row: Row, bearable: f64, filling: &mut [BestEffortTask]) {
+    let push = |f: &BestEffortTask| model.factor(row, Some(f.column)) * f.share;
     filling.sort_by(|a, b| push(b).total_cmp(&push(a)));
-    let mut excess = model.interference(row, filling.iter().map(FillingTask::paced)) - bearable;
+    let mut excess = model.interference(row, filling.iter().map(BestEffortTask::paced)) - bearable;
     for task in filling {
         let full = push(task);
         if excess <= 0.0 || full < MIN_INTERFERENCE {
             return;
         }
-        let pressing = full * f64::from(task.worst()) / 100.0;
+        let pressing = full * f64::from(task.worst_pace()) / 100.0;
         let left = (pressing - excess).max(0.0);
         task.pace = task.pace.min((left / full * 100.0) as u32);
         // What an order without an answer may bring back is not relieved by another order.
-        let stays = full * f64::from(task.worst()) / 100.0;
+        let stays = full * f64::from(task.worst_pace()) / 100.0;
         excess -= pressing - stays.max(left);
     }
 }
@@ -68,7 +68,7 @@
 
 /// Halts fillers beside a serving task that stays over its target: first what may press on it by
 /// the model, then, whatever the model says, everything.
-fn halt(cx: &State, worker: &Worker, filling: &mut [FillingTask]) {
+fn halt(cx: &State, worker: &Worker, filling: &mut [BestEffortTask]) {
     let suspected_after = part_of(cx.settings.max_tail_excess, HALT_SUSPECTED_AFTER);
     let all_after = part_of(cx.settings.max_tail_excess, HALT_ALL_AFTER);
     for slot in worker.slots.values() {
