--- a/crates/sched/src/changes/drain.rs
+++ b/crates/sched/src/changes/drain.rs
@@ -16,7 +16,7 @@
             continue;
         }
         let Some(departure) = leaving::departure(cx, worker) else { continue };
-        for (key, run) in leaving::to_stop(cx, ix, departure) {
+        for (key, run) in leaving::runs_to_stop(cx, ix, departure) {
             if departure.announced || availability::may_stop(cx, key) {
                 lifecycle::order_stop(cx, ix, key, run, "its worker is leaving");
             }
