--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -5,7 +5,7 @@
 use gaplock_types::time::Millis;
 
 use crate::changes::{commits, trace};
-use crate::decisions::losses::{self, Blamed, Loss, AT_START};
+use crate::decisions::losses::{self, BlamedTask, Loss, START_CRASH_WINDOW};
 use crate::interface::message::WorkerIx;
 use crate::state::crash_evidence::{Saved, RecordedStart};
 use crate::state::job_table::TaskState;
@@ -17,7 +17,7 @@
     pub(super) worker: &'a ids::WorkerId,
     pub(super) loss: Loss,
     /// How long the run was known to have been at work.
-    pub(super) lived: Millis,
+    pub(super) known_runtime: Millis,
     /// Whether the worker ever confirmed the run; a start without an answer may not have reached it.
     pub(super) confirmed: bool,
     /// How many runs were lost together.
@@ -33,21 +33,21 @@
         return;
     };
     let (id, addr) = (worker.info.id.clone(), worker.info.addr.clone());
-    let (together, blamed) = (worker.slots.len(), losses::blamed(worker));
-    let many = losses::are_many_lost(cx);
+    let (together, blamed) = (worker.slots.len(), losses::tasks_to_blame(worker));
+    let many = losses::is_mass_loss(cx);
     if loss == Loss::Crashed {
         cx.crashes.last_crash_by_addr.insert(addr, cx.now);
     }
-    for Blamed { key, confirmed, lived } in blamed {
+    for BlamedTask { key, confirmed, known_runtime: lived } in blamed {
         if many && !cx.crashes.suspects.contains(&key) {
             // Nothing waits for this to be stored: after the loss of a failure domain it is hundreds.
-            if doubt(cx, key, &id) && lived < AT_START {
+            if doubt(cx, key, &id) && lived < START_CRASH_WINDOW {
                 commits::mark(&mut cx.commits, cx.now, key.job);
             }
             continue;
         }
         let alone = cx.worker(ix).slots.keys().all(|other| other.job == key.job);
-        suspect(cx, key, &Evidence { worker: &id, loss, lived, confirmed, together, alone });
+        suspect(cx, key, &Evidence { worker: &id, loss, known_runtime: lived, confirmed, together, alone });
     }
 }
 
@@ -72,9 +72,9 @@
         Loss::Silent => RecordedStart::At(worker.clone()),
     };
     let first = suspicion.crashed.len() + suspicion.silent.len() == 1;
-    let at_start = evidence.confirmed && evidence.lived < AT_START;
+    let at_start = evidence.confirmed && evidence.known_runtime < START_CRASH_WINDOW;
     suspicion.all_at_start = at_start && (first || suspicion.all_at_start);
-    (suspicion.last_run_duration, suspicion.exempt_from_trial) = (evidence.lived, is_gang);
+    (suspicion.last_run_duration, suspicion.exempt_from_trial) = (evidence.known_runtime, is_gang);
     suspicion.last_was_alone = evidence.alone;
     let crashes = suspicion.crashed.len();
     if loss == Loss::Crashed {
@@ -82,7 +82,7 @@
         commits::mark_urgent(&mut cx.commits, now, key.job);
     }
     cx.crashes.add(key, worker);
-    let (lived, together) = (evidence.lived, evidence.together);
+    let (lived, together) = (evidence.known_runtime, evidence.together);
     trace::task_suspected(key, worker, loss, crashes, lived, together);
 }
 
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -7,7 +7,7 @@
 
 use super::evidence::{doubt, hold_until_saved, suspect, Evidence};
 use crate::changes::commits;
-use crate::decisions::losses::{self, Loss, AT_START};
+use crate::decisions::losses::{self, Loss, START_CRASH_WINDOW};
 use crate::interface::message::WorkerIx;
 use crate::state::crash_evidence::{RecordedStart, CrashEvidence};
 use crate::state::job_table::TaskState;
@@ -49,7 +49,7 @@
 
 /// Counts a worker that a successor could not find against the tasks that it is known to have held.
 pub fn holder_lost(cx: &mut State, ix: WorkerIx, held: &[TaskKey], gone: bool) {
-    if losses::has_left(cx.worker(ix)) {
+    if losses::was_leaving(cx.worker(ix)) {
         return;
     }
     let id = cx.worker(ix).info.id.clone();
@@ -64,8 +64,8 @@
 
 /// Builds the evidence of a crash whose runs a former leader started: how long they lived is not known.
 fn unknown_lives(worker: &ids::WorkerId, together: usize) -> Evidence<'_> {
-    let (loss, lived, confirmed, alone) = (Loss::Crashed, AT_START, false, false);
-    Evidence { worker, loss, lived, confirmed, together, alone }
+    let (loss, lived, confirmed, alone) = (Loss::Crashed, START_CRASH_WINDOW, false, false);
+    Evidence { worker, loss, known_runtime: lived, confirmed, together, alone }
 }
 
 /// Takes in that a successor has found workers gone that may have run any task, and these tasks at no
@@ -74,7 +74,7 @@
 /// than one crash is forgotten.
 pub fn any_lost(cx: &mut State, lost: &[WorkerIx], unfound: &FxHashSet<TaskKey>) {
     let unfound = count_recorded(cx, lost, unfound);
-    let crashed = lost.iter().find(|&&ix| !losses::has_left(cx.worker(ix)));
+    let crashed = lost.iter().find(|&&ix| !losses::was_leaving(cx.worker(ix)));
     let Some(&ix) = crashed else { return };
     let id = cx.worker(ix).info.id.clone();
     let doubted = |key: &TaskKey| {
@@ -106,7 +106,7 @@
     lost: &[WorkerIx],
     unfound: &FxHashSet<TaskKey>,
 ) -> FxHashSet<TaskKey> {
-    let crashed = lost.iter().map(|&ix| cx.worker(ix)).filter(|w| !losses::has_left(w));
+    let crashed = lost.iter().map(|&ix| cx.worker(ix)).filter(|w| !losses::was_leaving(w));
     let crashed: Vec<ids::WorkerId> = crashed.map(|w| w.info.id.clone()).collect();
     let mut unknown = FxHashSet::default();
     for &key in unfound {
--- a/crates/sched/src/changes/crashes/verdict.rs
+++ b/crates/sched/src/changes/crashes/verdict.rs
@@ -23,7 +23,7 @@
 
 /// Takes in that a worker's incarnation is over of which nothing was known but its silence.
 pub fn worker_gone(cx: &mut State, ix: WorkerIx) {
-    if !losses::has_left(cx.worker(ix)) {
+    if !losses::was_leaving(cx.worker(ix)) {
         resolve(cx, ix, true);
     }
 }
@@ -109,7 +109,7 @@
     for (id, since) in &suspicion.silent {
         let for_so_long = now.since((*since).max(cx.directory_recovered_at));
         let worker = cx.by_id.get(id).map(|&ix| cx.worker(ix));
-        if for_so_long >= SILENT_FOR || worker.is_some_and(losses::has_left) {
+        if for_so_long >= SILENT_FOR || worker.is_some_and(losses::was_leaving) {
             forgotten.push(id.clone());
         } else if for_so_long >= LISTED_FOR && !worker.is_some_and(is_listed) {
             crashed.push(id.clone());
@@ -130,5 +130,5 @@
     };
     let worker = cx.worker(worker);
     let heard = worker.clock.map(|(heard, _)| heard);
-    worker.slots.get(&key).is_some_and(|slot| losses::lived(slot, heard) >= CLEARED_AFTER)
+    worker.slots.get(&key).is_some_and(|slot| losses::known_runtime(slot, heard) >= CLEARED_AFTER)
 }
--- a/crates/sched/src/changes/roster.rs
+++ b/crates/sched/src/changes/roster.rs
@@ -44,7 +44,7 @@
     worker.roster_pending = false;
     worker.closed = true;
     let mut info = worker.info.clone();
-    info.draining = losses::has_left(worker);
+    info.draining = losses::was_leaving(worker);
     let holds: Vec<TaskKey> = worker.slots.keys().copied().collect();
     worker.dropped_from_roster = holds.is_empty();
     trace::worker_closed(&info.id, holds.len());
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -65,7 +65,7 @@
 struct Waiting {
     task: TaskKey,
     losses: usize,
-    lived: Millis,
+    known_runtime: Millis,
     waited: Millis,
 }
 
@@ -81,7 +81,7 @@
     }
     let mut empty = empty_workers(cx);
     let under_way = cx.workers.iter().filter(|w| w.trial.is_some()).count();
-    let most = if losses::are_many_lost(cx) { 0 } else { (cx.fleet_size() / TRIALS_SHARE).max(1) };
+    let most = if losses::is_mass_loss(cx) { 0 } else { (cx.fleet_size() / TRIALS_SHARE).max(1) };
     let mut left = most.saturating_sub(under_way);
     for suspect in waiting {
         if cx.is_at_start_limit() {
@@ -107,11 +107,11 @@
         any = true;
         if task.not_before <= now && suspicion.may_start() {
             let (losses, lived) = (suspicion.losses(), suspicion.last_run_duration);
-            found.push(Waiting { task: key, losses, lived, waited: now.since(task.since) });
+            found.push(Waiting { task: key, losses, known_runtime: lived, waited: now.since(task.since) });
         }
     }
     cx.crashes.suspect_may_wait = any;
-    found.sort_by_key(|w| (Reverse(w.losses), w.lived, w.task));
+    found.sort_by_key(|w| (Reverse(w.losses), w.known_runtime, w.task));
     found
 }
 
