--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -10,11 +10,11 @@
 
 /// Part of its target that a serving task's expected tail may reach beside what already runs:
 /// readings are rough and up to a second old.
-const GUARDED_SHARE: f64 = 1.0;
+const RUNNING_TAIL_SHARE: f64 = 1.0;
 
 /// How far ahead the load is looked at for what already runs, in seconds: until the next reading
 /// and the next change of pace.
-const GUARDED_AHEAD_S: f64 = 0.5;
+const RUNNING_LOOKAHEAD_S: f64 = 0.5;
 
 /// Lists the filling tasks on a worker with the pace that each should have.
 pub fn wanted(cx: &State, worker: &Worker) -> Vec<BestEffortTask> {
@@ -28,8 +28,8 @@
     }
     for (key, slot) in &worker.slots {
         let Some(served) = filling::as_served(*key, slot) else { continue };
-        let bearable = cx.interference.tolerable_interference(&served, GUARDED_SHARE, now, GUARDED_AHEAD_S);
-        relieve(&cx.interference, served.row, bearable, &mut tasks);
+        let bearable = cx.interference.tolerable_interference(&served, RUNNING_TAIL_SHARE, now, RUNNING_LOOKAHEAD_S);
+        lower_paces(&cx.interference, served.row, bearable, &mut tasks);
     }
     halt(cx, worker, &mut tasks);
     tasks
@@ -38,7 +38,7 @@
 /// Lowers paces until the pressure on a serving image is bearable, beginning with what presses
 /// most. A run in doubt is held to press with the worst of the paces that may be in force, so
 /// others beside it are lowered for what it may press with.
-fn relieve(model: &InterferenceModel, row: Row, bearable: f64, filling: &mut [BestEffortTask]) {
+fn lower_paces(model: &InterferenceModel, row: Row, bearable: f64, filling: &mut [BestEffortTask]) {
     let push = |f: &BestEffortTask| model.factor(row, Some(f.column)) * f.share;
     filling.sort_by(|a, b| push(b).total_cmp(&push(a)));
     let mut excess = model.interference(row, filling.iter().map(BestEffortTask::paced)) - bearable;
@@ -58,19 +58,19 @@
 
 /// The part of the allowed excess after which what the model suspects is halted. A reading is up to
 /// 1.5 s old, and the users' sites allow 4 s.
-const HALT_SUSPECTED_AFTER: f64 = 0.3;
+const HALT_SUSPECTED_FRACTION: f64 = 0.3;
 
 /// The part of the allowed excess after which everything that fills is halted.
-const HALT_ALL_AFTER: f64 = 0.475;
+const HALT_ALL_FRACTION: f64 = 0.475;
 
 /// A filling task whose push on a serving image is less than this is not suspected.
-const SUSPECTED_PUSH: f64 = 0.01;
+const MIN_SUSPECTED_INTERFERENCE: f64 = 0.01;
 
 /// Halts fillers beside a serving task that stays over its target: first what may press on it by
 /// the model, then, whatever the model says, everything.
 fn halt(cx: &State, worker: &Worker, filling: &mut [BestEffortTask]) {
-    let suspected_after = part_of(cx.settings.max_tail_excess, HALT_SUSPECTED_AFTER);
-    let all_after = part_of(cx.settings.max_tail_excess, HALT_ALL_AFTER);
+    let suspected_after = part_of(cx.settings.max_tail_excess, HALT_SUSPECTED_FRACTION);
+    let all_after = part_of(cx.settings.max_tail_excess, HALT_ALL_FRACTION);
     for slot in worker.slots.values() {
         let (TaskRole::Serving { row, .. }, Some(since)) = (slot.role, slot.over_target_since) else {
             continue;
@@ -78,7 +78,7 @@
         let lasted = cx.now.since(since);
         for task in filling.iter_mut() {
             let push = cx.interference.factor(row, Some(task.column)) * task.share;
-            let suspected = lasted >= suspected_after && push >= SUSPECTED_PUSH;
+            let suspected = lasted >= suspected_after && push >= MIN_SUSPECTED_INTERFERENCE;
             if suspected || lasted >= all_after {
                 task.pace = 0;
             }
