--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -223,7 +223,7 @@
         }
         let Some(wanted) = asks::placement_request(cx, job, service, task) else { return Some(task) };
         let chosen = choices.take_best(cx, &wanted);
-        debug_assert_eq!(chosen, placement::choose(cx, &wanted), "the kept order is another one");
+        debug_assert_eq!(chosen, placement::best_worker(cx, &wanted), "the kept order is another one");
         let Some(ix) = chosen else { return Some(task) };
         starts::start_at(cx, ix, task);
     }
@@ -244,6 +244,6 @@
     }
     state.last_explained_at = now;
     let Some(wanted) = asks::placement_request(cx, job, service, task) else { return };
-    let counts = placement::explain(cx, &wanted);
+    let counts = placement::count_unfit(cx, &wanted);
     trace::step_waits(task, pending, waited, &wanted.step.demand, &counts);
 }
--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -7,7 +7,7 @@
 use gaplock_types::ids;
 
 use crate::changes::{checkpoints, lifecycle, permits, starts};
-use crate::decisions::placement::{self, Wanted};
+use crate::decisions::placement::{self, PlacementRequest};
 use crate::decisions::{asks, racks};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::proof::ReleaseProof;
@@ -77,8 +77,8 @@
     let checkpoint = checkpoints::of_gang(cx, members);
     let mut placed: Vec<(TaskKey, WorkerIx)> = Vec::new();
     for &task in members {
-        let wanted = asks::placement_request(cx, job, service, task).map(|w| Wanted { only_rack: rack, ..w });
-        let Some(ix) = wanted.and_then(|w| placement::choose(cx, &w)) else {
+        let wanted = asks::placement_request(cx, job, service, task).map(|w| PlacementRequest { only_rack: rack, ..w });
+        let Some(ix) = wanted.and_then(|w| placement::best_worker(cx, &w)) else {
             undo(cx, &placed, run);
             return None;
         };
--- a/crates/sched/src/changes/moving.rs
+++ b/crates/sched/src/changes/moving.rs
@@ -77,7 +77,7 @@
             return false;
         }
         self.searches.spend_one();
-        let place = placement::elsewhere(cx, here, key);
+        let place = placement::find_other_worker(cx, here, key);
         let found = place.is_some_and(|place| self.taken.insert(place));
         if !found {
             self.without.push(pressing);
--- a/crates/sched/src/changes/stragglers.rs
+++ b/crates/sched/src/changes/stragglers.rs
@@ -32,7 +32,7 @@
                 return searches.made();
             }
             searches.spend_one();
-            if placement::elsewhere(cx, ix, key).is_some() {
+            if placement::find_other_worker(cx, ix, key).is_some() {
                 start_again(cx, ix, key, run);
             }
         }
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -135,7 +135,7 @@
         (cx.crashes.last_crash_by_addr.get(&worker.info.addr).copied(), Reverse(heard))
     };
     let fit =
-        empty.iter().enumerate().filter(|(_, ix)| placement::value(cx, **ix, &wanted).is_some());
+        empty.iter().enumerate().filter(|(_, ix)| placement::score_if_fit(cx, **ix, &wanted).is_some());
     let Some((at, &ix)) = fit.min_by_key(|(_, ix)| rank(**ix)) else { return false };
     empty.swap_remove(at);
     starts::start_at(cx, ix, key);
--- a/crates/sched/src/decisions/asks.rs
+++ b/crates/sched/src/decisions/asks.rs
@@ -5,7 +5,7 @@
 use gaplock_types::ids;
 use gaplock_types::time::Millis;
 
-use crate::decisions::placement::Wanted;
+use crate::decisions::placement::PlacementRequest;
 use crate::state::job_table::{Task, TaskState};
 use crate::state::State;
 
@@ -47,13 +47,13 @@
     job: &'a Job,
     service: &'a ids::ServiceId,
     task: TaskKey,
-) -> Option<Wanted<'a>> {
+) -> Option<PlacementRequest<'a>> {
     let step = &job.steps[usize::from(task.step)];
     let found = cx.task(task)?;
     let WaitStatus { waited, may_have_run: again } = wait_status(cx, found);
     let avoid = found.failed_on;
     let (advice, only_rack) = (advice_of(cx, job), None);
-    Some(Wanted { service, step, task, avoid, waited, may_have_run: again, only_rack, advice })
+    Some(PlacementRequest { service, step, task, avoid, waited, may_have_run: again, only_rack, advice })
 }
 
 /// Tells whether a pending task may start like any other one.
--- a/crates/sched/src/decisions/choices.rs
+++ b/crates/sched/src/decisions/choices.rs
@@ -9,7 +9,7 @@
 
 use gaplock_types::time::Millis;
 
-use crate::decisions::placement::{self, Wanted};
+use crate::decisions::placement::{self, PlacementRequest};
 use crate::interface::message::WorkerIx;
 use crate::state::State;
 
@@ -61,12 +61,12 @@
 
 impl RankedWorkers {
     /// Finds the best worker for a task, and holds it to take the task.
-    pub fn take_best(&mut self, cx: &State, wanted: &Wanted<'_>) -> Option<WorkerIx> {
+    pub fn take_best(&mut self, cx: &State, wanted: &PlacementRequest<'_>) -> Option<WorkerIx> {
         self.refresh_ranking(cx, wanted);
         let mut unfit: Vec<Candidate> = Vec::new();
         let found = loop {
             let Some(choice) = self.order.pop() else { break None };
-            if placement::fits(cx, choice.worker, wanted).is_ok() {
+            if placement::check_fit(cx, choice.worker, wanted).is_ok() {
                 break Some(choice.worker);
             }
             unfit.push(choice);
@@ -78,7 +78,7 @@
     }
 
     /// Works the order out anew, or only the place of the worker that took the last task.
-    fn refresh_ranking(&mut self, cx: &State, wanted: &Wanted<'_>) {
+    fn refresh_ranking(&mut self, cx: &State, wanted: &PlacementRequest<'_>) {
         let asked = Some(RankingKey { avoid: wanted.avoid, waited: wanted.waited, again: wanted.may_have_run });
         let all = 0..cx.workers.len() as u32;
         if self.asked != asked {
@@ -92,7 +92,7 @@
 }
 
 /// Returns a worker as a choice, if the task could start there now.
-fn evaluate(cx: &State, worker: WorkerIx, wanted: &Wanted<'_>) -> Option<Candidate> {
-    let score = placement::value(cx, worker, wanted)?;
+fn evaluate(cx: &State, worker: WorkerIx, wanted: &PlacementRequest<'_>) -> Option<Candidate> {
+    let score = placement::score_if_fit(cx, worker, wanted)?;
     Some(Candidate { score, worker })
 }
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -15,7 +15,7 @@
 
 /// What is asked of a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct PlacementRequest<'a> {
     /// The pool.
     pub service: &'a ids::ServiceId,
     /// The step.
@@ -37,7 +37,7 @@
 /// Worth of running in the rack that holds the data, in whole workers of free room: above any fit (1) and
 /// [`TOGETHER_COST`] in sum, so that the data decides among sound workers, and below [`SLOW_COST`] less a
 /// fit, so that no slow one is taken for it.
-const RACK_WORTH: f64 = 4.0;
+const RACK_BONUS: f64 = 4.0;
 
 /// Cost of the worker on which the task failed last, in whole workers of free room: above
 /// [`RACK_WORTH`] and [`SLOW_COST`], since a start on any other worker tells more. That order gave the figure.
@@ -45,7 +45,7 @@
 
 /// Why a worker does not get a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unfit {
+pub enum UnfitReason {
     /// It belongs to another pool, or is gone.
     OtherPool,
     /// It is draining, unlisted, silent, avoided or kept for a task that may crash it, or has many
@@ -60,13 +60,13 @@
     /// It has room, but that is kept for short tasks.
     Reserved,
     /// It lacks the label.
-    Label,
+    LabelMissing,
     /// It runs as many tasks of the step as it may, or another run of this one.
-    Spread,
+    TooManyOfStep,
     /// Nothing says that the step may run there.
     NotPermitted,
     /// The task would disturb what is served there.
-    Disturbs,
+    Interferes,
 }
 
 /// How many workers do not get a task, by reason; for the log.
@@ -102,45 +102,45 @@
 
 impl UnfitCounts {
     /// Counts a worker without room, and what would make it.
-    fn note_full(&mut self, worker: &Worker, step: &Step) {
+    fn count_full(&mut self, worker: &Worker, step: &Step) {
         let takes = job_table::reservation(step);
         let room = worker.info.capacity.minus(&worker.used);
         self.full += 1;
         self.no_memory += u32::from(room.cpu >= takes.cpu);
-        self.if_emptied += u32::from(room.plus(&taken_by_filling(worker)).holds(&takes));
+        self.if_emptied += u32::from(room.plus(&best_effort_usage(worker)).holds(&takes));
     }
 }
 
 /// Returns the room that filling tasks take of a worker.
-fn taken_by_filling(worker: &Worker) -> Resources {
+fn best_effort_usage(worker: &Worker) -> Resources {
     let filling = worker.slots.values().filter(|slot| matches!(slot.role, TaskRole::Filling(_)));
     filling.fold(Resources::default(), |sum, slot| sum.plus(&slot.reservation))
 }
 
 /// Counts why no worker gets a task.
-pub fn explain(cx: &State, wanted: &Wanted<'_>) -> UnfitCounts {
+pub fn count_unfit(cx: &State, wanted: &PlacementRequest<'_>) -> UnfitCounts {
     let mut counts = UnfitCounts::default();
     for (at, worker) in cx.workers.iter().enumerate() {
-        let unfit = match fits(cx, WorkerIx(at as u32), wanted) {
+        let unfit = match check_fit(cx, WorkerIx(at as u32), wanted) {
             Err(unfit) => unfit,
-            Ok(()) if score(cx, WorkerIx(at as u32), worker, wanted).is_none() => Unfit::Disturbs,
+            Ok(()) if score(cx, WorkerIx(at as u32), worker, wanted).is_none() => UnfitReason::Interferes,
             Ok(()) => continue,
         };
         let free = worker.info.capacity.minus(&worker.used).cpu.0;
         match unfit {
-            Unfit::OtherPool => continue,
-            Unfit::NotTaking => counts.not_taking += 1,
-            Unfit::Evacuated => {
+            UnfitReason::OtherPool => continue,
+            UnfitReason::NotTaking => counts.not_taking += 1,
+            UnfitReason::Evacuated => {
                 counts.evacuated += 1;
                 continue;
             }
-            Unfit::Full => counts.note_full(worker, wanted.step),
-            Unfit::Slow => counts.slow += 1,
-            Unfit::Reserved => counts.reserved += 1,
-            Unfit::Label => counts.label += 1,
-            Unfit::Spread => counts.spread += 1,
-            Unfit::NotPermitted => counts.not_permitted += 1,
-            Unfit::Disturbs => counts.disturbs += 1,
+            UnfitReason::Full => counts.count_full(worker, wanted.step),
+            UnfitReason::Slow => counts.slow += 1,
+            UnfitReason::Reserved => counts.reserved += 1,
+            UnfitReason::LabelMissing => counts.label += 1,
+            UnfitReason::TooManyOfStep => counts.spread += 1,
+            UnfitReason::NotPermitted => counts.not_permitted += 1,
+            UnfitReason::Interferes => counts.disturbs += 1,
         }
         counts.most_free = counts.most_free.max(free);
         counts.free_in_all += u64::from(free);
@@ -149,10 +149,10 @@
 }
 
 /// Finds the best worker that has room, if any.
-pub fn choose(cx: &State, wanted: &Wanted<'_>) -> Option<WorkerIx> {
+pub fn best_worker(cx: &State, wanted: &PlacementRequest<'_>) -> Option<WorkerIx> {
     let mut best: Option<(f64, WorkerIx)> = None;
     for ix in (0..cx.workers.len() as u32).map(WorkerIx) {
-        let Some(score) = value(cx, ix, wanted) else { continue };
+        let Some(score) = score_if_fit(cx, ix, wanted) else { continue };
         if best.is_none_or(|(other, _)| score > other) {
             best = Some((score, ix));
         }
@@ -161,72 +161,72 @@
 }
 
 /// Returns how good a place a worker is for a task, or nothing where it cannot start there now.
-pub fn value(cx: &State, ix: WorkerIx, wanted: &Wanted<'_>) -> Option<f64> {
-    fits(cx, ix, wanted).ok()?;
+pub fn score_if_fit(cx: &State, ix: WorkerIx, wanted: &PlacementRequest<'_>) -> Option<f64> {
+    check_fit(cx, ix, wanted).ok()?;
     score(cx, ix, cx.worker(ix), wanted)
 }
 
 /// Finds a worker that is not `here` on which a task that runs there could start at once.
-pub fn elsewhere(cx: &State, here: WorkerIx, key: TaskKey) -> Option<WorkerIx> {
+pub fn find_other_worker(cx: &State, here: WorkerIx, key: TaskKey) -> Option<WorkerIx> {
     let entry = cx.jobs.get(&key.job)?;
     let step = entry.step(key)?;
     let queue = cx.config.as_ref()?.queue(&entry.job.queue)?;
     let (service, advice) = (&queue.service, queue.advice.as_ref());
     let (avoid, waited, again, only_rack) = (Some(here), Millis(0), true, None);
-    choose(cx, &Wanted { service, step, task: key, avoid, waited, may_have_run: again, only_rack, advice })
+    best_worker(cx, &PlacementRequest { service, step, task: key, avoid, waited, may_have_run: again, only_rack, advice })
         .filter(|ix| *ix != here)
 }
 
 /// Checks whether a worker may and can run the task.
-pub fn fits(cx: &State, ix: WorkerIx, wanted: &Wanted<'_>) -> Result<(), Unfit> {
+pub fn check_fit(cx: &State, ix: WorkerIx, wanted: &PlacementRequest<'_>) -> Result<(), UnfitReason> {
     let worker = cx.worker(ix);
     let takes = job_table::reservation(wanted.step);
     if worker.terminated || worker.info.service != *wanted.service {
-        return Err(Unfit::OtherPool);
+        return Err(UnfitReason::OtherPool);
     }
     if worker.evacuated {
-        return Err(Unfit::Evacuated);
+        return Err(UnfitReason::Evacuated);
     }
     if !worker.accepts_tasks(cx.now) || cx.is_worker_at_start_limit(ix) {
-        return Err(Unfit::NotTaking);
+        return Err(UnfitReason::NotTaking);
     }
     if worker.trial.is_some_and(|trial| trial.excludes(wanted.task, cx.now)) {
-        return Err(Unfit::NotTaking);
+        return Err(UnfitReason::NotTaking);
     }
     let taken = worker.used.plus(&takes);
     if !worker.info.capacity.holds(&taken) {
-        return Err(Unfit::Full);
+        return Err(UnfitReason::Full);
     }
     let step = wanted.step;
-    if !step.lasting && wanted.waited < SLOW_AVOIDED_FOR && worker.speed.is_slow(cx.now) {
-        return Err(Unfit::Slow);
+    if !step.lasting && wanted.waited < MAX_WAIT_WITHOUT_SLOW_WORKERS && worker.speed.is_slow(cx.now) {
+        return Err(UnfitReason::Slow);
     }
     let ticket = || cx.permits.ticket(StepKey::of(wanted.task), ix, cx.now);
     if wanted.advice.is_some() && ticket().is_none() {
-        return Err(Unfit::NotPermitted);
+        return Err(UnfitReason::NotPermitted);
     }
     let rack = wanted.only_rack.map(String::as_str);
     if rack.is_some() && rack != worker.info.rack() {
-        return Err(Unfit::Label);
+        return Err(UnfitReason::LabelMissing);
     }
     if step.label.as_ref().is_some_and(|label| !worker.info.labels.contains(label)) {
-        return Err(Unfit::Label);
+        return Err(UnfitReason::LabelMissing);
     }
     if worker.slots.contains_key(&wanted.task) {
-        return Err(Unfit::Spread);
+        return Err(UnfitReason::TooManyOfStep);
     }
-    if step.most_per_worker.is_some_and(|most| same_step(worker, wanted.task) >= most) {
-        return Err(Unfit::Spread);
+    if step.most_per_worker.is_some_and(|most| count_same_step(worker, wanted.task) >= most) {
+        return Err(UnfitReason::TooManyOfStep);
     }
     let may_take_kept = !step.lasting || room::may_take_kept(wanted.waited, wanted.may_have_run);
     if !may_take_kept && room::is_kept(cx, worker) {
-        return Err(Unfit::Reserved);
+        return Err(UnfitReason::Reserved);
     }
     Ok(())
 }
 
 /// How long a task waits for a worker that is not slow: about what a short task loses on a slow one.
-const SLOW_AVOIDED_FOR: Millis = Millis(1_000);
+const MAX_WAIT_WITHOUT_SLOW_WORKERS: Millis = Millis(1_000);
 
 /// Cost of a slow worker, in whole workers of free room: above [`RACK_WORTH`] and any fit (1) in sum, so that
 /// neither makes up for it.
@@ -234,39 +234,39 @@
 
 /// The part of a lasting step's tasks, as a divisor, that one worker takes before its other tasks go
 /// elsewhere: they all go down with it, and leave it one by one where few of them may be missed.
-const TOGETHER_SHARE: u32 = 3;
+const COLOCATION_DIVISOR: u32 = 3;
 
 /// Cost of that part being there already, in whole workers of free room: more than any fit is worth (1), less
 /// than what gathering an image is (3).
-const TOGETHER_COST: f64 = 1.5;
+const COLOCATION_COST: f64 = 1.5;
 
 /// Counts the tasks of the same step and round at a worker.
-fn same_step(worker: &Worker, task: TaskKey) -> u32 {
+fn count_same_step(worker: &Worker, task: TaskKey) -> u32 {
     let same = |key: &&TaskKey| (key.job, key.round, key.step) == (task.job, task.round, task.step);
     worker.slots.keys().filter(same).count() as u32
 }
 
 /// Returns the share of a worker's processors that is neither taken nor wanted by what fills there;
 /// what fills goes where most of it is left.
-fn spread(worker: &Worker) -> f64 {
+fn unclaimed_share(worker: &Worker) -> f64 {
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
     (cores - f64::from(worker.used.cpu.0) - f64::from(worker.best_effort_millicores)) / cores
 }
 
 /// Returns how good a place a worker is for the task, in whole workers, or nothing
 /// where the task would disturb too much yet.
-fn score(cx: &State, ix: WorkerIx, worker: &Worker, wanted: &Wanted<'_>) -> Option<f64> {
+fn score(cx: &State, ix: WorkerIx, worker: &Worker, wanted: &PlacementRequest<'_>) -> Option<f64> {
     let mut score =
-        if wanted.step.fills { spread(worker) } else { room::tightness(worker, wanted.step) };
+        if wanted.step.fills { unclaimed_share(worker) } else { room::tightness(worker, wanted.step) };
     let in_rack = |rack: &String| worker.info.labels.contains(rack);
     if wanted.step.rack.as_ref().is_some_and(in_rack) {
-        score += RACK_WORTH;
+        score += RACK_BONUS;
     }
     if wanted.avoid == Some(ix) {
         score -= FAILED_HERE_COST;
     }
-    if wanted.step.lasting && same_step(worker, wanted.task) * TOGETHER_SHARE >= wanted.step.count {
-        score -= TOGETHER_COST;
+    if wanted.step.lasting && count_same_step(worker, wanted.task) * COLOCATION_DIVISOR >= wanted.step.count {
+        score -= COLOCATION_COST;
     }
     if worker.speed.is_slow(cx.now) {
         score -= SLOW_COST;
