--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -59,7 +59,7 @@
     starts: u32,
     same_rack: bool,
 ) -> Option<Vec<(TaskKey, WorkerIx)>> {
-    let racks = if same_rack { racks::by_room(cx, service) } else { Vec::new() };
+    let racks = if same_rack { racks::by_free_cpu(cx, service) } else { Vec::new() };
     let in_rack = racks.iter().find_map(|r| place(cx, job, service, members, starts, Some(r)));
     in_rack.or_else(|| place(cx, job, service, members, starts, None))
 }
--- a/crates/sched/src/decisions/racks.rs
+++ b/crates/sched/src/decisions/racks.rs
@@ -8,10 +8,10 @@
 use crate::state::State;
 
 /// How many racks are tried for a gang that is slowed down by several; those with most room first.
-const RACKS_TRIED: usize = 4;
+const MAX_RACKS_TRIED: usize = 4;
 
 /// Lists the racks of a pool with most free processors.
-pub fn by_room(cx: &State, service: &ids::ServiceId) -> Vec<String> {
+pub fn by_free_cpu(cx: &State, service: &ids::ServiceId) -> Vec<String> {
     let mut racks: BTreeMap<&str, u64> = BTreeMap::new();
     let pool = cx.workers.iter().filter(|w| w.info.service == *service && w.accepts_tasks(cx.now));
     for worker in pool {
@@ -21,5 +21,5 @@
     }
     let mut racks: Vec<(&str, u64)> = racks.into_iter().collect();
     racks.sort_by_key(|(_, free)| Reverse(*free));
-    racks.into_iter().take(RACKS_TRIED).map(|(rack, _)| rack.to_string()).collect()
+    racks.into_iter().take(MAX_RACKS_TRIED).map(|(rack, _)| rack.to_string()).collect()
 }
