--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -14,7 +14,7 @@
 use gaplock_sched::context::Term;
 use gaplock_sched::job_table::JobEntry;
 use gaplock_sched::message::{FencingToken, Record};
-use gaplock_sched::room::{self, Free};
+use gaplock_sched::room::{self, FreeCpu};
 use gaplock_sched::{commits, evacuation, Context, Event};
 use gaplock_types::time::Instant;
 
@@ -128,7 +128,7 @@
                 Err(_) => self.cx.handle(clock::now(), clock::unix_ms(), Event::Tick),
             }
         }
-        self.show_room(Free::default(), 0, 0);
+        self.show_room(FreeCpu::default(), 0, 0);
         self.node.metrics.show_evacuated(iter::empty());
         self.node.metrics.directory_lag_ms.set(0);
         self.node.metrics.waiting_events.set(0);
@@ -202,14 +202,14 @@
         self.node.metrics.directory_lag_ms.set(self.cx.freshness.lag().0 as i64);
         self.node.metrics.waiting_events.set(self.rx.len() as i64);
         self.node.metrics.runs_after_end.set(self.cx.runs_after_end as i64);
-        let free = room::free(&self.cx);
+        let free = room::free_cpu(&self.cx);
         self.show_room(free, self.cx.ready.len(), self.cx.crashes.suspects.len());
     }
 
     /// Shows the pool's room in the metrics.
-    fn show_room(&self, free: Free, waiting_steps: usize, suspects: usize) {
+    fn show_room(&self, free: FreeCpu, waiting_steps: usize, suspects: usize) {
         let metrics = &self.node.metrics;
-        metrics.free_millicores.set(free.in_all as i64);
+        metrics.free_millicores.set(free.total as i64);
         metrics.largest_free_millicores.set(i64::from(free.largest.0));
         metrics.waiting_steps.set(waiting_steps as i64);
         metrics.suspect_tasks.set(suspects as i64);
--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -44,7 +44,7 @@
             demand: step.demand.cpu,
             impatient: interference::may_interfere(first.waited),
         });
-        let lasting = step.lasting.then(|| room::may_take_kept(first.waited, first.may_have_run));
+        let lasting = step.lasting.then(|| room::may_use_reserved(first.waited, first.may_have_run));
         Self { service, label: step.label.clone(), takes: job_table::reservation(step), filling, lasting }
     }
 
@@ -92,7 +92,7 @@
     trials::leave_room(cx);
     trials::start(cx);
     let mut ready: Vec<ReadyStep> = cx.ready.iter().copied().collect();
-    ready.sort_by_cached_key(|&step| !is_missed(cx, step));
+    ready.sort_by_cached_key(|&step| !has_restart_priority(cx, step));
     let (most_free, largest) = most_processors(cx);
     let mut pass = Pass { blocked: Vec::new(), most_free, largest, searches: 0 };
     for step in ready {
@@ -105,13 +105,13 @@
 }
 
 /// Tells whether a lasting step has tasks that go before all others; few steps do.
-fn is_missed(cx: &State, ready: ReadyStep) -> bool {
+fn has_restart_priority(cx: &State, ready: ReadyStep) -> bool {
     let Some(entry) = cx.jobs.get(&ready.job) else { return false };
     let step = &entry.job.steps[usize::from(ready.step)];
     let Some(round) = entry.round(ready.round).filter(|_| step.lasting) else { return false };
     let state = &round.steps[usize::from(ready.step)];
     let mut tasks = state.pending.iter().filter_map(|&index| state.tasks.get(index as usize));
-    tasks.any(|task| room::is_missed(step, cx.now.since(task.since), task.may_have_run))
+    tasks.any(|task| room::has_restart_priority(step, cx.now.since(task.since), task.may_have_run))
 }
 
 /// Returns the most free processors, and the most in all, of any worker that takes tasks.
--- a/crates/sched/src/decisions/room.rs
+++ b/crates/sched/src/decisions/room.rs
@@ -26,42 +26,42 @@
 
 /// How long a worker stays kept after a short task has begun or ended there: somewhat longer than a
 /// short task of the users works, and below the 3 s for which a lasting task may wait beside room.
-const KEPT_FOR: Millis = Millis(2_000);
+const RESERVED_FOR: Millis = Millis(2_000);
 
 /// How long room counts as scarce after a short task has found none. Short jobs come in waves of
 /// about that length; a lasting task that got in between two of them would stay.
-const SCARCE_FOR: Millis = Millis(10_000);
+const SCARCITY_WINDOW: Millis = Millis(10_000);
 
 /// How long a lasting task that was at work before leaves room to short ones. Users of its service miss
 /// it, and expect it back within some 6 s; room that is large enough may take a second or two to come.
-const BACK_AFTER: Millis = Millis(3_000);
+const MAX_RESTART_WAIT: Millis = Millis(3_000);
 
 /// How long a lasting task that has never run leaves kept room alone at most, so that short tasks do
 /// not keep a new service out for ever.
-const NEW_AFTER: Millis = Millis(30_000);
+const MAX_FIRST_START_WAIT: Millis = Millis(30_000);
 
 /// The processors that are free on the workers that take tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Free {
+pub struct FreeCpu {
     /// On all of them together, in thousandths of a core.
-    pub in_all: u64,
+    pub total: u64,
     /// The most on one of them.
     pub largest: MilliCores,
 }
 
 /// Adds up what is free.
-pub fn free(cx: &State) -> Free {
+pub fn free_cpu(cx: &State) -> FreeCpu {
     let taking = cx.workers.iter().filter(|w| w.accepts_tasks(cx.now));
     let free = taking.map(|w| w.info.capacity.minus(&w.used).cpu);
-    free.fold(Free::default(), |sum, cpu| Free {
-        in_all: sum.in_all + u64::from(cpu.0),
+    free.fold(FreeCpu::default(), |sum, cpu| FreeCpu {
+        total: sum.total + u64::from(cpu.0),
         largest: sum.largest.max(cpu),
     })
 }
 
 /// Returns how well a task that takes processors fits a worker, against one whole worker: 0 where it
 /// takes all that is free, and the less the more it leaves.
-pub fn tightness(worker: &Worker, step: &Step) -> f64 {
+pub fn best_fit_score(worker: &Worker, step: &Step) -> f64 {
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
     let free = cores - f64::from(worker.used.cpu.0);
     (f64::from(step.demand.cpu.0) - free) / cores
@@ -73,20 +73,20 @@
 }
 
 /// Tells whether a worker's room is kept for short tasks.
-pub fn is_kept(cx: &State, worker: &Worker) -> bool {
+pub fn is_reserved(cx: &State, worker: &Worker) -> bool {
     let within = |at: &Instant, span| cx.now.since(*at) < span;
-    worker.short_task_changed_at.is_some_and(|at| within(&at, KEPT_FOR))
-        && cx.short_task_waited_at.get(&worker.info.service).is_some_and(|at| within(at, SCARCE_FOR))
+    worker.short_task_changed_at.is_some_and(|at| within(&at, RESERVED_FOR))
+        && cx.short_task_waited_at.get(&worker.info.service).is_some_and(|at| within(at, SCARCITY_WINDOW))
 }
 
 /// Tells whether a lasting task has waited so long that it may take kept room; `again` says that it
 /// may have been at work before.
-pub fn may_take_kept(waited: Millis, again: bool) -> bool {
-    waited >= if again { BACK_AFTER } else { NEW_AFTER }
+pub fn may_use_reserved(waited: Millis, again: bool) -> bool {
+    waited >= if again { MAX_RESTART_WAIT } else { MAX_FIRST_START_WAIT }
 }
 
 /// Tells whether a pending task is lasting, was at work before, and is missed by its users for so long that
 /// it goes before short ones.
-pub fn is_missed(step: &Step, waited: Millis, again: bool) -> bool {
-    step.lasting && again && waited >= BACK_AFTER
+pub fn has_restart_priority(step: &Step, waited: Millis, again: bool) -> bool {
+    step.lasting && again && waited >= MAX_RESTART_WAIT
 }
