--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -17,55 +17,55 @@
 /// A demand for which no worker had room in this pass; a demand at least as large with the same
 /// restrictions need not be tried.
 #[derive(Debug)]
-struct Blocked {
+struct UnplacedDemand {
     service: ids::ServiceId,
     label: Option<String>,
     takes: Resources,
     /// For a filling task: how far it may disturb others.
-    filling: Option<BlockedFilling>,
+    best_effort: Option<UnplacedBestEffort>,
     /// For a lasting task: whether it has waited so long that it may take what is kept for short ones.
-    lasting: Option<bool>,
+    may_use_reserved: Option<bool>,
 }
 
 /// What decides, besides its room, whether a filling task finds a worker.
 #[derive(Debug)]
-struct BlockedFilling {
+struct UnplacedBestEffort {
     image: Option<String>,
     demand: sizes::MilliCores,
     /// Set once it has waited long enough to be placed wherever it disturbs least.
-    impatient: bool,
+    may_interfere: bool,
 }
 
-impl Blocked {
+impl UnplacedDemand {
     /// Builds what is known once a task of a step has found no worker.
     fn of(service: ids::ServiceId, step: &Step, first: WaitStatus) -> Self {
-        let filling = step.fills.then(|| BlockedFilling {
+        let filling = step.fills.then(|| UnplacedBestEffort {
             image: step.image.clone(),
             demand: step.demand.cpu,
-            impatient: interference::may_interfere(first.waited),
+            may_interfere: interference::may_interfere(first.waited),
         });
         let lasting = step.lasting.then(|| room::may_use_reserved(first.waited, first.may_have_run));
-        Self { service, label: step.label.clone(), takes: job_table::reservation(step), filling, lasting }
+        Self { service, label: step.label.clone(), takes: job_table::reservation(step), best_effort: filling, may_use_reserved: lasting }
     }
 
     /// Tells whether a task that is asked for now finds no worker either.
     fn covers(&self, wanted: &Self) -> bool {
         let alike = self.service == wanted.service && self.label == wanted.label;
-        let lasts = self.lasting.is_some() == wanted.lasting.is_some();
+        let lasts = self.may_use_reserved.is_some() == wanted.may_use_reserved.is_some();
         alike
             && lasts
-            && self.lasting >= wanted.lasting
+            && self.may_use_reserved >= wanted.may_use_reserved
             && wanted.takes.holds(&self.takes)
-            && self.disturbs_less_than(wanted)
+            && self.best_effort_covers(wanted)
     }
 
-    fn disturbs_less_than(&self, wanted: &Self) -> bool {
-        match (&self.filling, &wanted.filling) {
+    fn best_effort_covers(&self, wanted: &Self) -> bool {
+        match (&self.best_effort, &wanted.best_effort) {
             (None, None) => true,
             (Some(known), Some(wanted)) => {
                 known.image == wanted.image
                     && known.demand <= wanted.demand
-                    && known.impatient >= wanted.impatient
+                    && known.may_interfere >= wanted.may_interfere
             }
             _ => false,
         }
@@ -75,7 +75,7 @@
 /// What one pass knows, so that it need not go over all workers for each step.
 #[derive(Debug)]
 struct Pass {
-    blocked: Vec<Blocked>,
+    blocked: Vec<UnplacedDemand>,
     /// The most free processors of any worker when the pass began; it only gets less.
     most_free: sizes::MilliCores,
     /// The most processors that any worker has.
@@ -129,15 +129,15 @@
     let Some(service) = asks::service_of(cx, &job) else { return };
     let step = &job.steps[usize::from(ready.step)];
     let Some(round) = entry.round(ready.round) else { return };
-    let pending = in_order(cx, ready, step, &round.steps[usize::from(ready.step)].pending);
+    let pending = start_order(cx, ready, step, &round.steps[usize::from(ready.step)].pending);
     let Some(first) = first_that_may_start(cx, ready, &pending) else { return };
-    let wanted = Blocked::of(service.clone(), step, first);
+    let wanted = UnplacedDemand::of(service.clone(), step, first);
     if pass.blocked.iter().any(|b| b.covers(&wanted)) {
         return;
     }
     if wanted.takes.cpu > pass.most_free && asks::advice_of(cx, &job).is_none() {
         note_scarcity(cx, &service, step, pass);
-        return explain_first(cx, &job, &service, ready, &pending);
+        return log_first_waiting(cx, &job, &service, ready, &pending);
     }
     if step.gang {
         gangs::start(cx, &job, &service, ready, &pending);
@@ -151,7 +151,7 @@
         permits::ask(cx, ready, pending.len());
     } else if step.most_per_worker.is_none() {
         let first = cx.task(unplaced).map_or(first, |t| asks::wait_status(cx, t));
-        pass.blocked.push(Blocked::of(service, step, first));
+        pass.blocked.push(UnplacedDemand::of(service, step, first));
     }
 }
 
@@ -166,37 +166,37 @@
 /// Returns a step's pending tasks in the order in which they are tried. Of lasting ones those come
 /// first that were at work before, by their wait: they may take room that new ones may not, and a
 /// step is given up at the first task that finds none.
-fn in_order(cx: &State, ready: ReadyStep, step: &Step, pending: &BTreeSet<u32>) -> Vec<u32> {
+fn start_order(cx: &State, ready: ReadyStep, step: &Step, pending: &BTreeSet<u32>) -> Vec<u32> {
     let mut order: Vec<u32> = pending.iter().copied().collect();
     if step.lasting {
-        let key = |&index: &u32| task_of(ready, index);
+        let key = |&index: &u32| task_key(ready, index);
         order.sort_by_key(|index| cx.task(key(index)).map(|t| (!t.may_have_run, t.since)));
     }
     order
 }
 
 /// Returns the key of a step's task.
-fn task_of(ready: ReadyStep, index: u32) -> TaskKey {
+fn task_key(ready: ReadyStep, index: u32) -> TaskKey {
     TaskKey { job: ready.job, round: ready.round, step: ready.step, index }
 }
 
 /// Finds the first task of a step that may start, if there is one. Tasks of one step begin to wait
 /// together, but for those that start again.
 fn first_that_may_start(cx: &State, ready: ReadyStep, pending: &[u32]) -> Option<WaitStatus> {
-    let mut tasks = pending.iter().map(|&index| task_of(ready, index));
+    let mut tasks = pending.iter().map(|&index| task_key(ready, index));
     let task = tasks.find(|&task| asks::may_start(cx, task))?;
     cx.task(task).map(|t| asks::wait_status(cx, t))
 }
 
 /// Logs why the first task of a step that may start finds no worker.
-fn explain_first(
+fn log_first_waiting(
     cx: &mut State,
     job: &Job,
     service: &ids::ServiceId,
     ready: ReadyStep,
     pending: &[u32],
 ) {
-    let mut tasks = pending.iter().map(|&index| task_of(ready, index));
+    let mut tasks = pending.iter().map(|&index| task_key(ready, index));
     if let Some(task) = tasks.find(|&task| asks::may_start(cx, task)) {
         explain(cx, job, service, task, pending.len());
     }
@@ -217,7 +217,7 @@
         if cx.is_at_start_limit() {
             return None;
         }
-        let task = task_of(ready, index);
+        let task = task_key(ready, index);
         if !asks::may_start(cx, task) {
             continue;
         }
@@ -231,7 +231,7 @@
 }
 
 /// How often the log says why a step waits.
-const EXPLAIN_EVERY: Millis = Millis(2_000);
+const WAIT_LOG_INTERVAL: Millis = Millis(2_000);
 
 /// Logs why a task finds no worker, once it has waited for a while.
 fn explain(cx: &mut State, job: &Job, service: &ids::ServiceId, task: TaskKey, pending: usize) {
@@ -239,7 +239,7 @@
     let Some(waited) = cx.task(task).map(|t| now.since(t.since)) else { return };
     let round = cx.jobs.get_mut(&task.job).and_then(|e| e.round_mut(task.round));
     let Some(state) = round.map(|r| &mut r.steps[usize::from(task.step)]) else { return };
-    if waited < EXPLAIN_EVERY || now.since(state.last_explained_at) < EXPLAIN_EVERY {
+    if waited < WAIT_LOG_INTERVAL || now.since(state.last_explained_at) < WAIT_LOG_INTERVAL {
         return;
     }
     state.last_explained_at = now;
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -7,7 +7,7 @@
 
 use super::spare;
 use crate::changes::trace;
-use crate::decisions::filling::BestEffortTask;
+use crate::decisions::best_effort::BestEffortTask;
 use crate::decisions::paces;
 use crate::interface::message::{Action, Run, WorkerIx};
 use crate::state::pace_orders::FULL_PACE;
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -4,7 +4,7 @@
 
 use crate::changes::commits;
 use crate::decisions::interference::CONTENTION_SHARE;
-use crate::decisions::filling::{self, READING_WINDOW};
+use crate::decisions::best_effort::{self, READING_WINDOW};
 use crate::interface::message::{Record, WorkerIx};
 use crate::state::interference_model::{Column, ServingTask};
 use crate::state::worker::TaskRole;
@@ -27,7 +27,7 @@
         if let TaskRole::Filling(column) = slot.role {
             used.push((column, reading / cores));
         }
-        if let Some(served) = filling::as_served(*key, slot).filter(|_| reading > 0.0) {
+        if let Some(served) = best_effort::as_served(*key, slot).filter(|_| reading > 0.0) {
             tails.push((served, reading));
         }
     }
--- a/crates/sched/src/changes/pacing/spare.rs
+++ b/crates/sched/src/changes/pacing/spare.rs
@@ -1,7 +1,7 @@
 //! The room that serving tasks leave on a worker for filling ones.
 
 use crate::decisions::interference::MAX_BEST_EFFORT_SHARE;
-use crate::decisions::filling::{self, BestEffortTask};
+use crate::decisions::best_effort::{self, BestEffortTask};
 use crate::interface::message::WorkerIx;
 use crate::state::interference_model::Row;
 use crate::state::worker::{TaskRole, Worker};
@@ -24,10 +24,10 @@
 pub fn refresh(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
     let worker = cx.worker(ix);
-    let tasks = filling::list_best_effort(worker, now);
+    let tasks = best_effort::list_best_effort(worker, now);
     let mut spare: Vec<(Row, f64)> = Vec::new();
     for (key, slot) in &worker.slots {
-        let Some(served) = filling::as_served(*key, slot) else { continue };
+        let Some(served) = best_effort::as_served(*key, slot) else { continue };
         let pressure = cx.interference.interference(served.row, tasks.iter().map(BestEffortTask::at_full_pace));
         let bearable = cx.interference.tolerable_interference(&served, PLACED_SHARE, now, PLACED_AHEAD_S);
         let left = bearable - pressure;
@@ -58,7 +58,7 @@
             TaskRole::Filling(_) => 0.0,
         };
     }
-    let tasks = filling::list_best_effort(worker, cx.now);
+    let tasks = best_effort::list_best_effort(worker, cx.now);
     let used: f64 = tasks.iter().map(|f| f.share).sum();
     let left = 1.0 - busy / cores;
     left.min(MAX_BEST_EFFORT_SHARE) - used
--- a/crates/sched/src/decisions.rs
+++ b/crates/sched/src/decisions.rs
@@ -4,7 +4,7 @@
 pub mod availability;
 pub mod choices;
 pub mod interference;
-pub mod filling;
+pub mod best_effort;
 pub mod leaving;
 pub mod losses;
 pub mod paces;
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -2,7 +2,7 @@
 
 use gaplock_types::time::Millis;
 
-use crate::decisions::filling::{self, BestEffortTask};
+use crate::decisions::best_effort::{self, BestEffortTask};
 use crate::state::interference_model::{InterferenceModel, Row, MIN_INTERFERENCE};
 use crate::state::pace_orders::FULL_PACE;
 use crate::state::worker::{TaskRole, Worker};
@@ -19,7 +19,7 @@
 /// Lists the filling tasks on a worker with the pace that each should have.
 pub fn wanted(cx: &State, worker: &Worker) -> Vec<BestEffortTask> {
     let now = cx.now;
-    let mut tasks = filling::list_best_effort(worker, now);
+    let mut tasks = best_effort::list_best_effort(worker, now);
     if tasks.is_empty() {
         return tasks;
     }
@@ -27,7 +27,7 @@
         task.pace = FULL_PACE;
     }
     for (key, slot) in &worker.slots {
-        let Some(served) = filling::as_served(*key, slot) else { continue };
+        let Some(served) = best_effort::as_served(*key, slot) else { continue };
         let bearable = cx.interference.tolerable_interference(&served, RUNNING_TAIL_SHARE, now, RUNNING_LOOKAHEAD_S);
         lower_paces(&cx.interference, served.row, bearable, &mut tasks);
     }
--- a/crates/sched/tests/floors/table.rs
+++ b/crates/sched/tests/floors/table.rs
@@ -46,7 +46,7 @@
         &[
             "decisions::losses",
             "decisions::availability",
-            "decisions::filling",
+            "decisions::best_effort",
             "decisions::paces",
             "decisions::interference",
             "decisions::room",
