--- a/crates/sched/src/decisions/slowness.rs
+++ b/crates/sched/src/decisions/slowness.rs
@@ -10,21 +10,21 @@
 use crate::state::State;
 
 /// What a copy costs in time besides its work: the order and the wait for its end to be seen.
-const COPY_TAKES: Millis = Millis(100);
+const COPY_OVERHEAD: Millis = Millis(100);
 
 /// What a restart costs in time besides its work and the stop: orders, and loading a checkpoint.
-const RESTART_TAKES: Millis = Millis(400);
+const RESTART_OVERHEAD: Millis = Millis(400);
 
 /// How much sooner a task must be done elsewhere, as a factor on the time that it takes there:
 /// readings are rough, and what was done here is thrown away.
-const WORTH_IT: f64 = 1.3;
+const MIN_SPEEDUP: f64 = 1.3;
 
 /// The lowest relative speed that is reckoned with: a standstill counts as very slow, not as endless.
-const SLOWEST: f64 = 0.02;
+const MIN_RELATIVE_SPEED: f64 = 0.02;
 
 /// How long a serving task on a slow worker stays over its target before it moves: as long as its
 /// way to another worker takes.
-const OVER_BEFORE_MOVE: Millis = Millis(800);
+const MOVE_AFTER_EXCESS: Millis = Millis(800);
 
 /// Tells whether a run is better off elsewhere.
 pub fn is_straggler(cx: &State, ix: WorkerIx, key: TaskKey, slot: &Slot) -> bool {
@@ -37,7 +37,7 @@
     }
     match slot.role {
         TaskRole::Serving { .. } => {
-            let over = slot.over_target_since.is_some_and(|at| cx.now.since(at) >= OVER_BEFORE_MOVE);
+            let over = slot.over_target_since.is_some_and(|at| cx.now.since(at) >= MOVE_AFTER_EXCESS);
             over && availability::may_stop(cx, key)
         }
         TaskRole::Plain | TaskRole::Filling(_) => is_late(cx, ix, key, slot),
@@ -50,16 +50,16 @@
     let typical = cx.step_state(key).and_then(|state| state.rates.median());
     let Some(typical) = typical.filter(|_| !step.gang && !step.lasting) else { return false };
     let left = |percent: u32, rate: f64| f64::from(COMPLETE_PERCENT.saturating_sub(percent)) / rate;
-    let here = left(slot.progress_percent, typical * cx.worker(ix).speed.relative(cx.now).max(SLOWEST));
+    let here = left(slot.progress_percent, typical * cx.worker(ix).speed.relative(cx.now).max(MIN_RELATIVE_SPEED));
     let kept = if step.checkpoints { slot.progress_percent } else { 0 };
     let there = left(kept, typical) + overhead(cx, step).0 as f64 / 1_000.0;
-    here > there * WORTH_IT
+    here > there * MIN_SPEEDUP
 }
 
 /// Returns what a second start costs in time besides the task's work.
 fn overhead(cx: &State, step: &Step) -> Millis {
     if step.duplicates {
-        return COPY_TAKES;
+        return COPY_OVERHEAD;
     }
-    Millis(cx.settings.stop_limit.0 + RESTART_TAKES.0)
+    Millis(cx.settings.stop_limit.0 + RESTART_OVERHEAD.0)
 }
