--- a/crates/sched/src/changes/upkeep.rs
+++ b/crates/sched/src/changes/upkeep.rs
@@ -206,7 +206,7 @@
 
 /// Orders hosts down that are empty, or empty enough, once that is stored.
 fn order_emptied(cx: &mut State, number: WaveNumber) {
-    let emptied = waves::emptied(cx, number);
+    let emptied = waves::emptied_hosts(cx, number);
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     let (stored, others): (Vec<_>, Vec<_>) =
         emptied.into_iter().partition(|(host, _)| wave.ordered.contains_key(host));
@@ -228,7 +228,7 @@
 
 /// Begins to empty as many hosts as may go down next, those with fewest tasks first.
 fn empty_next(cx: &mut State, number: WaveNumber) {
-    for host in waves::next(cx, number) {
+    for host in waves::next_hosts(cx, number) {
         let now = cx.now;
         set_emptying(cx, &host, true);
         let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
@@ -239,7 +239,7 @@
 /// Reports a wave as completed once the upkeep of every host that stays has begun.
 fn complete(cx: &mut State, number: WaveNumber) {
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
-    if waves::left(wave).next().is_some() {
+    if waves::remaining_hosts(wave).next().is_some() {
         return;
     }
     wave.progress.completed = true;
