--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -21,9 +21,9 @@
     /// Whether the worker ever confirmed the run; a start without an answer may not have reached it.
     pub(super) confirmed: bool,
     /// How many runs were lost together.
-    pub(super) together: usize,
+    pub(super) lost_together: usize,
     /// Whether nothing but tasks of its job was lost.
-    pub(super) alone: bool,
+    pub(super) only_its_job: bool,
 }
 
 /// Takes in that all runs at a worker are being given up; `gone` if its incarnation is certainly over.
@@ -41,18 +41,18 @@
     for BlamedTask { key, confirmed, known_runtime: lived } in blamed {
         if many && !cx.crashes.suspects.contains(&key) {
             // Nothing waits for this to be stored: after the loss of a failure domain it is hundreds.
-            if doubt(cx, key, &id) && lived < START_CRASH_WINDOW {
+            if record_possible_crash(cx, key, &id) && lived < START_CRASH_WINDOW {
                 commits::mark(&mut cx.commits, cx.now, key.job);
             }
             continue;
         }
         let alone = cx.worker(ix).slots.keys().all(|other| other.job == key.job);
-        suspect(cx, key, &Evidence { worker: &id, loss, known_runtime: lived, confirmed, together, alone });
+        record_loss(cx, key, &Evidence { worker: &id, loss, known_runtime: lived, confirmed, lost_together: together, only_its_job: alone });
     }
 }
 
 /// Counts a lost worker against a task.
-pub(super) fn suspect(cx: &mut State, key: TaskKey, evidence: &Evidence<'_>) {
+pub(super) fn record_loss(cx: &mut State, key: TaskKey, evidence: &Evidence<'_>) {
     let (now, worker, loss) = (cx.now, evidence.worker, evidence.loss);
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
     let live = cx.jobs.get(&key.job).is_some_and(|entry| !entry.state.is_final());
@@ -75,19 +75,19 @@
     let at_start = evidence.confirmed && evidence.known_runtime < START_CRASH_WINDOW;
     suspicion.all_at_start = at_start && (first || suspicion.all_at_start);
     (suspicion.last_run_duration, suspicion.exempt_from_trial) = (evidence.known_runtime, is_gang);
-    suspicion.last_was_alone = evidence.alone;
+    suspicion.last_was_alone = evidence.only_its_job;
     let crashes = suspicion.crashed.len();
     if loss == Loss::Crashed {
         suspicion.saved = Saved::No;
         commits::mark_urgent(&mut cx.commits, now, key.job);
     }
     cx.crashes.add(key, worker);
-    let (lived, together) = (evidence.known_runtime, evidence.together);
+    let (lived, together) = (evidence.known_runtime, evidence.lost_together);
     trace::task_suspected(key, worker, loss, crashes, lived, together);
 }
 
 /// Notes that a worker may have crashed under a task; whether the task may still start.
-pub(super) fn doubt(cx: &mut State, key: TaskKey, worker: &ids::WorkerId) -> bool {
+pub(super) fn record_possible_crash(cx: &mut State, key: TaskKey, worker: &ids::WorkerId) -> bool {
     let live = cx.jobs.get(&key.job).is_some_and(|entry| !entry.state.is_final());
     let Some(task) = cx.task_mut(key).filter(|t| live && t.state != TaskState::Done) else {
         return false;
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -5,7 +5,7 @@
 use gaplock_types::ids;
 use rustc_hash::FxHashSet;
 
-use super::evidence::{doubt, hold_until_saved, suspect, Evidence};
+use super::evidence::{record_possible_crash, hold_until_saved, record_loss, Evidence};
 use crate::changes::commits;
 use crate::decisions::losses::{self, Loss, START_CRASH_WINDOW};
 use crate::interface::message::WorkerIx;
@@ -57,7 +57,7 @@
     let evidence = Evidence { worker: &id, loss, ..unknown_lives(&id, held.len()) };
     for &key in held {
         if cx.task(key).is_some_and(|t| t.state == TaskState::Unknown) {
-            suspect(cx, key, &evidence);
+            record_loss(cx, key, &evidence);
         }
     }
 }
@@ -65,7 +65,7 @@
 /// Builds the evidence of a crash whose runs a former leader started: how long they lived is not known.
 fn unknown_lives(worker: &ids::WorkerId, together: usize) -> Evidence<'_> {
     let (loss, lived, confirmed, alone) = (Loss::Crashed, START_CRASH_WINDOW, false, false);
-    Evidence { worker, loss, known_runtime: lived, confirmed, together, alone }
+    Evidence { worker, loss, known_runtime: lived, confirmed, lost_together: together, only_its_job: alone }
 }
 
 /// Takes in that a successor has found workers gone that may have run any task, and these tasks at no
@@ -84,10 +84,10 @@
     let (twice, others): (Vec<TaskKey>, Vec<TaskKey>) =
         unfound.iter().partition(|key| doubted(key));
     let evidence = unknown_lives(&id, unfound.len());
-    twice.into_iter().for_each(|key| suspect(cx, key, &evidence));
+    twice.into_iter().for_each(|key| record_loss(cx, key, &evidence));
     let (few, too_many) = (others.len() <= HELD_BACK_MOST, others.len() > DOUBTED_MOST);
     for key in others {
-        if too_many || !doubt(cx, key, &id) {
+        if too_many || !record_possible_crash(cx, key, &id) {
             continue;
         }
         note_unstarted(cx, key);
@@ -116,7 +116,7 @@
                 unknown.insert(key);
             }
             RecordedStart::At(id) if crashed.contains(&id) => {
-                suspect(cx, key, &unknown_lives(&id, 1));
+                record_loss(cx, key, &unknown_lives(&id, 1));
             }
             RecordedStart::Nowhere | RecordedStart::At(_) => {}
         }
