--- a/crates/sched/src/changes/crashes.rs
+++ b/crates/sched/src/changes/crashes.rs
@@ -20,5 +20,5 @@
 mod verdict;
 
 pub use evidence::worker_lost;
-pub use inherited::{any_lost, find_suspects, holder_lost, restored};
+pub use inherited::{count_losses_without_holder, register_suspects, count_loss_of_holder, restore_suspicion};
 pub use verdict::{check, worker_answers, worker_gone};
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -15,14 +15,14 @@
 
 /// How many tasks may be held back for the loss of a worker of which nobody knows what it ran. Where more
 /// could have been there, nothing waits for the doubt to be stored.
-const HELD_BACK_MOST: usize = 64;
+const MAX_HELD_BACK: usize = 64;
 
 /// How many tasks may be doubted for such a loss: each changes its job's record. Where more could have
 /// been there, the loss says nothing of any of them.
-const DOUBTED_MOST: usize = 1_000;
+const MAX_POSSIBLE_CRASHES: usize = 1_000;
 
 /// Puts what a former leader stored of a task's crashes back.
-pub fn restored(note: &TaskRecord) -> Option<Box<CrashEvidence>> {
+pub fn restore_suspicion(note: &TaskRecord) -> Option<Box<CrashEvidence>> {
     let (crashed, perhaps) = (note.crashed.clone(), note.perhaps_crashed.clone());
     if crashed.is_empty() && perhaps.is_none() {
         return None;
@@ -35,7 +35,7 @@
 }
 
 /// Finds the suspects of a job that was restored.
-pub fn find_suspects(cx: &mut State, job: JobKey) {
+pub fn register_suspects(cx: &mut State, job: JobKey) {
     let Some(entry) = cx.jobs.get_mut(&job) else { return };
     let gangs: Vec<bool> = entry.job.steps.iter().map(|step| step.gang).collect();
     for (key, task) in entry.keyed_tasks_mut() {
@@ -48,13 +48,13 @@
 }
 
 /// Counts a worker that a successor could not find against the tasks that it is known to have held.
-pub fn holder_lost(cx: &mut State, ix: WorkerIx, held: &[TaskKey], gone: bool) {
+pub fn count_loss_of_holder(cx: &mut State, ix: WorkerIx, held: &[TaskKey], gone: bool) {
     if losses::was_leaving(cx.worker(ix)) {
         return;
     }
     let id = cx.worker(ix).info.id.clone();
     let loss = if gone { Loss::Crashed } else { Loss::Silent };
-    let evidence = Evidence { worker: &id, loss, ..unknown_lives(&id, held.len()) };
+    let evidence = Evidence { worker: &id, loss, ..crash_of_unknown_runtime(&id, held.len()) };
     for &key in held {
         if cx.task(key).is_some_and(|t| t.state == TaskState::Unknown) {
             record_loss(cx, key, &evidence);
@@ -63,7 +63,7 @@
 }
 
 /// Builds the evidence of a crash whose runs a former leader started: how long they lived is not known.
-fn unknown_lives(worker: &ids::WorkerId, together: usize) -> Evidence<'_> {
+fn crash_of_unknown_runtime(worker: &ids::WorkerId, together: usize) -> Evidence<'_> {
     let (loss, lived, confirmed, alone) = (Loss::Crashed, START_CRASH_WINDOW, false, false);
     Evidence { worker, loss, known_runtime: lived, confirmed, lost_together: together, only_its_job: alone }
 }
@@ -72,8 +72,8 @@
 /// other one: each of them may have been there, or may have waited. Of a suspect whose starts are stored it
 /// is known. Another one of which that has been supposed once is counted the second time, so that no more
 /// than one crash is forgotten.
-pub fn any_lost(cx: &mut State, lost: &[WorkerIx], unfound: &FxHashSet<TaskKey>) {
-    let unfound = count_recorded(cx, lost, unfound);
+pub fn count_losses_without_holder(cx: &mut State, lost: &[WorkerIx], unfound: &FxHashSet<TaskKey>) {
+    let unfound = count_recorded_starts(cx, lost, unfound);
     let crashed = lost.iter().find(|&&ix| !losses::was_leaving(cx.worker(ix)));
     let Some(&ix) = crashed else { return };
     let id = cx.worker(ix).info.id.clone();
@@ -83,14 +83,14 @@
     };
     let (twice, others): (Vec<TaskKey>, Vec<TaskKey>) =
         unfound.iter().partition(|key| doubted(key));
-    let evidence = unknown_lives(&id, unfound.len());
+    let evidence = crash_of_unknown_runtime(&id, unfound.len());
     twice.into_iter().for_each(|key| record_loss(cx, key, &evidence));
-    let (few, too_many) = (others.len() <= HELD_BACK_MOST, others.len() > DOUBTED_MOST);
+    let (few, too_many) = (others.len() <= MAX_HELD_BACK, others.len() > MAX_POSSIBLE_CRASHES);
     for key in others {
         if too_many || !record_possible_crash(cx, key, &id) {
             continue;
         }
-        note_unstarted(cx, key);
+        mark_not_started(cx, key);
         if few {
             hold_until_saved(cx, key);
         } else {
@@ -101,7 +101,7 @@
 
 /// Counts workers that are gone against the suspects that are stored as started there, and returns the tasks of
 /// which nothing is stored.
-fn count_recorded(
+fn count_recorded_starts(
     cx: &mut State,
     lost: &[WorkerIx],
     unfound: &FxHashSet<TaskKey>,
@@ -116,7 +116,7 @@
                 unknown.insert(key);
             }
             RecordedStart::At(id) if crashed.contains(&id) => {
-                record_loss(cx, key, &unknown_lives(&id, 1));
+                record_loss(cx, key, &crash_of_unknown_runtime(&id, 1));
             }
             RecordedStart::Nowhere | RecordedStart::At(_) => {}
         }
@@ -125,7 +125,7 @@
 }
 
 /// Notes that a suspect waits, so that its next start is stored before it is sent.
-fn note_unstarted(cx: &mut State, key: TaskKey) {
+fn mark_not_started(cx: &mut State, key: TaskKey) {
     if let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) {
         suspicion.recorded_start = RecordedStart::Nowhere;
     }
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -78,7 +78,7 @@
             false => restored(cx, job, progress.remove(&key)),
         };
         cx.jobs.insert(key, entry);
-        crashes::find_suspects(cx, key);
+        crashes::register_suspects(cx, key);
     }
     for key in cancelled {
         intake::cancel(cx, key);
@@ -163,7 +163,7 @@
             task.failed = note.failed;
             task.counted_runs = note.counted_runs.iter().copied().map(Run).collect();
             task.checkpoint = checkpoints::restored(step, note);
-            task.crash_evidence = crashes::restored(note);
+            task.crash_evidence = crashes::restore_suspicion(note);
         }
     }
 }
@@ -179,7 +179,7 @@
     let is_narrowed = survey.unanswered_open.is_empty();
     if let Some(held) = held {
         if gone {
-            crashes::holder_lost(cx, ix, &held, true);
+            crashes::count_loss_of_holder(cx, ix, &held, true);
         }
         if is_narrowed {
             settle_all(cx);
@@ -217,7 +217,7 @@
     }
     for (ix, held) in survey.unanswered_closed {
         let gone = cx.worker(ix).is_absent();
-        crashes::holder_lost(cx, ix, &held, gone);
+        crashes::count_loss_of_holder(cx, ix, &held, gone);
         if gone {
             leases::give_up(cx, ix);
         }
@@ -237,7 +237,7 @@
 fn settle(cx: &mut State, held: &FxHashSet<TaskKey>, lost: &[WorkerIx]) {
     if !lost.is_empty() {
         let unfound = unfound(cx, held);
-        crashes::any_lost(cx, lost, &unfound);
+        crashes::count_losses_without_holder(cx, lost, &unfound);
         lost.iter().for_each(|&ix| roster::forget(cx, ix));
     }
     let keys: Vec<JobKey> = cx.jobs.keys().copied().collect();
