--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -51,7 +51,7 @@
             cx.crashes.held_starts.push((ix, key, run));
         } else if cx.worker(ix).accepts_tasks(cx.now) {
             if cx.worker(ix).trial.is_some_and(|trial| trial.task == key) {
-                kept::keep(cx, ix, key);
+                kept::reserve(cx, ix, key);
             }
             orders::send_start(cx, ix, key, run);
         } else {
--- a/crates/sched/src/changes/starts.rs
+++ b/crates/sched/src/changes/starts.rs
@@ -53,5 +53,5 @@
         t.may_have_run = true;
         trace::start_ordered(task, run, &worker, now.since(t.since));
     }
-    kept::placed(cx, ix, task);
+    kept::reserve_after_placement(cx, ix, task);
 }
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -12,7 +12,7 @@
 use gaplock_types::ids;
 use gaplock_types::time::Millis;
 
-use crate::changes::crashes::kept::{self, ALONE_FOR};
+use crate::changes::crashes::kept::{self, BASE_TRIAL_TIME};
 use crate::changes::starts;
 use crate::decisions::{asks, losses, placement};
 use crate::interface::message::WorkerIx;
@@ -55,7 +55,7 @@
             .collect();
         kept.sort_by_key(|trial| trial.began);
         let too_many = kept.len().saturating_sub(all / KEPT_SHARE);
-        let lasted = |trial: &&mut &mut Trial| now.since(trial.began) >= ALONE_FOR;
+        let lasted = |trial: &&mut &mut Trial| now.since(trial.began) >= BASE_TRIAL_TIME;
         kept.iter_mut().take(too_many).filter(lasted).for_each(|trial| trial.until = now);
     }
 }
@@ -139,7 +139,7 @@
     let Some((at, &ix)) = fit.min_by_key(|(_, ix)| rank(**ix)) else { return false };
     empty.swap_remove(at);
     starts::start_at(cx, ix, key);
-    kept::keep(cx, ix, key);
+    kept::reserve(cx, ix, key);
     true
 }
 
