--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -18,7 +18,7 @@
 
 /// Holds the start of a suspect back until it is stored; whether it has to wait for that. The members of a gang are
 /// sent together, since they wait for each other at their workers for a short time only.
-pub fn hold(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) -> bool {
+pub fn hold_until_stored(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) -> bool {
     let id = cx.worker(ix).info.id.clone();
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
     let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else { return false };
@@ -35,7 +35,7 @@
 }
 
 /// Sends the starts that are stored by now, unless the view of the directory is too old for any start.
-pub fn send_stored(cx: &mut State) {
+pub fn send_stored_starts(cx: &mut State) {
     if cx.freshness.is_behind() {
         return;
     }
--- a/crates/sched/src/changes/starts.rs
+++ b/crates/sched/src/changes/starts.rs
@@ -21,7 +21,7 @@
 
 /// Sends a start that has its slot, or holds it back until it is stored where its task is a suspect.
 pub fn send(cx: &mut State, ix: WorkerIx, task: TaskKey, run: Run) {
-    if !recorded::hold(cx, ix, task, run) {
+    if !recorded::hold_until_stored(cx, ix, task, run) {
         orders::send_start(cx, ix, task, run);
     }
 }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -126,7 +126,7 @@
             }
             Event::Committed => {
                 commits::committed(self);
-                recorded::send_stored(self);
+                recorded::send_stored_starts(self);
             }
             Event::CommitFailed => commits::failed(self),
         }
@@ -147,7 +147,7 @@
         roster::check(self);
         orders::check(self);
         crashes::check(self);
-        recorded::send_stored(self);
+        recorded::send_stored_starts(self);
         maintenance::check(self);
         drain::check(self);
         self.rebalance();
