--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -65,7 +65,7 @@
     let other = mem::take(&mut cx.commits.other);
     cx.commits.since = None;
     cx.commits.urgent = false;
-    saved::being_saved(cx, &jobs);
+    saved::commit_began(cx, &jobs);
     let ends = uncommitted_ends(cx);
     let roster = roster_of(cx, &other);
     let entries = jobs.iter().filter_map(|key| cx.jobs.get(key));
--- a/crates/sched/src/changes/crashes/saved.rs
+++ b/crates/sched/src/changes/crashes/saved.rs
@@ -8,7 +8,7 @@
 use crate::state::State;
 
 /// Takes in that the progress of these jobs is being stored.
-pub fn being_saved(cx: &mut State, jobs: &BTreeSet<JobKey>) {
+pub fn commit_began(cx: &mut State, jobs: &BTreeSet<JobKey>) {
     let of_jobs = |key: &TaskKey| jobs.contains(&key.job);
     change_saved(cx, of_jobs, Saved::No, Saved::InFlight);
 }
