--- a/crates/sched/src/changes/crashes/verdict.rs
+++ b/crates/sched/src/changes/crashes/verdict.rs
@@ -15,14 +15,14 @@
 
 /// How long the directory may go on listing a silent worker that has crashed: its entry lapses after
 /// three heartbeats, and a change takes half a second to reach us.
-const LISTED_FOR: Millis = Millis(10_000);
+const MAX_LISTING_LAG: Millis = Millis(10_000);
 
 /// How long a silent worker that the directory lists speaks against its tasks. It is most likely cut off
 /// from here; but what crashed it would be started without end if its silence were forgotten soon.
-const SILENT_FOR: Millis = Millis(600_000);
+const SILENCE_EXPIRY: Millis = Millis(600_000);
 
 /// Takes in that a worker's incarnation is over of which nothing was known but its silence.
-pub fn worker_gone(cx: &mut State, ix: WorkerIx) {
+pub fn worker_terminated(cx: &mut State, ix: WorkerIx) {
     if !losses::was_leaving(cx.worker(ix)) {
         resolve(cx, ix, true);
     }
@@ -81,7 +81,7 @@
     cx.crashes.evict_old(cx.now);
     let suspects: Vec<TaskKey> = cx.crashes.suspects.iter().copied().collect();
     for key in suspects {
-        judge_silent(cx, key);
+        resolve_silent(cx, key);
         let live = cx.jobs.get(&key.job).is_some_and(|entry| !entry.state.is_final());
         let task = cx.task(key).filter(|t| live && t.state != TaskState::Done);
         let Some(suspicion) = task.and_then(|t| t.crash_evidence.as_ref()) else {
@@ -92,7 +92,7 @@
         if suspicion.is_proven() {
             trace::crashes_used_up(key, crashes);
             lifecycle::end_job(cx, key.job, JobState::Failed);
-        } else if has_been_at_work(cx, key) {
+        } else if has_run_long_enough(cx, key) {
             trace::task_cleared(key, crashes);
             clear(cx, key);
             commits::mark(&mut cx.commits, cx.now, key.job);
@@ -101,7 +101,7 @@
 }
 
 /// Decides about workers that have been silent for so long that the directory tells what became of them.
-fn judge_silent(cx: &mut State, key: TaskKey) {
+fn resolve_silent(cx: &mut State, key: TaskKey) {
     let now = cx.now;
     let Some(suspicion) = cx.task(key).and_then(|t| t.crash_evidence.as_ref()) else { return };
     let mut crashed: Vec<ids::WorkerId> = Vec::new();
@@ -109,9 +109,9 @@
     for (id, since) in &suspicion.silent {
         let for_so_long = now.since((*since).max(cx.directory_recovered_at));
         let worker = cx.by_id.get(id).map(|&ix| cx.worker(ix));
-        if for_so_long >= SILENT_FOR || worker.is_some_and(losses::was_leaving) {
+        if for_so_long >= SILENCE_EXPIRY || worker.is_some_and(losses::was_leaving) {
             forgotten.push(id.clone());
-        } else if for_so_long >= LISTED_FOR && !worker.is_some_and(is_listed) {
+        } else if for_so_long >= MAX_LISTING_LAG && !worker.is_some_and(is_listed) {
             crashed.push(id.clone());
         }
     }
@@ -124,7 +124,7 @@
 }
 
 /// Tells whether a task's run has been at work for so long that it speaks for the task.
-fn has_been_at_work(cx: &State, key: TaskKey) -> bool {
+fn has_run_long_enough(cx: &State, key: TaskKey) -> bool {
     let Some(TaskState::Active { worker, .. }) = cx.task(key).map(|t| t.state) else {
         return false;
     };
--- a/crates/sched/src/changes/leases.rs
+++ b/crates/sched/src/changes/leases.rs
@@ -41,7 +41,7 @@
 /// Forgets a worker whose incarnation certainly runs nothing any more; whether it was not forgotten before.
 pub fn give_up(cx: &mut State, ix: WorkerIx) -> bool {
     crashes::worker_lost(cx, ix, true);
-    crashes::worker_gone(cx, ix);
+    crashes::worker_terminated(cx, ix);
     free_all(cx, ix, ReleaseProof::WorkerGone);
     if !cx.set_terminated(ix, true) {
         return false;
