--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -5,9 +5,9 @@
 //! tasks need (`decisions/paces.rs`), and what stays slow for long is moved (`moving.rs`).
 
 mod paces;
-mod parts;
+mod roles;
 mod readings;
-mod spare;
+mod spare_capacity;
 
 use crate::changes::trace;
 use crate::interface::message::WorkerIx;
@@ -18,12 +18,12 @@
 pub use crate::state::pace_orders::{PaceOrders, FULL_PACE};
 
 pub use paces::{paced, set_paces};
-pub use parts::part_of;
+pub use roles::part_of;
 pub use readings::keep_learnt;
-pub use spare::refresh;
+pub use spare_capacity::refresh;
 
 /// Takes in a worker's fresh readings: learns from them, then sets the paces that they ask for.
-pub fn observe(cx: &mut State, ix: WorkerIx) {
+pub fn handle_readings(cx: &mut State, ix: WorkerIx) {
     readings::learn(cx, ix);
     refresh(cx, ix);
     paces::watch_targets(cx, ix);
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -5,7 +5,7 @@
 use gaplock_policy::attempts::Execution;
 use gaplock_types::time::Millis;
 
-use super::spare;
+use super::spare_capacity;
 use crate::changes::trace;
 use crate::decisions::best_effort::BestEffortTask;
 use crate::decisions::paces;
@@ -112,5 +112,5 @@
         slot.pace = percent;
         slot.progress_sample = None;
     }
-    spare::refresh(cx, ix);
+    spare_capacity::refresh(cx, ix);
 }
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -172,7 +172,7 @@
     if is_first {
         restarts::end_former(cx, ix);
     }
-    pacing::observe(cx, ix);
+    pacing::handle_readings(cx, ix);
     takeover::answered(cx, ix);
     abandoned_starts::settle(cx, ix);
     roster::open(cx, ix);
