--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -84,7 +84,7 @@
     if let Some(task) = cx.task_mut(key) {
         task.consecutive_invalid_starts = 0;
     }
-    pacing::set_paces(cx, ix);
+    pacing::order_paces(cx, ix);
 }
 
 /// Frees a task whose start was certainly not carried out, or withdraws the start while a try of it
--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -17,7 +17,7 @@
 pub use crate::state::interference_model::{Column, InterferenceModel, Row, ServingTask};
 pub use crate::state::pace_orders::{PaceOrders, FULL_PACE};
 
-pub use paces::{paced, set_paces};
+pub use paces::{handle_pace_outcome, order_paces};
 pub use roles::part_of;
 pub use readings::keep_learnt;
 pub use spare_capacity::refresh;
@@ -26,8 +26,8 @@
 pub fn handle_readings(cx: &mut State, ix: WorkerIx) {
     readings::learn(cx, ix);
     refresh(cx, ix);
-    paces::watch_targets(cx, ix);
-    set_paces(cx, ix);
+    paces::track_target_excess(cx, ix);
+    order_paces(cx, ix);
     if tracing::enabled!(tracing::Level::DEBUG) {
         trace::readings(cx, ix);
     }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -114,7 +114,7 @@
                 orders::stopped(self, worker, task, run, outcome);
             }
             Event::Paced { worker, task, run, percent, execution: fate } => {
-                pacing::paced(self, worker, task, run, percent, fate);
+                pacing::handle_pace_outcome(self, worker, task, run, percent, fate);
             }
             Event::Advised { step, asked, sent, answer } => {
                 permits::advised(self, step, &asked, sent, answer);
