--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -211,7 +211,7 @@
     pending: &[u32],
 ) -> Option<TaskKey> {
     // An image counts as known from its first task on, so that all tasks of the step find the same.
-    pacing::part_of(cx, &job.steps[usize::from(ready.step)]);
+    pacing::role_of(cx, &job.steps[usize::from(ready.step)]);
     let mut choices = RankedWorkers::default();
     for &index in pending {
         if cx.is_at_start_limit() {
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -92,7 +92,7 @@
     }
     let job = Arc::clone(&entry.job);
     let Some(step) = job.steps.get(usize::from(key.step)) else { return };
-    let part = pacing::part_of(cx, step);
+    let part = pacing::role_of(cx, step);
     let w = cx.worker_mut(worker);
     w.add_slot(key, slot_of(step, part, occupant, now));
     cx.expedite_renewal(worker);
--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -18,7 +18,7 @@
 pub use crate::state::pace_orders::{PaceOrders, FULL_PACE};
 
 pub use paces::{handle_pace_outcome, order_paces};
-pub use roles::part_of;
+pub use roles::role_of;
 pub use readings::keep_learnt;
 pub use spare_capacity::refresh;
 
--- a/crates/sched/src/changes/pacing/roles.rs
+++ b/crates/sched/src/changes/pacing/roles.rs
@@ -6,7 +6,7 @@
 use crate::state::State;
 
 /// Returns what a step's tasks are to each other on a worker.
-pub fn part_of(cx: &mut State, step: &Step) -> TaskRole {
+pub fn role_of(cx: &mut State, step: &Step) -> TaskRole {
     let image = step.image.as_deref().unwrap_or_default();
     if step.fills {
         return TaskRole::Filling(cx.interference.column(image));
