--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -19,7 +19,7 @@
 
 pub use paces::{handle_pace_outcome, order_paces};
 pub use roles::role_of;
-pub use readings::keep_learnt;
+pub use readings::store_learned;
 pub use spare_capacity::refresh;
 
 /// Takes in a worker's fresh readings: learns from them, then sets the paces that they ask for.
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -32,7 +32,7 @@
         }
     }
     if used.is_empty() {
-        judge_speed(cx, ix, &tails);
+        estimate_speed(cx, ix, &tails);
     }
     let crowded: f64 = used.iter().map(|(_, share)| share).sum();
     if crowded > CONTENTION_SHARE || cx.worker(ix).speed.is_slow(now) {
@@ -45,29 +45,29 @@
 
 /// How much more utilisation than its job's load a serving task shows on a slow worker, where
 /// nothing fills beside it.
-const SLOW_SURPRISE: f64 = 0.5;
+const MIN_SLOW_UTILIZATION_EXCESS: f64 = 0.5;
 
 /// The relative speed that such a task tells of: about that of the slow workers that were seen.
-const SLOW_SPEED: f64 = 0.15;
+const SLOW_READING_SPEED: f64 = 0.15;
 
 /// Takes in what serving tasks that nothing fills beside tell of their worker: the tasks of one
 /// job carry one load, so one with a much longer tail is on a slow worker.
-fn judge_speed(cx: &mut State, ix: WorkerIx, tails: &[(ServingTask, f64)]) {
+fn estimate_speed(cx: &mut State, ix: WorkerIx, tails: &[(ServingTask, f64)]) {
     let now = cx.now;
     for (served, tail_ms) in tails {
         let load = cx.interference.load(served.job, now, 0.0);
         let surprise = cx.interference.utilization(served, *tail_ms) - load;
-        let relative = if surprise > SLOW_SURPRISE { SLOW_SPEED } else { 1.0 };
+        let relative = if surprise > MIN_SLOW_UTILIZATION_EXCESS { SLOW_READING_SPEED } else { 1.0 };
         cx.worker_mut(ix).speed.record(now, relative);
     }
 }
 
 /// How often what was learnt is stored for a successor.
-const KEEP_LEARNT_EVERY: Millis = Millis(4_000);
+const STORE_LEARNED_INTERVAL: Millis = Millis(4_000);
 
 /// Stores what was learnt now and then.
-pub fn keep_learnt(cx: &mut State) {
-    if cx.now.since(cx.learned_stored_at) < KEEP_LEARNT_EVERY {
+pub fn store_learned(cx: &mut State) {
+    if cx.now.since(cx.learned_stored_at) < STORE_LEARNED_INTERVAL {
         return;
     }
     cx.learned_stored_at = cx.now;
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -151,7 +151,7 @@
         maintenance::check(self);
         drain::check(self);
         self.rebalance();
-        pacing::keep_learnt(self);
+        pacing::store_learned(self);
         intake::forget_finished(self);
         self.pass_wanted |= !self.ready.is_empty();
     }
