--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -97,7 +97,7 @@
     w.add_slot(key, slot_of(step, part, occupant, now));
     cx.expedite_renewal(worker);
     scarcity::changed(cx, worker, key);
-    pacing::refresh(cx, worker);
+    pacing::refresh_spare_capacity(cx, worker);
 }
 
 fn slot_of(step: &Step, part: TaskRole, occupant: Occupant, now: Instant) -> Slot {
@@ -139,7 +139,7 @@
         cx.worker_mut(worker).best_effort_ended_at = now;
     }
     scarcity::changed(cx, worker, key);
-    pacing::refresh(cx, worker);
+    pacing::refresh_spare_capacity(cx, worker);
     Some(slot)
 }
 
--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -20,12 +20,12 @@
 pub use paces::{handle_pace_outcome, order_paces};
 pub use roles::role_of;
 pub use readings::store_learned;
-pub use spare_capacity::refresh;
+pub use spare_capacity::refresh_spare_capacity;
 
 /// Takes in a worker's fresh readings: learns from them, then sets the paces that they ask for.
 pub fn handle_readings(cx: &mut State, ix: WorkerIx) {
     readings::learn(cx, ix);
-    refresh(cx, ix);
+    refresh_spare_capacity(cx, ix);
     paces::track_target_excess(cx, ix);
     order_paces(cx, ix);
     if tracing::enabled!(tracing::Level::DEBUG) {
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -112,5 +112,5 @@
         slot.pace = percent;
         slot.progress_sample = None;
     }
-    spare_capacity::refresh(cx, ix);
+    spare_capacity::refresh_spare_capacity(cx, ix);
 }
--- a/crates/sched/src/changes/pacing/spare_capacity.rs
+++ b/crates/sched/src/changes/pacing/spare_capacity.rs
@@ -9,19 +9,19 @@
 
 /// Part of its target that a serving task's expected tail may reach when a task is placed beside
 /// it: lower than for what already runs, so that what was just placed is not slowed down at once.
-const PLACED_SHARE: f64 = 0.95;
+const PLACEMENT_TAIL_SHARE: f64 = 0.95;
 
 /// How far ahead the load is looked at when a task is placed, in seconds: most of a filling task's
 /// time on the users' sites.
-const PLACED_AHEAD_S: f64 = 1.0;
+const PLACEMENT_LOOKAHEAD_S: f64 = 1.0;
 
 /// The share of a worker's processors that a filling task takes in the mean, by which workers are compared:
 /// about two of sixteen to twenty-four cores on the users' sites.
-const TYPICAL_SHARE: f64 = 0.1;
+const TYPICAL_TASK_SHARE: f64 = 0.1;
 
 /// Recomputes how much more pressure the serving tasks on a worker bear, by their image. What is slowed
 /// down counts with its full pace, to which it is to come back before others join it.
-pub fn refresh(cx: &mut State, ix: WorkerIx) {
+pub fn refresh_spare_capacity(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
     let worker = cx.worker(ix);
     let tasks = best_effort::list_best_effort(worker, now);
@@ -29,7 +29,7 @@
     for (key, slot) in &worker.slots {
         let Some(served) = best_effort::as_served(*key, slot) else { continue };
         let pressure = cx.interference.interference(served.row, tasks.iter().map(BestEffortTask::at_full_pace));
-        let bearable = cx.interference.tolerable_interference(&served, PLACED_SHARE, now, PLACED_AHEAD_S);
+        let bearable = cx.interference.tolerable_interference(&served, PLACEMENT_TAIL_SHARE, now, PLACEMENT_LOOKAHEAD_S);
         let left = bearable - pressure;
         match spare.iter_mut().find(|(row, _)| *row == served.row) {
             Some((_, known)) => *known = known.min(left),
@@ -38,7 +38,7 @@
     }
     let left = spare_filling(cx, worker);
     let openness =
-        if left < TYPICAL_SHARE { 0.0 } else { cx.interference.fitting_image_share(&spare, TYPICAL_SHARE) };
+        if left < TYPICAL_TASK_SHARE { 0.0 } else { cx.interference.fitting_image_share(&spare, TYPICAL_TASK_SHARE) };
     let worker = cx.worker_mut(ix);
     worker.fitting_image_share = openness;
     worker.spare_interference = spare;
@@ -53,7 +53,7 @@
     for (key, slot) in &worker.slots {
         let takes = f64::from(slot.reservation.cpu.0);
         busy += match slot.role {
-            TaskRole::Serving { .. } => takes * cx.interference.load(key.job, cx.now, PLACED_AHEAD_S),
+            TaskRole::Serving { .. } => takes * cx.interference.load(key.job, cx.now, PLACEMENT_LOOKAHEAD_S),
             TaskRole::Plain => takes,
             TaskRole::Filling(_) => 0.0,
         };
