--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -89,8 +89,8 @@
     if cx.config.is_none() {
         return;
     }
-    trials::leave_room(cx);
-    trials::start(cx);
+    trials::end_excess_trials(cx);
+    trials::start_trials(cx);
     let mut ready: Vec<ReadyStep> = cx.ready.iter().copied().collect();
     ready.sort_by_cached_key(|&step| !has_restart_priority(cx, step));
     let (most_free, largest) = most_processors(cx);
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -37,7 +37,7 @@
         || worker.awaits_withdrawal_proof();
     let wait = if quick || worker.slots.is_empty() { Millis(0) } else { wait };
     let wait = if worker.mixes_serving_and_best_effort() { wait.min(SHARED_WAIT) } else { wait };
-    let wait = if worker.trial.is_some() { wait.min(trials::WAIT) } else { wait };
+    let wait = if worker.trial.is_some() { wait.min(trials::RENEWAL_WAIT) } else { wait };
     let stored = worker.to_acknowledge();
     worker.acknowledging_up_to = stored;
     cx.actions.push(Action::Renew { worker: ix, stored, until, wait });
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -23,23 +23,23 @@
 
 /// The part of all workers, as a divisor, that tasks with a single loss may keep to themselves; none while
 /// many workers are lost, when there are hundreds of such tasks, nearly all innocent, and room is scarce.
-const TRIALS_SHARE: usize = 16;
+const TRIALS_DIVISOR: usize = 16;
 
 /// How long a task with several losses waits for an empty worker: below the time after which users
 /// miss a task that could run.
-const ALONE_PATIENCE: Millis = Millis(1_500);
+const MAX_EMPTY_WORKER_WAIT: Millis = Millis(1_500);
 
 /// How long a renewal waits at a worker on which a task is tried: what the worker was last heard to run
 /// tells a crash at the start from a later one.
-pub const WAIT: Millis = Millis(250);
+pub const RENEWAL_WAIT: Millis = Millis(250);
 
 /// The part of a pool's workers, as a divisor, that trials may keep for longer than [`ALONE_FOR`]: the rest
 /// is left to all other tasks. Suspects need not be culprits, and on a pool of two workers two innocent
 /// ones kept all others waiting for 9 s.
-const KEPT_SHARE: usize = 2;
+const RESERVED_DIVISOR: usize = 2;
 
 /// Ends the oldest trials of pools of which trials keep too large a part.
-pub fn leave_room(cx: &mut State) {
+pub fn end_excess_trials(cx: &mut State) {
     let now = cx.now;
     let is_kept = |w: &Worker| w.trial.is_some_and(|trial| trial.until > now);
     let pools: BTreeSet<ids::ServiceId> =
@@ -54,7 +54,7 @@
             .filter_map(|w| w.trial.as_mut())
             .collect();
         kept.sort_by_key(|trial| trial.began);
-        let too_many = kept.len().saturating_sub(all / KEPT_SHARE);
+        let too_many = kept.len().saturating_sub(all / RESERVED_DIVISOR);
         let lasted = |trial: &&mut &mut Trial| now.since(trial.began) >= BASE_TRIAL_TIME;
         kept.iter_mut().take(too_many).filter(lasted).for_each(|trial| trial.until = now);
     }
@@ -62,7 +62,7 @@
 
 /// A suspect that waits for an empty worker.
 #[derive(Debug, Clone, Copy)]
-struct Waiting {
+struct WaitingSuspect {
     task: TaskKey,
     losses: usize,
     known_runtime: Millis,
@@ -71,17 +71,17 @@
 
 /// Starts suspects alone on empty workers, those with most losses first. The others start like any task
 /// from now on, at once or after some patience.
-pub fn start(cx: &mut State) {
+pub fn start_trials(cx: &mut State) {
     if !cx.crashes.suspect_may_wait {
         return;
     }
-    let waiting = waiting(cx);
+    let waiting = list_waiting(cx);
     if waiting.is_empty() {
         return;
     }
     let mut empty = empty_workers(cx);
     let under_way = cx.workers.iter().filter(|w| w.trial.is_some()).count();
-    let most = if losses::is_mass_loss(cx) { 0 } else { (cx.fleet_size() / TRIALS_SHARE).max(1) };
+    let most = if losses::is_mass_loss(cx) { 0 } else { (cx.fleet_size() / TRIALS_DIVISOR).max(1) };
     let mut left = most.saturating_sub(under_way);
     for suspect in waiting {
         if cx.is_at_start_limit() {
@@ -90,24 +90,24 @@
         let several = suspect.losses > 1;
         if (several || left > 0) && start_alone(cx, suspect.task, &mut empty) {
             left = left.saturating_sub(1);
-        } else if !several || suspect.waited >= ALONE_PATIENCE {
-            start_like_others(cx, suspect.task);
+        } else if !several || suspect.waited >= MAX_EMPTY_WORKER_WAIT {
+            skip_trial(cx, suspect.task);
         }
     }
 }
 
 /// Lists the suspects that may start and wait for an empty worker, in the order in which they are tried.
-fn waiting(cx: &mut State) -> Vec<Waiting> {
+fn list_waiting(cx: &mut State) -> Vec<WaitingSuspect> {
     let now = cx.now;
     let mut any = false;
-    let mut found: Vec<Waiting> = Vec::new();
+    let mut found: Vec<WaitingSuspect> = Vec::new();
     for &key in &cx.crashes.suspects {
         let Some(task) = cx.task(key).filter(|t| t.state == TaskState::Pending) else { continue };
         let Some(suspicion) = task.crash_evidence.as_ref().filter(|s| !s.exempt_from_trial) else { continue };
         any = true;
         if task.not_before <= now && suspicion.may_start() {
             let (losses, lived) = (suspicion.losses(), suspicion.last_run_duration);
-            found.push(Waiting { task: key, losses, known_runtime: lived, waited: now.since(task.since) });
+            found.push(WaitingSuspect { task: key, losses, known_runtime: lived, waited: now.since(task.since) });
         }
     }
     cx.crashes.suspect_may_wait = any;
@@ -144,7 +144,7 @@
 }
 
 /// Lets a suspect start where any task would.
-fn start_like_others(cx: &mut State, key: TaskKey) {
+fn skip_trial(cx: &mut State, key: TaskKey) {
     let suspicion = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut());
     if let Some(suspicion) = suspicion {
         suspicion.exempt_from_trial = true;
