--- a/crates/sched/src/changes/stragglers.rs
+++ b/crates/sched/src/changes/stragglers.rs
@@ -33,7 +33,7 @@
             }
             searches.spend_one();
             if placement::find_other_worker(cx, ix, key).is_some() {
-                start_again(cx, ix, key, run);
+                restart_elsewhere(cx, ix, key, run);
             }
         }
     }
@@ -41,7 +41,7 @@
 }
 
 /// Starts a task again: beside its slow run where copies are allowed, after its stop elsewhere.
-fn start_again(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
+fn restart_elsewhere(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
     let copies = cx.step(key).is_some_and(|step| step.duplicates);
     if !copies {
         return lifecycle::order_stop(cx, ix, key, run, "its worker is slow");
