--- a/crates/sched/src/changes/speed.rs
+++ b/crates/sched/src/changes/speed.rs
@@ -14,18 +14,18 @@
 use crate::state::State;
 
 /// The shortest time over which a rate is read.
-const READ_OVER: Millis = Millis(300);
+const MIN_RATE_SPAN: Millis = Millis(300);
 
 /// The least progress over which a rate is read, in percent, since progress comes in whole percent.
 /// The time in which a run of its step would usually make that much is enough too.
-const READ_PERCENT: u32 = 8;
+const MIN_RATE_PROGRESS_PERCENT: u32 = 8;
 
 /// The pace below which a filling task's progress says nothing of its worker, in percent.
-const READ_PACE_LEAST: u32 = 50;
+const MIN_RATE_PACE_PERCENT: u32 = 50;
 
 /// The share of its processor demand that a filling task must get for its progress to say
 /// something of its worker.
-const READ_USE_LEAST: f64 = 0.8;
+const MIN_RATE_CPU_SHARE: f64 = 0.8;
 
 /// Takes in a run's progress from its worker's account.
 pub fn observe(cx: &mut State, ix: WorkerIx, key: TaskKey) {
@@ -37,7 +37,7 @@
     let typical = cx.step_state(key).and_then(|step| step.rates.median());
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     let Some(rate) = read_rate(slot, now, typical) else { return };
-    note(cx, ix, key, rate, typical);
+    record_rate(cx, ix, key, rate, typical);
 }
 
 /// Takes in that a run has done its work.
@@ -45,15 +45,15 @@
     let Some(mark) = slot.progress_sample else { return };
     let span = cx.now.since(mark.at);
     let left = COMPLETE_PERCENT.saturating_sub(mark.percent);
-    if span < READ_OVER || left < READ_PERCENT || !tells_of_worker(slot) {
+    if span < MIN_RATE_SPAN || left < MIN_RATE_PROGRESS_PERCENT || !reflects_worker_speed(slot) {
         return;
     }
     let typical = cx.step_state(key).and_then(|step| step.rates.median());
-    note(cx, ix, key, rate(slot, left, span), typical);
+    record_rate(cx, ix, key, rate(slot, left, span), typical);
 }
 
 /// Keeps a run's rate for its step, and holds its worker against the other tasks' rates.
-fn note(cx: &mut State, ix: WorkerIx, key: TaskKey, rate: f64, typical: Option<f64>) {
+fn record_rate(cx: &mut State, ix: WorkerIx, key: TaskKey, rate: f64, typical: Option<f64>) {
     let now = cx.now;
     if let Some(step) = cx.step_state_mut(key) {
         step.rates.record(key.index, rate);
@@ -82,21 +82,21 @@
     let span = now.since(mark.at);
     let gained = slot.progress_percent.saturating_sub(mark.percent);
     let expected = typical.map_or(0.0, |rate| rate * span.0 as f64 / 1_000.0);
-    let enough = gained >= READ_PERCENT || expected >= f64::from(READ_PERCENT);
-    if span < READ_OVER || !enough {
+    let enough = gained >= MIN_RATE_PROGRESS_PERCENT || expected >= f64::from(MIN_RATE_PROGRESS_PERCENT);
+    if span < MIN_RATE_SPAN || !enough {
         return None;
     }
     slot.progress_sample = Some(next);
-    tells_of_worker(slot).then(|| rate(slot, gained, span))
+    reflects_worker_speed(slot).then(|| rate(slot, gained, span))
 }
 
 /// Tells whether nothing but its worker can hold a run up.
-fn tells_of_worker(slot: &Slot) -> bool {
+fn reflects_worker_speed(slot: &Slot) -> bool {
     if slot.best_effort_millicores == 0 {
         return true;
     }
     let wanted = f64::from(slot.best_effort_millicores) * f64::from(slot.pace) / f64::from(FULL_PACE);
     let used = f64::from(slot.reading.unwrap_or(0));
     let certain = !slot.pace_order_in_flight && slot.pace_orders.is_certain();
-    slot.pace >= READ_PACE_LEAST && certain && used >= wanted * READ_USE_LEAST
+    slot.pace >= MIN_RATE_PACE_PERCENT && certain && used >= wanted * MIN_RATE_CPU_SHARE
 }
