--- a/crates/sched/src/changes/moving.rs
+++ b/crates/sched/src/changes/moving.rs
@@ -24,16 +24,16 @@
     taken: FxHashSet<WorkerIx>,
     /// Images and processor demands for which no worker was found that is not taken; larger ones find none
     /// either.
-    without: Vec<(Column, u32)>,
+    unplaceable: Vec<(Column, u32)>,
 }
 
 /// Moves filling tasks that have been slowed down for long to a worker where they disturb nobody. Returns
 /// how many searches that took.
 pub fn check(cx: &mut State) -> usize {
     let searches = searches::open(cx.workers.len());
-    let mut search = Search { searches, taken: FxHashSet::default(), without: Vec::new() };
+    let mut search = Search { searches, taken: FxHashSet::default(), unplaceable: Vec::new() };
     for ix in searches::rotated_to(cx.worker_ixs(), cx.rebalance_cursors.0) {
-        for (key, run, column, demand) in stuck(cx, ix) {
+        for (key, run, column, demand) in slowed_tasks(cx, ix) {
             if search.searches.is_exhausted() {
                 cx.rebalance_cursors.0 = ix;
                 return search.searches.made();
@@ -47,7 +47,7 @@
 }
 
 /// Lists the filling tasks at a worker that have been slowed down for long, with what they press with.
-fn stuck(cx: &State, ix: WorkerIx) -> Vec<(TaskKey, Run, Column, u32)> {
+fn slowed_tasks(cx: &State, ix: WorkerIx) -> Vec<(TaskKey, Run, Column, u32)> {
     let now = cx.now;
     let slow = |slot: &Slot| {
         slot.phase == Phase::Running
@@ -73,14 +73,14 @@
         let can_resume = cx.step(key).is_some_and(|step| !step.gang && step.checkpoints);
         let larger =
             |&(column, demand): &(Column, u32)| column == pressing.0 && demand <= pressing.1;
-        if !can_resume || self.without.iter().any(larger) {
+        if !can_resume || self.unplaceable.iter().any(larger) {
             return false;
         }
         self.searches.spend_one();
         let place = placement::find_other_worker(cx, here, key);
         let found = place.is_some_and(|place| self.taken.insert(place));
         if !found {
-            self.without.push(pressing);
+            self.unplaceable.push(pressing);
         }
         found
     }
