--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -159,7 +159,7 @@
 /// hold it.
 fn note_scarcity(cx: &mut State, pool: &ids::ServiceId, step: &Step, pass: &Pass) {
     if room::is_short(step) && step.demand.cpu <= pass.largest {
-        scarcity::short_waits(cx, pool);
+        scarcity::note_short_unplaced(cx, pool);
     }
 }
 
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -96,7 +96,7 @@
     let w = cx.worker_mut(worker);
     w.add_slot(key, slot_of(step, part, occupant, now));
     cx.expedite_renewal(worker);
-    scarcity::changed(cx, worker, key);
+    scarcity::note_short_change(cx, worker, key);
     pacing::refresh_spare_capacity(cx, worker);
 }
 
@@ -138,7 +138,7 @@
         let now = cx.now;
         cx.worker_mut(worker).best_effort_ended_at = now;
     }
-    scarcity::changed(cx, worker, key);
+    scarcity::note_short_change(cx, worker, key);
     pacing::refresh_spare_capacity(cx, worker);
     Some(slot)
 }
--- a/crates/sched/src/changes/scarcity.rs
+++ b/crates/sched/src/changes/scarcity.rs
@@ -8,7 +8,7 @@
 use crate::state::State;
 
 /// Takes in that a short task has found no room in its pool.
-pub fn short_waits(cx: &mut State, pool: &ids::ServiceId) {
+pub fn note_short_unplaced(cx: &mut State, pool: &ids::ServiceId) {
     let now = cx.now;
     match cx.short_task_waited_at.get_mut(pool) {
         Some(at) => *at = now,
@@ -19,7 +19,7 @@
 }
 
 /// Takes in that a run of a step has begun or ended at a worker.
-pub fn changed(cx: &mut State, ix: WorkerIx, key: TaskKey) {
+pub fn note_short_change(cx: &mut State, ix: WorkerIx, key: TaskKey) {
     let now = cx.now;
     if cx.step(key).is_some_and(room::is_short) {
         cx.worker_mut(ix).short_task_changed_at = Some(now);
