--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -148,7 +148,7 @@
     explain(cx, &job, &service, unplaced, pending.len());
     note_scarcity(cx, &service, step, pass);
     if asks::advice_of(cx, &job).is_some() {
-        permits::ask(cx, ready, pending.len());
+        permits::request_permits(cx, ready, pending.len());
     } else if step.most_per_worker.is_none() {
         let first = cx.task(unplaced).map_or(first, |t| asks::wait_status(cx, t));
         pass.blocked.push(UnplacedDemand::of(service, step, first));
--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -34,7 +34,7 @@
     let starts = next_starts(cx, &members);
     let Some(placed) = place_together(cx, job, service, &members, starts, step.same_rack) else {
         if asks::advice_of(cx, job).is_some() {
-            permits::ask(cx, ready, pending.len());
+            permits::request_permits(cx, ready, pending.len());
         }
         return;
     };
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -120,7 +120,7 @@
         }
         Refusal::Room => spare(cx, ix, full),
         Refusal::Late | Refusal::Unwell | Refusal::Invalid => spare(cx, ix, retry),
-        Refusal::Permit => permits::refused(cx, StepKey::of(key), ix),
+        Refusal::Permit => permits::drop_ticket(cx, StepKey::of(key), ix),
         Refusal::OldRun | Refusal::OtherIncarnation => {}
     }
 }
--- a/crates/sched/src/changes/permits.rs
+++ b/crates/sched/src/changes/permits.rs
@@ -17,16 +17,16 @@
 pub use crate::interface::message::StepKey;
 
 /// The most calls under way: the service takes them in turn, so more would only wait there.
-const MOST_CALLS: usize = 4;
+const MAX_CALLS_IN_FLIGHT: usize = 4;
 
 /// The most workers in one call; the objective of a step counts one call on 30 workers.
-const MOST_WORKERS: usize = 30;
+const MAX_WORKERS_PER_CALL: usize = 30;
 
 /// How many workers are asked about for each pending task, since some are denied or fill up.
 const WORKERS_PER_TASK: usize = 3;
 
 /// How many workers are asked about beyond that.
-const SPARE_WORKERS: usize = 3;
+const EXTRA_WORKERS: usize = 3;
 
 /// How much earlier than it ends a ticket is held to be over: a start takes time to arrive.
 const TICKET_MARGIN: Millis = Millis(150);
@@ -35,11 +35,11 @@
 const FAILED_PAUSE: Millis = Millis(200);
 
 /// Asks for workers on which a step may run, unless an answer is awaited already.
-pub fn ask(cx: &mut State, ready: ReadyStep, pending: usize) {
+pub fn request_permits(cx: &mut State, ready: ReadyStep, pending: usize) {
     let step = StepKey { job: ready.job, round: ready.round, step: ready.step };
     let now = cx.now;
     let known = cx.permits.steps.entry(step).or_default();
-    if known.call_in_flight || known.not_before > now || cx.permits.calls_in_flight >= MOST_CALLS {
+    if known.call_in_flight || known.not_before > now || cx.permits.calls_in_flight >= MAX_CALLS_IN_FLIGHT {
         return;
     }
     let workers = candidates(cx, step, pending);
@@ -68,12 +68,12 @@
         worker.info.capacity.minus(&worker.used).cpu
     };
     found.sort_by_key(|ix| Reverse(free(ix)));
-    found.truncate(MOST_WORKERS.min(pending * WORKERS_PER_TASK + SPARE_WORKERS));
+    found.truncate(MAX_WORKERS_PER_CALL.min(pending * WORKERS_PER_TASK + EXTRA_WORKERS));
     found
 }
 
 /// Takes in an answer, or that none came.
-pub fn advised(
+pub fn handle_advice(
     cx: &mut State,
     step: StepKey,
     asked: &[WorkerIx],
@@ -100,7 +100,7 @@
 }
 
 /// Forgets a ticket that a worker did not take.
-pub fn refused(cx: &mut State, step: StepKey, ix: WorkerIx) {
+pub fn drop_ticket(cx: &mut State, step: StepKey, ix: WorkerIx) {
     if let Some(known) = cx.permits.steps.get_mut(&step) {
         known.tickets.remove(&ix);
     }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -117,7 +117,7 @@
                 pacing::handle_pace_outcome(self, worker, task, run, percent, fate);
             }
             Event::Advised { step, asked, sent, answer } => {
-                permits::advised(self, step, &asked, sent, answer);
+                permits::handle_advice(self, step, &asked, sent, answer);
             }
             Event::Wave(request) => maintenance::asked(self, request),
             Event::Hosts { sent, hosts } => maintenance::listed(self, sent, hosts),
