--- a/crates/sched/src/changes/upkeep.rs
+++ b/crates/sched/src/changes/upkeep.rs
@@ -26,14 +26,14 @@
 
 /// How often the hosts are listed while a wave is under way: a host is away for about 2 s, and all
 /// hosts together may ask 60 times a second.
-const LIST_EVERY: Millis = Millis(500);
+const HOST_LIST_INTERVAL: Millis = Millis(500);
 
 /// The pause before an order that was not carried out is given again.
-const ORDER_AGAIN: Millis = Millis(400);
+const ORDER_RETRY_PAUSE: Millis = Millis(400);
 
 /// The pause before an order is given again that was refused for good while an earlier one may be
 /// carried out yet: long, since nothing but that one can change the answer.
-const ASK_AGAIN: Millis = Millis(2_000);
+const REFUSED_ORDER_RETRY_PAUSE: Millis = Millis(2_000);
 
 /// Takes over what a former leader stored of waves.
 pub fn restore(cx: &mut State, waves: Vec<WaveProgress>) {
@@ -50,7 +50,7 @@
 }
 
 /// Takes in a wave that the operators ask for; one that is known already changes nothing.
-pub fn asked(cx: &mut State, request: WaveRequest) {
+pub fn handle_wave_request(cx: &mut State, request: WaveRequest) {
     let number = request.number;
     if cx.maintenance.waves.contains_key(&number) {
         return;
@@ -83,8 +83,8 @@
 }
 
 /// Takes in a list of all hosts that was asked for at `sent`, or that none came.
-pub fn listed(cx: &mut State, sent: Instant, hosts: Option<Vec<HostInfo>>) {
-    cx.maintenance.list_due = Some(cx.now + LIST_EVERY);
+pub fn handle_host_list(cx: &mut State, sent: Instant, hosts: Option<Vec<HostInfo>>) {
+    cx.maintenance.list_due = Some(cx.now + HOST_LIST_INTERVAL);
     let Some(hosts) = hosts else { return };
     cx.maintenance.hosts = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
     cx.maintenance.hosts_listed_at = Some(sent);
@@ -117,33 +117,33 @@
 }
 
 /// Takes in what became of an order that a host goes down.
-pub fn answered(cx: &mut State, number: WaveNumber, host: &ids::HostId, answer: MaintenanceAnswer) {
+pub fn handle_order_answer(cx: &mut State, number: WaveNumber, host: &ids::HostId, answer: MaintenanceAnswer) {
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     let Some(down) = wave.down.get_mut(host) else { return };
     trace::upkeep_answered(number, host, answer, down.attempts);
     match answer {
-        MaintenanceAnswer::Begun => begun(cx, number, host),
+        MaintenanceAnswer::Begun => record_begun(cx, number, host),
         MaintenanceAnswer::NotOfWave => {
-            if down.record_outcome(Execution::NotDone, now + ASK_AGAIN) == Execution::NotDone {
-                leave_out(cx, number, host);
+            if down.record_outcome(Execution::NotDone, now + REFUSED_ORDER_RETRY_PAUSE) == Execution::NotDone {
+                exclude_host(cx, number, host);
             }
         }
         MaintenanceAnswer::Fenced => {
-            down.record_outcome(Execution::NotDone, now + ORDER_AGAIN);
+            down.record_outcome(Execution::NotDone, now + ORDER_RETRY_PAUSE);
             cx.actions.push(Action::ConfirmLeadership);
         }
         MaintenanceAnswer::Busy => {
-            down.record_outcome(Execution::NotDone, now + ORDER_AGAIN);
+            down.record_outcome(Execution::NotDone, now + ORDER_RETRY_PAUSE);
         }
         MaintenanceAnswer::Unclear => {
-            down.record_outcome(Execution::Unknown, now + ORDER_AGAIN);
+            down.record_outcome(Execution::Unknown, now + ORDER_RETRY_PAUSE);
         }
     }
 }
 
 /// Notes that the upkeep of a host has begun.
-fn begun(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
+fn record_begun(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     if let Some(down) = wave.down.get_mut(host) {
@@ -158,7 +158,7 @@
 }
 
 /// Leaves a host out that is not of the wave and that no order can take down.
-fn leave_out(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
+fn exclude_host(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     wave.excluded.insert(host.clone());
     wave.down.remove(host);
@@ -169,7 +169,7 @@
 }
 
 /// Brings every wave on.
-pub fn check(cx: &mut State) {
+pub fn advance_waves(cx: &mut State) {
     let active = |w: &&Wave| w.operators_notified && !w.progress.completed;
     let numbers: Vec<WaveNumber> =
         cx.maintenance.waves.values().filter(active).map(|w| w.request.number).collect();
@@ -184,15 +184,15 @@
         return;
     }
     for number in numbers {
-        order_again(cx, number);
+        repeat_orders(cx, number);
         order_emptied(cx, number);
-        empty_next(cx, number);
-        complete(cx, number);
+        begin_emptying(cx, number);
+        complete_if_done(cx, number);
     }
 }
 
 /// Gives orders again that were not carried out, or may not have been.
-fn order_again(cx: &mut State, number: WaveNumber) {
+fn repeat_orders(cx: &mut State, number: WaveNumber) {
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     for (host, down) in &mut wave.down {
@@ -227,7 +227,7 @@
 }
 
 /// Begins to empty as many hosts as may go down next, those with fewest tasks first.
-fn empty_next(cx: &mut State, number: WaveNumber) {
+fn begin_emptying(cx: &mut State, number: WaveNumber) {
     for host in waves::next_hosts(cx, number) {
         let now = cx.now;
         set_emptying(cx, &host, true);
@@ -237,7 +237,7 @@
 }
 
 /// Reports a wave as completed once the upkeep of every host that stays has begun.
-fn complete(cx: &mut State, number: WaveNumber) {
+fn complete_if_done(cx: &mut State, number: WaveNumber) {
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     if waves::remaining_hosts(wave).next().is_some() {
         return;
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -119,10 +119,10 @@
             Event::Advised { step, asked, sent, answer } => {
                 permits::handle_advice(self, step, &asked, sent, answer);
             }
-            Event::Wave(request) => maintenance::asked(self, request),
-            Event::Hosts { sent, hosts } => maintenance::listed(self, sent, hosts),
+            Event::Wave(request) => maintenance::handle_wave_request(self, request),
+            Event::Hosts { sent, hosts } => maintenance::handle_host_list(self, sent, hosts),
             Event::Maintenance { wave, host, answer } => {
-                maintenance::answered(self, wave, &host, answer);
+                maintenance::handle_order_answer(self, wave, &host, answer);
             }
             Event::Committed => {
                 commits::committed(self);
@@ -148,7 +148,7 @@
         orders::check(self);
         crashes::check(self);
         recorded::send_stored_starts(self);
-        maintenance::check(self);
+        maintenance::advance_waves(self);
         drain::check(self);
         self.rebalance();
         pacing::store_learned(self);
