--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -197,7 +197,7 @@
         let counts = counts.map(|(queue, waiting)| QueueCount { queue: queue.into(), waiting });
         *self.engine.waiting.lock().expect("no holder of the lock panics") = counts.collect();
         let evacuated = self.cx.evacuated.domains.iter();
-        let shown = evacuated.map(|domain| (domain, evacuation::running_in(&self.cx, domain)));
+        let shown = evacuated.map(|domain| (domain, evacuation::count_runs_in(&self.cx, domain)));
         self.node.metrics.show_evacuated(shown);
         self.node.metrics.directory_lag_ms.set(self.cx.freshness.lag().0 as i64);
         self.node.metrics.waiting_events.set(self.rx.len() as i64);
--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -36,7 +36,7 @@
     };
     worker.info = info;
     cx.set_terminated(ix, false);
-    evacuation::mark(cx, ix);
+    evacuation::update_worker(cx, ix);
     let worker = cx.worker(ix);
     if is_new || was != listing && !is_as_stored(cx, worker) {
         trace::worker_listed(&worker.info, worker.listing);
@@ -108,7 +108,7 @@
     cx.workers.push(worker);
     cx.renewal_queue.add(cx.now, ix);
     cx.by_id.insert(info.id.clone(), ix);
-    evacuation::mark(cx, ix);
+    evacuation::update_worker(cx, ix);
     ix
 }
 
--- a/crates/sched/src/changes/evacuation.rs
+++ b/crates/sched/src/changes/evacuation.rs
@@ -16,7 +16,7 @@
 pub use crate::interface::message::Evacuated;
 
 /// Takes in what the store says; an older reading changes nothing.
-pub fn read(cx: &mut State, evacuated: Evacuated) {
+pub fn apply(cx: &mut State, evacuated: Evacuated) {
     if evacuated.revision < cx.evacuated.revision {
         return;
     }
@@ -25,25 +25,25 @@
         return;
     }
     for domain in cx.evacuated.domains.difference(&before.domains) {
-        trace::domain_evacuated(domain, running_in(cx, domain));
+        trace::domain_evacuated(domain, count_runs_in(cx, domain));
     }
     for domain in before.domains.difference(&cx.evacuated.domains) {
         trace::domain_taken_back(domain);
     }
     for ix in (0..cx.workers.len() as u32).map(WorkerIx) {
-        mark(cx, ix);
+        update_worker(cx, ix);
     }
     cx.pass_wanted = true;
 }
 
 /// Marks a worker by the domain that it says it is in.
-pub fn mark(cx: &mut State, ix: WorkerIx) {
+pub fn update_worker(cx: &mut State, ix: WorkerIx) {
     let evacuated = cx.evacuated.domains.contains(&cx.worker(ix).info.domain);
     cx.worker_mut(ix).evacuated = evacuated;
 }
 
 /// Counts the runs at the workers of a domain.
-pub fn running_in(cx: &State, domain: &ids::DomainId) -> usize {
+pub fn count_runs_in(cx: &State, domain: &ids::DomainId) -> usize {
     let there = cx.workers.iter().filter(|w| !w.terminated && w.info.domain == *domain);
     there.map(|w| w.slots.len()).sum()
 }
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -47,7 +47,7 @@
 pub fn restore(cx: &mut State, stored: Stored) {
     let Stored { jobs, mut progress, unreadable, cancelled, roster, learned: learnt, waves, evacuated } =
         stored;
-    evacuation::read(cx, evacuated);
+    evacuation::apply(cx, evacuated);
     cx.interference.restore(&learnt);
     maintenance::restore(cx, waves);
     let (mut waiting, mut closed) = (FxHashSet::default(), FxHashMap::default());
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -102,7 +102,7 @@
             Event::DirectoryRecovered => self.directory_recovered_at = self.now,
             Event::DirectoryRead(read) => freshness::read(self, read),
             Event::StoreRevision(mark) => freshness::marked(self, mark),
-            Event::Evacuated(evacuated) => evacuation::read(self, evacuated),
+            Event::Evacuated(evacuated) => evacuation::apply(self, evacuated),
             Event::Renewed { worker, sent, outcome } => {
                 renewals::renewed(self, worker, sent, outcome);
             }
