--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -44,7 +44,7 @@
     if !worker.info.capacity.holds(&worker.used) {
         trace::worker_overfull(worker);
     }
-    roster::open(cx, ix);
+    roster::open_if_ready(cx, ix);
     cx.pass_wanted = true;
 }
 
--- a/crates/sched/src/changes/gone.rs
+++ b/crates/sched/src/changes/gone.rs
@@ -24,7 +24,7 @@
         let absent = worker.is_absent() && worker.unanswered_renewals > 0;
         crashes::worker_lost(cx, ix, false);
         leases::lapse(cx, ix);
-        roster::lapsed(cx, ix);
+        roster::leases_expired(cx, ix);
         if absent {
             trace::worker_gone(&cx.worker(ix).info.id, "silent, unlisted and its leases over");
             give_up(cx, ix);
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -175,7 +175,7 @@
     pacing::handle_readings(cx, ix);
     takeover::answered(cx, ix);
     abandoned_starts::settle(cx, ix);
-    roster::open(cx, ix);
+    roster::open_if_ready(cx, ix);
     schedule_next(cx, ix);
 }
 
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -62,7 +62,7 @@
     let holds_something = lists_something || !cx.worker(ix).slots.is_empty();
     if cx.worker(ix).previous_incarnation.is_some() && holds_something {
         // Before the roster forgets the former start: a successor must find here what that one was told to start.
-        roster::enter(cx, ix);
+        roster::add_if_missing(cx, ix);
     }
 }
 
--- a/crates/sched/src/changes/roster.rs
+++ b/crates/sched/src/changes/roster.rs
@@ -15,7 +15,7 @@
 
 /// After how many renewals without an answer a worker is closed: a single answer is lost now and then,
 /// and each change is a write.
-const CLOSED_AFTER_MISSED: u32 = 2;
+const CLOSE_AFTER_UNANSWERED_RENEWALS: u32 = 2;
 
 /// Closes the workers that are silent, and those that are leaving and run nothing any more.
 pub fn check(cx: &mut State) {
@@ -31,7 +31,7 @@
     if worker.closed || worker.first_answered_at.is_none() {
         return false;
     }
-    let silent = worker.unanswered_renewals >= CLOSED_AFTER_MISSED;
+    let silent = worker.unanswered_renewals >= CLOSE_AFTER_UNANSWERED_RENEWALS;
     let leaving = worker.listing != Listing::Ready && worker.slots.is_empty();
     silent || leaving
 }
@@ -67,7 +67,7 @@
 }
 
 /// Takes a closed worker off the roster once the leases of all that it may have run are over.
-pub fn lapsed(cx: &mut State, ix: WorkerIx) {
+pub fn leases_expired(cx: &mut State, ix: WorkerIx) {
     if cx.worker(ix).closed && !cx.worker(ix).dropped_from_roster {
         close(cx, ix);
     }
@@ -80,16 +80,16 @@
 }
 
 /// Opens a worker that may be given tasks, unless it is open.
-pub fn open(cx: &mut State, ix: WorkerIx) {
+pub fn open_if_ready(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker(ix);
     let able = worker.listing == Listing::Ready && worker.unanswered_renewals == 0 && worker.first_answered_at.is_some();
     if able && !worker.terminated {
-        enter(cx, ix);
+        add_if_missing(cx, ix);
     }
 }
 
 /// Enters a worker as open, unless it is.
-pub fn enter(cx: &mut State, ix: WorkerIx) {
+pub fn add_if_missing(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker(ix);
     if !worker.in_roster && !worker.roster_pending {
         commits::add_worker(cx, ix);
