--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -15,7 +15,7 @@
     EndCause, FencingToken, Record, RosterEntry, Run, WorkerClock, WorkerInfo,
 };
 use gaplock_sched::pacing::Learned;
-use gaplock_sched::takeover::{self, Stored};
+use gaplock_sched::takeover::{self, StoredState};
 use gaplock_sched::{commits, Context, Event, Settings};
 use gaplock_types::ids;
 use gaplock_types::time::{Instant, Millis};
@@ -234,13 +234,13 @@
         let (now, unix) = (Instant(self.now), UNIX_BASE + self.now);
         let mut cx = Context::open(self.settings.clone(), term, now, unix);
         cx.handle(now, unix, Event::Config(config()));
-        let stored = Stored {
+        let stored = StoredState {
             jobs: self.jobs.values().cloned().collect(),
             progress: self.progress.clone(),
             cancelled: self.cancelled.iter().copied().collect(),
             roster: self.roster.values().cloned().collect(),
             learned: self.learnt.clone(),
-            ..Stored::default()
+            ..StoredState::default()
         };
         takeover::restore(&mut cx, stored);
         for worker in self.workers.iter().filter(|w| w.up) {
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -14,7 +14,7 @@
 use gaplock_platform::store::{Item, Listed, Reading, Revision, StoreError};
 use gaplock_remote::clock;
 use gaplock_sched::evacuation::Evacuated;
-use gaplock_sched::takeover::Stored;
+use gaplock_sched::takeover::StoredState;
 use gaplock_types::time::{Instant, Millis};
 
 use crate::feeds::{self, Handed};
@@ -25,7 +25,7 @@
 /// The stored state, from which the scheduler's state is restored and the feeds go on.
 pub struct State {
     /// What former leaders and callers' hosts have stored.
-    pub stored: Stored,
+    pub stored: StoredState,
     /// The revision from which the inbox is watched.
     pub inbox: Revision,
     /// The directory of workers.
@@ -154,7 +154,7 @@
     let inbox = readings.inbox.listed();
     let progress = readings.progress.listed();
     let roster = readings.roster.listed();
-    let mut stored = Stored::default();
+    let mut stored = StoredState::default();
     sort_inbox(&inbox.items, &mut stored);
     for item in &progress.items {
         match records::progress(item) {
@@ -173,7 +173,7 @@
 }
 
 /// Sorts what callers' hosts have stored into jobs and cancellations.
-fn sort_inbox(items: &[Item], stored: &mut Stored) {
+fn sort_inbox(items: &[Item], stored: &mut StoredState) {
     for item in items {
         match feeds::read_inbox(item) {
             Some(Handed::Job(job)) => stored.jobs.push(job),
--- a/crates/sched/src/changes/gone.rs
+++ b/crates/sched/src/changes/gone.rs
@@ -35,6 +35,6 @@
 /// Forgets a worker whose incarnation certainly runs nothing any more.
 pub fn give_up(cx: &mut State, ix: WorkerIx) {
     if leases::give_up(cx, ix) {
-        takeover::answered(cx, ix);
+        takeover::worker_resolved(cx, ix);
     }
 }
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -173,7 +173,7 @@
         restarts::end_former(cx, ix);
     }
     pacing::handle_readings(cx, ix);
-    takeover::answered(cx, ix);
+    takeover::worker_resolved(cx, ix);
     abandoned_starts::settle(cx, ix);
     roster::open_if_ready(cx, ix);
     schedule_next(cx, ix);
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -24,7 +24,7 @@
 
 /// What a former leader left in the store.
 #[derive(Debug, Default)]
-pub struct Stored {
+pub struct StoredState {
     /// All jobs.
     pub jobs: Vec<Arc<Job>>,
     /// Their progress.
@@ -44,8 +44,8 @@
 }
 
 /// Fills a new leader's state from the store and begins the survey.
-pub fn restore(cx: &mut State, stored: Stored) {
-    let Stored { jobs, mut progress, unreadable, cancelled, roster, learned: learnt, waves, evacuated } =
+pub fn restore(cx: &mut State, stored: StoredState) {
+    let StoredState { jobs, mut progress, unreadable, cancelled, roster, learned: learnt, waves, evacuated } =
         stored;
     evacuation::apply(cx, evacuated);
     cx.interference.restore(&learnt);
@@ -74,8 +74,8 @@
     for job in jobs {
         let key = job.key;
         let entry = match unreadable.contains(&key) {
-            true => set_aside(cx, job),
-            false => restored(cx, job, progress.remove(&key)),
+            true => unreadable_entry(cx, job),
+            false => restored_entry(cx, job, progress.remove(&key)),
         };
         cx.jobs.insert(key, entry);
         crashes::register_suspects(cx, key);
@@ -83,14 +83,14 @@
     for key in cancelled {
         intake::cancel(cx, key);
     }
-    check_survey(cx);
+    check_recovery_scan(cx);
 }
 
 /// Builds the entry of a job whose progress cannot be read. Taken for a new one it would run tasks again that are
 /// done; only tasks that last are started again however they ended.
-fn set_aside(cx: &State, job: Arc<Job>) -> JobEntry {
+fn unreadable_entry(cx: &State, job: Arc<Job>) -> JobEntry {
     if job.steps.iter().all(|step| step.lasting) {
-        return restored(cx, job, None);
+        return restored_entry(cx, job, None);
     }
     trace::job_set_aside(job.key);
     let mut entry = intake::entry(cx, job);
@@ -101,10 +101,10 @@
 }
 
 /// Builds the entry of a job from its stored progress, if any was stored.
-fn restored(cx: &State, job: Arc<Job>, progress: Option<Progress>) -> JobEntry {
+fn restored_entry(cx: &State, job: Arc<Job>, progress: Option<Progress>) -> JobEntry {
     let mut entry = intake::entry(cx, job);
     let Some(progress) = progress else {
-        return with_unknown_first_rounds(entry, cx.unix_ms);
+        return with_possibly_started_rounds(entry, cx.unix_ms);
     };
     entry.state = progress.state;
     entry.stored_state = progress.state;
@@ -124,12 +124,12 @@
         }
         entry.rounds.push(round);
     }
-    with_unknown_first_rounds(entry, cx.unix_ms)
+    with_possibly_started_rounds(entry, cx.unix_ms)
 }
 
 /// Adds rounds that a former leader may have begun without storing anything of them, and puts
 /// every task that is not done in doubt.
-fn with_unknown_first_rounds(mut entry: JobEntry, unix_ms: u64) -> JobEntry {
+fn with_possibly_started_rounds(mut entry: JobEntry, unix_ms: u64) -> JobEntry {
     while entry.next_round < entry.total_rounds() && !entry.is_at_round_limit() {
         let number = entry.next_round;
         if entry.due_unix_ms(number) > unix_ms {
@@ -169,7 +169,7 @@
 }
 
 /// Takes in that a worker has answered, or certainly runs nothing.
-pub fn answered(cx: &mut State, ix: WorkerIx) {
+pub fn worker_resolved(cx: &mut State, ix: WorkerIx) {
     let gone = cx.worker(ix).terminated;
     let Some(survey) = &mut cx.recovery_scan else { return };
     if survey.unanswered_open.remove(&ix) && gone {
@@ -182,15 +182,15 @@
             crashes::count_loss_of_holder(cx, ix, &held, true);
         }
         if is_narrowed {
-            settle_all(cx);
+            resolve_open_workers(cx);
         }
     }
-    check_survey(cx);
+    check_recovery_scan(cx);
 }
 
 /// Settles what is no longer in doubt, and ends the survey once every worker has answered or its leases
 /// are over.
-pub fn check_survey(cx: &mut State) {
+pub fn check_recovery_scan(cx: &mut State) {
     let Some(survey) = &cx.recovery_scan else { return };
     let late = cx.now >= survey.leases_over_at;
     if !survey.unanswered_open.is_empty() && !late {
@@ -198,16 +198,16 @@
     }
     let (took, silent) = (cx.now.since(survey.began), survey.unanswered_open.len());
     if survey.unanswered_closed.is_empty() || late {
-        end_survey(cx);
+        end_recovery_scan(cx);
         trace::survey_ended(took, silent);
     } else if !survey.open_workers_resolved {
         trace::survey_narrowed(took, survey.unanswered_closed.len());
-        settle_all(cx);
+        resolve_open_workers(cx);
     }
 }
 
 /// Ends the survey: nothing is in doubt any more.
-fn end_survey(cx: &mut State) {
+fn end_recovery_scan(cx: &mut State) {
     let Some(mut survey) = cx.recovery_scan.take() else { return };
     for ix in survey.unanswered_open {
         if cx.worker(ix).is_absent() {
@@ -226,7 +226,7 @@
 }
 
 /// Decides about the tasks that are no longer in doubt once the open workers are through.
-fn settle_all(cx: &mut State) {
+fn resolve_open_workers(cx: &mut State) {
     let (held, lost) = held(cx);
     settle(cx, &held, &lost);
 }
@@ -236,7 +236,7 @@
 /// lost.
 fn settle(cx: &mut State, held: &FxHashSet<TaskKey>, lost: &[WorkerIx]) {
     if !lost.is_empty() {
-        let unfound = unfound(cx, held);
+        let unfound = tasks_not_found(cx, held);
         crashes::count_losses_without_holder(cx, lost, &unfound);
         lost.iter().for_each(|&ix| roster::forget(cx, ix));
     }
@@ -269,7 +269,7 @@
 }
 
 /// Lists the tasks that may have run and were found nowhere.
-fn unfound(cx: &mut State, held: &FxHashSet<TaskKey>) -> FxHashSet<TaskKey> {
+fn tasks_not_found(cx: &mut State, held: &FxHashSet<TaskKey>) -> FxHashSet<TaskKey> {
     let mut found = FxHashSet::default();
     // What a former leader started last may not be stored as begun.
     for entry in cx.jobs.values_mut().filter(|e| !e.state.is_final()) {
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -140,7 +140,7 @@
             return;
         }
         self.last_housekeeping = self.now;
-        takeover::check_survey(self);
+        takeover::check_recovery_scan(self);
         freshness::check(self);
         intake::begin_due_rounds(self);
         terminated::check(self);
--- a/crates/sched/tests/fleet/world/store.rs
+++ b/crates/sched/tests/fleet/world/store.rs
@@ -7,7 +7,7 @@
 use gaplock_jobs::{Job, JobKey};
 use gaplock_sched::context::Term;
 use gaplock_sched::message::{FencingToken, Record};
-use gaplock_sched::takeover::{self, Stored};
+use gaplock_sched::takeover::{self, StoredState};
 use gaplock_sched::{commits, Context, Event};
 use gaplock_types::time::Instant;
 
@@ -24,7 +24,7 @@
         let term = Term { number: self.term, token: FencingToken(self.token) };
         let mut cx = Context::open(self.settings.clone(), term, self.instant(), self.unix());
         cx.handle(self.instant(), self.unix(), Event::Config(config(self.advice)));
-        let stored = Stored {
+        let stored = StoredState {
             jobs: self.stored_jobs(),
             progress: self.readable_progress(),
             unreadable: self.unreadable.clone(),
--- a/crates/sched/tests/takeover_lines.rs
+++ b/crates/sched/tests/takeover_lines.rs
@@ -5,7 +5,7 @@
 
 use gaplock_sched::context::Term;
 use gaplock_sched::message::{FencingToken, RosterEntry, WorkerInfo};
-use gaplock_sched::takeover::{self, Stored};
+use gaplock_sched::takeover::{self, StoredState};
 use gaplock_sched::{Context, Event, Settings};
 use gaplock_types::ids;
 use gaplock_types::sizes::Resources;
@@ -51,7 +51,10 @@
         let term = Term { number: 2, token: FencingToken(2) };
         let mut cx = Context::open(Settings::default(), term, Instant(NOW), NOW);
         let roster = (0..workers).map(|n| RosterEntry { info: worker(n, false), holds: None });
-        takeover::restore(&mut cx, Stored { roster: roster.collect(), ..Stored::default() });
+        takeover::restore(
+            &mut cx,
+            StoredState { roster: roster.collect(), ..StoredState::default() },
+        );
         for n in 0..workers {
             cx.handle(Instant(NOW), NOW, Event::Listed(worker(n, n < leaving)));
         }
