--- a/crates/sched/src/changes/intake.rs
+++ b/crates/sched/src/changes/intake.rs
@@ -14,7 +14,7 @@
 use crate::state::State;
 
 /// Takes a version of the configuration into force; an older one is ignored.
-pub fn config(cx: &mut State, config: Arc<config::Config>) {
+pub fn apply_config(cx: &mut State, config: Arc<config::Config>) {
     if cx.config.as_ref().is_some_and(|c| c.version >= config.version) {
         return;
     }
@@ -34,15 +34,15 @@
 
 /// The longest time that a job is allowed, for ordering: ten years. What callers estimate beyond that means
 /// nothing, and sums of times must not wrap around.
-const ALLOWED_MOST: Millis = Millis(315_360_000_000);
+const MAX_ALLOWED_TIME: Millis = Millis(315_360_000_000);
 
 /// Builds the entry of a job that nothing is known to have happened to.
-pub fn entry(cx: &State, job: Arc<Job>) -> JobEntry {
+pub fn new_entry(cx: &State, job: Arc<Job>) -> JobEntry {
     let queue = cx.config.as_ref().and_then(|c| c.queue(&job.queue));
     let chain = longest_chain(&job);
     let stretch = queue.map_or(1.0, |q| q.stretch);
     let allowed = (chain.0 as f64 * stretch) as u64;
-    let allowed = allowed.saturating_add(queue.map_or(0, |q| q.slack.0)).min(ALLOWED_MOST.0);
+    let allowed = allowed.saturating_add(queue.map_or(0, |q| q.slack.0)).min(MAX_ALLOWED_TIME.0);
     let age = Millis(cx.unix_ms.saturating_sub(job.accepted_unix_ms));
     JobEntry {
         state: JobState::Queued,
@@ -70,12 +70,12 @@
 }
 
 /// Takes in a stored job; one that is known already changes nothing.
-pub fn job(cx: &mut State, job: Arc<Job>) {
+pub fn add_job(cx: &mut State, job: Arc<Job>) {
     let key = job.key;
     if cx.jobs.contains_key(&key) {
         return;
     }
-    let entry = entry(cx, job);
+    let entry = new_entry(cx, job);
     trace::job_known(&entry);
     cx.jobs.insert(key, entry);
     if cx.early_cancellations.remove(&key).is_some() {
@@ -122,7 +122,7 @@
 /// How long a cancellation waits for its job, which another host announces: longer than the watch takes that tells
 /// of both. An id that is handed in again within this time of its forgotten job's cancellation is cancelled too
 /// (`docs/KNOWN-ISSUES.md`).
-const EARLY_FOR: Millis = Millis(10_000);
+const EARLY_CANCELLATION_RETENTION: Millis = Millis(10_000);
 
 /// Takes in a stored cancellation; one may be heard of before its job.
 pub fn cancel(cx: &mut State, key: JobKey) {
@@ -136,7 +136,7 @@
 /// Drops jobs whose final state has been kept for long enough.
 pub fn forget_finished(cx: &mut State) {
     let now = cx.now;
-    cx.early_cancellations.retain(|_, since| now.since(*since) < EARLY_FOR);
+    cx.early_cancellations.retain(|_, since| now.since(*since) < EARLY_CANCELLATION_RETENTION);
     let keep = cx.settings.finished_job_retention.0;
     let unix_ms = cx.unix_ms;
     let old =
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -93,7 +93,7 @@
         return restored_entry(cx, job, None);
     }
     trace::job_set_aside(job.key);
-    let mut entry = intake::entry(cx, job);
+    let mut entry = intake::new_entry(cx, job);
     (entry.state, entry.stored_state) = (JobState::Active, JobState::Active);
     entry.next_round = entry.total_rounds();
     entry.unreadable = true;
@@ -102,7 +102,7 @@
 
 /// Builds the entry of a job from its stored progress, if any was stored.
 fn restored_entry(cx: &State, job: Arc<Job>, progress: Option<Progress>) -> JobEntry {
-    let mut entry = intake::entry(cx, job);
+    let mut entry = intake::new_entry(cx, job);
     let Some(progress) = progress else {
         return with_possibly_started_rounds(entry, cx.unix_ms);
     };
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -93,8 +93,8 @@
         match event {
             Event::Tick => {}
             Event::Settings(settings) => self.settings = *settings,
-            Event::Config(config) => intake::config(self, config),
-            Event::Job(job) => intake::job(self, job),
+            Event::Config(config) => intake::apply_config(self, config),
+            Event::Job(job) => intake::add_job(self, job),
             Event::Cancel(key) => intake::cancel(self, key),
             Event::Listed(info) => directory::listed(self, info),
             Event::Unreadable(id) => directory::unreadable(self, &id),
