--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -54,7 +54,7 @@
     checkpoint: &Checkpoint,
 ) {
     let worker = &cx.worker(ix).info.id;
-    let (saved_at, text) = (saved_at(cx, checkpoint), shown(checkpoint));
+    let (saved_at, text) = (reporting_worker(cx, checkpoint), text_prefix(checkpoint));
     info!(event = "start_resumes", %task, run = run.0, %worker, attempt, saved_by = checkpoint.run.0,
         saved_at, text);
 }
@@ -68,22 +68,22 @@
 /// A worker refused a start as invalid that brought a checkpoint, which nothing brings again.
 pub fn checkpoint_refused(cx: &State, task: TaskKey, ix: WorkerIx, checkpoint: &Checkpoint) {
     let worker = &cx.worker(ix).info.id;
-    let (saved_at, text) = (saved_at(cx, checkpoint), shown(checkpoint));
+    let (saved_at, text) = (reporting_worker(cx, checkpoint), text_prefix(checkpoint));
     warn!(event = "checkpoint_refused", %task, %worker, saved_by = checkpoint.run.0, saved_at, text);
 }
 
 /// Returns the worker that listed a checkpoint to this leader.
-fn saved_at<'a>(cx: &'a State, checkpoint: &Checkpoint) -> Option<&'a str> {
+fn reporting_worker<'a>(cx: &'a State, checkpoint: &Checkpoint) -> Option<&'a str> {
     checkpoint.worker.map(|ix| cx.worker(ix).info.id.as_str())
 }
 
 /// Returns a checkpoint's first signs.
-fn shown(checkpoint: &Checkpoint) -> String {
-    checkpoint.text.chars().take(CHECKPOINT_SHOWN).collect()
+fn text_prefix(checkpoint: &Checkpoint) -> String {
+    checkpoint.text.chars().take(CHECKPOINT_PREFIX_CHARS).collect()
 }
 
 /// How many signs of a checkpoint a log line shows; the workers' own have sixteen.
-const CHECKPOINT_SHOWN: usize = 32;
+const CHECKPOINT_PREFIX_CHARS: usize = 32;
 
 /// A start was not simply carried out: which try that speaks of, and how many earlier ones are
 /// open.
