--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -170,7 +170,7 @@
     worker.record_clock(now, account.clock);
     account::apply(cx, ix, sent, &account);
     if is_first {
-        restarts::end_former(cx, ix);
+        restarts::terminate_previous(cx, ix);
     }
     pacing::handle_readings(cx, ix);
     takeover::worker_resolved(cx, ix);
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -18,7 +18,7 @@
 
 /// How long the directory's entry of a start may be behind its first account: workers write theirs about every
 /// second, and a change takes half a second to reach us.
-const ENTERED_WITHIN: Millis = Millis(2_000);
+const DIRECTORY_ENTRY_DELAY: Millis = Millis(2_000);
 
 /// Finds the start that has answered a call to an earlier one, or adds it. Until the directory tells what it
 /// holds now, it gets no tasks.
@@ -28,7 +28,7 @@
     let mut info = former.clone();
     info.id = id.clone();
     (info.draining, info.remaining) = (false, None);
-    let listing = Listing::Absent { since: cx.now + ENTERED_WITHIN };
+    let listing = Listing::Absent { since: cx.now + DIRECTORY_ENTRY_DELAY };
     let ix = directory::known_or_new(cx, &info, listing);
     cx.by_name.insert(id.name(), ix);
     cx.set_terminated(ix, false);
@@ -38,20 +38,20 @@
 /// Moves to a start that answers for the first time what it may hold of its former ones, by its account that
 /// answers a renewal sent at `sent`.
 pub fn inherit(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
-    for former in formers(cx, ix) {
+    for former in previous_incarnations(cx, ix) {
         let doubts = std::mem::take(&mut cx.worker_mut(former).abandoned_starts);
         let unasked = doubts.into_iter().map(|(key, doubt)| (key, doubt.with_stop_unsent()));
         cx.worker_mut(ix).abandoned_starts.extend(unasked);
         let slots: Vec<(TaskKey, Slot)> =
             cx.worker(former).slots.iter().map(|(key, slot)| (*key, slot.clone())).collect();
         let (here, rest): (Vec<_>, Vec<_>) =
-            slots.into_iter().partition(|(key, slot)| lists(account, *key, slot.run));
+            slots.into_iter().partition(|(key, slot)| report_lists(account, *key, slot.run));
         for (key, slot) in here {
             move_run(cx, (former, ix), key, &slot, true);
         }
         // Whatever is not listed speaks of the former start's end, also what may yet begin.
         crashes::worker_lost(cx, former, true);
-        for (key, slot) in rest.iter().filter(|(_, slot)| !ended_before(slot, sent)) {
+        for (key, slot) in rest.iter().filter(|(_, slot)| !was_at_previous(slot, sent)) {
             move_run(cx, (former, ix), *key, slot, false);
         }
         // A lease that was asked of a former start may have been granted by this one.
@@ -67,8 +67,8 @@
 }
 
 /// Gives the former starts of a worker up that has answered: nothing runs there any more.
-pub fn end_former(cx: &mut State, ix: WorkerIx) {
-    for former in formers(cx, ix) {
+pub fn terminate_previous(cx: &mut State, ix: WorkerIx) {
+    for former in previous_incarnations(cx, ix) {
         if !cx.worker(former).terminated {
             trace::worker_gone(&cx.worker(former).info.id, "it has started again");
             terminated::give_up(cx, former);
@@ -77,20 +77,20 @@
 }
 
 /// Lists the earlier starts of a worker, the latest first.
-fn formers(cx: &State, ix: WorkerIx) -> Vec<WorkerIx> {
+fn previous_incarnations(cx: &State, ix: WorkerIx) -> Vec<WorkerIx> {
     let before = |ix: &WorkerIx| cx.worker(*ix).previous_incarnation;
     std::iter::successors(before(&ix), before).collect()
 }
 
 /// Tells whether an account names a run.
-fn lists(account: &WorkerReport, key: TaskKey, run: Run) -> bool {
+fn report_lists(account: &WorkerReport, key: TaskKey, run: Run) -> bool {
     let runs = account.running.iter().any(|row| (row.task, row.run) == (key, run));
     runs || account.ends.iter().any(|end| (end.task, end.run) == (key, run))
 }
 
 /// Tells whether a run that the account of a later start does not name was certainly at an earlier one: each try
 /// of its start was answered before that account was asked for.
-fn ended_before(slot: &Slot, sent: Instant) -> bool {
+fn was_at_previous(slot: &Slot, sent: Instant) -> bool {
     let calls_under_way = matches!(slot.phase, Phase::Starting | Phase::Uncertain);
     let confirmed = slot.confirmed.is_some_and(|at| at < sent);
     confirmed && !calls_under_way && slot.attempts.unanswered() == 0
