--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -31,7 +31,7 @@
     if members.iter().any(|&task| !asks::may_start(cx, task)) {
         return;
     }
-    let starts = next_starts(cx, &members);
+    let starts = next_start_count(cx, &members);
     let Some(placed) = place_together(cx, job, service, &members, starts, step.same_rack) else {
         if asks::advice_of(cx, job).is_some() {
             permits::request_permits(cx, ready, pending.len());
@@ -45,7 +45,7 @@
 }
 
 /// Returns how often the gang will have been started, counted by the member started most often.
-fn next_starts(cx: &State, members: &[TaskKey]) -> u32 {
+fn next_start_count(cx: &State, members: &[TaskKey]) -> u32 {
     let starts = members.iter().filter_map(|&task| cx.task(task)).map(|t| t.starts);
     starts.max().unwrap_or(0) + 1
 }
@@ -79,7 +79,7 @@
     for &task in members {
         let wanted = asks::placement_request(cx, job, service, task).map(|w| PlacementRequest { only_rack: rack, ..w });
         let Some(ix) = wanted.and_then(|w| placement::best_worker(cx, &w)) else {
-            undo(cx, &placed, run);
+            release_placed(cx, &placed, run);
             return None;
         };
         set_starts(cx, task, starts);
@@ -90,7 +90,7 @@
 }
 
 /// Frees the room of the members placed so far; nothing of them was sent.
-fn undo(cx: &mut State, placed: &[(TaskKey, WorkerIx)], run: Run) {
+fn release_placed(cx: &mut State, placed: &[(TaskKey, WorkerIx)], run: Run) {
     for &(task, ix) in placed {
         lifecycle::requeue(cx, ix, task, run, ReleaseProof::NeverSent);
     }
