--- a/crates/sched/src/changes/account.rs
+++ b/crates/sched/src/changes/account.rs
@@ -16,17 +16,17 @@
 pub fn apply(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
     ends::apply(cx, ix, &account.ends);
     for row in &account.running {
-        take_in_running(cx, ix, row);
+        apply_running(cx, ix, row);
     }
-    forget_missing(cx, ix, sent, account);
+    release_missing(cx, ix, sent, account);
 }
 
 /// Takes in one line of a worker's list of running tasks.
-fn take_in_running(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
+fn apply_running(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     let now = cx.now;
     let known = cx.worker(ix).slots.get(&row.task).map(|slot| slot.run);
     if known != Some(row.run) {
-        return take_in_unknown(cx, ix, row);
+        return apply_unknown_run(cx, ix, row);
     }
     let worker = cx.worker_mut(ix);
     let Some(slot) = worker.slots.get_mut(&row.task) else { return };
@@ -66,14 +66,14 @@
 
 /// Decides about a run that this leader did not start, or has given up: kept if the task is free,
 /// stopped otherwise.
-fn take_in_unknown(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
+fn apply_unknown_run(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     let key = row.task;
     let Some(entry) = cx.jobs.get(&key.job) else {
-        return stop_stray(cx, ix, row, "its job is not known");
+        return stop_orphaned(cx, ix, row, "its job is not known");
     };
     let live = !entry.state.is_final();
     if live && entry.unreadable {
-        return occupy_found(cx, ix, row);
+        return occupy_reported(cx, ix, row);
     }
     let state = entry.task(key).map(|t| t.state);
     match state {
@@ -84,14 +84,14 @@
         Some(TaskState::Active { run, .. }) if run == row.run => {
             trace::run_passed_over(key, run, &cx.worker(ix).info.id);
         }
-        _ => stop_stray(cx, ix, row, "the task is done, ended or elsewhere"),
+        _ => stop_orphaned(cx, ix, row, "the task is done, ended or elsewhere"),
     }
 }
 
 /// Keeps a run that a former leader started.
 fn adopt(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     let key = row.task;
-    occupy_found(cx, ix, row);
+    occupy_reported(cx, ix, row);
     let Some(task) = cx.task_mut(key) else { return };
     task.state = TaskState::Active { worker: ix, run: row.run };
     checkpoints::apply(cx, ix, key, row.run, row.checkpoint.as_deref());
@@ -99,7 +99,7 @@
 }
 
 /// Puts a listed run on its worker in place of whatever run of the task was held to be there.
-fn occupy_found(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
+fn occupy_reported(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     if let Some(old) = cx.worker(ix).slots.get(&row.task).map(|slot| slot.run) {
         lifecycle::vacate(cx, ix, row.task, old);
     }
@@ -109,7 +109,7 @@
 }
 
 /// Stops a run that must not go on; its room stays taken as long as its job is known.
-fn stop_stray(cx: &mut State, ix: WorkerIx, row: &RunningTask, why: &'static str) {
+fn stop_orphaned(cx: &mut State, ix: WorkerIx, row: &RunningTask, why: &'static str) {
     let held = cx.worker(ix).slots.get(&row.task).map(|s| s.run);
     if held == Some(row.run) {
         return;
@@ -120,14 +120,14 @@
         cx.actions.push(Action::Stop { worker: ix, task: row.task, run: row.run });
         return;
     }
-    occupy_found(cx, ix, row);
+    occupy_reported(cx, ix, row);
     lifecycle::order_stop(cx, ix, row.task, row.run, why);
 }
 
 /// Gives up runs that the worker had confirmed before this renewal was sent, but neither lists as
 /// running nor as ended.
-fn forget_missing(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
-    if account.ends.len() >= MOST_ENDS_LISTED {
+fn release_missing(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
+    if account.ends.len() >= MAX_ENDS_PER_REPORT {
         return;
     }
     let listed = |key: &TaskKey, run: Run| {
@@ -152,4 +152,4 @@
 }
 
 /// A worker lists this many ends at once at most; more may follow.
-const MOST_ENDS_LISTED: usize = 500;
+const MAX_ENDS_PER_REPORT: usize = 500;
