--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -20,12 +20,12 @@
             continue;
         }
         cx.worker_mut(ix).recorded_up_to = end.seq;
-        take_in_end(cx, ix, end);
+        apply_end(cx, ix, end);
     }
 }
 
 /// Frees the room of a run that ended, and decides what becomes of its task.
-fn take_in_end(cx: &mut State, ix: WorkerIx, end: &RunEnd) {
+fn apply_end(cx: &mut State, ix: WorkerIx, end: &RunEnd) {
     let was_active = cx.is_active(end.task, ix, end.run);
     let saved = checkpoints::apply(cx, ix, end.task, end.run, end.checkpoint.as_deref());
     let slot = lifecycle::vacate(cx, ix, end.task, end.run);
@@ -97,7 +97,7 @@
     if task.state == TaskState::Done || task.counted_runs.contains(&run) {
         return;
     }
-    if task.counted_runs.len() == COUNTED_RUNS_KEPT {
+    if task.counted_runs.len() == MAX_COUNTED_RUNS_PER_TASK {
         task.counted_runs.remove(0);
     }
     task.counted_runs.push(run);
@@ -110,7 +110,7 @@
     // A task that can never be done fails everywhere, so only its first failure speaks against the
     // worker.
     if first {
-        blame_worker(cx, ix);
+        count_worker_failure(cx, ix);
     }
     if !lasting && failed >= most {
         trace::attempts_used_up(key, failed, most);
@@ -123,13 +123,13 @@
 
 /// How many counted runs are remembered of a task. A task that ends has fewer attempts; a lasting
 /// one fails without limit, and its old ends have long been acknowledged.
-const COUNTED_RUNS_KEPT: usize = 8;
+const MAX_COUNTED_RUNS_PER_TASK: usize = 8;
 
 /// How often the time without new tasks doubles at most.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_QUARANTINE_DOUBLINGS: u32 = 3;
 
 /// Counts a failure against the worker, which gets no new tasks for a while after several.
-fn blame_worker(cx: &mut State, ix: WorkerIx) {
+fn count_worker_failure(cx: &mut State, ix: WorkerIx) {
     let (now, limit, quarantine) = (cx.now, cx.settings.max_worker_failures, cx.settings.quarantine);
     let worker = cx.worker_mut(ix);
     worker.failures += 1;
@@ -137,7 +137,7 @@
         return;
     }
     worker.failures = 0;
-    let span = Millis(quarantine.0 << worker.quarantines.min(MOST_DOUBLINGS));
+    let span = Millis(quarantine.0 << worker.quarantines.min(MAX_QUARANTINE_DOUBLINGS));
     worker.quarantines += 1;
     worker.avoid_until = now + span;
     trace::worker_quarantined(&worker.info.id, span);
