--- a/crates/sched/src/changes/checkpoints.rs
+++ b/crates/sched/src/changes/checkpoints.rs
@@ -37,7 +37,7 @@
 /// Takes in the checkpoint that a worker lists beside a run, and tells whether its task has a new one.
 pub fn apply(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, listed: Option<&str>) -> bool {
     let Some(text) = listed else { return false };
-    if let Some(why) = unfit(cx, key, run) {
+    if let Some(why) = reject_reason(cx, key, run) {
         trace::checkpoint_passed_over(key, run, &cx.worker(ix).info.id, why);
         return false;
     }
@@ -68,7 +68,7 @@
 }
 
 /// Says why nothing that a run lists is taken for its task's checkpoint.
-fn unfit(cx: &State, key: TaskKey, run: Run) -> Option<&'static str> {
+fn reject_reason(cx: &State, key: TaskKey, run: Run) -> Option<&'static str> {
     // Only the caller says which steps save progress; a worker may list a text beside anything.
     if !cx.step(key).is_some_and(|step| step.checkpoints) {
         return Some("its step saves none");
