--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -14,12 +14,12 @@
 
 /// How many such entries are kept. Workers of a pool that nobody uses are few; another writer's entries
 /// may be any number.
-const UNNAMED_MOST: usize = 4_096;
+const MAX_UNNAMED_ENTRIES: usize = 4_096;
 
 /// Takes in what the directory says of a worker.
 pub fn listed(cx: &mut State, info: WorkerInfo) {
     if !is_pool_named(cx, &info.service) {
-        return set_aside(cx, info);
+        return keep_unnamed(cx, info);
     }
     if names_another_address(cx, &info) {
         return unreadable(cx, &info.id);
@@ -27,7 +27,7 @@
     cx.unknown_pool_workers.remove(&info.id);
     let listing = listing_of(cx, &info);
     let is_new = !cx.by_id.contains_key(&info.id);
-    let ix = known_or_new(cx, &info, listing);
+    let ix = find_or_add(cx, &info, listing);
     let worker = cx.worker_mut(ix);
     let was = worker.listing;
     worker.listing = match (was, listing) {
@@ -38,7 +38,7 @@
     cx.set_terminated(ix, false);
     evacuation::update_worker(cx, ix);
     let worker = cx.worker(ix);
-    if is_new || was != listing && !is_as_stored(cx, worker) {
+    if is_new || was != listing && !is_unchanged_at_takeover(cx, worker) {
         trace::worker_listed(&worker.info, worker.listing);
     }
     if !worker.info.capacity.holds(&worker.used) {
@@ -50,7 +50,7 @@
 
 /// Tells whether a successor reads for the first time of a worker that it knows from the roster, and finds it
 /// ready. A line for each of thousands would take up processor time that the survey needs.
-fn is_as_stored(cx: &State, worker: &Worker) -> bool {
+fn is_unchanged_at_takeover(cx: &State, worker: &Worker) -> bool {
     let restoring = cx.recovery_scan.as_ref().is_some_and(|survey| survey.began == cx.now);
     restoring && worker.listing == Listing::Ready
 }
@@ -81,9 +81,9 @@
 }
 
 /// Keeps an entry whose pool is not named, and gives the worker that it names no more tasks.
-fn set_aside(cx: &mut State, info: WorkerInfo) {
+fn keep_unnamed(cx: &mut State, info: WorkerInfo) {
     unreadable(cx, &info.id);
-    if cx.unknown_pool_workers.len() < UNNAMED_MOST || cx.unknown_pool_workers.contains_key(&info.id) {
+    if cx.unknown_pool_workers.len() < MAX_UNNAMED_ENTRIES || cx.unknown_pool_workers.contains_key(&info.id) {
         cx.unknown_pool_workers.insert(info.id.clone(), info);
     }
 }
@@ -96,7 +96,7 @@
 }
 
 /// Finds a worker by its start, or adds it.
-pub fn known_or_new(cx: &mut State, info: &WorkerInfo, listing: Listing) -> WorkerIx {
+pub fn find_or_add(cx: &mut State, info: &WorkerInfo, listing: Listing) -> WorkerIx {
     if let Some(&ix) = cx.by_id.get(&info.id) {
         return ix;
     }
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -29,7 +29,7 @@
     info.id = id.clone();
     (info.draining, info.remaining) = (false, None);
     let listing = Listing::Absent { since: cx.now + DIRECTORY_ENTRY_DELAY };
-    let ix = directory::known_or_new(cx, &info, listing);
+    let ix = directory::find_or_add(cx, &info, listing);
     cx.by_name.insert(id.name(), ix);
     cx.set_terminated(ix, false);
     ix
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -52,7 +52,7 @@
     maintenance::restore(cx, waves);
     let (mut waiting, mut closed) = (FxHashSet::default(), FxHashMap::default());
     for entry in roster {
-        let ix = directory::known_or_new(cx, &entry.info, Listing::Absent { since: cx.now });
+        let ix = directory::find_or_add(cx, &entry.info, Listing::Absent { since: cx.now });
         let worker = cx.worker_mut(ix);
         worker.in_roster = entry.holds.is_none();
         worker.closed = entry.holds.is_some();
