--- a/crates/sched/src/changes/doubts.rs
+++ b/crates/sched/src/changes/doubts.rs
@@ -16,7 +16,7 @@
 
 /// Keeps a run in doubt that is being given up, unless its worker has confirmed the run or its
 /// stop: what has begun there never begins again.
-pub fn keep(worker: &mut Worker, key: TaskKey, slot: &Slot) {
+pub fn record(worker: &mut Worker, key: TaskKey, slot: &Slot) {
     let unknown = slot.confirmed.is_none() && slot.stop_confirmed.is_none();
     if unknown && slot.attempts.sent() > 0 {
         worker.abandoned_starts.insert(key, AbandonedStart { run: slot.run, stop_sent_at: None });
@@ -24,7 +24,7 @@
 }
 
 /// Sends the stops that are due to a worker that answers.
-pub fn settle(cx: &mut State, ix: WorkerIx) {
+pub fn send_due_stops(cx: &mut State, ix: WorkerIx) {
     let (now, retry) = (cx.now, cx.settings.stop_retry);
     let worker = cx.worker_mut(ix);
     if !worker.answers() {
@@ -45,7 +45,7 @@
 }
 
 /// Takes in what became of a stop, which may be one for a run in doubt.
-pub fn stopped(
+pub fn handle_stop_outcome(
     cx: &mut State,
     ix: WorkerIx,
     key: TaskKey,
--- a/crates/sched/src/changes/leases.rs
+++ b/crates/sched/src/changes/leases.rs
@@ -22,7 +22,7 @@
     let worker = cx.worker_mut(ix);
     let slots: Vec<(TaskKey, Slot)> = worker.slots.iter().map(|(k, s)| (*k, s.clone())).collect();
     for (key, slot) in &slots {
-        abandoned_starts::keep(worker, *key, slot);
+        abandoned_starts::record(worker, *key, slot);
     }
 }
 
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -198,7 +198,7 @@
 }
 
 /// Takes in what became of a stop.
-pub fn stopped(
+pub fn handle_stop_outcome(
     cx: &mut State,
     ix: WorkerIx,
     key: TaskKey,
@@ -206,7 +206,7 @@
     outcome: Outcome<WorkerClock>,
 ) {
     let now = cx.now;
-    abandoned_starts::stopped(cx, ix, key, run, &outcome);
+    abandoned_starts::handle_stop_outcome(cx, ix, key, run, &outcome);
     let limit = cx.settings.stop_retry.0 + cx.settings.stop_limit.0;
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     if slot.run != run || slot.phase != Phase::Stopping {
@@ -232,7 +232,7 @@
 pub fn check(cx: &mut State) {
     let (now, retry) = (cx.now, cx.settings.stop_retry);
     for ix in cx.worker_ixs() {
-        abandoned_starts::settle(cx, ix);
+        abandoned_starts::send_due_stops(cx, ix);
         let worker = cx.worker_mut(ix);
         if !worker.answers() {
             continue;
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -174,7 +174,7 @@
     }
     pacing::handle_readings(cx, ix);
     takeover::worker_resolved(cx, ix);
-    abandoned_starts::settle(cx, ix);
+    abandoned_starts::send_due_stops(cx, ix);
     roster::open_if_ready(cx, ix);
     schedule_next(cx, ix);
 }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -111,7 +111,7 @@
                 orders::started(self, worker, task, run, outcome);
             }
             Event::Stopped { worker, task, run, outcome } => {
-                orders::stopped(self, worker, task, run, outcome);
+                orders::handle_stop_outcome(self, worker, task, run, outcome);
             }
             Event::Paced { worker, task, run, percent, execution: fate } => {
                 pacing::handle_pace_outcome(self, worker, task, run, percent, fate);
