--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -19,7 +19,7 @@
 use crate::state::State;
 
 /// Takes in what became of the last try of a start.
-pub fn started(
+pub fn handle_start_outcome(
     cx: &mut State,
     ix: WorkerIx,
     key: TaskKey,
@@ -46,20 +46,20 @@
             terminated::give_up(cx, ix);
         }
         Outcome::Refused(refusal) => {
-            spare_after(cx, ix, key, refusal);
+            avoid_after_refusal(cx, ix, key, refusal);
             if refusal == Refusal::Invalid {
                 checkpoints::refused(cx, ix, key);
             }
-            not_done(cx, ix, key, run, fate, ReleaseProof::Refused);
+            release_or_withdraw(cx, ix, key, run, fate, ReleaseProof::Refused);
             if refusal == Refusal::Invalid {
-                put_off_invalid(cx, key);
+                delay_invalid(cx, key);
             }
         }
         Outcome::NotSent => {
-            spare(cx, ix, cx.settings.renew_retry);
-            not_done(cx, ix, key, run, fate, ReleaseProof::NeverSent);
+            avoid_for(cx, ix, cx.settings.renew_retry);
+            release_or_withdraw(cx, ix, key, run, fate, ReleaseProof::NeverSent);
         }
-        Outcome::Unclear => unclear(cx, ix, key, run),
+        Outcome::Unclear => retry_or_withdraw(cx, ix, key, run),
     }
 }
 
@@ -89,7 +89,7 @@
 
 /// Frees a task whose start was certainly not carried out, or withdraws the start while a try of it
 /// is open: that one may be carried out when the task has long ended elsewhere.
-fn not_done(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, fate: Execution, proof: ReleaseProof) {
+fn release_or_withdraw(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, fate: Execution, proof: ReleaseProof) {
     match fate {
         Execution::NotDone => lifecycle::requeue(cx, ix, key, run, proof),
         Execution::Done | Execution::Unknown => {
@@ -99,7 +99,7 @@
 }
 
 /// Lets a task pause whose start was refused as invalid: the next worker most likely refuses it, too.
-fn put_off_invalid(cx: &mut State, key: TaskKey) {
+fn delay_invalid(cx: &mut State, key: TaskKey) {
     let Some(task) = cx.task_mut(key) else { return };
     task.consecutive_invalid_starts += 1;
     let in_row = task.consecutive_invalid_starts;
@@ -111,32 +111,32 @@
 }
 
 /// Spares a worker that refused a start, where and for as long as that helps.
-fn spare_after(cx: &mut State, ix: WorkerIx, key: TaskKey, refusal: Refusal) {
+fn avoid_after_refusal(cx: &mut State, ix: WorkerIx, key: TaskKey, refusal: Refusal) {
     let (retry, full) = (cx.settings.renew_retry, cx.settings.full_pause);
     match refusal {
         Refusal::Fenced => {
             cx.actions.push(Action::ConfirmLeadership);
-            spare(cx, ix, retry);
+            avoid_for(cx, ix, retry);
         }
-        Refusal::Room => spare(cx, ix, full),
-        Refusal::Late | Refusal::Unwell | Refusal::Invalid => spare(cx, ix, retry),
+        Refusal::Room => avoid_for(cx, ix, full),
+        Refusal::Late | Refusal::Unwell | Refusal::Invalid => avoid_for(cx, ix, retry),
         Refusal::Permit => permits::drop_ticket(cx, StepKey::of(key), ix),
         Refusal::OldRun | Refusal::OtherIncarnation => {}
     }
 }
 
 /// Gives a worker no tasks for a while.
-fn spare(cx: &mut State, ix: WorkerIx, pause: Millis) {
+fn avoid_for(cx: &mut State, ix: WorkerIx, pause: Millis) {
     let now = cx.now;
     cx.worker_mut(ix).avoid_until = now + pause;
 }
 
 /// Sends a start without an answer again, or withdraws it once it was tried often enough or nothing is to
 /// go to its worker any more.
-fn unclear(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
+fn retry_or_withdraw(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
     let now = cx.now;
     let most = cx.settings.max_start_attempts;
-    suspect(cx, ix);
+    avoid_unresponsive(cx, ix);
     let evacuated = cx.worker(ix).evacuated;
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     slot.phase = Phase::Uncertain;
@@ -156,7 +156,7 @@
 
 /// Spares a worker for a while that left a start unanswered, so that one silent worker does not
 /// take up the starts that may be under way.
-fn suspect(cx: &mut State, ix: WorkerIx) {
+fn avoid_unresponsive(cx: &mut State, ix: WorkerIx) {
     let (now, pause) = (cx.now, cx.settings.renew_retry);
     let worker = cx.worker_mut(ix);
     worker.avoid_until = worker.avoid_until.max(now + pause);
@@ -185,15 +185,15 @@
 /// waits for it, and a worker that refuses some calls may take the next one. It doubles with each
 /// refusal up to [`crate::Settings::stop_retry`], so that hundreds of unwell workers do not use up
 /// the leader's processor.
-const REFUSED_RETRY: Millis = Millis(50);
+const FIRST_STOP_RETRY_PAUSE: Millis = Millis(50);
 
 /// Sets when a stop that was refused is sent again.
-fn put_off_stop(cx: &mut State, ix: WorkerIx, key: TaskKey) {
+fn delay_stop(cx: &mut State, ix: WorkerIx, key: TaskKey) {
     let (now, most) = (cx.now, cx.settings.stop_retry);
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     slot.stop_refusals += 1;
     if slot.confirmed.is_none() {
-        slot.resend_stop_at = now + lifecycle::doubled(REFUSED_RETRY, slot.stop_refusals, most);
+        slot.resend_stop_at = now + lifecycle::doubled(FIRST_STOP_RETRY_PAUSE, slot.stop_refusals, most);
     }
 }
 
@@ -223,7 +223,7 @@
             slot.resend_stop_at = now + Millis(limit);
             cx.expedite_renewal(ix);
         }
-        Outcome::Refused(_) => put_off_stop(cx, ix, key),
+        Outcome::Refused(_) => delay_stop(cx, ix, key),
         Outcome::NotSent | Outcome::Unclear => {}
     }
 }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -108,7 +108,7 @@
             }
             Event::Started { worker, task, run, outcome } => {
                 self.start_answered(worker);
-                orders::started(self, worker, task, run, outcome);
+                orders::handle_start_outcome(self, worker, task, run, outcome);
             }
             Event::Stopped { worker, task, run, outcome } => {
                 orders::handle_stop_outcome(self, worker, task, run, outcome);
