--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -28,7 +28,7 @@
     // A worker that does not answer is only asked: a grant that may have arrived would put off the
     // time from which its tasks are certainly over.
     let until = if cx.worker(ix).unanswered_renewals == 0 { leases::grant(cx, ix) } else { None };
-    let wait = spread(cx, ix, wait_for(cx.settings.renew_wait, cx.fleet_size()));
+    let wait = spread_wait(cx, ix, renewal_wait(cx.settings.renew_wait, cx.fleet_size()));
     let worker = cx.worker_mut(ix);
     worker.renewal = Renewal::InFlight;
     let quick = until.is_none()
@@ -36,7 +36,7 @@
         || worker.unanswered_renewals > 0
         || worker.awaits_withdrawal_proof();
     let wait = if quick || worker.slots.is_empty() { Millis(0) } else { wait };
-    let wait = if worker.mixes_serving_and_best_effort() { wait.min(SHARED_WAIT) } else { wait };
+    let wait = if worker.mixes_serving_and_best_effort() { wait.min(MAX_WAIT_ON_SHARED_WORKER) } else { wait };
     let wait = if worker.trial.is_some() { wait.min(trials::RENEWAL_WAIT) } else { wait };
     let stored = worker.to_acknowledge();
     worker.acknowledging_up_to = stored;
@@ -45,39 +45,39 @@
 
 /// How many renewals a second one leader carries: half a core, of which each takes some 0.15 ms,
 /// with more than half to spare (`docs/CAPACITY.md`).
-const RENEWALS_PER_SECOND: u64 = 1_000;
+const MAX_RENEWALS_PER_SECOND: u64 = 1_000;
 
 /// The longest that a worker holds a renewal back, by the workers' interface.
-const WAIT_MOST: Millis = Millis(2_000);
+const MAX_RENEWAL_WAIT: Millis = Millis(2_000);
 
 /// Returns how long a renewal waits for an end, on a fleet of so many workers.
-pub fn wait_for(usual: Millis, workers: usize) -> Millis {
-    let needed = workers as u64 * 1_000 / RENEWALS_PER_SECOND;
-    usual.max(Millis(needed)).min(WAIT_MOST)
+pub fn renewal_wait(usual: Millis, workers: usize) -> Millis {
+    let needed = workers as u64 * 1_000 / MAX_RENEWALS_PER_SECOND;
+    usual.max(Millis(needed)).min(MAX_RENEWAL_WAIT)
 }
 
 /// The prime by which workers' positions are spread over a wait.
-const SPREAD_BY: u64 = 7_919;
+const SPREAD_PRIME: u64 = 7_919;
 
 /// Returns the wait of a worker's renewal, or the time until an idle worker's next one. The first ones
 /// after a takeover differ from worker to worker, from a quarter of the wait on, since all workers were asked at one time and would answer
 /// at one time ever after.
-fn spread(cx: &State, ix: WorkerIx, wait: Millis) -> Millis {
+fn spread_wait(cx: &State, ix: WorkerIx, wait: Millis) -> Millis {
     let recent = cx.worker(ix).first_answered_at.is_some_and(|at| cx.now.since(at) < wait);
     if !recent {
         return wait;
     }
-    let part = u64::from(ix.0) * SPREAD_BY % 1_000;
+    let part = u64::from(ix.0) * SPREAD_PRIME % 1_000;
     Millis(wait.0 / 4 + wait.0 * 3 / 4 * part / 1_000)
 }
 
 /// How long a renewal waits where tasks fill beside tasks that serve: readings are renewed every
 /// half second, and one that is a second old lets a task disturb or stand still for as long
 /// (`docs/DECISIONS.md`).
-const SHARED_WAIT: Millis = Millis(350);
+const MAX_WAIT_ON_SHARED_WORKER: Millis = Millis(350);
 
 /// Takes in what became of a renewal.
-pub fn renewed(cx: &mut State, ix: WorkerIx, sent: Instant, outcome: Outcome<WorkerReport>) {
+pub fn handle_renewal_outcome(cx: &mut State, ix: WorkerIx, sent: Instant, outcome: Outcome<WorkerReport>) {
     // What an incarnation said before it was known to be over speaks of runs that are over too; nobody
     // would look for their ends. One that is listed again is asked anew.
     cx.set_due(ix, cx.now);
@@ -88,7 +88,7 @@
         Outcome::Done(account) => match &account.worker {
             Some(id) if *id != cx.worker(ix).info.id => {
                 let later = restarts::find_or_add(cx, ix, id);
-                answered_by_later(cx, later, sent, account);
+                answered_by_later_incarnation(cx, later, sent, account);
                 terminated::give_up(cx, ix);
             }
             _ => answered(cx, ix, sent, account),
@@ -101,19 +101,19 @@
             if refusal == Refusal::Fenced {
                 cx.actions.push(Action::ConfirmLeadership);
             }
-            missed(cx, ix);
+            renewal_unanswered(cx, ix);
             refused(cx, ix);
         }
-        Outcome::NotSent | Outcome::Unclear => missed(cx, ix),
+        Outcome::NotSent | Outcome::Unclear => renewal_unanswered(cx, ix),
     }
 }
 
 /// The longest pause between renewals of a worker that does not answer, as a multiple of the
 /// first one.
-const MISSED_PAUSES: u64 = 4;
+const MAX_RETRY_PAUSE_FACTOR: u64 = 4;
 
 /// Takes in that a renewal got no account, and puts off the next one.
-fn missed(cx: &mut State, ix: WorkerIx) {
+fn renewal_unanswered(cx: &mut State, ix: WorkerIx) {
     let (now, retry) = (cx.now, cx.settings.renew_retry);
     let worker = cx.worker_mut(ix);
     worker.unanswered_renewals += 1;
@@ -121,12 +121,12 @@
     if worker.unanswered_renewals == 1 {
         trace::worker_silent(&worker.info.id);
     }
-    let pause = Millis(retry.0 * u64::from(worker.unanswered_renewals).min(MISSED_PAUSES));
+    let pause = Millis(retry.0 * u64::from(worker.unanswered_renewals).min(MAX_RETRY_PAUSE_FACTOR));
     cx.set_due(ix, now + pause);
 }
 
 /// The pause before a refused renewal is sent again whose account a task waits for.
-const REFUSED_RETRY: Millis = Millis(50);
+const REFUSED_RENEWAL_RETRY_PAUSE: Millis = Millis(50);
 
 /// Takes in that the last renewal was refused, by a worker that is unwell but answers.
 fn refused(cx: &mut State, ix: WorkerIx) {
@@ -134,13 +134,13 @@
     let worker = cx.worker_mut(ix);
     worker.last_renewal_refused = true;
     if worker.awaits_withdrawal_proof() {
-        cx.set_due(ix, now + REFUSED_RETRY);
+        cx.set_due(ix, now + REFUSED_RENEWAL_RETRY_PAUSE);
     }
 }
 
 /// Takes in the account that a worker gave in answer to a renewal of its former start; one of its own may be in
 /// flight.
-fn answered_by_later(cx: &mut State, ix: WorkerIx, sent: Instant, account: WorkerReport) {
+fn answered_by_later_incarnation(cx: &mut State, ix: WorkerIx, sent: Instant, account: WorkerReport) {
     let renewal = cx.worker(ix).renewal;
     answered(cx, ix, sent, account);
     if renewal == Renewal::InFlight {
@@ -182,8 +182,8 @@
 /// Sets when the next renewal is due: at once where something runs, since it waits at the worker.
 fn schedule_next(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
-    let poll = wait_for(cx.settings.poll_every, cx.fleet_size());
-    let idle = spread(cx, ix, cx.settings.idle_renew_every);
+    let poll = renewal_wait(cx.settings.poll_every, cx.fleet_size());
+    let idle = spread_wait(cx, ix, cx.settings.idle_renew_every);
     let worker = cx.worker_mut(ix);
     let unstored = worker.recorded_up_to > worker.stored_up_to;
     // Without a lease to ask for, a renewal does not wait at the worker.
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -104,7 +104,7 @@
             Event::StoreRevision(mark) => freshness::marked(self, mark),
             Event::Evacuated(evacuated) => evacuation::apply(self, evacuated),
             Event::Renewed { worker, sent, outcome } => {
-                renewals::renewed(self, worker, sent, outcome);
+                renewals::handle_renewal_outcome(self, worker, sent, outcome);
             }
             Event::Started { worker, task, run, outcome } => {
                 self.start_answered(worker);
--- a/crates/sched/tests/fleet/renewals.rs
+++ b/crates/sched/tests/fleet/renewals.rs
@@ -55,7 +55,7 @@
 #[test]
 fn renewals_wait_longer_on_large_fleets_but_no_longer_than_workers_hold_them() {
     let usual = Millis(1_000);
-    assert_eq!(renewals::wait_for(usual, 66), usual);
-    assert_eq!(renewals::wait_for(usual, 1_300), Millis(1_300));
-    assert_eq!(renewals::wait_for(usual, 9_000), Millis(2_000));
+    assert_eq!(renewals::renewal_wait(usual, 66), usual);
+    assert_eq!(renewals::renewal_wait(usual, 1_300), Millis(1_300));
+    assert_eq!(renewals::renewal_wait(usual, 9_000), Millis(2_000));
 }
