--- a/crates/sched/src/changes/gone.rs
+++ b/crates/sched/src/changes/gone.rs
@@ -23,18 +23,18 @@
         }
         let absent = worker.is_absent() && worker.unanswered_renewals > 0;
         crashes::worker_lost(cx, ix, false);
-        leases::lapse(cx, ix);
+        leases::expire(cx, ix);
         roster::leases_expired(cx, ix);
         if absent {
             trace::worker_gone(&cx.worker(ix).info.id, "silent, unlisted and its leases over");
-            give_up(cx, ix);
+            mark_terminated(cx, ix);
         }
     }
 }
 
 /// Forgets a worker whose incarnation certainly runs nothing any more.
-pub fn give_up(cx: &mut State, ix: WorkerIx) {
-    if leases::give_up(cx, ix) {
+pub fn mark_terminated(cx: &mut State, ix: WorkerIx) {
+    if leases::mark_terminated(cx, ix) {
         takeover::worker_resolved(cx, ix);
     }
 }
--- a/crates/sched/src/changes/leases.rs
+++ b/crates/sched/src/changes/leases.rs
@@ -12,13 +12,13 @@
 use crate::state::State;
 
 /// Gives up every run at a worker whose leases are certainly over.
-pub fn lapse(cx: &mut State, ix: WorkerIx) {
-    keep_doubts(cx, ix);
-    free_all(cx, ix, ReleaseProof::LeaseOver);
+pub fn expire(cx: &mut State, ix: WorkerIx) {
+    record_abandoned_starts(cx, ix);
+    release_all(cx, ix, ReleaseProof::LeaseOver);
 }
 
 /// Remembers the runs at a worker that may still begin there once it gets leases again.
-fn keep_doubts(cx: &mut State, ix: WorkerIx) {
+fn record_abandoned_starts(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker_mut(ix);
     let slots: Vec<(TaskKey, Slot)> = worker.slots.iter().map(|(k, s)| (*k, s.clone())).collect();
     for (key, slot) in &slots {
@@ -27,7 +27,7 @@
 }
 
 /// Gives up every run at a worker.
-fn free_all(cx: &mut State, ix: WorkerIx, proof: ReleaseProof) {
+fn release_all(cx: &mut State, ix: WorkerIx, proof: ReleaseProof) {
     let slots: Vec<(TaskKey, Run)> =
         cx.worker(ix).slots.iter().map(|(key, slot)| (*key, slot.run)).collect();
     if !slots.is_empty() {
@@ -39,10 +39,10 @@
 }
 
 /// Forgets a worker whose incarnation certainly runs nothing any more; whether it was not forgotten before.
-pub fn give_up(cx: &mut State, ix: WorkerIx) -> bool {
+pub fn mark_terminated(cx: &mut State, ix: WorkerIx) -> bool {
     crashes::worker_lost(cx, ix, true);
     crashes::worker_terminated(cx, ix);
-    free_all(cx, ix, ReleaseProof::WorkerGone);
+    release_all(cx, ix, ReleaseProof::WorkerGone);
     if !cx.set_terminated(ix, true) {
         return false;
     }
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -43,7 +43,7 @@
             if fate == Execution::NotDone {
                 lifecycle::requeue(cx, ix, key, run, ReleaseProof::Refused);
             }
-            terminated::give_up(cx, ix);
+            terminated::mark_terminated(cx, ix);
         }
         Outcome::Refused(refusal) => {
             avoid_after_refusal(cx, ix, key, refusal);
@@ -213,7 +213,7 @@
         return;
     }
     match outcome {
-        Outcome::Refused(Refusal::OtherIncarnation) => terminated::give_up(cx, ix),
+        Outcome::Refused(Refusal::OtherIncarnation) => terminated::mark_terminated(cx, ix),
         Outcome::Refused(Refusal::Fenced) => cx.actions.push(Action::ConfirmLeadership),
         // From now on the worker refuses the run, and an account that does not list it proves that
         // it is over.
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -89,13 +89,13 @@
             Some(id) if *id != cx.worker(ix).info.id => {
                 let later = restarts::find_or_add(cx, ix, id);
                 answered_by_later_incarnation(cx, later, sent, account);
-                terminated::give_up(cx, ix);
+                terminated::mark_terminated(cx, ix);
             }
             _ => answered(cx, ix, sent, account),
         },
         Outcome::Refused(Refusal::OtherIncarnation) => {
             trace::worker_gone(&cx.worker(ix).info.id, "another incarnation answers");
-            terminated::give_up(cx, ix);
+            terminated::mark_terminated(cx, ix);
         }
         Outcome::Refused(refusal) => {
             if refusal == Refusal::Fenced {
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -71,7 +71,7 @@
     for former in previous_incarnations(cx, ix) {
         if !cx.worker(former).terminated {
             trace::worker_gone(&cx.worker(former).info.id, "it has started again");
-            terminated::give_up(cx, former);
+            terminated::mark_terminated(cx, former);
         }
     }
 }
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -211,7 +211,7 @@
     let Some(mut survey) = cx.recovery_scan.take() else { return };
     for ix in survey.unanswered_open {
         if cx.worker(ix).is_absent() {
-            leases::give_up(cx, ix);
+            leases::mark_terminated(cx, ix);
             survey.terminated.push(ix);
         }
     }
@@ -219,7 +219,7 @@
         let gone = cx.worker(ix).is_absent();
         crashes::count_loss_of_holder(cx, ix, &held, gone);
         if gone {
-            leases::give_up(cx, ix);
+            leases::mark_terminated(cx, ix);
         }
     }
     settle(cx, &FxHashSet::default(), &survey.terminated);
