--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -116,7 +116,7 @@
         trace::attempts_used_up(key, failed, most);
         lifecycle::end_job(cx, key.job, JobState::Failed);
     } else if was_active {
-        let pause = lifecycle::pause_after(cx, in_row);
+        let pause = lifecycle::retry_backoff(cx, in_row);
         lifecycle::make_pending(cx, key, pause);
     }
 }
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -18,12 +18,12 @@
 
 /// How much later than its objective a lasting step is served: room that comes free goes to work
 /// that ends soon, whose caller waits for it, as long as there is any.
-const LASTING_LATER: Millis = Millis(600_000);
+const LONG_RUNNING_DUE_DELAY: Millis = Millis(600_000);
 
 /// Builds the place of a step among those with pending tasks.
 fn ready_step(entry: &JobEntry, round: u32, step: u16) -> ReadyStep {
     let lasting = entry.job.steps.get(usize::from(step)).is_some_and(|s| s.lasting);
-    let due = if lasting { entry.due + LASTING_LATER } else { entry.due };
+    let due = if lasting { entry.due + LONG_RUNNING_DUE_DELAY } else { entry.due };
     ReadyStep { priority: entry.priority, due, job: entry.job.key, round, step }
 }
 
@@ -156,16 +156,16 @@
 }
 
 /// How often a pause doubles at most; settings bound it long before.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_PAUSE_DOUBLINGS: u32 = 8;
 
 /// Returns the pause before the next start of a task that failed `in_row` times in a row.
-pub fn pause_after(cx: &State, in_row: u32) -> Millis {
-    doubled(cx.settings.retry_pause, in_row, cx.settings.retry_pause_max)
+pub fn retry_backoff(cx: &State, in_row: u32) -> Millis {
+    exponential_backoff(cx.settings.retry_pause, in_row, cx.settings.retry_pause_max)
 }
 
 /// Returns a pause that begins with `first` and doubles with each time in a row, up to `most`.
-pub fn doubled(first: Millis, in_row: u32, most: Millis) -> Millis {
-    let doublings = in_row.saturating_sub(1).min(MOST_DOUBLINGS);
+pub fn exponential_backoff(first: Millis, in_row: u32, most: Millis) -> Millis {
+    let doublings = in_row.saturating_sub(1).min(MAX_PAUSE_DOUBLINGS);
     Millis(first.0 << doublings).min(most)
 }
 
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -103,7 +103,7 @@
     let Some(task) = cx.task_mut(key) else { return };
     task.consecutive_invalid_starts += 1;
     let in_row = task.consecutive_invalid_starts;
-    let until = cx.now + lifecycle::pause_after(cx, in_row);
+    let until = cx.now + lifecycle::retry_backoff(cx, in_row);
     let task = cx.task_mut(key).filter(|task| task.state == TaskState::Pending);
     if let Some(task) = task {
         task.not_before = until;
@@ -193,7 +193,7 @@
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     slot.stop_refusals += 1;
     if slot.confirmed.is_none() {
-        slot.resend_stop_at = now + lifecycle::doubled(FIRST_STOP_RETRY_PAUSE, slot.stop_refusals, most);
+        slot.resend_stop_at = now + lifecycle::exponential_backoff(FIRST_STOP_RETRY_PAUSE, slot.stop_refusals, most);
     }
 }
 
