--- a/crates/sched/src/changes/checkpoints.rs
+++ b/crates/sched/src/changes/checkpoints.rs
@@ -63,7 +63,7 @@
             task.checkpoint = None;
         }
     }
-    commits::mark(&mut cx.commits, cx.now, key.job);
+    commits::mark_dirty(&mut cx.commits, cx.now, key.job);
     trace::checkpoint_refused(cx, key, ix, &brought);
 }
 
--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -20,14 +20,14 @@
 use crate::state::State;
 
 /// Marks a job's progress as changed.
-pub fn mark(commits: &mut Commits, now: Instant, job: JobKey) {
+pub fn mark_dirty(commits: &mut Commits, now: Instant, job: JobKey) {
     commits.dirty_jobs.insert(job);
     commits.since.get_or_insert(now);
 }
 
 /// Marks a job's progress as changed in a way that its caller waits for.
-pub fn mark_urgent(commits: &mut Commits, now: Instant, job: JobKey) {
-    mark(commits, now, job);
+pub fn mark_dirty_urgent(commits: &mut Commits, now: Instant, job: JobKey) {
+    mark_dirty(commits, now, job);
     commits.urgent = true;
 }
 
@@ -49,7 +49,7 @@
 }
 
 /// Makes sure that ends which changed no job's progress are acknowledged too.
-pub fn note_ends(cx: &mut State) {
+pub fn request_commit(cx: &mut State) {
     cx.commits.since.get_or_insert(cx.now);
 }
 
@@ -67,7 +67,7 @@
     cx.commits.urgent = false;
     saved::commit_began(cx, &jobs);
     let ends = uncommitted_ends(cx);
-    let roster = roster_of(cx, &other);
+    let roster = workers_added(cx, &other);
     let entries = jobs.iter().filter_map(|key| cx.jobs.get(key));
     let covered_jobs = entries.clone().map(|e| (e.job.key, e.state)).collect();
     let mut records: Vec<Record> = entries.map(|e| Record::Progress(progress_of(e))).collect();
@@ -84,7 +84,7 @@
 }
 
 /// Finds the workers that these records add to the stored roster.
-fn roster_of(cx: &State, records: &Records) -> Vec<WorkerIx> {
+fn workers_added(cx: &State, records: &Records) -> Vec<WorkerIx> {
     let ids = records.iter().filter_map(|r| match r {
         Record::Worker(entry) if entry.holds.is_none() => Some(&entry.info.id),
         _ => None,
@@ -126,7 +126,7 @@
     saved::commit_ended(cx, false);
     let now = cx.now;
     for (key, _) in covered.jobs {
-        mark(&mut cx.commits, now, key);
+        mark_dirty(&mut cx.commits, now, key);
     }
     let newer = mem::replace(&mut cx.commits.other, covered.other);
     cx.commits.other.put_all(newer);
--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -42,7 +42,7 @@
         if many && !cx.crashes.suspects.contains(&key) {
             // Nothing waits for this to be stored: after the loss of a failure domain it is hundreds.
             if record_possible_crash(cx, key, &id) && lived < START_CRASH_WINDOW {
-                commits::mark(&mut cx.commits, cx.now, key.job);
+                commits::mark_dirty(&mut cx.commits, cx.now, key.job);
             }
             continue;
         }
@@ -79,7 +79,7 @@
     let crashes = suspicion.crashed.len();
     if loss == Loss::Crashed {
         suspicion.saved = Saved::No;
-        commits::mark_urgent(&mut cx.commits, now, key.job);
+        commits::mark_dirty_urgent(&mut cx.commits, now, key.job);
     }
     cx.crashes.add(key, worker);
     let (lived, together) = (evidence.known_runtime, evidence.lost_together);
@@ -106,5 +106,5 @@
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
     let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else { return };
     (suspicion.saved, suspicion.exempt_from_trial) = (Saved::No, is_gang);
-    commits::mark_urgent(&mut cx.commits, now, key.job);
+    commits::mark_dirty_urgent(&mut cx.commits, now, key.job);
 }
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -94,7 +94,7 @@
         if few {
             hold_until_saved(cx, key);
         } else {
-            commits::mark(&mut cx.commits, cx.now, key.job);
+            commits::mark_dirty(&mut cx.commits, cx.now, key.job);
         }
     }
 }
--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -30,7 +30,7 @@
     }
     (suspicion.recorded_start, suspicion.saved) = (RecordedStart::At(id), Saved::No);
     cx.crashes.held_starts.push((ix, key, run));
-    commits::mark_urgent(&mut cx.commits, cx.now, key.job);
+    commits::mark_dirty_urgent(&mut cx.commits, cx.now, key.job);
     true
 }
 
--- a/crates/sched/src/changes/crashes/verdict.rs
+++ b/crates/sched/src/changes/crashes/verdict.rs
@@ -51,7 +51,7 @@
     let level = suspicion.possible_losses();
     if suspicion.to_store() != stored {
         suspicion.saved = Saved::No;
-        commits::mark(&mut cx.commits, now, key.job);
+        commits::mark_dirty(&mut cx.commits, now, key.job);
     }
     trace::suspicion_settled(key, worker, crashed, level);
     if level == 0 {
@@ -95,7 +95,7 @@
         } else if has_run_long_enough(cx, key) {
             trace::task_cleared(key, crashes);
             clear(cx, key);
-            commits::mark(&mut cx.commits, cx.now, key.job);
+            commits::mark_dirty(&mut cx.commits, cx.now, key.job);
         }
     }
 }
--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -39,7 +39,7 @@
     }
     if saved {
         // The worker forgets the text with the acknowledged end, whether or not a newer run goes on.
-        commits::mark(&mut cx.commits, cx.now, end.task.job);
+        commits::mark_dirty(&mut cx.commits, cx.now, end.task.job);
     }
     match end.cause {
         EndCause::Done => done(cx, ix, end.task, end.run),
@@ -106,7 +106,7 @@
     task.consecutive_failures += 1;
     task.failed_on = Some(ix);
     let (failed, in_row) = (task.failed, task.consecutive_failures);
-    commits::mark(&mut cx.commits, cx.now, key.job);
+    commits::mark_dirty(&mut cx.commits, cx.now, key.job);
     // A task that can never be done fails everywhere, so only its first failure speaks against the
     // worker.
     if first {
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -48,7 +48,7 @@
     cx.pass_wanted = true;
     if is_saved {
         // No worker keeps the checkpoint once the end of its run is acknowledged.
-        commits::mark(&mut cx.commits, now, key.job);
+        commits::mark_dirty(&mut cx.commits, now, key.job);
     }
     if is_suspect {
         cx.crashes.note_waiting();
@@ -88,7 +88,7 @@
     let Some(entry) = cx.jobs.get_mut(&key.job) else { return };
     if entry.state == JobState::Queued {
         entry.state = JobState::Active;
-        commits::mark(&mut cx.commits, now, key.job);
+        commits::mark_dirty(&mut cx.commits, now, key.job);
     }
     let job = Arc::clone(&entry.job);
     let Some(step) = job.steps.get(usize::from(key.step)) else { return };
@@ -185,7 +185,7 @@
     step.unfinished = step.unfinished.saturating_sub(1);
     let step_done = step.unfinished == 0;
     let round_done = step_done && round.is_done();
-    commits::mark(&mut cx.commits, cx.now, key.job);
+    commits::mark_dirty(&mut cx.commits, cx.now, key.job);
     if round_done {
         finish_round(cx, key.job, key.round);
     } else if step_done {
@@ -251,7 +251,7 @@
     for (key, worker, run) in active {
         order_stop(cx, worker, key, run, "job ended");
     }
-    commits::mark_urgent(&mut cx.commits, cx.now, job);
+    commits::mark_dirty_urgent(&mut cx.commits, cx.now, job);
 }
 
 /// Lists the runs of a job that are held to be at workers.
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -196,6 +196,6 @@
     };
     cx.set_due(ix, next);
     if unstored {
-        commits::note_ends(cx);
+        commits::request_commit(cx);
     }
 }
