--- a/crates/sched/src/changes/freshness.rs
+++ b/crates/sched/src/changes/freshness.rs
@@ -16,18 +16,18 @@
 pub use crate::interface::message::{DirectoryRead, RevisionSample};
 
 /// The most marks that are kept; the later ones are left out, so that the view counts as older than it is.
-const MARKS_MOST: usize = 64;
+const MAX_MARKS: usize = 64;
 
 /// Takes in the store's revision at a time.
-pub fn marked(cx: &mut State, mark: RevisionSample) {
+pub fn record_mark(cx: &mut State, mark: RevisionSample) {
     let freshness = &mut cx.freshness;
-    if freshness.pending_revisions.len() < MARKS_MOST {
+    if freshness.pending_revisions.len() < MAX_MARKS {
         freshness.pending_revisions.push_back(mark);
     }
 }
 
 /// Takes in that the directory was read; all that it said has been taken in before.
-pub fn read(cx: &mut State, read: DirectoryRead) {
+pub fn directory_read(cx: &mut State, read: DirectoryRead) {
     let freshness = &mut cx.freshness;
     if read.complete {
         freshness.as_of = freshness.as_of.max(read.sent);
@@ -45,7 +45,7 @@
 /// Looks whether the view is too old, and says so when that changes.
 pub fn check(cx: &mut State) {
     let (now, lag) = (cx.now, cx.freshness.lag());
-    let behind = lag > lag_most(cx.settings.min_drain);
+    let behind = lag > max_lag(cx.settings.min_drain);
     match (cx.freshness.behind_since, behind) {
         (None, true) => {
             cx.freshness.behind_since = Some(now);
@@ -62,6 +62,6 @@
 
 /// Returns how far the view may be behind: half of the time after which nothing may start on a worker that is
 /// leaving. The other half is for the time since the store's last answer and for a start's way.
-fn lag_most(drain: Millis) -> Millis {
+fn max_lag(drain: Millis) -> Millis {
     Millis(drain.0 / 2)
 }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -100,8 +100,8 @@
             Event::Unreadable(id) => directory::unreadable(self, &id),
             Event::Unlisted(id) => directory::unlisted(self, &id),
             Event::DirectoryRecovered => self.directory_recovered_at = self.now,
-            Event::DirectoryRead(read) => freshness::read(self, read),
-            Event::StoreRevision(mark) => freshness::marked(self, mark),
+            Event::DirectoryRead(read) => freshness::directory_read(self, read),
+            Event::StoreRevision(mark) => freshness::record_mark(self, mark),
             Event::Evacuated(evacuated) => evacuation::apply(self, evacuated),
             Event::Renewed { worker, sent, outcome } => {
                 renewals::handle_renewal_outcome(self, worker, sent, outcome);
