--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -20,7 +20,7 @@
 
 use crate::actions::{self, Calls, Clients};
 use crate::leadership::{Right, Standing};
-use crate::ledger::{CommitError, Ledger};
+use crate::ledger::{CommitError, StoreWriter};
 use crate::node::Node;
 use crate::peers::{QueueCount, StatusAnswer};
 
@@ -87,7 +87,7 @@
 const BATCH: usize = 64;
 
 /// Builds an engine around a restored state.
-pub fn open(node: &Arc<Node>, cx: Context, standing: Arc<Standing>, ledger: Ledger) -> Driver {
+pub fn open(node: &Arc<Node>, cx: Context, standing: Arc<Standing>, ledger: StoreWriter) -> Driver {
     let (tx, rx) = async_channel::unbounded();
     let engine = Arc::new(Engine { tx, standing, waiting: Mutex::default() });
     let (to_ledger, records) = async_channel::bounded(1);
@@ -234,7 +234,7 @@
 /// Writes commits one by one, and tells the engine what became of each.
 async fn write_commits(
     node: Arc<Node>,
-    mut ledger: Ledger,
+    mut ledger: StoreWriter,
     records: Receiver<Vec<Record>>,
     engine: Arc<Engine>,
 ) {
@@ -254,12 +254,12 @@
                 node.metrics.committed("stored", took);
                 engine.send(Event::Committed);
             }
-            Err(CommitError::Away) => {
+            Err(CommitError::NotWritten) => {
                 node.metrics.committed("away", took);
                 task::sleep(AWAY_PAUSE).await;
                 engine.send(Event::CommitFailed);
             }
-            Err(CommitError::Deposed) => {
+            Err(CommitError::LeadershipLost) => {
                 node.metrics.committed("deposed", took);
                 deposed(&engine.standing, records.len());
                 return;
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -21,14 +21,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitError {
     /// Another leader has taken over, or the leadership is over; the last commit may be stored.
-    Deposed,
+    LeadershipLost,
     /// The store is away; nothing was written and nothing will be.
-    Away,
+    NotWritten,
 }
 
 /// The right to write as the leader.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct StoreWriter {
     store: Arc<Store>,
     standing: Arc<Standing>,
     leader: Revision,
@@ -44,12 +44,12 @@
 const UNCLEAR_PAUSE: Duration = Duration::from_millis(100);
 
 /// Builds the right to write from a fresh claim.
-pub fn open(store: Arc<Store>, standing: Arc<Standing>, claim: &Claim) -> Ledger {
+pub fn open(store: Arc<Store>, standing: Arc<Standing>, claim: &Claim) -> StoreWriter {
     let writer = writing::open(claim.mark, CommitRevision(claim.revision.0));
-    Ledger { store, standing, leader: claim.revision, writer }
+    StoreWriter { store, standing, leader: claim.revision, writer }
 }
 
-impl Ledger {
+impl StoreWriter {
     /// Writes records, in as many transactions as they need. Records are states, not changes, so
     /// writing some of them again does no harm.
     ///
@@ -61,7 +61,7 @@
         }
         let mut left = records;
         while !left.is_empty() {
-            let (part, rest) = left.split_at(fitting(left));
+            let (part, rest) = left.split_at(count_fitting_records(left));
             self.write_part(part).await?;
             left = rest;
         }
@@ -79,8 +79,8 @@
                 NextStep::ReadStore => self.look(mark, records.len()).await,
                 NextStep::Wait => self.wait().await,
                 NextStep::Stored => return Ok(()),
-                NextStep::NotStored => return Err(CommitError::Away),
-                NextStep::LeadershipOver => return Err(CommitError::Deposed),
+                NextStep::NotStored => return Err(CommitError::NotWritten),
+                NextStep::LeadershipOver => return Err(CommitError::LeadershipLost),
             };
         }
     }
@@ -97,8 +97,8 @@
         };
         let next = self.writer.answered(answer);
         match answer {
-            CommitAnswer::Refused => log_refused(mark, self.writer.attempts(), records),
-            CommitAnswer::Silent => log_unclear(mark, self.writer.attempts(), records),
+            CommitAnswer::Refused => log_commit_refused(mark, self.writer.attempts(), records),
+            CommitAnswer::Silent => log_commit_unclear(mark, self.writer.attempts(), records),
             CommitAnswer::Stored(_) | CommitAnswer::Conflict => {}
         }
         next
@@ -106,18 +106,18 @@
 
     /// Looks which commit is the last one and whether the claim still stands.
     async fn look(&mut self, mark: CommitId, records: usize) -> NextStep {
-        let sight = self.sight().await.unwrap_or_else(|e| {
+        let sight = self.read_commit_state().await.unwrap_or_else(|e| {
             tracing::debug!(event = "store_silent", error = %e);
             StoreView::Nothing
         });
         let next = self.writer.store_read(sight);
         if next == NextStep::Stored {
-            log_found(mark, self.writer.attempts(), records);
+            log_commit_found(mark, self.writer.attempts(), records);
         }
         next
     }
 
-    async fn sight(&self) -> Result<StoreView, StoreError> {
+    async fn read_commit_state(&self) -> Result<StoreView, StoreError> {
         let commits = self.store.get(keys::COMMITS).await?;
         let mark = commits.as_ref().and_then(|item| decode_mark(&item.value));
         let revision = CommitRevision(commits.map_or(0, |item| item.revision.0));
@@ -174,38 +174,38 @@
 }
 
 /// Logs that the last try of a commit was refused.
-fn log_refused(mark: CommitId, tries: CallAttempts, records: usize) {
+fn log_commit_refused(mark: CommitId, tries: CallAttempts, records: usize) {
     let CommitId { term, number } = mark;
     let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_refused", term, number, attempt, open, records);
 }
 
 /// Logs that the last try of a commit got no answer.
-fn log_unclear(mark: CommitId, tries: CallAttempts, records: usize) {
+fn log_commit_unclear(mark: CommitId, tries: CallAttempts, records: usize) {
     let CommitId { term, number } = mark;
     let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_unclear", term, number, attempt, open, records);
 }
 
 /// Logs that a commit without an answer is stored, by the mark in the store.
-fn log_found(mark: CommitId, tries: CallAttempts, records: usize) {
+fn log_commit_found(mark: CommitId, tries: CallAttempts, records: usize) {
     let CommitId { term, number } = mark;
     let (attempt, open) = (tries.sent(), tries.unanswered());
     tracing::info!(event = "commit_found", term, number, attempt, open, records);
 }
 
 /// Returns how many of the first records fit into one transaction.
-fn fitting(records: &[Record]) -> usize {
+fn count_fitting_records(records: &[Record]) -> usize {
     let mut entries = 0;
     let fits = |record: &&Record| {
-        entries += entries_of(record);
+        entries += txn_entries_of(record);
         entries <= RECORD_ENTRIES
     };
     records.iter().take_while(fits).count()
 }
 
 /// Returns how many entries of a transaction a record needs.
-fn entries_of(record: &Record) -> usize {
+fn txn_entries_of(record: &Record) -> usize {
     match record {
         Record::Progress(_) | Record::Worker(_) | Record::ForgetWorker(_) | Record::Learned(_) => 1,
         Record::Wave(_) => 2,
