--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -232,7 +232,7 @@
 
 /// Makes sure that this host still leads.
 async fn confirm(calls: Calls) {
-    following::confirm(&calls.node, &calls.engine.standing, Revision(calls.token.0)).await;
+    following::confirm(&calls.node, &calls.engine.leadership, Revision(calls.token.0)).await;
 }
 
 /// Returns the event of an action that is not sent, because the leadership is in doubt.
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -38,7 +38,7 @@
     let feed = feed(Arc::clone(node), Arc::clone(engine), from, entries);
     if let Err(e) = threads::spawn(THREAD, feed) {
         tracing::warn!(event = "leadership_lost", why = "no thread to read the directory", error = %e);
-        engine.standing.lose();
+        engine.leadership.lose();
     }
 }
 
@@ -46,7 +46,7 @@
 async fn feed(node: Arc<Node>, engine: Arc<Engine>, from: Revision, mut entries: Entries) {
     let mut from = from;
     let mut away = false;
-    while engine.standing.right(clock::now()) != Right::Lost {
+    while engine.leadership.right(clock::now()) != Right::Lost {
         let sent = clock::now();
         match node.store.watch(directory::PREFIX, from, DIRECTORY_WAIT).await {
             Ok(watched) => {
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -36,7 +36,7 @@
 pub struct Engine {
     tx: Sender<Message>,
     /// Whether this host may act as the leader.
-    pub standing: Arc<Standing>,
+    pub leadership: Arc<Standing>,
     waiting: Mutex<Vec<QueueCount>>,
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// Returns how many jobs of a queue have not begun.
-    pub fn waiting_of(&self, queue: &str) -> u32 {
+    pub fn waiting_jobs_of(&self, queue: &str) -> u32 {
         let counts = self.waiting();
         counts.iter().find(|c| c.queue == queue).map_or(0, |c| c.waiting)
     }
@@ -76,20 +76,20 @@
     engine: Arc<Engine>,
     node: Arc<Node>,
     clients: Clients,
-    to_ledger: Sender<Vec<Record>>,
-    counted: Instant,
+    to_store_writer: Sender<Vec<Record>>,
+    counted_at: Instant,
 }
 
 /// How often the counts of queues are renewed; callers may be shown counts 2 s old.
 const COUNT_EVERY_MS: u64 = 300;
 
 /// The most messages taken in before actions are carried out.
-const BATCH: usize = 64;
+const MAX_BATCH: usize = 64;
 
 /// Builds an engine around a restored state.
 pub fn open(node: &Arc<Node>, cx: Context, standing: Arc<Standing>, ledger: StoreWriter) -> Driver {
     let (tx, rx) = async_channel::unbounded();
-    let engine = Arc::new(Engine { tx, standing, waiting: Mutex::default() });
+    let engine = Arc::new(Engine { tx, leadership: standing, waiting: Mutex::default() });
     let (to_ledger, records) = async_channel::bounded(1);
     task::spawn(write_commits(Arc::clone(node), ledger, records, Arc::clone(&engine)));
     Driver {
@@ -98,8 +98,8 @@
         engine,
         node: Arc::clone(node),
         clients: Clients::open(node.installation.descriptors),
-        to_ledger,
-        counted: Instant(0),
+        to_store_writer: to_ledger,
+        counted_at: Instant(0),
     }
 }
 
@@ -113,22 +113,22 @@
     pub async fn run(mut self) {
         loop {
             let now = clock::now();
-            match self.engine.standing.right(now) {
+            match self.engine.leadership.right(now) {
                 Right::Lost => break,
-                Right::Act => self.act(true),
-                Right::Wait => self.act(false),
+                Right::Act => self.carry_out_actions(true),
+                Right::Wait => self.carry_out_actions(false),
             }
             self.commit(now);
             self.count(now);
-            self.cx.freshness.answered(self.engine.standing.confirmed());
+            self.cx.freshness.answered(self.engine.leadership.confirmed());
             let wait = self.cx.next_wake().since(now).as_duration();
             match future::timeout(wait, self.rx.recv()).await {
-                Ok(Ok(message)) => self.take_in(message),
+                Ok(Ok(message)) => self.handle_batch(message),
                 Ok(Err(_)) => break,
                 Err(_) => self.cx.handle(clock::now(), clock::unix_ms(), Event::Tick),
             }
         }
-        self.show_room(FreeCpu::default(), 0, 0);
+        self.show_free_capacity(FreeCpu::default(), 0, 0);
         self.node.metrics.show_evacuated(iter::empty());
         self.node.metrics.directory_lag_ms.set(0);
         self.node.metrics.waiting_events.set(0);
@@ -136,23 +136,23 @@
     }
 
     /// Takes in a message and those that wait behind it, up to a batch.
-    fn take_in(&mut self, first: Message) {
-        self.one(first);
-        for _ in 1..BATCH {
+    fn handle_batch(&mut self, first: Message) {
+        self.handle_message(first);
+        for _ in 1..MAX_BATCH {
             let Ok(message) = self.rx.try_recv() else { return };
-            self.one(message);
+            self.handle_message(message);
         }
     }
 
     /// Takes in one message.
-    fn one(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Event(event) => self.cx.handle(clock::now(), clock::unix_ms(), event),
             Message::Status(key, tx) => {
                 let known = |e: &&JobEntry| !e.unreadable || e.stored_state.is_final();
                 let entry = self.cx.jobs.get(&key).filter(known);
                 let answer = entry.map_or(StatusAnswer::Unknown, |entry| {
-                    StatusAnswer::State(presentable(entry.state, entry.stored_state))
+                    StatusAnswer::State(visible_state(entry.state, entry.stored_state))
                 });
                 if tx.try_send(answer).is_err() {
                     tracing::debug!(event = "status_not_wanted", job = %key);
@@ -162,7 +162,7 @@
     }
 
     /// Carries out what the scheduler asks for, or answers it as not sent.
-    fn act(&mut self, may: bool) {
+    fn carry_out_actions(&mut self, may: bool) {
         for action in self.cx.take_actions() {
             if may {
                 let (node, engine) = (Arc::clone(&self.node), self.engine());
@@ -177,7 +177,7 @@
     /// Hands what is to be stored to the ledger, unless a commit is in flight.
     fn commit(&mut self, now: Instant) {
         if let Some(records) = commits::take(&mut self.cx, now) {
-            if self.to_ledger.try_send(records).is_err() {
+            if self.to_store_writer.try_send(records).is_err() {
                 tracing::warn!(event = "ledger_ended");
             }
         }
@@ -185,10 +185,10 @@
 
     /// Counts now and then how many jobs of each queue have not begun.
     fn count(&mut self, now: Instant) {
-        if now.since(self.counted).0 < COUNT_EVERY_MS {
+        if now.since(self.counted_at).0 < COUNT_EVERY_MS {
             return;
         }
-        self.counted = now;
+        self.counted_at = now;
         let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
         for entry in self.cx.jobs.values().filter(|e| e.state == JobState::Queued) {
             *counts.entry(&entry.job.queue).or_default() += 1;
@@ -203,11 +203,11 @@
         self.node.metrics.waiting_events.set(self.rx.len() as i64);
         self.node.metrics.runs_after_end.set(self.cx.runs_after_end as i64);
         let free = room::free_cpu(&self.cx);
-        self.show_room(free, self.cx.ready.len(), self.cx.crashes.suspects.len());
+        self.show_free_capacity(free, self.cx.ready.len(), self.cx.crashes.suspects.len());
     }
 
     /// Shows the pool's room in the metrics.
-    fn show_room(&self, free: FreeCpu, waiting_steps: usize, suspects: usize) {
+    fn show_free_capacity(&self, free: FreeCpu, waiting_steps: usize, suspects: usize) {
         let metrics = &self.node.metrics;
         metrics.free_millicores.set(free.total as i64);
         metrics.largest_free_millicores.set(i64::from(free.largest.0));
@@ -217,7 +217,7 @@
 }
 
 /// Returns what a caller may be shown: a final state only once it is stored.
-fn presentable(state: JobState, shown: JobState) -> JobState {
+fn visible_state(state: JobState, shown: JobState) -> JobState {
     match (state.is_final(), shown.is_final()) {
         (_, true) => shown,
         (true, false) => JobState::Active,
@@ -226,7 +226,7 @@
 }
 
 /// The pause before a commit is made again while the store is away.
-const AWAY_PAUSE: Duration = Duration::from_millis(200);
+const COMMIT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// From how long on a commit is logged as slow: ends wait for it before they are acknowledged.
 const SLOW_COMMIT: Duration = Duration::from_millis(500);
@@ -256,12 +256,12 @@
             }
             Err(CommitError::NotWritten) => {
                 node.metrics.committed("away", took);
-                task::sleep(AWAY_PAUSE).await;
+                task::sleep(COMMIT_RETRY_PAUSE).await;
                 engine.send(Event::CommitFailed);
             }
             Err(CommitError::LeadershipLost) => {
                 node.metrics.committed("deposed", took);
-                deposed(&engine.standing, records.len());
+                record_leadership_lost(&engine.leadership, records.len());
                 return;
             }
         }
@@ -269,7 +269,7 @@
 }
 
 /// Takes in that a commit ended with the leadership, be it by the commit's refusal or before it.
-fn deposed(standing: &Standing, records: usize) {
+fn record_leadership_lost(standing: &Standing, records: usize) {
     if standing.right(clock::now()) == Right::Lost {
         tracing::info!(event = "commit_given_up", records, why = "the leadership is over");
     } else {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -235,7 +235,7 @@
     /// Returns how many jobs of a queue have not begun, if that is known well enough.
     pub fn waiting(&self, queue: &str) -> Option<u32> {
         if let Role::Leader(engine) = self.role() {
-            return Some(engine.waiting_of(queue));
+            return Some(engine.waiting_jobs_of(queue));
         }
         if self.leader_age() > COUNTS_MAX_AGE {
             return None;
@@ -260,7 +260,7 @@
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
         if let Role::Leader(engine) = self.role() {
-            engine.standing.lose();
+            engine.leadership.lose();
         }
     }
 
@@ -280,8 +280,8 @@
         // Noted before this host leads, too: a claim that is still reading the state makes way.
         self.handover.note_follower(now, &beat);
         let Role::Leader(engine) = self.role() else { return HeartbeatAnswer::NotLeader };
-        engine.standing.heard(now, beat.store_age);
-        if engine.standing.right(now) != Right::Act {
+        engine.leadership.heard(now, beat.store_age);
+        if engine.leadership.right(now) != Right::Act {
             return HeartbeatAnswer::NotLeader;
         }
         let newer = self.config().filter(|c| c.version > beat.config_version);
@@ -296,7 +296,8 @@
             successor: best.map(|c| c.host),
             strongest,
             beat_after: self.handover.beat_every(now),
-            check_store: engine.standing.is_in_doubt(now) || self.handover.should_check(now, &beat),
+            check_store: engine.leadership.is_in_doubt(now)
+                || self.handover.should_check(now, &beat),
         }
     }
 
