--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -15,7 +15,7 @@
 
 use crate::engine::Engine;
 use crate::entries::Entries;
-use crate::leadership::Right;
+use crate::leadership::Authority;
 use crate::node::Node;
 use crate::{feeds, threads};
 
@@ -46,7 +46,7 @@
 async fn feed(node: Arc<Node>, engine: Arc<Engine>, from: Revision, mut entries: Entries) {
     let mut from = from;
     let mut away = false;
-    while engine.leadership.right(clock::now()) != Right::Lost {
+    while engine.leadership.authority(clock::now()) != Authority::Lost {
         let sent = clock::now();
         match node.store.watch(directory::PREFIX, from, DIRECTORY_WAIT).await {
             Ok(watched) => {
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -19,7 +19,7 @@
 use gaplock_types::time::Instant;
 
 use crate::actions::{self, Calls, Clients};
-use crate::leadership::{Right, Standing};
+use crate::leadership::{Authority, LeadershipStatus};
 use crate::ledger::{CommitError, StoreWriter};
 use crate::node::Node;
 use crate::peers::{QueueCount, StatusAnswer};
@@ -36,7 +36,7 @@
 pub struct Engine {
     tx: Sender<Message>,
     /// Whether this host may act as the leader.
-    pub leadership: Arc<Standing>,
+    pub leadership: Arc<LeadershipStatus>,
     waiting: Mutex<Vec<QueueCount>>,
 }
 
@@ -87,7 +87,12 @@
 const MAX_BATCH: usize = 64;
 
 /// Builds an engine around a restored state.
-pub fn open(node: &Arc<Node>, cx: Context, standing: Arc<Standing>, ledger: StoreWriter) -> Driver {
+pub fn open(
+    node: &Arc<Node>,
+    cx: Context,
+    standing: Arc<LeadershipStatus>,
+    ledger: StoreWriter,
+) -> Driver {
     let (tx, rx) = async_channel::unbounded();
     let engine = Arc::new(Engine { tx, leadership: standing, waiting: Mutex::default() });
     let (to_ledger, records) = async_channel::bounded(1);
@@ -113,10 +118,10 @@
     pub async fn run(mut self) {
         loop {
             let now = clock::now();
-            match self.engine.leadership.right(now) {
-                Right::Lost => break,
-                Right::Act => self.carry_out_actions(true),
-                Right::Wait => self.carry_out_actions(false),
+            match self.engine.leadership.authority(now) {
+                Authority::Lost => break,
+                Authority::Act => self.carry_out_actions(true),
+                Authority::Wait => self.carry_out_actions(false),
             }
             self.commit(now);
             self.count(now);
@@ -269,8 +274,8 @@
 }
 
 /// Takes in that a commit ended with the leadership, be it by the commit's refusal or before it.
-fn record_leadership_lost(standing: &Standing, records: usize) {
-    if standing.right(clock::now()) == Right::Lost {
+fn record_leadership_lost(standing: &LeadershipStatus, records: usize) {
+    if standing.authority(clock::now()) == Authority::Lost {
         tracing::info!(event = "commit_given_up", records, why = "the leadership is over");
     } else {
         tracing::warn!(event = "leadership_lost", why = "a commit was refused");
--- a/crates/node/src/following.rs
+++ b/crates/node/src/following.rs
@@ -16,7 +16,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::handover::Invited;
-use crate::leadership::{self, Claim, Holder, Right, Standing};
+use crate::leadership::{self, Authority, Claim, Holder, LeadershipStatus};
 use crate::leading;
 use crate::node::{Node, Role};
 use crate::peers::{Heartbeat, HeartbeatAnswer, PeerError};
@@ -296,7 +296,7 @@
 }
 
 /// Asks the store whether the claim at `revision` still stands.
-pub async fn confirm(node: &Node, standing: &Standing, revision: Revision) {
+pub async fn confirm(node: &Node, standing: &LeadershipStatus, revision: Revision) {
     let sent = clock::now();
     match leadership::revisions(&node.store).await {
         Ok(Some((found, store))) if found == revision => {
@@ -307,7 +307,7 @@
             }
         }
         // A leadership that was handed over meanwhile is not lost once more.
-        Ok(_) if standing.right(sent) == Right::Lost => {}
+        Ok(_) if standing.authority(sent) == Authority::Lost => {}
         Ok(_) => {
             tracing::warn!(event = "leadership_lost", why = "the claim is gone");
             standing.lose();
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -12,7 +12,7 @@
 use gaplock_remote::clock;
 use gaplock_types::time::{Instant, Millis};
 
-use crate::leadership::{self, Claim, Right, Standing};
+use crate::leadership::{self, Authority, Claim, LeadershipStatus};
 use crate::node::Node;
 use crate::{following, threads};
 
@@ -20,7 +20,7 @@
 const THREAD: &str = "leadership";
 
 /// Begins to keep a claim that was sent at `sent`; ends by itself once the standing is lost.
-pub fn spawn(node: &Arc<Node>, standing: &Arc<Standing>, claim: Claim, sent: Instant) {
+pub fn spawn(node: &Arc<Node>, standing: &Arc<LeadershipStatus>, claim: Claim, sent: Instant) {
     let (node, kept) = (Arc::clone(node), Arc::clone(standing));
     if let Err(e) = threads::spawn(THREAD, keep(node, kept, claim, sent)) {
         tracing::warn!(event = "leadership_lost", why = "no thread to keep it", error = %e);
@@ -30,8 +30,8 @@
 
 /// Renews the lease and makes sure of the claim, and reads the configuration along with it. All three
 /// are asked at one time: one after the other they take longer than the lease where the store is slow.
-async fn keep(node: Arc<Node>, standing: Arc<Standing>, claim: Claim, sent: Instant) {
-    while standing.right(clock::now()) != Right::Lost {
+async fn keep(node: Arc<Node>, standing: Arc<LeadershipStatus>, claim: Claim, sent: Instant) {
+    while standing.authority(clock::now()) != Authority::Lost {
         if node.is_stopping() || makes_way(&node, sent) {
             standing.lose();
             return;
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -27,11 +27,11 @@
 const LEASE_MARGIN: Millis = Millis(300);
 
 /// How long the word of another host about the store counts.
-const PEER_WORD_AGE: Millis = Millis(2_000);
+const PEER_REPORT_MAX_AGE: Millis = Millis(2_000);
 
 /// How much later than to us the store must have answered another host before that host's word
 /// ends our leadership: more than the time between two of our own confirmations.
-const CONFIRMED_LATER: Millis = Millis(700);
+const CONFIRMATION_OVERDUE_AFTER: Millis = Millis(700);
 
 /// A leadership that this process holds.
 #[derive(Debug, Clone, Copy)]
@@ -129,19 +129,19 @@
 
 /// What a leader knows of its own standing; shared by all its tasks.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct LeadershipStatus {
     /// When the last confirmation was asked for, in milliseconds of our clock.
     confirmed: AtomicU64,
     /// When another host last had an answer of the store.
-    peers_store: AtomicU64,
+    peer_store_answered_at_ms: AtomicU64,
     /// When another host last called.
-    peers_heard: AtomicU64,
+    peer_heard_at_ms: AtomicU64,
     lost: AtomicBool,
 }
 
 /// Whether a leader may act now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Right {
+pub enum Authority {
     /// It may.
     Act,
     /// It may not, but may again once the store confirms it.
@@ -150,7 +150,7 @@
     Lost,
 }
 
-impl Standing {
+impl LeadershipStatus {
     /// Builds the standing of a claim that was sent at `sent`.
     pub fn open(sent: Instant) -> Arc<Self> {
         let standing = Self::default();
@@ -169,14 +169,15 @@
     }
 
     /// Tells whether a confirmation is overdue, so that the word of other hosts about the store is needed.
-    pub fn is_in_doubt(&self, now: Instant) -> bool {
-        now.since(self.confirmed()) >= CONFIRMED_LATER
+    pub fn is_confirmation_overdue(&self, now: Instant) -> bool {
+        now.since(self.confirmed()) >= CONFIRMATION_OVERDUE_AFTER
     }
 
     /// Takes in another host's word: how long ago the store last answered it.
-    pub fn heard(&self, now: Instant, store_age: Millis) {
-        self.peers_heard.fetch_max(now.0, Ordering::SeqCst);
-        self.peers_store.fetch_max(now.0.saturating_sub(store_age.0), Ordering::SeqCst);
+    pub fn record_peer_report(&self, now: Instant, store_age: Millis) {
+        self.peer_heard_at_ms.fetch_max(now.0, Ordering::SeqCst);
+        self.peer_store_answered_at_ms
+            .fetch_max(now.0.saturating_sub(store_age.0), Ordering::SeqCst);
     }
 
     /// Gives the leadership up.
@@ -186,23 +187,23 @@
 
     /// Tells whether the leader may act. Without a fresh confirmation it may go on only while
     /// other hosts say that the store does not answer them either: nobody can claim then.
-    pub fn right(&self, now: Instant) -> Right {
+    pub fn authority(&self, now: Instant) -> Authority {
         if self.lost.load(Ordering::SeqCst) {
-            return Right::Lost;
+            return Authority::Lost;
         }
         let confirmed = self.confirmed();
         let unconfirmed = now.since(confirmed);
         if unconfirmed.0 + LEASE_MARGIN.0 < LEASE.0 {
-            return Right::Act;
+            return Authority::Act;
         }
-        let heard = Instant(self.peers_heard.load(Ordering::SeqCst));
-        let peers_store = Instant(self.peers_store.load(Ordering::SeqCst));
-        if peers_store > confirmed + CONFIRMED_LATER {
-            return Right::Lost;
+        let heard = Instant(self.peer_heard_at_ms.load(Ordering::SeqCst));
+        let peers_store = Instant(self.peer_store_answered_at_ms.load(Ordering::SeqCst));
+        if peers_store > confirmed + CONFIRMATION_OVERDUE_AFTER {
+            return Authority::Lost;
         }
-        if now.since(heard) < PEER_WORD_AGE {
-            return Right::Act;
+        if now.since(heard) < PEER_REPORT_MAX_AGE {
+            return Authority::Act;
         }
-        Right::Wait
+        Authority::Wait
     }
 }
--- a/crates/node/src/leading.rs
+++ b/crates/node/src/leading.rs
@@ -8,14 +8,14 @@
 use gaplock_sched::{takeover, Context, Event};
 use gaplock_types::time::Instant;
 
-use crate::leadership::{Claim, Standing};
+use crate::leadership::{Claim, LeadershipStatus};
 use crate::node::{Node, Role};
 use crate::peers::Invitation;
 use crate::{engine, entries, feeds, keeping, keys, ledger, reading};
 
 /// Leads until the leadership is over.
 pub async fn lead(node: &Arc<Node>, claim: Claim, sent: Instant) {
-    let standing = Standing::open(sent);
+    let standing = LeadershipStatus::open(sent);
     node.handover.forget_followers();
     keeping::spawn(node, &standing, claim, sent);
     let state = reading::read_all(node, &standing).await;
@@ -46,7 +46,12 @@
 }
 
 /// Builds the engine from what was read, and feeds it until the leadership is over.
-async fn run(node: &Arc<Node>, claim: Claim, standing: &Arc<Standing>, state: reading::State) {
+async fn run(
+    node: &Arc<Node>,
+    claim: Claim,
+    standing: &Arc<LeadershipStatus>,
+    state: reading::State,
+) {
     let ledger = ledger::open(Arc::clone(&node.store), Arc::clone(standing), &claim);
     let term = engine::term(claim.term, claim.revision);
     let (now, unix_ms) = (clock::now(), clock::unix_ms());
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::keys;
-use crate::leadership::{Claim, Right, Standing};
+use crate::leadership::{Authority, Claim, LeadershipStatus};
 use crate::records::RosterRecord;
 
 /// Why a commit is not stored.
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct StoreWriter {
     store: Arc<Store>,
-    standing: Arc<Standing>,
+    standing: Arc<LeadershipStatus>,
     leader: Revision,
     writer: CommitWriter,
 }
@@ -44,7 +44,7 @@
 const UNCLEAR_PAUSE: Duration = Duration::from_millis(100);
 
 /// Builds the right to write from a fresh claim.
-pub fn open(store: Arc<Store>, standing: Arc<Standing>, claim: &Claim) -> StoreWriter {
+pub fn open(store: Arc<Store>, standing: Arc<LeadershipStatus>, claim: &Claim) -> StoreWriter {
     let writer = writing::open(claim.mark, CommitRevision(claim.revision.0));
     StoreWriter { store, standing, leader: claim.revision, writer }
 }
@@ -134,7 +134,7 @@
 
     async fn wait(&self) -> NextStep {
         task::sleep(UNCLEAR_PAUSE).await;
-        self.writer.waited(self.standing.right(clock::now()) != Right::Lost)
+        self.writer.waited(self.standing.authority(clock::now()) != Authority::Lost)
     }
 
     fn transaction(&self, records: &[Record], mark: CommitId) -> Txn {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -19,7 +19,7 @@
 
 use crate::engine::Engine;
 use crate::handover::Handover;
-use crate::leadership::Right;
+use crate::leadership::Authority;
 use crate::metrics::Metrics;
 use crate::peers::{self, Heartbeat, HeartbeatAnswer, Invitation, QueueCount, StatusAnswer};
 
@@ -280,8 +280,8 @@
         // Noted before this host leads, too: a claim that is still reading the state makes way.
         self.handover.note_follower(now, &beat);
         let Role::Leader(engine) = self.role() else { return HeartbeatAnswer::NotLeader };
-        engine.leadership.heard(now, beat.store_age);
-        if engine.leadership.right(now) != Right::Act {
+        engine.leadership.record_peer_report(now, beat.store_age);
+        if engine.leadership.authority(now) != Authority::Act {
             return HeartbeatAnswer::NotLeader;
         }
         let newer = self.config().filter(|c| c.version > beat.config_version);
@@ -296,7 +296,7 @@
             successor: best.map(|c| c.host),
             strongest,
             beat_after: self.handover.beat_every(now),
-            check_store: engine.leadership.is_in_doubt(now)
+            check_store: engine.leadership.is_confirmation_overdue(now)
                 || self.handover.should_check(now, &beat),
         }
     }
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -18,7 +18,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::feeds::{self, Handed};
-use crate::leadership::{Right, Standing};
+use crate::leadership::{Authority, LeadershipStatus};
 use crate::node::Node;
 use crate::{evacuations, following, keys, records};
 
@@ -64,10 +64,10 @@
 }
 
 /// Reads everything; after a failed call it goes on where it stopped.
-pub async fn read_all(node: &Arc<Node>, standing: &Standing) -> Option<State> {
+pub async fn read_all(node: &Arc<Node>, standing: &LeadershipStatus) -> Option<State> {
     let began = clock::now();
     let mut readings = Readings::default();
-    while standing.right(clock::now()) != Right::Lost && !node.is_stopping() {
+    while standing.authority(clock::now()) != Authority::Lost && !node.is_stopping() {
         let read = read_while_standing(node, standing, &mut readings).await?;
         let took = clock::now().since(began);
         let (pages, bytes) = (readings.pages(), readings.bytes());
@@ -93,7 +93,7 @@
 /// Reads on until a call fails or all is read; gives up where the leadership is lost.
 async fn read_while_standing(
     node: &Arc<Node>,
-    standing: &Standing,
+    standing: &LeadershipStatus,
     readings: &mut Readings,
 ) -> Option<Result<(), StoreError>> {
     match select(pin!(read_on(node, readings)), pin!(lost(standing))).await {
@@ -106,8 +106,8 @@
 const STANDING_EVERY: Duration = Duration::from_millis(50);
 
 /// Waits until the leadership is lost.
-async fn lost(standing: &Standing) {
-    while standing.right(clock::now()) != Right::Lost {
+async fn lost(standing: &LeadershipStatus) {
+    while standing.authority(clock::now()) != Authority::Lost {
         task::sleep(STANDING_EVERY).await;
     }
 }
