--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -22,7 +22,7 @@
 /// Begins to keep a claim that was sent at `sent`; ends by itself once the standing is lost.
 pub fn spawn(node: &Arc<Node>, standing: &Arc<LeadershipStatus>, claim: Claim, sent: Instant) {
     let (node, kept) = (Arc::clone(node), Arc::clone(standing));
-    if let Err(e) = threads::spawn(THREAD, keep(node, kept, claim, sent)) {
+    if let Err(e) = threads::spawn(THREAD, renew_and_confirm(node, kept, claim, sent)) {
         tracing::warn!(event = "leadership_lost", why = "no thread to keep it", error = %e);
         standing.lose();
     }
@@ -30,9 +30,14 @@
 
 /// Renews the lease and makes sure of the claim, and reads the configuration along with it. All three
 /// are asked at one time: one after the other they take longer than the lease where the store is slow.
-async fn keep(node: Arc<Node>, standing: Arc<LeadershipStatus>, claim: Claim, sent: Instant) {
+async fn renew_and_confirm(
+    node: Arc<Node>,
+    standing: Arc<LeadershipStatus>,
+    claim: Claim,
+    sent: Instant,
+) {
     while standing.authority(clock::now()) != Authority::Lost {
-        if node.is_stopping() || makes_way(&node, sent) {
+        if node.is_stopping() || should_step_down(&node, sent) {
             standing.lose();
             return;
         }
@@ -55,12 +60,12 @@
 }
 
 /// How long a process leads at least before it makes way, so that hosts do not take turns.
-const LEADS_AT_LEAST: Millis = Millis(3_000);
+const MIN_TIME_AS_LEADER: Millis = Millis(3_000);
 
 /// Tells whether a much stronger host should lead instead of this one.
-fn makes_way(node: &Node, since: Instant) -> bool {
+fn should_step_down(node: &Node, since: Instant) -> bool {
     let best = node.handover.successor(clock::now());
-    let way = clock::now().since(since) >= LEADS_AT_LEAST
+    let way = clock::now().since(since) >= MIN_TIME_AS_LEADER
         && succession::should_step_down(node.leader_capacity, best.as_ref());
     if let Some(best) = best.filter(|_| way) {
         tracing::info!(event = "makes_way", host = %best.host, strength = best.leader_capacity.0,
