--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -108,7 +108,7 @@
 }
 
 async fn leader_state(node: &Arc<Node>, key: JobKey) -> Option<JobState> {
-    if let StatusAnswer::State(state) = node.status_here(key).await {
+    if let StatusAnswer::State(state) = node.status_if_leader(key).await {
         return Some(state);
     }
     let addr = node.leader_addr()?;
@@ -128,7 +128,7 @@
         return Ok(Some(progress.state));
     }
     let job = node.store.get(&keys::job(key)).await?;
-    node.store_answered();
+    node.record_store_answer();
     Ok(job.map(|_| JobState::Queued))
 }
 
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -50,7 +50,7 @@
         let sent = clock::now();
         match node.store.watch(directory::PREFIX, from, DIRECTORY_WAIT).await {
             Ok(watched) => {
-                node.store_answered();
+                node.record_store_answer();
                 back(&engine, &mut away);
                 from = watched.revision;
                 for change in &watched.changes {
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -77,7 +77,7 @@
     loop {
         match node.store.watch(keys::INBOX, from, WATCH_WAIT).await {
             Ok(watched) => {
-                node.store_answered();
+                node.record_store_answer();
                 from = watched.revision;
                 for change in &watched.changes {
                     if let Change::Set(item) = change {
--- a/crates/node/src/following.rs
+++ b/crates/node/src/following.rs
@@ -54,17 +54,17 @@
     while !node.is_stopping() {
         match leadership::current(&node.store).await {
             Ok(Holder::Host(record, revision)) => {
-                node.store_answered();
+                node.record_store_answer();
                 follow(&node, &record, revision).await;
                 last = Some((record, revision));
             }
             Ok(Holder::Nobody(at)) => {
-                node.store_answered();
+                node.record_store_answer();
                 claim(&node, at).await;
             }
             Err(e) => {
                 tracing::debug!(event = "store_silent", error = %e);
-                node.store_failed();
+                node.record_store_failure();
                 // The store may turn just this host away, and the last leader may still lead.
                 let last = last.as_ref().filter(|(record, _)| !is_mine(&node, record));
                 if let Some((record, revision)) = last {
@@ -212,8 +212,8 @@
             if let Some(config) = config {
                 node.set_config(config);
             }
-            node.config_was_newest(Instant(sent.0.saturating_sub(config_age.0)));
-            node.leader_answered(waiting);
+            node.confirm_config_newest_at(Instant(sent.0.saturating_sub(config_age.0)));
+            node.record_leader_answer(waiting);
             Ok(true)
         }
     }
@@ -229,7 +229,7 @@
 /// That is also the check that the leader may have asked for: a silent store holds up one call for each
 /// heartbeat, so that the host stays in touch with the leader.
 async fn check_store(node: &Node) {
-    if node.is_store_away() || node.config_age() >= CONFIG_MAX_AGE {
+    if node.is_store_unavailable() || node.config_age() >= CONFIG_MAX_AGE {
         node.handover.take_check_wanted();
         read_config(node).await;
     }
@@ -240,19 +240,19 @@
     let sent = clock::now();
     match node.store.get(configuration::KEY).await {
         Ok(Some(item)) => {
-            node.store_answered();
+            node.record_store_answer();
             match configuration::decode(&item.value) {
                 Ok(config) => {
                     node.set_config(config);
-                    node.config_was_newest(sent);
+                    node.confirm_config_newest_at(sent);
                 }
                 Err(e) => tracing::warn!(event = "config_malformed", error = %e),
             }
         }
-        Ok(None) => node.store_answered(),
+        Ok(None) => node.record_store_answer(),
         Err(e) => {
             tracing::debug!(event = "store_silent", error = %e);
-            node.store_failed();
+            node.record_store_failure();
         }
     }
 }
@@ -300,10 +300,10 @@
     let sent = clock::now();
     match leadership::revisions(&node.store).await {
         Ok(Some((found, store))) if found == revision => {
-            node.store_answered();
+            node.record_store_answer();
             standing.confirm(sent);
             if let Some(store) = store {
-                node.store_was_at(RevisionSample { sent, revision: store.0 });
+                node.report_store_revision(RevisionSample { sent, revision: store.0 });
             }
         }
         // A leadership that was handed over meanwhile is not lost once more.
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -160,7 +160,7 @@
     }
 
     /// Hands an invitation to this host's main task, and returns whether this host leads now.
-    pub async fn invited(&self, invitation: Invitation) -> bool {
+    pub async fn handle_invitation(&self, invitation: Invitation) -> bool {
         let (answer, rx) = async_channel::bounded(1);
         if self.invitations.0.try_send(Invited { invitation, answer }).is_err() {
             return false;
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -77,7 +77,7 @@
 /// Makes a write that can be done only once; a try without an answer is followed by others for a
 /// while.
 async fn write_once(node: &Node, txn: &Txn) -> Written {
-    if node.is_store_away() {
+    if node.is_store_unavailable() {
         return Written::Settled(StoreOutcome::NotStored);
     }
     let began = Instant::now();
@@ -86,17 +86,17 @@
         tries.record_send();
         let last = match node.store.commit(txn).await {
             Ok(_) => {
-                node.store_answered();
+                node.record_store_answer();
                 return Written::Settled(StoreOutcome::Stored);
             }
             Err(StoreError::Conflict) => {
-                node.store_answered();
+                node.record_store_answer();
                 return Written::Conflict;
             }
             Err(StoreError::Away | StoreError::Gone) => Execution::NotDone,
             Err(StoreError::Unclear) => Execution::Unknown,
         };
-        node.store_failed();
+        node.record_store_failure();
         if tries.record_outcome(last) == Execution::NotDone {
             return Written::Settled(StoreOutcome::NotStored);
         }
@@ -111,7 +111,7 @@
 fn announce_job(node: &Arc<Node>, job: Arc<Job>) {
     let node = Arc::clone(node);
     task::spawn(async move {
-        if node.job_here(Arc::clone(&job)).await {
+        if node.apply_job_if_leader(Arc::clone(&job)).await {
             return;
         }
         let Some(addr) = node.leader_addr() else { return };
@@ -134,7 +134,7 @@
 
 /// Stores a cancellation by this host's own connection to the store.
 pub async fn store_cancel_here(node: &Arc<Node>, key: JobKey) -> StoreOutcome {
-    if node.is_store_away() {
+    if node.is_store_unavailable() {
         return StoreOutcome::NotStored;
     }
     let job = match node.store.get(&keys::job(key)).await {
@@ -179,7 +179,7 @@
 fn announce_cancel(node: &Arc<Node>, key: JobKey) {
     let node = Arc::clone(node);
     task::spawn(async move {
-        if node.cancel_here(key).await {
+        if node.apply_cancel_if_leader(key).await {
             return;
         }
         let Some(addr) = node.leader_addr() else { return };
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -47,7 +47,7 @@
         let read = Box::pin(following::read_config(&node));
         let (_, kept, _) = futures::join!(confirmed, kept, read);
         match kept {
-            Ok(()) => node.store_answered(),
+            Ok(()) => node.record_store_answer(),
             Err(StoreError::Gone) => {
                 tracing::warn!(event = "leadership_lost", why = "the lease is over");
                 standing.lose();
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -60,7 +60,7 @@
     leader_answered: AtomicU64,
     config_read: AtomicU64,
     waiting: Mutex<BTreeMap<String, u32>>,
-    began: Instant,
+    started_at: Instant,
     /// What this host has for leading.
     pub leader_capacity: LeaderCapacity,
     /// Who leads next.
@@ -68,13 +68,13 @@
 }
 
 /// How old the leader's counts of queues may be when they are shown; callers expect 2 s at most.
-const COUNTS_MAX_AGE: Millis = Millis(1_500);
+const QUEUE_COUNTS_MAX_AGE: Millis = Millis(1_500);
 
 /// How long a host without an answer of the leader or the store still takes connections.
-const SERVES_WITHOUT_CONTACT: Millis = Millis(2_500);
+const READY_WITHOUT_CONTACT_LIMIT: Millis = Millis(2_500);
 
 /// How long the store must have failed this host's calls before writes are not tried any more.
-const STORE_AWAY_AFTER: Millis = Millis(600);
+const STORE_UNAVAILABLE_AFTER: Millis = Millis(600);
 
 const LOCK: &str = "no holder of the lock panics";
 
@@ -92,7 +92,7 @@
     let strength = succession::leader_capacity(installation.cpu_share, installation.link_mbps);
     Arc::new(Node {
         leader_capacity: strength,
-        began: clock::now(),
+        started_at: clock::now(),
         handover: Handover::default(),
         advisor,
         hosts,
@@ -154,7 +154,7 @@
     }
 
     /// Takes in that the configuration in force was the newest one at `at`.
-    pub fn config_was_newest(&self, at: Instant) {
+    pub fn confirm_config_newest_at(&self, at: Instant) {
         self.config_read.fetch_max(at.0, Ordering::Relaxed);
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// Takes in that the store has answered.
-    pub fn store_answered(&self) {
+    pub fn record_store_answer(&self) {
         if self.store_lost.swap(false, Ordering::Relaxed) {
             tracing::info!(event = "store_back", silent_ms = self.store_age().0);
             // Entries of workers that lapsed meanwhile need time to come back.
@@ -194,14 +194,14 @@
     }
 
     /// Takes in which revision the store was at when it was asked.
-    pub fn store_was_at(&self, mark: RevisionSample) {
+    pub fn report_store_revision(&self, mark: RevisionSample) {
         if let Role::Leader(engine) = self.role() {
             engine.send(Event::StoreRevision(mark));
         }
     }
 
     /// Takes in that a call to the store failed.
-    pub fn store_failed(&self) {
+    pub fn record_store_failure(&self) {
         if !self.store_lost.swap(true, Ordering::Relaxed) {
             tracing::warn!(event = "store_lost", silent_ms = self.store_age().0);
         }
@@ -210,10 +210,10 @@
 
     /// Tells whether the store has failed this host's last calls for a while; writes are then not
     /// even tried, so that a refusal is certainly true.
-    pub fn is_store_away(&self) -> bool {
+    pub fn is_store_unavailable(&self) -> bool {
         let answered = self.store_answered.load(Ordering::Relaxed);
         let failed = self.store_failed.load(Ordering::Relaxed);
-        failed > answered && self.store_age() >= STORE_AWAY_AFTER
+        failed > answered && self.store_age() >= STORE_UNAVAILABLE_AFTER
     }
 
     /// Returns how long ago the store last answered.
@@ -222,7 +222,7 @@
     }
 
     /// Takes in that the leader has answered, with its counts of queues.
-    pub fn leader_answered(&self, counts: Vec<QueueCount>) {
+    pub fn record_leader_answer(&self, counts: Vec<QueueCount>) {
         self.leader_answered.fetch_max(clock::now().0, Ordering::Relaxed);
         let counts = counts.into_iter().map(|c| (c.queue, c.waiting));
         *self.waiting.lock().expect(LOCK) = counts.collect();
@@ -237,7 +237,7 @@
         if let Role::Leader(engine) = self.role() {
             return Some(engine.waiting_jobs_of(queue));
         }
-        if self.leader_age() > COUNTS_MAX_AGE {
+        if self.leader_age() > QUEUE_COUNTS_MAX_AGE {
             return None;
         }
         Some(self.waiting.lock().expect(LOCK).get(queue).copied().unwrap_or(0))
@@ -246,8 +246,8 @@
     /// Tells whether this host should be given callers' connections.
     pub fn is_ready(&self) -> bool {
         let leads = matches!(self.role(), Role::Leader(_));
-        let store = self.store_age() < SERVES_WITHOUT_CONTACT;
-        let leader = self.leader_age() < SERVES_WITHOUT_CONTACT;
+        let store = self.store_age() < READY_WITHOUT_CONTACT_LIMIT;
+        let leader = self.leader_age() < READY_WITHOUT_CONTACT_LIMIT;
         !self.is_stopping() && self.config().is_some() && (leads || store || leader)
     }
 
@@ -266,16 +266,16 @@
 
     /// Returns how long this process has run.
     pub fn running_for(&self) -> Millis {
-        clock::now().since(self.began)
+        clock::now().since(self.started_at)
     }
 
     /// Answers an invitation to lead, once the claim was made or not.
-    pub async fn invited(&self, invitation: Invitation) -> bool {
-        !self.is_stopping() && self.handover.invited(invitation).await
+    pub async fn handle_invitation(&self, invitation: Invitation) -> bool {
+        !self.is_stopping() && self.handover.handle_invitation(invitation).await
     }
 
     /// Answers a follower's heartbeat.
-    pub async fn heartbeat_here(&self, beat: Heartbeat) -> HeartbeatAnswer {
+    pub async fn answer_heartbeat(&self, beat: Heartbeat) -> HeartbeatAnswer {
         let now = clock::now();
         // Noted before this host leads, too: a claim that is still reading the state makes way.
         self.handover.note_follower(now, &beat);
@@ -302,21 +302,21 @@
     }
 
     /// Takes in a stored job if this host leads; tells whether it does.
-    pub async fn job_here(&self, job: Arc<Job>) -> bool {
+    pub async fn apply_job_if_leader(&self, job: Arc<Job>) -> bool {
         let Role::Leader(engine) = self.role() else { return false };
         engine.send(Event::Job(job));
         true
     }
 
     /// Takes in a stored cancellation if this host leads; tells whether it does.
-    pub async fn cancel_here(&self, key: JobKey) -> bool {
+    pub async fn apply_cancel_if_leader(&self, key: JobKey) -> bool {
         let Role::Leader(engine) = self.role() else { return false };
         engine.send(Event::Cancel(key));
         true
     }
 
     /// Returns a job's state if this host leads and knows it.
-    pub async fn status_here(&self, key: JobKey) -> StatusAnswer {
+    pub async fn status_if_leader(&self, key: JobKey) -> StatusAnswer {
         let Role::Leader(engine) = self.role() else { return StatusAnswer::Unknown };
         engine.status(key).await
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -304,21 +304,27 @@
 type Module = RpcModule<Arc<crate::node::Node>>;
 
 fn register(module: &mut Module) {
-    add(module, HEARTBEAT, |node, beat: Heartbeat| async move { node.heartbeat_here(beat).await });
-    add(module, JOB_STORED, |node, job: Job| async move { node.job_here(Arc::new(job)).await });
-    add(module, CANCEL_STORED, |node, key: JobKey| async move { node.cancel_here(key).await });
+    add(
+        module,
+        HEARTBEAT,
+        |node, beat: Heartbeat| async move { node.answer_heartbeat(beat).await },
+    );
+    add(module, JOB_STORED, |node, job: Job| async move {
+        node.apply_job_if_leader(Arc::new(job)).await
+    });
+    add(module, CANCEL_STORED, |node, key: JobKey| async move {
+        node.apply_cancel_if_leader(key).await
+    });
     add(module, STORE_JOB, |node, job: Job| async move {
         crate::inbox::store_job_here(&node, Arc::new(job)).await
     });
     add(module, STORE_CANCEL, |node, key: JobKey| async move {
         crate::inbox::store_cancel_here(&node, key).await
     });
-    add(module, STATUS, |node, key: JobKey| async move { node.status_here(key).await });
-    add(
-        module,
-        INVITE,
-        |node, invitation: Invitation| async move { node.invited(invitation).await },
-    );
+    add(module, STATUS, |node, key: JobKey| async move { node.status_if_leader(key).await });
+    add(module, INVITE, |node, invitation: Invitation| async move {
+        node.handle_invitation(invitation).await
+    });
 }
 
 fn add<Q, A, H, F>(module: &mut Module, name: &'static str, handler: H)
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -145,7 +145,7 @@
     // A part that was read whole is kept; the next reading goes on with the others.
     roster.and(directory).and(progress).and(inbox).and(evacuated).and(waves)?;
     *learnt = found?;
-    node.store_answered();
+    node.record_store_answer();
     Ok(())
 }
 
