--- a/crates/node/src/following.rs
+++ b/crates/node/src/following.rs
@@ -15,7 +15,7 @@
 use gaplock_sched::freshness::RevisionSample;
 use gaplock_types::time::{Instant, Millis};
 
-use crate::handover::Invited;
+use crate::handover::PendingInvitation;
 use crate::leadership::{self, Authority, Claim, Holder, LeadershipStatus};
 use crate::leading;
 use crate::node::{Node, Role};
@@ -100,7 +100,7 @@
         return claim(node, revision).await;
     }
     node.set_role(Role::Follower(Some(leader.addr.clone())));
-    if node.handover.follows_anew(leader.term) {
+    if node.handover.set_followed_term(leader.term) {
         tracing::info!(event = "following", leader = %leader.host, term = leader.term);
     }
     loop {
@@ -137,7 +137,7 @@
 
 /// Waits until the next heartbeat is due or the connection to the leader is lost; returns an
 /// invitation to lead if one came.
-async fn wait(node: &Node) -> Option<Invited> {
+async fn wait(node: &Node) -> Option<PendingInvitation> {
     let invited = node.handover.next_invitation();
     let lost = node.leader.lost();
     let (invited, lost) = (pin!(invited), pin!(lost));
@@ -149,7 +149,7 @@
 }
 
 /// Claims the leadership that its holder gives up, and answers the holder.
-async fn claim_invited(node: &Arc<Node>, invited: Invited) {
+async fn claim_invited(node: &Arc<Node>, invited: PendingInvitation) {
     let mut seen = Revision(invited.invitation.claim);
     let sent = clock::now();
     let me = my_record(node);
@@ -177,7 +177,7 @@
 }
 
 /// Tells the host that invited this one whether this one leads now.
-fn answer(invited: &Invited, leads: bool) {
+fn answer(invited: &PendingInvitation, leads: bool) {
     if invited.answer.try_send(leads).is_err() {
         tracing::debug!(event = "invitation_not_wanted");
     }
@@ -205,7 +205,7 @@
             beat_after,
             check_store,
         } => {
-            node.handover.set_strongest(strongest);
+            node.handover.set_best_leader_capacity(strongest);
             node.handover.set_beat_after(beat_after);
             node.handover.set_check_wanted(check_store);
             node.handover.set_named(successor.as_ref() == Some(&node.installation.host));
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -27,15 +27,15 @@
     /// Whether the leader asked this host to check the store.
     check_wanted: AtomicBool,
     /// The number of the leadership that this host followed last.
-    followed: AtomicU64,
+    followed_term: AtomicU64,
     /// Until when this host leaves claims to others, in milliseconds of its clock.
     stands_back: AtomicU64,
     /// Invitations to claim the leadership, each with the way to answer it.
-    invitations: (Sender<Invited>, Receiver<Invited>),
+    invitations: (Sender<PendingInvitation>, Receiver<PendingInvitation>),
 }
 
 /// An invitation that waits for its answer: whether this host leads now.
-pub struct Invited {
+pub struct PendingInvitation {
     /// What the leader said.
     pub invitation: Invitation,
     /// Takes the answer.
@@ -44,7 +44,7 @@
 
 /// How many invitations may wait for the main task; there is one leader to invite, so more are
 /// declined at once.
-const MOST_WAITING: usize = 1;
+const MAX_PENDING_INVITATIONS: usize = 1;
 
 const LOCK: &str = "no holder of the lock panics";
 
@@ -56,9 +56,9 @@
             strongest: AtomicU16::new(0),
             beat_after: AtomicU64::new(0),
             check_wanted: AtomicBool::new(false),
-            followed: AtomicU64::new(0),
+            followed_term: AtomicU64::new(0),
             stands_back: AtomicU64::new(0),
-            invitations: async_channel::bounded(MOST_WAITING),
+            invitations: async_channel::bounded(MAX_PENDING_INVITATIONS),
         }
     }
 }
@@ -75,7 +75,7 @@
     }
 
     /// Remembers the strength of the strongest host that the leader knows.
-    pub fn set_strongest(&self, strongest: LeaderCapacity) {
+    pub fn set_best_leader_capacity(&self, strongest: LeaderCapacity) {
         self.strongest.store(strongest.0, Ordering::Relaxed);
     }
 
@@ -86,12 +86,12 @@
     }
 
     /// Takes in which leadership is followed; tells whether it is another one than before.
-    pub fn follows_anew(&self, term: u64) -> bool {
-        self.followed.swap(term, Ordering::Relaxed) != term
+    pub fn set_followed_term(&self, term: u64) -> bool {
+        self.followed_term.swap(term, Ordering::Relaxed) != term
     }
 
     /// Leaves claims to other hosts until then.
-    pub fn stand_back(&self, until: Instant) {
+    pub fn defer_claims(&self, until: Instant) {
         self.stands_back.store(until.0, Ordering::Relaxed);
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Returns the followers that could lead now, the best one first.
-    pub fn successors(&self, now: Instant) -> Vec<Candidate> {
+    pub fn successor_candidates(&self, now: Instant) -> Vec<Candidate> {
         self.followers.lock().expect(LOCK).ranked(now)
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Takes in a follower's heartbeat.
-    pub fn note_follower(&self, now: Instant, beat: &Heartbeat) {
+    pub fn record_follower(&self, now: Instant, beat: &Heartbeat) {
         let candidate = Candidate {
             host: beat.host.clone(),
             addr: beat.addr.clone(),
@@ -162,14 +162,14 @@
     /// Hands an invitation to this host's main task, and returns whether this host leads now.
     pub async fn handle_invitation(&self, invitation: Invitation) -> bool {
         let (answer, rx) = async_channel::bounded(1);
-        if self.invitations.0.try_send(Invited { invitation, answer }).is_err() {
+        if self.invitations.0.try_send(PendingInvitation { invitation, answer }).is_err() {
             return false;
         }
         rx.recv().await.unwrap_or(false)
     }
 
     /// Waits for an invitation.
-    pub async fn next_invitation(&self) -> Option<Invited> {
+    pub async fn next_invitation(&self) -> Option<PendingInvitation> {
         self.invitations.1.recv().await.ok()
     }
 }
--- a/crates/node/src/leading.rs
+++ b/crates/node/src/leading.rs
@@ -33,7 +33,7 @@
 /// Lets the best follower claim the leadership at once, or else gives the claim back.
 async fn hand_over(node: &Arc<Node>, claim: Claim) {
     node.set_role(Role::Follower(None));
-    for candidate in node.handover.successors(clock::now()).iter().take(MOST_INVITED) {
+    for candidate in node.handover.successor_candidates(clock::now()).iter().take(MOST_INVITED) {
         let invitation = Invitation { claim: claim.revision.0 };
         let answered = node.leader.invite(&candidate.addr, invitation).await;
         tracing::info!(event = "successor_invited", host = %candidate.host, term = claim.term,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -278,7 +278,7 @@
     pub async fn answer_heartbeat(&self, beat: Heartbeat) -> HeartbeatAnswer {
         let now = clock::now();
         // Noted before this host leads, too: a claim that is still reading the state makes way.
-        self.handover.note_follower(now, &beat);
+        self.handover.record_follower(now, &beat);
         let Role::Leader(engine) = self.role() else { return HeartbeatAnswer::NotLeader };
         engine.leadership.record_peer_report(now, beat.store_age);
         if engine.leadership.authority(now) != Authority::Act {
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -82,7 +82,7 @@
         }
         if took >= READ_LIMIT {
             tracing::warn!(event = "claim_given_back", why = "the state was not read in time");
-            node.handover.stand_back(clock::now() + STANDS_BACK);
+            node.handover.defer_claims(clock::now() + STANDS_BACK);
             return None;
         }
         task::sleep(feeds::STORE_PAUSE).await;
