--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -134,7 +134,7 @@
             task::spawn(upkeep(calls, wave, host));
         }
         Action::ConfirmLeadership => {
-            task::spawn(confirm(calls));
+            task::spawn(confirm_leadership(calls));
         }
     }
 }
@@ -231,8 +231,9 @@
 }
 
 /// Makes sure that this host still leads.
-async fn confirm(calls: Calls) {
-    following::confirm(&calls.node, &calls.engine.leadership, Revision(calls.token.0)).await;
+async fn confirm_leadership(calls: Calls) {
+    following::confirm_leadership(&calls.node, &calls.engine.leadership, Revision(calls.token.0))
+        .await;
 }
 
 /// Returns the event of an action that is not sent, because the leadership is in doubt.
--- a/crates/node/src/following.rs
+++ b/crates/node/src/following.rs
@@ -22,7 +22,7 @@
 use crate::peers::{Heartbeat, HeartbeatAnswer, PeerError};
 
 /// The pause before the store is asked again who leads.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+const LEADER_QUERY_PAUSE: Duration = Duration::from_millis(200);
 
 /// How old the leader's last reading of the configuration may be before a follower reads it from
 /// the store itself; a change must be in force within 2 s.
@@ -33,17 +33,17 @@
 
 /// How long the other hosts leave the claim to the one that the leader named: the time of two
 /// attempts, each two calls to the store of 4 ms and a wait for a turn on a weak host.
-const NAMED_FIRST: Millis = Millis(60);
+const NAMED_SUCCESSOR_HEAD_START: Millis = Millis(60);
 
 /// How much later than others a host claims that could not read the state in time: longer than the
 /// weakest host waits.
-const STANDS_BACK_PAUSE: Duration = Duration::from_millis(2_500);
+const DEFERRED_CLAIM_PAUSE: Duration = Duration::from_millis(2_500);
 
 /// How often an invited host tries to claim; a last commit of the former leader may come between.
-const INVITED_TRIES: u32 = 8;
+const INVITED_CLAIM_ATTEMPTS: u32 = 8;
 
 /// The pause between these tries, a little more than a commit takes.
-const INVITED_PAUSE: Duration = Duration::from_millis(15);
+const INVITED_CLAIM_PAUSE: Duration = Duration::from_millis(15);
 
 /// How long a connection attempt that tells whether the leader's process lives may take.
 const PROBE_LIMIT: Duration = Duration::from_millis(200);
@@ -66,11 +66,11 @@
                 tracing::debug!(event = "store_silent", error = %e);
                 node.record_store_failure();
                 // The store may turn just this host away, and the last leader may still lead.
-                let last = last.as_ref().filter(|(record, _)| !is_mine(&node, record));
+                let last = last.as_ref().filter(|(record, _)| !is_own_claim(&node, record));
                 if let Some((record, revision)) = last {
                     follow(&node, record, *revision).await;
                 }
-                task::sleep(ASK_AGAIN).await;
+                task::sleep(LEADER_QUERY_PAUSE).await;
             }
         }
         check_store(&node).await;
@@ -78,7 +78,7 @@
 }
 
 /// Builds the record with which this host claims the leadership.
-fn my_record(node: &Node) -> LeaderRecord {
+fn own_leader_record(node: &Node) -> LeaderRecord {
     LeaderRecord {
         host: node.installation.host.clone(),
         addr: node.peer_addr.clone(),
@@ -89,13 +89,13 @@
 }
 
 /// Tells whether a claim is of this host.
-fn is_mine(node: &Node, leader: &LeaderRecord) -> bool {
+fn is_own_claim(node: &Node, leader: &LeaderRecord) -> bool {
     leader.host == node.installation.host
 }
 
 /// Follows one leader for as long as it answers.
 async fn follow(node: &Arc<Node>, leader: &LeaderRecord, revision: Revision) {
-    if is_mine(node, leader) {
+    if is_own_claim(node, leader) {
         // The claim is of a former process of this host, or of a leadership that it gave up.
         return claim(node, revision).await;
     }
@@ -107,8 +107,8 @@
         match heartbeat(node, &leader.addr).await {
             Ok(true) => {
                 check_store(node).await;
-                if let Some(invited) = wait(node).await {
-                    return claim_invited(node, invited).await;
+                if let Some(invited) = wait_for_heartbeat_due(node).await {
+                    return claim_by_invitation(node, invited).await;
                 }
             }
             Ok(false) => break,
@@ -129,15 +129,15 @@
         }
     }
     // A leader that has just stopped answers that it leads no longer, and may be about to invite.
-    let invited = future::timeout(ASK_AGAIN, node.handover.next_invitation()).await;
+    let invited = future::timeout(LEADER_QUERY_PAUSE, node.handover.next_invitation()).await;
     if let Ok(Some(invited)) = invited {
-        claim_invited(node, invited).await;
+        claim_by_invitation(node, invited).await;
     }
 }
 
 /// Waits until the next heartbeat is due or the connection to the leader is lost; returns an
 /// invitation to lead if one came.
-async fn wait(node: &Node) -> Option<PendingInvitation> {
+async fn wait_for_heartbeat_due(node: &Node) -> Option<PendingInvitation> {
     let invited = node.handover.next_invitation();
     let lost = node.leader.lost();
     let (invited, lost) = (pin!(invited), pin!(lost));
@@ -149,14 +149,14 @@
 }
 
 /// Claims the leadership that its holder gives up, and answers the holder.
-async fn claim_invited(node: &Arc<Node>, invited: PendingInvitation) {
+async fn claim_by_invitation(node: &Arc<Node>, invited: PendingInvitation) {
     let mut seen = Revision(invited.invitation.claim);
     let sent = clock::now();
-    let me = my_record(node);
-    for _ in 0..INVITED_TRIES {
+    let me = own_leader_record(node);
+    for _ in 0..INVITED_CLAIM_ATTEMPTS {
         match leadership::claim(&node.store, &me, seen).await {
             Ok(claim) => {
-                answer(&invited, true);
+                answer_invitation(&invited, true);
                 return lead(node, claim, sent).await;
             }
             Err(e) => tracing::info!(event = "claim_failed", error = %e),
@@ -171,13 +171,13 @@
             Ok(Holder::Host(..)) => break,
             Err(e) => tracing::debug!(event = "store_silent", error = %e),
         }
-        task::sleep(INVITED_PAUSE).await;
+        task::sleep(INVITED_CLAIM_PAUSE).await;
     }
-    answer(&invited, false);
+    answer_invitation(&invited, false);
 }
 
 /// Tells the host that invited this one whether this one leads now.
-fn answer(invited: &PendingInvitation, leads: bool) {
+fn answer_invitation(invited: &PendingInvitation, leads: bool) {
     if invited.answer.try_send(leads).is_err() {
         tracing::debug!(event = "invitation_not_wanted");
     }
@@ -260,23 +260,23 @@
 /// Claims the leadership in place of the claim at `seen`, after a pause unless this host was named.
 async fn claim(node: &Arc<Node>, seen: Revision) {
     if node.handover.stands_back(clock::now()) {
-        task::sleep(STANDS_BACK_PAUSE).await;
+        task::sleep(DEFERRED_CLAIM_PAUSE).await;
     } else if !node.handover.is_named() {
         let spread = rand::random_range(0..CLAIM_SPREAD_MS);
         let weaker = succession::claim_delay(node.leader_capacity, node.handover.strongest());
-        let pause = NAMED_FIRST.0 + weaker.0 + spread;
+        let pause = NAMED_SUCCESSOR_HEAD_START.0 + weaker.0 + spread;
         task::sleep(Duration::from_millis(pause)).await;
     }
     if node.is_stopping() {
         return;
     }
     let sent = clock::now();
-    match leadership::claim(&node.store, &my_record(node), seen).await {
+    match leadership::claim(&node.store, &own_leader_record(node), seen).await {
         Ok(claim) => lead(node, claim, sent).await,
         Err(StoreError::Conflict) => tracing::debug!(event = "claim_too_late"),
         Err(e) => {
             tracing::info!(event = "claim_failed", error = %e);
-            task::sleep(ASK_AGAIN).await;
+            task::sleep(LEADER_QUERY_PAUSE).await;
         }
     }
 }
@@ -296,7 +296,7 @@
 }
 
 /// Asks the store whether the claim at `revision` still stands.
-pub async fn confirm(node: &Node, standing: &LeadershipStatus, revision: Revision) {
+pub async fn confirm_leadership(node: &Node, standing: &LeadershipStatus, revision: Revision) {
     let sent = clock::now();
     match leadership::revisions(&node.store).await {
         Ok(Some((found, store))) if found == revision => {
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/keeping.rs
@@ -42,7 +42,7 @@
             return;
         }
         // Boxed: the states of three calls beside each other are too large for the thread's stack.
-        let confirmed = Box::pin(following::confirm(&node, &standing, claim.revision));
+        let confirmed = Box::pin(following::confirm_leadership(&node, &standing, claim.revision));
         let kept = Box::pin(node.store.keep(claim.lease));
         let read = Box::pin(following::read_config(&node));
         let (_, kept, _) = futures::join!(confirmed, kept, read);
