--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -26,14 +26,14 @@
 use crate::node::Node;
 
 /// The client of one worker.
-struct Opened {
+struct OpenClient {
     addr: String,
     client: Arc<Worker>,
 }
 
 /// The clients of all workers, by their positions.
 pub struct Clients {
-    opened: Vec<Opened>,
+    opened: Vec<OpenClient>,
     /// How many files and connections this process may have open.
     descriptors: usize,
 }
@@ -48,32 +48,32 @@
     fn of(&mut self, cx: &Context, ix: WorkerIx) -> Arc<Worker> {
         let at = ix.0 as usize;
         while self.opened.len() <= at {
-            let opened = self.open_one(cx, self.opened.len());
+            let opened = self.open_client(cx, self.opened.len());
             self.opened.push(opened);
         }
         if self.opened[at].addr != cx.workers[at].info.addr {
-            self.opened[at] = self.open_one(cx, at);
+            self.opened[at] = self.open_client(cx, at);
         }
         Arc::clone(&self.opened[at].client)
     }
 
     /// Opens a client of a worker; one that has started again at its address goes on with its former one, so that
     /// connections do not add up over its starts.
-    fn open_one(&self, cx: &Context, at: usize) -> Opened {
+    fn open_client(&self, cx: &Context, at: usize) -> OpenClient {
         let info = &cx.workers[at].info;
         let former =
             cx.workers[at].previous_incarnation.and_then(|ix| self.opened.get(ix.0 as usize));
         if let Some(former) = former.filter(|opened| opened.addr == info.addr) {
-            return Opened { addr: info.addr.clone(), client: Arc::clone(&former.client) };
+            return OpenClient { addr: info.addr.clone(), client: Arc::clone(&former.client) };
         }
         let kept = connections::idle_connections_per_worker(self.descriptors, cx.fleet_size());
         let client = Arc::new(worker::open(&info.addr, info.id.name(), kept));
-        Opened { addr: info.addr.clone(), client }
+        OpenClient { addr: info.addr.clone(), client }
     }
 }
 
 /// What a call needs besides its arguments.
-pub struct Calls {
+pub struct CallContext {
     /// What the process shares.
     pub node: Arc<Node>,
     /// The engine that is told what became of the call.
@@ -83,7 +83,7 @@
 }
 
 /// Begins to carry an action out.
-pub fn carry_out(calls: Calls, clients: &mut Clients, cx: &Context, action: Action) {
+pub fn carry_out(calls: CallContext, clients: &mut Clients, cx: &Context, action: Action) {
     let sent = cx.now;
     match action {
         Action::Renew { worker, stored, until, wait } => {
@@ -139,7 +139,7 @@
     }
 }
 
-impl Calls {
+impl CallContext {
     async fn renew(
         &self,
         client: &Worker,
@@ -188,7 +188,7 @@
 
 /// Asks where a step may run.
 async fn advise(
-    calls: Calls,
+    calls: CallContext,
     sent: Instant,
     step: StepKey,
     asked: Vec<WorkerIx>,
@@ -213,7 +213,7 @@
 }
 
 /// Lists all hosts.
-async fn list_hosts(calls: Calls, sent: Instant) {
+async fn list_hosts(calls: CallContext, sent: Instant) {
     let hosts = match &calls.node.hosts {
         Some(hosts) => hosts.list().await,
         None => None,
@@ -222,7 +222,7 @@
 }
 
 /// Orders a host down for its upkeep.
-async fn upkeep(calls: Calls, wave: WaveNumber, host: ids::HostId) {
+async fn upkeep(calls: CallContext, wave: WaveNumber, host: ids::HostId) {
     let answer = match &calls.node.hosts {
         Some(hosts) => hosts.upkeep(calls.token, wave, &host).await,
         None => MaintenanceAnswer::Busy,
@@ -231,13 +231,13 @@
 }
 
 /// Makes sure that this host still leads.
-async fn confirm_leadership(calls: Calls) {
+async fn confirm_leadership(calls: CallContext) {
     following::confirm_leadership(&calls.node, &calls.engine.leadership, Revision(calls.token.0))
         .await;
 }
 
 /// Returns the event of an action that is not sent, because the leadership is in doubt.
-pub fn left_out(sent: Instant, action: Action) -> Option<Event> {
+pub fn not_sent_event(sent: Instant, action: Action) -> Option<Event> {
     let event = match action {
         Action::Renew { worker, .. } => Event::Renewed { worker, sent, outcome: Outcome::NotSent },
         Action::Start { worker, task, run, .. } => {
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -18,7 +18,7 @@
 use gaplock_sched::{commits, evacuation, Context, Event};
 use gaplock_types::time::Instant;
 
-use crate::actions::{self, Calls, Clients};
+use crate::actions::{self, CallContext, Clients};
 use crate::leadership::{Authority, LeadershipStatus};
 use crate::ledger::{CommitError, StoreWriter};
 use crate::node::Node;
@@ -171,9 +171,9 @@
         for action in self.cx.take_actions() {
             if may {
                 let (node, engine) = (Arc::clone(&self.node), self.engine());
-                let calls = Calls { node, engine, token: self.cx.term.token };
+                let calls = CallContext { node, engine, token: self.cx.term.token };
                 actions::carry_out(calls, &mut self.clients, &self.cx, action);
-            } else if let Some(event) = actions::left_out(self.cx.now, action) {
+            } else if let Some(event) = actions::not_sent_event(self.cx.now, action) {
                 self.engine.send(event);
             }
         }
