--- a/crates/node/src/leading.rs
+++ b/crates/node/src/leading.rs
@@ -28,12 +28,12 @@
 }
 
 /// How many followers are invited at most before the claim is simply given back.
-const MOST_INVITED: usize = 3;
+const MAX_INVITED: usize = 3;
 
 /// Lets the best follower claim the leadership at once, or else gives the claim back.
 async fn hand_over(node: &Arc<Node>, claim: Claim) {
     node.set_role(Role::Follower(None));
-    for candidate in node.handover.successor_candidates(clock::now()).iter().take(MOST_INVITED) {
+    for candidate in node.handover.successor_candidates(clock::now()).iter().take(MAX_INVITED) {
         let invitation = Invitation { claim: claim.revision.0 };
         let answered = node.leader.invite(&candidate.addr, invitation).await;
         tracing::info!(event = "successor_invited", host = %candidate.host, term = claim.term,
