--- a/crates/node/src/following.rs
+++ b/crates/node/src/following.rs
@@ -139,7 +139,7 @@
 /// invitation to lead if one came.
 async fn wait_for_heartbeat_due(node: &Node) -> Option<PendingInvitation> {
     let invited = node.handover.next_invitation();
-    let lost = node.leader.lost();
+    let lost = node.leader.wait_until_lost();
     let (invited, lost) = (pin!(invited), pin!(lost));
     let pause = node.handover.beat_after().as_duration();
     match future::timeout(pause, select(invited, lost)).await {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -47,7 +47,7 @@
     /// The service that knows the workers' hosts, if the installation has one.
     pub hosts: Option<Hosts>,
     /// The connection to the leader.
-    pub leader: peers::Leader,
+    pub leader: peers::PeerClient,
     /// Counters.
     pub metrics: Metrics,
     settings: RwLock<Settings>,
@@ -101,7 +101,7 @@
         incarnation: ids::Incarnation(rand::random()),
         peer_addr,
         store: Arc::new(store),
-        leader: peers::Leader::default(),
+        leader: peers::PeerClient::default(),
         metrics: crate::metrics::open(),
         config: RwLock::new(None),
         role: RwLock::new(Role::Follower(None)),
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -36,11 +36,11 @@
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
 
 /// The largest message; a job is bounded by the callers' limits, far below this.
-const MESSAGE_MOST_BYTES: u32 = 4 << 20;
+const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
 /// How many other hosts may be connected: some times the hundreds that the users' sites grow to,
 /// and half of the descriptors of their smallest host. The library's own bound is 100.
-const MOST_CONNECTIONS: u32 = 2_000;
+const MAX_CONNECTIONS: u32 = 2_000;
 
 /// Why a call has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
@@ -139,11 +139,11 @@
 
 /// The connection to the leader, opened on first use and again after a fault.
 #[derive(Default)]
-pub struct Leader {
+pub struct PeerClient {
     client: Mutex<Option<(String, Arc<WsClient>)>>,
 }
 
-impl Leader {
+impl PeerClient {
     async fn client(&self, addr: &str) -> Result<Arc<WsClient>, PeerError> {
         let known = self.client.lock().expect("no holder of the lock panics").clone();
         if let Some((known_addr, client)) = known {
@@ -154,8 +154,8 @@
         let building = WsClientBuilder::default()
             .connection_timeout(CONNECT_LIMIT)
             .request_timeout(INVITE_LIMIT)
-            .max_request_size(MESSAGE_MOST_BYTES)
-            .max_response_size(MESSAGE_MOST_BYTES)
+            .max_request_size(MAX_MESSAGE_BYTES)
+            .max_response_size(MAX_MESSAGE_BYTES)
             .build(format!("ws://{addr}"));
         let client = future::timeout(CONNECT_LIMIT, building)
             .await
@@ -251,7 +251,7 @@
     }
 
     /// Waits until the open connection is lost; for ever, if there is none.
-    pub async fn lost(&self) {
+    pub async fn wait_until_lost(&self) {
         let known = self.client.lock().expect("no holder of the lock panics").clone();
         match known {
             Some((addr, client)) => {
@@ -282,9 +282,9 @@
 /// Returns the error of binding the address.
 pub async fn bind(addr: &str, node: Arc<crate::node::Node>) -> io::Result<Server> {
     let config = server::ServerConfig::builder()
-        .max_connections(MOST_CONNECTIONS)
-        .max_request_body_size(MESSAGE_MOST_BYTES)
-        .max_response_body_size(MESSAGE_MOST_BYTES)
+        .max_connections(MAX_CONNECTIONS)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
         .build();
     let server = server::Server::builder().set_config(config).build(addr).await?;
     let mut module = RpcModule::new(node);
@@ -304,30 +304,32 @@
 type Module = RpcModule<Arc<crate::node::Node>>;
 
 fn register(module: &mut Module) {
-    add(
-        module,
-        HEARTBEAT,
-        |node, beat: Heartbeat| async move { node.answer_heartbeat(beat).await },
-    );
-    add(module, JOB_STORED, |node, job: Job| async move {
+    register_method(module, HEARTBEAT, |node, beat: Heartbeat| async move {
+        node.answer_heartbeat(beat).await
+    });
+    register_method(module, JOB_STORED, |node, job: Job| async move {
         node.apply_job_if_leader(Arc::new(job)).await
     });
-    add(module, CANCEL_STORED, |node, key: JobKey| async move {
+    register_method(module, CANCEL_STORED, |node, key: JobKey| async move {
         node.apply_cancel_if_leader(key).await
     });
-    add(module, STORE_JOB, |node, job: Job| async move {
+    register_method(module, STORE_JOB, |node, job: Job| async move {
         crate::inbox::store_job_here(&node, Arc::new(job)).await
     });
-    add(module, STORE_CANCEL, |node, key: JobKey| async move {
+    register_method(module, STORE_CANCEL, |node, key: JobKey| async move {
         crate::inbox::store_cancel_here(&node, key).await
     });
-    add(module, STATUS, |node, key: JobKey| async move { node.status_if_leader(key).await });
-    add(module, INVITE, |node, invitation: Invitation| async move {
+    register_method(
+        module,
+        STATUS,
+        |node, key: JobKey| async move { node.status_if_leader(key).await },
+    );
+    register_method(module, INVITE, |node, invitation: Invitation| async move {
         node.handle_invitation(invitation).await
     });
 }
 
-fn add<Q, A, H, F>(module: &mut Module, name: &'static str, handler: H)
+fn register_method<Q, A, H, F>(module: &mut Module, name: &'static str, handler: H)
 where
     Q: DeserializeOwned + Send + 'static,
     A: Serialize + Clone + Send + 'static,
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -96,7 +96,7 @@
     standing: &LeadershipStatus,
     readings: &mut Readings,
 ) -> Option<Result<(), StoreError>> {
-    match select(pin!(read_on(node, readings)), pin!(lost(standing))).await {
+    match select(pin!(read_on(node, readings)), pin!(wait_until_lost(standing))).await {
         Either::Left((read, _)) => Some(read),
         Either::Right(_) => None,
     }
@@ -106,7 +106,7 @@
 const STANDING_EVERY: Duration = Duration::from_millis(50);
 
 /// Waits until the leadership is lost.
-async fn lost(standing: &LeadershipStatus) {
+async fn wait_until_lost(standing: &LeadershipStatus) {
     while standing.authority(clock::now()) != Authority::Lost {
         task::sleep(STANDING_EVERY).await;
     }
