--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -15,17 +15,17 @@
 use crate::peers::PeerError;
 
 /// The pause before a write whose fate is unknown is made again.
-const UNCLEAR_PAUSE: Duration = Duration::from_millis(50);
+const UNCLEAR_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// How long a write whose fate is unknown is made again and again, about a quarter of a short job's
 /// objective; the caller may then send it again. It can be done only once, since each try expects
 /// the key not to be there.
-const UNCLEAR_LIMIT: Duration = Duration::from_millis(350);
+const UNCLEAR_RETRY_LIMIT: Duration = Duration::from_millis(350);
 
 /// Stores a job, by this host's own connection to the store or else through the leader.
 pub async fn store_job(node: &Arc<Node>, job: Arc<Job>) -> StoreOutcome {
-    let here = store_job_here(node, Arc::clone(&job)).await;
-    if is_settled(here) {
+    let here = store_job_directly(node, Arc::clone(&job)).await;
+    if needs_no_leader(here) {
         return here;
     }
     let Some(addr) = node.leader_addr() else { return here };
@@ -34,7 +34,7 @@
 }
 
 /// Tells whether what became of it here needs no word of the leader.
-fn is_settled(here: StoreOutcome) -> bool {
+fn needs_no_leader(here: StoreOutcome) -> bool {
     matches!(here, StoreOutcome::Stored | StoreOutcome::NoSuchJob)
 }
 
@@ -48,7 +48,7 @@
 }
 
 /// Stores a job by this host's own connection to the store.
-pub async fn store_job_here(node: &Arc<Node>, job: Arc<Job>) -> StoreOutcome {
+pub async fn store_job_directly(node: &Arc<Node>, job: Arc<Job>) -> StoreOutcome {
     let key = keys::job(job.key);
     let txn = Txn {
         expected: vec![(key.clone(), Revision(0))],
@@ -57,8 +57,8 @@
     };
     let handed = match write_once(node, &txn).await {
         // The only thing that it expects is that the job is not there.
-        Written::Conflict => StoreOutcome::Stored,
-        Written::Settled(handed) => handed,
+        WriteOutcome::Conflict => StoreOutcome::Stored,
+        WriteOutcome::Known(handed) => handed,
     };
     if handed == StoreOutcome::Stored {
         announce_job(node, job);
@@ -67,18 +67,18 @@
 }
 
 /// What became of a write that was tried for a while.
-enum Written {
+enum WriteOutcome {
     /// This is known of it.
-    Settled(StoreOutcome),
+    Known(StoreOutcome),
     /// Something that it expects is not so, be it by an earlier try of the same write or not.
     Conflict,
 }
 
 /// Makes a write that can be done only once; a try without an answer is followed by others for a
 /// while.
-async fn write_once(node: &Node, txn: &Txn) -> Written {
+async fn write_once(node: &Node, txn: &Txn) -> WriteOutcome {
     if node.is_store_unavailable() {
-        return Written::Settled(StoreOutcome::NotStored);
+        return WriteOutcome::Known(StoreOutcome::NotStored);
     }
     let began = Instant::now();
     let mut tries = CallAttempts::default();
@@ -87,23 +87,23 @@
         let last = match node.store.commit(txn).await {
             Ok(_) => {
                 node.record_store_answer();
-                return Written::Settled(StoreOutcome::Stored);
+                return WriteOutcome::Known(StoreOutcome::Stored);
             }
             Err(StoreError::Conflict) => {
                 node.record_store_answer();
-                return Written::Conflict;
+                return WriteOutcome::Conflict;
             }
             Err(StoreError::Away | StoreError::Gone) => Execution::NotDone,
             Err(StoreError::Unclear) => Execution::Unknown,
         };
         node.record_store_failure();
         if tries.record_outcome(last) == Execution::NotDone {
-            return Written::Settled(StoreOutcome::NotStored);
+            return WriteOutcome::Known(StoreOutcome::NotStored);
         }
-        if began.elapsed() > UNCLEAR_LIMIT {
-            return Written::Settled(StoreOutcome::Unclear);
+        if began.elapsed() > UNCLEAR_RETRY_LIMIT {
+            return WriteOutcome::Known(StoreOutcome::Unclear);
         }
-        task::sleep(UNCLEAR_PAUSE).await;
+        task::sleep(UNCLEAR_RETRY_PAUSE).await;
     }
 }
 
@@ -123,8 +123,8 @@
 
 /// Stores a cancellation, by this host's own connection to the store or else through the leader.
 pub async fn store_cancel(node: &Arc<Node>, key: JobKey) -> StoreOutcome {
-    let here = store_cancel_here(node, key).await;
-    if is_settled(here) {
+    let here = store_cancel_directly(node, key).await;
+    if needs_no_leader(here) {
         return here;
     }
     let Some(addr) = node.leader_addr() else { return here };
@@ -133,7 +133,7 @@
 }
 
 /// Stores a cancellation by this host's own connection to the store.
-pub async fn store_cancel_here(node: &Arc<Node>, key: JobKey) -> StoreOutcome {
+pub async fn store_cancel_directly(node: &Arc<Node>, key: JobKey) -> StoreOutcome {
     if node.is_store_unavailable() {
         return StoreOutcome::NotStored;
     }
@@ -149,8 +149,8 @@
         remove: Vec::new(),
     };
     let handed = match write_once(node, &txn).await {
-        Written::Conflict => cancel_after_conflict(node, key, job.revision).await,
-        Written::Settled(handed) => handed,
+        WriteOutcome::Conflict => cancel_after_conflict(node, key, job.revision).await,
+        WriteOutcome::Known(handed) => handed,
     };
     if handed == StoreOutcome::Stored {
         announce_cancel(node, key);
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -41,7 +41,7 @@
 
 /// The pause before a commit whose fate is unknown is sent again: half of the one that the leader
 /// makes while the store is away, since ends wait for it.
-const UNCLEAR_PAUSE: Duration = Duration::from_millis(100);
+const UNCLEAR_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Builds the right to write from a fresh claim.
 pub fn open(store: Arc<Store>, standing: Arc<LeadershipStatus>, claim: &Claim) -> StoreWriter {
@@ -133,7 +133,7 @@
     }
 
     async fn wait(&self) -> NextStep {
-        task::sleep(UNCLEAR_PAUSE).await;
+        task::sleep(UNCLEAR_RETRY_PAUSE).await;
         self.writer.waited(self.standing.authority(clock::now()) != Authority::Lost)
     }
 
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -314,10 +314,10 @@
         node.apply_cancel_if_leader(key).await
     });
     register_method(module, STORE_JOB, |node, job: Job| async move {
-        crate::inbox::store_job_here(&node, Arc::new(job)).await
+        crate::inbox::store_job_directly(&node, Arc::new(job)).await
     });
     register_method(module, STORE_CANCEL, |node, key: JobKey| async move {
-        crate::inbox::store_cancel_here(&node, key).await
+        crate::inbox::store_cancel_directly(&node, key).await
     });
     register_method(
         module,
