--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -75,13 +75,13 @@
                 Err(e) => {
                     tracing::debug!(event = "store_silent", error = %e);
                     away = true;
-                    task::sleep(feeds::STORE_PAUSE).await;
+                    task::sleep(feeds::STORE_RETRY_PAUSE).await;
                 }
             },
             Err(e) => {
                 tracing::debug!(event = "watch_cut", error = %e);
                 away = true;
-                task::sleep(feeds::STORE_PAUSE).await;
+                task::sleep(feeds::STORE_RETRY_PAUSE).await;
             }
         }
     }
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -27,10 +27,10 @@
 const INBOX_PAUSE: Duration = Duration::from_millis(250);
 
 /// The pause before a failed call to the store is made again.
-pub const STORE_PAUSE: Duration = Duration::from_millis(150);
+pub const STORE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// What the restored state holds already: the feeds go on from there.
-pub struct Seen {
+pub struct FeedStart {
     /// The revision at which the inbox was read.
     pub inbox: Revision,
     /// The revision at which the directory was read.
@@ -41,7 +41,7 @@
 
 /// Starts the feeds of a leadership. Evacuations are read only where the installation bounds them, waves
 /// where it has duties.
-pub fn open(node: &Arc<Node>, engine: &Arc<Engine>, seen: Seen) -> Vec<JoinHandle<()>> {
+pub fn open(node: &Arc<Node>, engine: &Arc<Engine>, seen: FeedStart) -> Vec<JoinHandle<()>> {
     directory::spawn(node, engine, seen.directory, seen.entries);
     let inbox = feed_inbox(Arc::clone(node), Arc::clone(engine), seen.inbox);
     let mut feeds = vec![task::spawn(inbox)];
@@ -81,7 +81,7 @@
                 from = watched.revision;
                 for change in &watched.changes {
                     if let Change::Set(item) = change {
-                        hand_in(&engine, item);
+                        send_inbox_item(&engine, item);
                     }
                 }
                 task::sleep(INBOX_PAUSE).await;
@@ -89,16 +89,16 @@
             Err(StoreError::Gone) => match node.store.list(keys::INBOX).await {
                 Ok(listed) => {
                     from = listed.revision;
-                    in_order(&listed.items).for_each(|item| hand_in(&engine, item));
+                    in_write_order(&listed.items).for_each(|item| send_inbox_item(&engine, item));
                 }
                 Err(e) => {
                     tracing::debug!(event = "store_silent", error = %e);
-                    task::sleep(STORE_PAUSE).await;
+                    task::sleep(STORE_RETRY_PAUSE).await;
                 }
             },
             Err(e) => {
                 tracing::debug!(event = "watch_cut", error = %e);
-                task::sleep(STORE_PAUSE).await;
+                task::sleep(STORE_RETRY_PAUSE).await;
             }
         }
     }
@@ -106,14 +106,14 @@
 
 /// Goes over listed items in the order in which they were written, as a watch tells of them. By their keys,
 /// cancellations come before the jobs that they cancel.
-fn in_order(items: &[Item]) -> impl Iterator<Item = &Item> {
+fn in_write_order(items: &[Item]) -> impl Iterator<Item = &Item> {
     let mut items: Vec<&Item> = items.iter().collect();
     items.sort_by_key(|item| item.revision);
     items.into_iter()
 }
 
 /// Hands a stored job or cancellation to the engine.
-fn hand_in(engine: &Engine, item: &Item) {
+fn send_inbox_item(engine: &Engine, item: &Item) {
     match read_inbox(item) {
         Some(Handed::Job(job)) => engine.send(Event::Job(job)),
         Some(Handed::Cancel(key)) => engine.send(Event::Cancel(key)),
@@ -134,14 +134,14 @@
                 from = Some(watched.revision);
                 for change in &watched.changes {
                     if let Change::Set(item) = change {
-                        tell_wave(&engine, item);
+                        send_wave(&engine, item);
                     }
                 }
             }
             Err(StoreError::Gone) => from = None,
             Err(e) => {
                 tracing::debug!(event = "watch_cut", error = %e);
-                task::sleep(STORE_PAUSE).await;
+                task::sleep(STORE_RETRY_PAUSE).await;
             }
         }
     }
@@ -151,19 +151,19 @@
 async fn list_waves(node: &Node, engine: &Engine) -> Option<Revision> {
     match node.store.list(waves::PREFIX).await {
         Ok(listed) => {
-            listed.items.iter().for_each(|item| tell_wave(engine, item));
+            listed.items.iter().for_each(|item| send_wave(engine, item));
             Some(listed.revision)
         }
         Err(e) => {
             tracing::debug!(event = "store_silent", error = %e);
-            task::sleep(STORE_PAUSE).await;
+            task::sleep(STORE_RETRY_PAUSE).await;
             None
         }
     }
 }
 
 /// Tells the engine of one wave.
-fn tell_wave(engine: &Engine, item: &Item) {
+fn send_wave(engine: &Engine, item: &Item) {
     match waves::decode(&item.value) {
         Ok(wave) => engine.send(Event::Wave(wave)),
         Err(e) => tracing::warn!(event = "wave_malformed", key = item.key, error = %e),
--- a/crates/node/src/leading.rs
+++ b/crates/node/src/leading.rs
@@ -73,7 +73,8 @@
     let driver = engine::open(node, cx, Arc::clone(standing), ledger);
     let engine = driver.engine();
     node.set_role(Role::Leader(Arc::clone(&engine)));
-    let seen = feeds::Seen { inbox: state.inbox, directory: state.directory.revision, entries };
+    let seen =
+        feeds::FeedStart { inbox: state.inbox, directory: state.directory.revision, entries };
     let feeds = feeds::open(node, &engine, seen);
     driver.run().await;
     for feed in feeds {
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -85,7 +85,7 @@
             node.handover.defer_claims(clock::now() + STANDS_BACK);
             return None;
         }
-        task::sleep(feeds::STORE_PAUSE).await;
+        task::sleep(feeds::STORE_RETRY_PAUSE).await;
     }
     None
 }
