--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -28,7 +28,7 @@
 
 /// From how many changes in an answer on more are waiting: the store gives some 500 at a time. A pause then
 /// puts the feed behind for good where workers write faster than it reads.
-const MORE_WAIT_FROM: usize = 400;
+const FULL_ANSWER_CHANGES: usize = 400;
 
 /// The thread's name.
 const THREAD: &str = "directory";
@@ -51,12 +51,12 @@
         match node.store.watch(directory::PREFIX, from, DIRECTORY_WAIT).await {
             Ok(watched) => {
                 node.record_store_answer();
-                back(&engine, &mut away);
+                report_directory_back(&engine, &mut away);
                 from = watched.revision;
                 for change in &watched.changes {
                     entries.changed(change).into_iter().for_each(|event| engine.send(event));
                 }
-                let whole = watched.changes.len() < MORE_WAIT_FROM;
+                let whole = watched.changes.len() < FULL_ANSWER_CHANGES;
                 let read = DirectoryRead { sent, revision: from.0, complete: whole };
                 engine.send(Event::DirectoryRead(read));
                 if whole {
@@ -65,7 +65,7 @@
             }
             Err(StoreError::Gone) => match node.store.list(directory::PREFIX).await {
                 Ok(listed) => {
-                    back(&engine, &mut away);
+                    report_directory_back(&engine, &mut away);
                     from = listed.revision;
                     let events = entries.listed(&listed.items);
                     events.into_iter().for_each(|event| engine.send(event));
@@ -88,7 +88,7 @@
 }
 
 /// Tells the engine, once, that the directory can be read again.
-fn back(engine: &Engine, away: &mut bool) {
+fn report_directory_back(engine: &Engine, away: &mut bool) {
     if std::mem::take(away) {
         engine.send(Event::DirectoryRecovered);
     }
