--- a/crates/node/src/evacuations.rs
+++ b/crates/node/src/evacuations.rs
@@ -17,14 +17,14 @@
 use crate::node::Node;
 
 /// How many times the word is read within the bound: several readings in a row may fail or be lost.
-const READS_IN_BOUND: u64 = 10;
+const READS_PER_BOUND: u64 = 10;
 
 /// The longest pause between two readings, whatever the bound.
-const PAUSE_MOST: Millis = Millis(500);
+const MAX_PAUSE: Millis = Millis(500);
 
 /// Feeds the engine of a leadership; `bound` is how soon an evacuation must be heeded.
 pub async fn feed(node: Arc<Node>, engine: Arc<Engine>, bound: Millis) {
-    let pause = Millis(bound.0 / READS_IN_BOUND).min(PAUSE_MOST).as_duration();
+    let pause = Millis(bound.0 / READS_PER_BOUND).min(MAX_PAUSE).as_duration();
     let mut refused = BTreeSet::new();
     loop {
         match read(&node, &mut refused).await {
