--- a/crates/node/src/leading.rs
+++ b/crates/node/src/leading.rs
@@ -50,7 +50,7 @@
     node: &Arc<Node>,
     claim: Claim,
     standing: &Arc<LeadershipStatus>,
-    state: reading::State,
+    state: reading::LoadedState,
 ) {
     let ledger = ledger::open(Arc::clone(&node.store), Arc::clone(standing), &claim);
     let term = engine::term(claim.term, claim.revision);
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -23,7 +23,7 @@
 use crate::{evacuations, following, keys, records};
 
 /// The stored state, from which the scheduler's state is restored and the feeds go on.
-pub struct State {
+pub struct LoadedState {
     /// What former leaders and callers' hosts have stored.
     pub stored: StoredState,
     /// The revision from which the inbox is watched.
@@ -39,11 +39,11 @@
 const READ_LIMIT: Millis = Millis(12_000);
 
 /// How long a host that could not read the state in time stands behind the others.
-const STANDS_BACK: Millis = Millis(10_000);
+const DEFER_CLAIMS_FOR: Millis = Millis(10_000);
 
 /// What has been read so far of each part of the stored state; kept over failed calls.
 #[derive(Default)]
-struct Readings {
+struct PartialState {
     inbox: Reading,
     progress: Reading,
     roster: Reading,
@@ -53,7 +53,7 @@
     evacuated: Evacuated,
 }
 
-impl Readings {
+impl PartialState {
     fn pages(&self) -> u32 {
         self.inbox.pages + self.progress.pages + self.roster.pages + self.directory.pages
     }
@@ -64,17 +64,17 @@
 }
 
 /// Reads everything; after a failed call it goes on where it stopped.
-pub async fn read_all(node: &Arc<Node>, standing: &LeadershipStatus) -> Option<State> {
+pub async fn read_all(node: &Arc<Node>, standing: &LeadershipStatus) -> Option<LoadedState> {
     let began = clock::now();
-    let mut readings = Readings::default();
+    let mut readings = PartialState::default();
     while standing.authority(clock::now()) != Authority::Lost && !node.is_stopping() {
-        let read = read_while_standing(node, standing, &mut readings).await?;
+        let read = read_while_leading(node, standing, &mut readings).await?;
         let took = clock::now().since(began);
         let (pages, bytes) = (readings.pages(), readings.bytes());
         match read {
             Ok(()) => {
                 tracing::info!(event = "state_read", took_ms = took.0, pages, bytes);
-                return Some(decoded(readings, began));
+                return Some(decode_state(readings, began));
             }
             Err(e) => {
                 tracing::info!(event = "restore_delayed", error = %e, pages, bytes);
@@ -82,7 +82,7 @@
         }
         if took >= READ_LIMIT {
             tracing::warn!(event = "claim_given_back", why = "the state was not read in time");
-            node.handover.defer_claims(clock::now() + STANDS_BACK);
+            node.handover.defer_claims(clock::now() + DEFER_CLAIMS_FOR);
             return None;
         }
         task::sleep(feeds::STORE_RETRY_PAUSE).await;
@@ -91,10 +91,10 @@
 }
 
 /// Reads on until a call fails or all is read; gives up where the leadership is lost.
-async fn read_while_standing(
+async fn read_while_leading(
     node: &Arc<Node>,
     standing: &LeadershipStatus,
-    readings: &mut Readings,
+    readings: &mut PartialState,
 ) -> Option<Result<(), StoreError>> {
     match select(pin!(read_on(node, readings)), pin!(wait_until_lost(standing))).await {
         Either::Left((read, _)) => Some(read),
@@ -103,12 +103,12 @@
 }
 
 /// How often a reading of the state looks whether the leadership still stands.
-const STANDING_EVERY: Duration = Duration::from_millis(50);
+const LEADERSHIP_CHECK_EVERY: Duration = Duration::from_millis(50);
 
 /// Waits until the leadership is lost.
 async fn wait_until_lost(standing: &LeadershipStatus) {
     while standing.authority(clock::now()) != Authority::Lost {
-        task::sleep(STANDING_EVERY).await;
+        task::sleep(LEADERSHIP_CHECK_EVERY).await;
     }
 }
 
@@ -116,9 +116,9 @@
 /// take nine calls, 3.9 s where the store takes 0.4 s for each, and nothing is started meanwhile. The order
 /// does not matter, since only the holder of the claim writes progress and roster, and the inbox and the
 /// directory are watched from the revision at which they were read.
-async fn read_on(node: &Arc<Node>, readings: &mut Readings) -> Result<(), StoreError> {
+async fn read_on(node: &Arc<Node>, readings: &mut PartialState) -> Result<(), StoreError> {
     let (store, installation) = (&node.store, &node.installation);
-    let Readings { inbox, progress, roster, directory, learnt, waves, evacuated } = readings;
+    let PartialState { inbox, progress, roster, directory, learnt, waves, evacuated } = readings;
     let read_evacuated = async {
         if installation.bounds.evacuate.is_some() {
             *evacuated = evacuations::read(node, &mut BTreeSet::new()).await?;
@@ -150,7 +150,7 @@
 }
 
 /// Decodes what was read.
-fn decoded(readings: Readings, began: Instant) -> State {
+fn decode_state(readings: PartialState, began: Instant) -> LoadedState {
     let inbox = readings.inbox.listed();
     let progress = readings.progress.listed();
     let roster = readings.roster.listed();
@@ -169,7 +169,7 @@
     stored.waves = readings.waves.iter().filter_map(records::decode).collect();
     stored.evacuated = readings.evacuated;
     let directory = readings.directory.listed();
-    State { stored, inbox: inbox.revision, directory, directory_asked: began }
+    LoadedState { stored, inbox: inbox.revision, directory, directory_asked: began }
 }
 
 /// Sorts what callers' hosts have stored into jobs and cancellations.
