--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -182,7 +182,7 @@
             Outcome::NotSent => "not_sent",
             Outcome::Unclear => "unclear",
         };
-        self.node.metrics.called(kind, word);
+        self.node.metrics.count_worker_call(kind, word);
     }
 }
 
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -159,7 +159,7 @@
 }
 
 fn answer(node: &Node, code: Code, status: u16, body: Vec<u8>) -> Response {
-    node.metrics.answered(code);
+    node.metrics.count_answer(code);
     let mut res = gaplock_serve::json_response(status, body);
     res.insert_header("x-gaplock-code", code.row().number.to_string());
     res
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -256,16 +256,16 @@
         }
         match written {
             Ok(()) => {
-                node.metrics.committed("stored", took);
+                node.metrics.count_commit("stored", took);
                 engine.send(Event::Committed);
             }
             Err(CommitError::NotWritten) => {
-                node.metrics.committed("away", took);
+                node.metrics.count_commit("away", took);
                 task::sleep(COMMIT_RETRY_PAUSE).await;
                 engine.send(Event::CommitFailed);
             }
             Err(CommitError::LeadershipLost) => {
-                node.metrics.committed("deposed", took);
+                node.metrics.count_commit("deposed", took);
                 record_leadership_lost(&engine.leadership, records.len());
                 return;
             }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -27,13 +27,13 @@
 const BUCKETS: [f64; 10] = [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 2.5];
 
 /// The most evacuated failure domains that are shown: above the users' 31, and a bound whatever is written.
-const EVACUATED_SHOWN: usize = 64;
+const MAX_EVACUATED_SHOWN: usize = 64;
 
 /// Everything that a host counts.
 pub struct Metrics {
     registry: Registry,
     answers: Family<Label, Counter>,
-    orders: Family<Label, Counter>,
+    worker_calls: Family<Label, Counter>,
     commits: Family<Label, Counter>,
     commit_time: Histogram,
     evacuated_runs: Family<DomainLabel, Gauge>,
@@ -98,7 +98,7 @@
     Metrics {
         registry,
         answers,
-        orders,
+        worker_calls: orders,
         commits,
         commit_time,
         evacuated_runs,
@@ -118,17 +118,17 @@
 
 impl Metrics {
     /// Counts an answer to a caller.
-    pub fn answered(&self, code: Code) {
+    pub fn count_answer(&self, code: Code) {
         self.answers.get_or_create(&Label { kind: code.row().name.to_string() }).inc();
     }
 
     /// Counts a call to a worker.
-    pub fn called(&self, kind: &'static str, outcome: &'static str) {
-        self.orders.get_or_create(&Label { kind: format!("{kind}:{outcome}") }).inc();
+    pub fn count_worker_call(&self, kind: &'static str, outcome: &'static str) {
+        self.worker_calls.get_or_create(&Label { kind: format!("{kind}:{outcome}") }).inc();
     }
 
     /// Counts a commit.
-    pub fn committed(&self, outcome: &'static str, took: Duration) {
+    pub fn count_commit(&self, outcome: &'static str, took: Duration) {
         self.commits.get_or_create(&Label { kind: outcome.to_string() }).inc();
         self.commit_time.observe(took.as_secs_f64());
     }
@@ -137,7 +137,7 @@
     /// shown.
     pub fn show_evacuated<'a>(&self, domains: impl Iterator<Item = (&'a ids::DomainId, usize)>) {
         self.evacuated_runs.clear();
-        for (domain, runs) in domains.take(EVACUATED_SHOWN) {
+        for (domain, runs) in domains.take(MAX_EVACUATED_SHOWN) {
             let label = DomainLabel { domain: domain.to_string() };
             self.evacuated_runs.get_or_create(&label).set(runs as i64);
         }
