--- a/crates/node/src/records.rs
+++ b/crates/node/src/records.rs
@@ -64,20 +64,20 @@
 /// Reads a job's progress.
 pub fn progress(item: &Item) -> Option<Progress> {
     let progress: Progress = decode(item)?;
-    is_under(item, &keys::progress(progress.key)).then_some(progress)
+    has_key(item, &keys::progress(progress.key)).then_some(progress)
 }
 
 /// Reads an accepted job.
 pub fn job(item: &Item) -> Option<Job> {
     let job: Job = decode(item)?;
-    is_under(item, &keys::job(job.key)).then_some(job)
+    has_key(item, &keys::job(job.key)).then_some(job)
 }
 
 /// Reads a worker of the roster. One whose record cannot be read may run anything, and is waited for until its
 /// leases are over.
 pub fn roster_entry(item: &Item) -> Option<RosterEntry> {
     let record: Option<RosterRecord> = decode(item);
-    let record = record.filter(|record| is_under(item, &keys::roster(&record.id)));
+    let record = record.filter(|record| has_key(item, &keys::roster(&record.id)));
     let entry = record.map(RosterRecord::entry);
     entry.or_else(|| keys::worker_of(&item.key).map(unknown))
 }
@@ -99,7 +99,7 @@
 }
 
 /// Tells whether a record lies under the key of what it speaks of.
-fn is_under(item: &Item, key: &str) -> bool {
+fn has_key(item: &Item, key: &str) -> bool {
     if item.key != key {
         tracing::warn!(event = "record_misplaced", key = item.key, speaks_of = key);
     }
