--- a/crates/node/src/keys.rs
+++ b/crates/node/src/keys.rs
@@ -29,7 +29,7 @@
 pub const ROSTER: &str = "gaplock/roster/";
 
 /// What was learnt of how images disturb each other; written by the leader only.
-pub const LEARNT: &str = "gaplock/learnt";
+pub const LEARNED: &str = "gaplock/learnt";
 
 /// How far waves of upkeep have come; written by the leader only.
 pub const WAVES: &str = "gaplock/wave/";
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -165,7 +165,7 @@
                     txn.set.push((waves::status_key(progress.number), status, None));
                 }
                 Record::Learned(learnt) => {
-                    txn.set.push((keys::LEARNT.to_string(), encode(learnt), None));
+                    txn.set.push((keys::LEARNED.to_string(), encode(learnt), None));
                 }
             }
         }
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/reading.rs
@@ -138,7 +138,7 @@
         Box::pin(store.read_on(directory::PREFIX, directory)),
         Box::pin(store.read_on(keys::PROGRESS, progress)),
         Box::pin(store.read_on(keys::INBOX, inbox)),
-        Box::pin(store.get(keys::LEARNT)),
+        Box::pin(store.get(keys::LEARNED)),
         Box::pin(read_evacuated),
         Box::pin(read_waves),
     );
