--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -52,7 +52,7 @@
 
 /// The time within which the answers to a burst of starts must be taken in, in seconds: well below
 /// the 0.4 s after which an order counts as unanswered.
-const BURST_S: f64 = 0.15;
+const BURST_ANSWERS_WITHIN_S: f64 = 0.15;
 
 /// The processor time that a start and its answer take, in seconds (`docs/CAPACITY.md`).
 const START_CPU_S: f64 = 0.000_25;
@@ -61,13 +61,13 @@
 const START_BYTES: f64 = 3_000.0;
 
 /// The fewest starts that may be under way, on the weakest host.
-const STARTS_LEAST: usize = 16;
+const MIN_STARTS_UNDER_WAY: usize = 16;
 
 /// Returns how many starts a host with so much of a processor and such a link may have under way.
 pub fn starts_under_way_most(cpu_share: f64, link_mbps: f64) -> usize {
-    let by_cpu = BURST_S * cpu_share / START_CPU_S;
-    let by_link = BURST_S * link_mbps * 1_000_000.0 / 8.0 / START_BYTES;
-    (by_cpu.min(by_link) as usize).max(STARTS_LEAST)
+    let by_cpu = BURST_ANSWERS_WITHIN_S * cpu_share / START_CPU_S;
+    let by_link = BURST_ANSWERS_WITHIN_S * link_mbps * 1_000_000.0 / 8.0 / START_BYTES;
+    (by_cpu.min(by_link) as usize).max(MIN_STARTS_UNDER_WAY)
 }
 
 /// Builds the scheduler's settings.
