--- a/crates/node/src/serving.rs
+++ b/crates/node/src/serving.rs
@@ -24,7 +24,7 @@
 
 /// How long a stopping host goes on accepting connections: the balancer notices after two of its
 /// questions, one a second, and its callers' connections may be on their way.
-const LEAVE_BALANCER: Duration = Duration::from_millis(2_500);
+const LEAVE_BALANCER_PAUSE: Duration = Duration::from_millis(2_500);
 
 /// How long a caller may take to send a header; connections between requests are idle that long.
 const IDLE_LIMIT: Duration = Duration::from_secs(60);
@@ -74,7 +74,7 @@
     /// cut off.
     pub async fn stop(self, node: &Node) -> usize {
         let grace = node.installation.grace.as_duration();
-        let leave = LEAVE_BALANCER.min(grace / 2);
+        let leave = LEAVE_BALANCER_PAUSE.min(grace / 2);
         self.callers.drain();
         task::sleep(leave).await;
         let left = grace.saturating_sub(leave).saturating_sub(EXIT_MARGIN);
