--- a/crates/sched/src/changes/checkpoints.rs
+++ b/crates/sched/src/changes/checkpoints.rs
@@ -19,7 +19,7 @@
 pub fn restored(step: &Step, note: &TaskRecord) -> Option<Checkpoint> {
     let stored = note.checkpoint.as_deref().filter(|text| !text.is_empty());
     let text = stored.filter(|_| step.checkpoints)?.into();
-    Some(Checkpoint { text, run: Run(note.checkpoint_run), worker: None, heard: Instant(0) })
+    Some(Checkpoint { text, run: Run(note.checkpoint_run), worker: None, received_at: Instant(0) })
 }
 
 /// Returns what the next start of a task brings.
@@ -31,7 +31,7 @@
 /// the same. The one of the newest run loses least, and of that run the one heard of last.
 pub fn of_gang(cx: &State, members: &[TaskKey]) -> Option<Checkpoint> {
     let found = members.iter().filter_map(|&key| cx.task(key)?.checkpoint.as_ref());
-    found.max_by_key(|c| (c.run, c.heard)).cloned()
+    found.max_by_key(|c| (c.run, c.received_at)).cloned()
 }
 
 /// Takes in the checkpoint that a worker lists beside a run, and tells whether its task has a new one.
@@ -46,7 +46,7 @@
     }
     let (text, worker, heard) = (text.into(), Some(ix), cx.now);
     let Some(task) = cx.task_mut(key) else { return false };
-    task.checkpoint = Some(Checkpoint { text, run, worker, heard });
+    task.checkpoint = Some(Checkpoint { text, run, worker, received_at: heard });
     true
 }
 
--- a/crates/sched/src/state/checkpoint.rs
+++ b/crates/sched/src/state/checkpoint.rs
@@ -16,5 +16,5 @@
     /// The worker that listed it; unset where a former leader stored it.
     pub worker: Option<WorkerIx>,
     /// When this leader heard of it.
-    pub heard: Instant,
+    pub received_at: Instant,
 }
