--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -91,10 +91,10 @@
 
 async fn status(node: &Arc<Node>, key: JobKey) -> Response {
     if let Some(state) = leader_state(node, key).await {
-        return shown(node, state);
+        return state_response(node, state);
     }
     match stored_state(node, key).await {
-        Ok(Some(state)) => shown(node, state),
+        Ok(Some(state)) => state_response(node, state),
         Ok(None) => answer(node, Code::NotFound, GONE, Vec::new()),
         Err(e) => {
             tracing::info!(event = "state_unknown", job = %key, error = %e);
@@ -103,7 +103,7 @@
     }
 }
 
-fn shown(node: &Node, state: JobState) -> Response {
+fn state_response(node: &Node, state: JobState) -> Response {
     answer(node, Code::Ok, StatusCode::Ok.into(), callers::encode_state(state))
 }
 
