--- a/crates/coord/src/context.rs
+++ b/crates/coord/src/context.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use gaplock_policy::{estimate, pairing, placement, tail};
+use gaplock_policy::{estimate, interference, placement, tail};
 use gaplock_types::{api, config, ids, sizes, time};
 use gaplock_verify::Violation;
 
@@ -98,7 +98,7 @@
     /// Partitions in which nothing waits, with the most that one worker there has free.
     pub rooms: BTreeMap<ids::PartitionId, sizes::Resources>,
     /// Learnt disturbance of pairs.
-    pub pairing: pairing::InterferenceModel,
+    pub pairing: interference::InterferenceModel,
     /// Each service's tail and the allowance that follows from it.
     pub tails: BTreeMap<ids::ServiceId, tail::TailController>,
     /// Learnt processor use.
@@ -120,7 +120,7 @@
             fleet: Vec::new(),
             fleet_capacity: sizes::Resources::default(),
             rooms: BTreeMap::new(),
-            pairing: pairing::InterferenceModel::default(),
+            pairing: interference::InterferenceModel::default(),
             tails: BTreeMap::new(),
             estimator: estimate::Estimator::default(),
             actions: Vec::new(),
--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use gaplock_chart::table::upstream;
-use gaplock_policy::{guard, pairing};
+use gaplock_policy::{guard, interference};
 use gaplock_types::{ids, time, wire};
 
 use crate::context::Context;
@@ -85,7 +85,7 @@
     /// Runs assigned here.
     pub runs: BTreeMap<wire::Run, RunView>,
     /// What ran here lately, for matching late measurements.
-    pub exposures: pairing::ExposureHistory,
+    pub exposures: interference::ExposureHistory,
     /// The guard of the services here.
     pub guard: guard::TailGuard,
     /// When the last measurement that was taken in was taken.
@@ -113,7 +113,7 @@
             missing_since: None,
             acks: Vec::new(),
             runs: BTreeMap::new(),
-            exposures: pairing::ExposureHistory::default(),
+            exposures: interference::ExposureHistory::default(),
             guard: guard::TailGuard::default(),
             usage_taken: wire::WorkerClock(0),
             load: 0.0,
@@ -209,7 +209,7 @@
             self.boot = Some(reply.boot);
             self.boot_since = cx.now;
             self.guard = guard::TailGuard::default();
-            self.exposures = pairing::ExposureHistory::default();
+            self.exposures = interference::ExposureHistory::default();
             self.usage_taken = wire::WorkerClock(0);
         }
         // An answer that was overtaken by a newer one must not turn the clock back.
--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -1,6 +1,6 @@
 //! Takes in workers' late measurements: learns from them, and guards the services.
 
-use gaplock_policy::{guard, pairing};
+use gaplock_policy::{guard, interference};
 use gaplock_types::{ids, sizes, time, wire};
 
 use super::Partition;
@@ -29,7 +29,7 @@
         let slots = f64::from(link.host.slots.max(1));
         let busy = f64::from(reply.slots_busy) / slots;
         link.load += LOAD_SMOOTHING * (busy - link.load);
-        let band = pairing::LoadBand::of(link.load);
+        let band = interference::LoadBand::of(link.load);
         if let Some(shares) = link.exposures.during(usage.taken, WINDOW.0) {
             for s in usage.services.iter().filter(|s| s.requests > 0) {
                 cx.pairing.observe(&s.service, shares, band, s.p99_us as f64);
@@ -51,10 +51,10 @@
         }
     }
 
-    fn running_shares(&self, worker: &ids::WorkerId) -> pairing::BatchCpuShares {
+    fn running_shares(&self, worker: &ids::WorkerId) -> interference::BatchCpuShares {
         let Some(link) = self.links.get(worker) else { return Vec::new() };
         let whole = f64::from(link.host.capacity.cpu.0.max(1));
-        let mut shares = pairing::BatchCpuShares::new();
+        let mut shares = interference::BatchCpuShares::new();
         for (run, view) in link.runs.iter().filter(|(_, view)| view.started) {
             let Some(job) = self.state.jobs.get(&run.task.job.number) else { continue };
             let place = self.state.task(run.task).and_then(|t| t.place.as_ref());
@@ -77,7 +77,7 @@
         usage: &wire::Usage,
     ) {
         let Some(link) = self.links.get_mut(worker) else { return };
-        let band = pairing::LoadBand::of(link.load);
+        let band = interference::LoadBand::of(link.load);
         let judged = |s: &wire::ServiceUsage| {
             let ceiling_us = cx.ceiling_us(&s.service)?;
             let alone_us = cx.pairing.baseline_us(&s.service, band).unwrap_or(0.0);
@@ -137,7 +137,7 @@
         worst: f64,
     ) {
         let Some(link) = self.links.get(worker) else { return };
-        let band = pairing::LoadBand::of(link.load);
+        let band = interference::LoadBand::of(link.load);
         let whole = f64::from(link.host.capacity.cpu.0.max(1));
         let services: Vec<ids::ServiceId> = runs_services(&self.state, link.runs.keys().copied());
         let mut victims = Vec::new();
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -1,7 +1,7 @@
 //! Assigns waiting tasks to workers: whose task goes next, and where.
 
 use gaplock_chart::table::upstream;
-use gaplock_policy::{fair, guard, pairing, placement};
+use gaplock_policy::{fair, guard, interference, placement};
 use gaplock_types::{config, ids, sizes, wire};
 use gaplock_verify::Fact;
 
@@ -260,7 +260,7 @@
             throttled: link.guard.speed < guard::FULL_SPEED_PER_MILLE,
             unknown_tasks: 0,
         };
-        let band = pairing::LoadBand::of(link.load);
+        let band = interference::LoadBand::of(link.load);
         for id in self.state.on_worker(worker) {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             if let wire::TaskKind::Service(service) = &job.kind {
@@ -305,7 +305,7 @@
     c: &mut placement::Candidate,
     class: &ids::BatchClass,
     reserve: &sizes::Resources,
-    pairing: &pairing::InterferenceModel,
+    pairing: &interference::InterferenceModel,
 ) {
     c.used = c.used.plus(reserve);
     c.batch_cpu = sizes::MilliCores(c.batch_cpu.0 + reserve.cpu.0);
@@ -314,7 +314,7 @@
         Some((_, sum)) => *sum += share,
         None => c.shares.push((class.clone(), share)),
     }
-    let unknown = |(service, band, ceiling_us): &(ids::ServiceId, pairing::LoadBand, f64)| {
+    let unknown = |(service, band, ceiling_us): &(ids::ServiceId, interference::LoadBand, f64)| {
         ceiling_us.is_finite() && !pairing.is_known(service, class, *band)
     };
     if c.services.iter().any(unknown) {
--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -1,6 +1,6 @@
 //! Tasks lost to a worker that fails everything it starts, against no knowledge of failures.
 
-use gaplock_policy::{health, pairing, placement};
+use gaplock_policy::{health, interference, placement};
 use gaplock_types::{ids, sizes, time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -204,6 +204,7 @@
     let class = ids::BatchClass::from("bundle");
     let want =
         placement::BatchDemand { class: &class, demand, batch_cpu_percent: 100, tail_weight: 1.0 };
-    let choice = placement::for_batch(&candidates, &want, &pairing::InterferenceModel::default())?;
+    let choice =
+        placement::for_batch(&candidates, &want, &interference::InterferenceModel::default())?;
     Some((usable[choice], demand))
 }
--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -1,6 +1,6 @@
 //! Batch throughput and evictions at the service's objective, ours against four baselines.
 
-use gaplock_policy::{guard, pairing, placement, tail};
+use gaplock_policy::{guard, interference, placement, tail};
 use gaplock_types::{ids, sizes, time, wire};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -42,8 +42,8 @@
 
 /// What `Policy::Ours` has learnt.
 struct Learnt {
-    pairing: pairing::InterferenceModel,
-    exposures: Vec<pairing::ExposureHistory>,
+    pairing: interference::InterferenceModel,
+    exposures: Vec<interference::ExposureHistory>,
     guards: Vec<guard::TailGuard>,
     tail: tail::TailController,
 }
@@ -129,8 +129,8 @@
 fn run(d: &Deployment, seed: u64, policy: Policy) -> Result {
     let mut site = Site::open(d, seed, ChaCha8Rng::seed_from_u64(seed));
     let mut learnt = Learnt {
-        pairing: pairing::InterferenceModel::default(),
-        exposures: (0..d.workers).map(|_| pairing::ExposureHistory::default()).collect(),
+        pairing: interference::InterferenceModel::default(),
+        exposures: (0..d.workers).map(|_| interference::ExposureHistory::default()).collect(),
         guards: vec![guard::TailGuard::default(); d.workers],
         tail: tail::TailController::default(),
     };
@@ -160,7 +160,7 @@
         Policy::RawReadings => react_raw(site, worker, r),
         Policy::Ours | Policy::GuardOnly => {
             let service = site.deployment.service.clone();
-            let band = pairing::LoadBand::of(r.load);
+            let band = interference::LoadBand::of(r.load);
             if let Some(shares) = learnt.exposures[worker].during(r.taken, WINDOW_MS) {
                 learnt.pairing.observe(&service, shares, band, r.p99_us);
             }
@@ -189,7 +189,7 @@
     learnt: &mut Learnt,
     worker: usize,
     r: &Reading,
-    band: pairing::LoadBand,
+    band: interference::LoadBand,
 ) {
     let ceiling_us = learnt.ceiling_us(site);
     let service = site.deployment.service.clone();
@@ -225,7 +225,7 @@
     service: &ids::ServiceId,
     capacity: &sizes::Resources,
     learnt: &Learnt,
-    band: pairing::LoadBand,
+    band: interference::LoadBand,
 ) -> guard::Victim {
     let share = f64::from(t.demand.cpu.0) / f64::from(capacity.cpu.0);
     let shares = vec![(t.class.clone(), share)];
@@ -302,9 +302,9 @@
 fn candidate(site: &Site, learnt: &Learnt, i: usize) -> placement::Candidate {
     let w = &site.workers[i];
     let service = site.deployment.service.clone();
-    let band = pairing::LoadBand::of(site.load(i));
+    let band = interference::LoadBand::of(site.load(i));
     let whole = f64::from(w.capacity.cpu.0);
-    let mut shares = pairing::BatchCpuShares::new();
+    let mut shares = interference::BatchCpuShares::new();
     for t in &w.tasks {
         let share = f64::from(t.demand.cpu.0) / whole;
         match shares.iter_mut().find(|(class, _)| *class == t.class) {
--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -8,7 +8,7 @@
 use gaplock_coord::records::{Entry, Record};
 use gaplock_coord::state::PartState;
 use gaplock_coord::{assign, members};
-use gaplock_policy::{pairing, placement};
+use gaplock_policy::{interference, placement};
 use gaplock_types::{api, ids, sizes, wire};
 
 use crate::report::Report;
@@ -85,11 +85,11 @@
 
 fn decision_cost_us(workers: usize) -> f64 {
     let service = ids::ServiceId::from("coldtrace");
-    let mut learnt = pairing::InterferenceModel::default();
+    let mut learnt = interference::InterferenceModel::default();
     let class = |i: usize| ids::BatchClass(format!("class-{}", i % 6));
     for i in 0..60 {
         let shares = vec![(class(i), 0.2)];
-        learnt.observe(&service, &shares, pairing::LoadBand(1), 12_000.0);
+        learnt.observe(&service, &shares, interference::LoadBand(1), 12_000.0);
     }
     let candidates: Vec<placement::Candidate> = (0..workers)
         .map(|i| placement::Candidate {
@@ -97,7 +97,7 @@
             used: sizes::Resources::new(4_000 + (i as u32 % 5) * 1_000, 16_384, 0),
             batch_cpu: sizes::MilliCores((i as u32 % 5) * 1_000),
             rack: ids::RackId(format!("r{}", i / 8)),
-            services: vec![(service.clone(), pairing::LoadBand(1), 40_000.0)],
+            services: vec![(service.clone(), interference::LoadBand(1), 40_000.0)],
             shares: vec![(class(i), 0.1), (class(i + 1), 0.05)],
             throttled: false,
             unknown_tasks: 0,
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -7,7 +7,7 @@
 use gaplock_jobs::JobKey;
 use gaplock_platform::callers;
 use gaplock_platform::store::StoreError;
-use gaplock_policy::handing::StoreOutcome;
+use gaplock_policy::store_outcome::StoreOutcome;
 use gaplock_remote::clock;
 use gaplock_serve::Whole;
 use gaplock_types::codes::Code;
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -7,7 +7,7 @@
 use gaplock_jobs::{Job, JobKey};
 use gaplock_platform::store::{Revision, StoreError, Txn};
 use gaplock_policy::attempts::{CallAttempts, Execution};
-use gaplock_policy::handing::{self, LeaderReply, StoreOutcome, StoredJob};
+use gaplock_policy::store_outcome::{self, LeaderReply, StoreOutcome, StoredJob};
 
 use crate::keys;
 use crate::ledger;
@@ -30,7 +30,7 @@
     }
     let Some(addr) = node.leader_addr() else { return here };
     let asked = node.leader.store_job(&addr, &job).await;
-    handing::combine(here, at_leader(asked))
+    store_outcome::combine(here, at_leader(asked))
 }
 
 /// Tells whether what became of it here needs no word of the leader.
@@ -129,7 +129,7 @@
     }
     let Some(addr) = node.leader_addr() else { return here };
     let asked = node.leader.store_cancel(&addr, key).await;
-    handing::combine(here, at_leader(asked))
+    store_outcome::combine(here, at_leader(asked))
 }
 
 /// Stores a cancellation by this host's own connection to the store.
@@ -167,7 +167,7 @@
             Some(item) if item.revision == expected => StoredJob::AsExpected,
             Some(_) => StoredJob::Recreated,
         };
-        Ok::<_, StoreError>(handing::cancel_outcome_after_conflict(cancelled, job))
+        Ok::<_, StoreError>(store_outcome::cancel_outcome_after_conflict(cancelled, job))
     };
     read.await.unwrap_or_else(|e| {
         tracing::info!(event = "state_unknown", job = %key, error = %e);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -13,7 +13,7 @@
 use gaplock_jobs::config::Config;
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::{Job, JobKey};
-use gaplock_policy::handing::StoreOutcome;
+use gaplock_policy::store_outcome::StoreOutcome;
 use gaplock_policy::succession;
 use gaplock_types::ids;
 use gaplock_types::time::Millis;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -6,7 +6,7 @@
 
 use gaplock_types::{ids, sizes};
 
-use crate::pairing;
+use crate::interference;
 
 /// One worker as a choice sees it.
 #[derive(Debug, Clone)]
@@ -21,9 +21,9 @@
     pub rack: ids::RackId,
     /// Services with a replica on it, their load band and their ceiling in microseconds;
     /// an idle service has no finite ceiling.
-    pub services: Vec<(ids::ServiceId, pairing::LoadBand, f64)>,
+    pub services: Vec<(ids::ServiceId, interference::LoadBand, f64)>,
     /// Processors' share by batch class on it.
-    pub shares: pairing::BatchCpuShares,
+    pub shares: interference::BatchCpuShares,
     /// Whether batch on it is throttled now because a service suffers.
     pub throttled: bool,
     /// How many tasks of a batch class not yet known beside its services run on it.
@@ -50,7 +50,7 @@
 pub fn for_batch(
     candidates: &[Candidate],
     want: &BatchDemand<'_>,
-    pairing: &pairing::InterferenceModel,
+    pairing: &interference::InterferenceModel,
 ) -> Option<usize> {
     candidates
         .iter()
@@ -72,7 +72,7 @@
 fn batch_cost(
     c: &Candidate,
     want: &BatchDemand<'_>,
-    pairing: &pairing::InterferenceModel,
+    pairing: &interference::InterferenceModel,
 ) -> Option<f64> {
     let shares = shares_with(c, want);
     let mut loss = 0.0;
@@ -96,7 +96,7 @@
     Some(loss + 0.1 * left.dominant_share(&c.capacity))
 }
 
-fn shares_with(c: &Candidate, want: &BatchDemand<'_>) -> pairing::BatchCpuShares {
+fn shares_with(c: &Candidate, want: &BatchDemand<'_>) -> interference::BatchCpuShares {
     let added = f64::from(want.demand.cpu.0) / f64::from(c.capacity.cpu.0.max(1));
     let mut shares = c.shares.clone();
     match shares.iter_mut().find(|(class, _)| class == want.class) {
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -6,7 +6,7 @@
     GuardAction, TailGuard, TailMeasurement, FULL_SPEED_PER_MILLE, MIN_SPEED_PER_MILLE,
 };
 use gaplock_policy::health::{FailureAction, HealthTracker};
-use gaplock_policy::pairing::{ExposureHistory, InterferenceModel, LoadBand};
+use gaplock_policy::interference::{ExposureHistory, InterferenceModel, LoadBand};
 use gaplock_policy::retry::RetryBudget;
 use gaplock_policy::tail;
 use gaplock_types::ids;
--- a/crates/policy/tests/handing.rs
+++ b/crates/policy/tests/handing.rs
@@ -5,7 +5,7 @@
 //! was refused because the leader's own try was. Cause: one try's answer was taken for the fate of
 //! both.
 
-use gaplock_policy::handing::{self, LeaderReply, StoreOutcome, StoredJob};
+use gaplock_policy::store_outcome::{self, LeaderReply, StoreOutcome, StoredJob};
 use StoreOutcome::{NoSuchJob, NotStored, Stored, Unclear};
 
 const ALL: [StoreOutcome; 4] = [Stored, NoSuchJob, NotStored, Unclear];
@@ -33,7 +33,7 @@
 #[test]
 fn both_fates_are_joined_by_one_rule() {
     for (here, there, told) in TABLE {
-        let joined = handing::combine(here, LeaderReply::Answered(there));
+        let joined = store_outcome::combine(here, LeaderReply::Answered(there));
         assert_eq!(joined, told, "{here:?} here and {there:?} at the leader");
     }
 }
@@ -41,15 +41,19 @@
 #[test]
 fn a_silent_leader_counts_as_unclear() {
     for here in ALL {
-        let silent = handing::combine(here, LeaderReply::Silent);
-        assert_eq!(silent, handing::combine(here, LeaderReply::Answered(Unclear)), "{here:?} here");
+        let silent = store_outcome::combine(here, LeaderReply::Silent);
+        assert_eq!(
+            silent,
+            store_outcome::combine(here, LeaderReply::Answered(Unclear)),
+            "{here:?} here"
+        );
     }
 }
 
 #[test]
 fn a_leader_that_was_not_asked_changes_nothing() {
     for here in ALL {
-        assert_eq!(handing::combine(here, LeaderReply::NotAsked), here);
+        assert_eq!(store_outcome::combine(here, LeaderReply::NotAsked), here);
     }
 }
 
@@ -57,7 +61,7 @@
 fn a_refusal_needs_certainty_on_both_sides() {
     for here in ALL {
         for there in ALL {
-            let refused = handing::combine(here, LeaderReply::Answered(there)) == NotStored;
+            let refused = store_outcome::combine(here, LeaderReply::Answered(there)) == NotStored;
             assert_eq!(refused, here == NotStored && there == NotStored);
         }
     }
@@ -66,9 +70,12 @@
 #[test]
 fn a_conflict_of_a_cancellation_is_told_by_what_is_stored() {
     for job in [StoredJob::Gone, StoredJob::AsExpected, StoredJob::Recreated] {
-        assert_eq!(handing::cancel_outcome_after_conflict(true, job), Stored);
+        assert_eq!(store_outcome::cancel_outcome_after_conflict(true, job), Stored);
     }
-    assert_eq!(handing::cancel_outcome_after_conflict(false, StoredJob::Gone), NoSuchJob);
-    assert_eq!(handing::cancel_outcome_after_conflict(false, StoredJob::Recreated), NotStored);
-    assert_eq!(handing::cancel_outcome_after_conflict(false, StoredJob::AsExpected), Unclear);
+    assert_eq!(store_outcome::cancel_outcome_after_conflict(false, StoredJob::Gone), NoSuchJob);
+    assert_eq!(
+        store_outcome::cancel_outcome_after_conflict(false, StoredJob::Recreated),
+        NotStored
+    );
+    assert_eq!(store_outcome::cancel_outcome_after_conflict(false, StoredJob::AsExpected), Unclear);
 }
