--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -10,7 +10,7 @@
 use gaplock_platform::store::{LeaseId, Revision, Store, StoreError, Txn};
 use gaplock_policy::attempts::Execution;
 use gaplock_sched::claims::{self, LeaderRecord};
-use gaplock_sched::writing::CommitId;
+use gaplock_sched::commit_writer::CommitId;
 use gaplock_types::time::{Instant, Millis};
 
 use crate::keys;
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -8,10 +8,10 @@
 use gaplock_platform::waves;
 use gaplock_policy::attempts::CallAttempts;
 use gaplock_remote::clock;
-use gaplock_sched::message::Record;
-use gaplock_sched::writing::{
+use gaplock_sched::commit_writer::{
     self, CommitAnswer, CommitId, CommitRevision, CommitWriter, NextStep, StoreView,
 };
+use gaplock_sched::message::Record;
 
 use crate::keys;
 use crate::leadership::{Authority, Claim, LeadershipStatus};
@@ -45,7 +45,7 @@
 
 /// Builds the right to write from a fresh claim.
 pub fn open(store: Arc<Store>, standing: Arc<LeadershipStatus>, claim: &Claim) -> StoreWriter {
-    let writer = writing::open(claim.mark, CommitRevision(claim.revision.0));
+    let writer = commit_writer::open(claim.mark, CommitRevision(claim.revision.0));
     StoreWriter { store, standing, leader: claim.revision, writer }
 }
 
--- a/crates/sched/src/changes/moving.rs
+++ b/crates/sched/src/changes/moving.rs
@@ -7,7 +7,7 @@
 use crate::changes::lifecycle;
 use crate::decisions::placement;
 use crate::interface::message::{Run, WorkerIx};
-use crate::interface::searches::{self, SearchBudget};
+use crate::interface::search_budget::{self, SearchBudget};
 use crate::state::interference_model::Column;
 use crate::state::worker::{TaskRole, Phase, Slot};
 use crate::state::State;
@@ -30,9 +30,9 @@
 /// Moves filling tasks that have been slowed down for long to a worker where they disturb nobody. Returns
 /// how many searches that took.
 pub fn check(cx: &mut State) -> usize {
-    let searches = searches::open(cx.workers.len());
+    let searches = search_budget::open(cx.workers.len());
     let mut search = Search { searches, taken: FxHashSet::default(), unplaceable: Vec::new() };
-    for ix in searches::rotated_to(cx.worker_ixs(), cx.rebalance_cursors.0) {
+    for ix in search_budget::rotated_to(cx.worker_ixs(), cx.rebalance_cursors.0) {
         for (key, run, column, demand) in slowed_tasks(cx, ix) {
             if search.searches.is_exhausted() {
                 cx.rebalance_cursors.0 = ix;
--- a/crates/sched/src/changes/stragglers.rs
+++ b/crates/sched/src/changes/stragglers.rs
@@ -10,15 +10,15 @@
 use crate::changes::{lifecycle, trace};
 use crate::decisions::{placement, slowness};
 use crate::interface::message::{Run, WorkerIx};
-use crate::interface::searches;
+use crate::interface::search_budget;
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
 /// Starts tasks again elsewhere that would take much longer on their slow worker. Returns how many searches
 /// that took.
 pub fn check(cx: &mut State) -> usize {
-    let mut searches = searches::open(cx.workers.len());
-    for ix in searches::rotated_to(cx.worker_ixs(), cx.rebalance_cursors.1) {
+    let mut searches = search_budget::open(cx.workers.len());
+    for ix in search_budget::rotated_to(cx.worker_ixs(), cx.rebalance_cursors.1) {
         let worker = cx.worker(ix);
         if worker.unanswered_renewals > 0 || !worker.speed.is_slow(cx.now) {
             continue;
--- a/crates/sched/src/interface.rs
+++ b/crates/sched/src/interface.rs
@@ -3,6 +3,6 @@
 pub mod claims;
 pub mod message;
 pub mod proof;
-pub mod searches;
+pub mod search_budget;
 pub mod settings;
-pub mod writing;
+pub mod commit_writer;
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -16,5 +16,5 @@
 pub use decisions::room;
 pub use interface::message::{Action, Event};
 pub use interface::settings::Settings;
-pub use interface::{claims, message, searches, settings, writing};
+pub use interface::{claims, message, search_budget, settings, commit_writer};
 pub use state::{job_table, worker};
--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -2,9 +2,9 @@
 
 use gaplock_jobs::TaskKey;
 use gaplock_policy::attempts::Execution;
+use gaplock_sched::commit_writer::CommitId;
 use gaplock_sched::message::{EndSeq, Outcome, Permit, Refusal, Run, WorkerClock, WorkerIx};
 use gaplock_sched::permits::StepKey;
-use gaplock_sched::writing::CommitId;
 use gaplock_sched::{Action, Event};
 use gaplock_types::ids;
 use gaplock_types::sizes::Resources;
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -2,10 +2,10 @@
 //! conflict with those of a newer leader. `gaplock_sched::writing` decides what follows, as in the
 //! product.
 
-use gaplock_sched::message::Record;
-use gaplock_sched::writing::{
+use gaplock_sched::commit_writer::{
     self, CommitAnswer, CommitId, CommitRevision, CommitWriter, NextStep, StoreView,
 };
+use gaplock_sched::message::Record;
 use gaplock_sched::Event;
 use rand::Rng;
 
@@ -84,7 +84,7 @@
 impl Default for Writes {
     fn default() -> Self {
         let (mark, revision) = (CommitId { term: 0, number: 0 }, CommitRevision(0));
-        let writer = writing::open(mark, revision);
+        let writer = commit_writer::open(mark, revision);
         Self { writer, in_flight: None, mark, revision, serial: 0, last_serial: 0 }
     }
 }
@@ -94,7 +94,7 @@
     pub fn claim(&mut self, term: u64) {
         self.mark = CommitId { term, number: 0 };
         self.revision.0 += 1;
-        self.writer = writing::open(self.mark, self.revision);
+        self.writer = commit_writer::open(self.mark, self.revision);
         self.in_flight = None;
     }
 
--- a/crates/sched/tests/searches.rs
+++ b/crates/sched/tests/searches.rs
@@ -1,10 +1,10 @@
 //! The searches that a check may make, and where it begins.
 
 use gaplock_sched::message::WorkerIx;
-use gaplock_sched::searches;
+use gaplock_sched::search_budget;
 
 fn most(workers: usize) -> usize {
-    let mut searches = searches::open(workers);
+    let mut searches = search_budget::open(workers);
     while !searches.is_exhausted() {
         searches.spend_one();
     }
@@ -23,7 +23,7 @@
 #[test]
 fn a_check_begins_where_the_last_one_ended_and_leaves_nobody_out() {
     let all: Vec<WorkerIx> = [0, 2, 3, 7].map(WorkerIx).to_vec();
-    let turned = |from| searches::rotated_to(all.clone(), WorkerIx(from));
+    let turned = |from| search_budget::rotated_to(all.clone(), WorkerIx(from));
     assert_eq!(turned(0), all);
     assert_eq!(turned(3), [3, 7, 0, 2].map(WorkerIx));
     assert_eq!(turned(4), [7, 0, 2, 3].map(WorkerIx));
--- a/crates/sched/tests/writing.rs
+++ b/crates/sched/tests/writing.rs
@@ -6,7 +6,7 @@
 //! logs of days played again (`docs/incidents/twice-after-late-call.md`). Now a transaction with an
 //! open try is repeated until its fate is known, and no two ever share a mark.
 
-use gaplock_sched::writing::{
+use gaplock_sched::commit_writer::{
     self, CommitAnswer, CommitId, CommitRevision, CommitWriter, NextStep, StoreView,
 };
 
@@ -15,7 +15,7 @@
 const LATER: CommitRevision = CommitRevision(105);
 
 fn begun() -> (CommitWriter, CommitId) {
-    let mut writer = writing::open(CLAIM, CLAIMED);
+    let mut writer = commit_writer::open(CLAIM, CLAIMED);
     let mark = writer.begin();
     (writer, mark)
 }
