--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -12,9 +12,9 @@
 use gaplock_platform::store::Revision;
 use gaplock_remote::clock;
 use gaplock_sched::context::Term;
+use gaplock_sched::free_capacity::{self, FreeCpu};
 use gaplock_sched::job_table::JobEntry;
 use gaplock_sched::message::{FencingToken, Record};
-use gaplock_sched::room::{self, FreeCpu};
 use gaplock_sched::{commits, evacuation, Context, Event};
 use gaplock_types::time::Instant;
 
@@ -207,7 +207,7 @@
         self.node.metrics.directory_lag_ms.set(self.cx.freshness.lag().0 as i64);
         self.node.metrics.waiting_events.set(self.rx.len() as i64);
         self.node.metrics.runs_after_end.set(self.cx.runs_after_end as i64);
-        let free = room::free_cpu(&self.cx);
+        let free = free_capacity::free_cpu(&self.cx);
         self.show_free_capacity(free, self.cx.ready.len(), self.cx.crashes.suspects.len());
     }
 
--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -8,9 +8,9 @@
 use gaplock_types::{ids, sizes};
 
 use crate::changes::{gangs, pacing, permits, scarcity, starts, trace, trials};
-use crate::decisions::asks::{self, WaitStatus};
-use crate::decisions::choices::RankedWorkers;
-use crate::decisions::{interference, placement, room};
+use crate::decisions::requests::{self, WaitStatus};
+use crate::decisions::ranking::RankedWorkers;
+use crate::decisions::{interference, placement, free_capacity};
 use crate::state::job_table::{self, ReadyStep};
 use crate::state::State;
 
@@ -44,7 +44,7 @@
             demand: step.demand.cpu,
             may_interfere: interference::may_interfere(first.waited),
         });
-        let lasting = step.lasting.then(|| room::may_use_reserved(first.waited, first.may_have_run));
+        let lasting = step.lasting.then(|| free_capacity::may_use_reserved(first.waited, first.may_have_run));
         Self { service, label: step.label.clone(), takes: job_table::reservation(step), best_effort: filling, may_use_reserved: lasting }
     }
 
@@ -111,7 +111,7 @@
     let Some(round) = entry.round(ready.round).filter(|_| step.lasting) else { return false };
     let state = &round.steps[usize::from(ready.step)];
     let mut tasks = state.pending.iter().filter_map(|&index| state.tasks.get(index as usize));
-    tasks.any(|task| room::has_restart_priority(step, cx.now.since(task.since), task.may_have_run))
+    tasks.any(|task| free_capacity::has_restart_priority(step, cx.now.since(task.since), task.may_have_run))
 }
 
 /// Returns the most free processors, and the most in all, of any worker that takes tasks.
@@ -126,7 +126,7 @@
 fn start_step(cx: &mut State, ready: ReadyStep, pass: &mut Pass) {
     let Some(entry) = cx.jobs.get(&ready.job) else { return };
     let job = entry.job.clone();
-    let Some(service) = asks::service_of(cx, &job) else { return };
+    let Some(service) = requests::service_of(cx, &job) else { return };
     let step = &job.steps[usize::from(ready.step)];
     let Some(round) = entry.round(ready.round) else { return };
     let pending = start_order(cx, ready, step, &round.steps[usize::from(ready.step)].pending);
@@ -135,7 +135,7 @@
     if pass.blocked.iter().any(|b| b.covers(&wanted)) {
         return;
     }
-    if wanted.takes.cpu > pass.most_free && asks::advice_of(cx, &job).is_none() {
+    if wanted.takes.cpu > pass.most_free && requests::advice_of(cx, &job).is_none() {
         note_scarcity(cx, &service, step, pass);
         return log_first_waiting(cx, &job, &service, ready, &pending);
     }
@@ -147,10 +147,10 @@
     let Some(unplaced) = start_tasks(cx, &job, &service, ready, &pending) else { return };
     explain(cx, &job, &service, unplaced, pending.len());
     note_scarcity(cx, &service, step, pass);
-    if asks::advice_of(cx, &job).is_some() {
+    if requests::advice_of(cx, &job).is_some() {
         permits::request_permits(cx, ready, pending.len());
     } else if step.most_per_worker.is_none() {
-        let first = cx.task(unplaced).map_or(first, |t| asks::wait_status(cx, t));
+        let first = cx.task(unplaced).map_or(first, |t| requests::wait_status(cx, t));
         pass.blocked.push(UnplacedDemand::of(service, step, first));
     }
 }
@@ -158,7 +158,7 @@
 /// Takes in that a step found no room. A short one speaks for scarcity, unless no worker could ever
 /// hold it.
 fn note_scarcity(cx: &mut State, pool: &ids::ServiceId, step: &Step, pass: &Pass) {
-    if room::is_short(step) && step.demand.cpu <= pass.largest {
+    if free_capacity::is_short(step) && step.demand.cpu <= pass.largest {
         scarcity::note_short_unplaced(cx, pool);
     }
 }
@@ -184,8 +184,8 @@
 /// together, but for those that start again.
 fn first_that_may_start(cx: &State, ready: ReadyStep, pending: &[u32]) -> Option<WaitStatus> {
     let mut tasks = pending.iter().map(|&index| task_key(ready, index));
-    let task = tasks.find(|&task| asks::may_start(cx, task))?;
-    cx.task(task).map(|t| asks::wait_status(cx, t))
+    let task = tasks.find(|&task| requests::may_start(cx, task))?;
+    cx.task(task).map(|t| requests::wait_status(cx, t))
 }
 
 /// Logs why the first task of a step that may start finds no worker.
@@ -197,7 +197,7 @@
     pending: &[u32],
 ) {
     let mut tasks = pending.iter().map(|&index| task_key(ready, index));
-    if let Some(task) = tasks.find(|&task| asks::may_start(cx, task)) {
+    if let Some(task) = tasks.find(|&task| requests::may_start(cx, task)) {
         explain(cx, job, service, task, pending.len());
     }
 }
@@ -218,10 +218,10 @@
             return None;
         }
         let task = task_key(ready, index);
-        if !asks::may_start(cx, task) {
+        if !requests::may_start(cx, task) {
             continue;
         }
-        let Some(wanted) = asks::placement_request(cx, job, service, task) else { return Some(task) };
+        let Some(wanted) = requests::placement_request(cx, job, service, task) else { return Some(task) };
         let chosen = choices.take_best(cx, &wanted);
         debug_assert_eq!(chosen, placement::best_worker(cx, &wanted), "the kept order is another one");
         let Some(ix) = chosen else { return Some(task) };
@@ -243,7 +243,7 @@
         return;
     }
     state.last_explained_at = now;
-    let Some(wanted) = asks::placement_request(cx, job, service, task) else { return };
+    let Some(wanted) = requests::placement_request(cx, job, service, task) else { return };
     let counts = placement::count_unfit(cx, &wanted);
     trace::step_waits(task, pending, waited, &wanted.step.demand, &counts);
 }
--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -8,7 +8,7 @@
 
 use crate::changes::{checkpoints, lifecycle, permits, starts};
 use crate::decisions::placement::{self, PlacementRequest};
-use crate::decisions::{asks, racks};
+use crate::decisions::{requests, racks};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::proof::ReleaseProof;
 use crate::state::job_table::ReadyStep;
@@ -28,12 +28,12 @@
     }
     let key = |&index| TaskKey { job: ready.job, round: ready.round, step: ready.step, index };
     let members: Vec<TaskKey> = pending.iter().map(key).collect();
-    if members.iter().any(|&task| !asks::may_start(cx, task)) {
+    if members.iter().any(|&task| !requests::may_start(cx, task)) {
         return;
     }
     let starts = next_start_count(cx, &members);
     let Some(placed) = place_together(cx, job, service, &members, starts, step.same_rack) else {
-        if asks::advice_of(cx, job).is_some() {
+        if requests::advice_of(cx, job).is_some() {
             permits::request_permits(cx, ready, pending.len());
         }
         return;
@@ -77,7 +77,7 @@
     let checkpoint = checkpoints::of_gang(cx, members);
     let mut placed: Vec<(TaskKey, WorkerIx)> = Vec::new();
     for &task in members {
-        let wanted = asks::placement_request(cx, job, service, task).map(|w| PlacementRequest { only_rack: rack, ..w });
+        let wanted = requests::placement_request(cx, job, service, task).map(|w| PlacementRequest { only_rack: rack, ..w });
         let Some(ix) = wanted.and_then(|w| placement::best_worker(cx, &w)) else {
             release_placed(cx, &placed, run);
             return None;
--- a/crates/sched/src/changes/scarcity.rs
+++ b/crates/sched/src/changes/scarcity.rs
@@ -3,7 +3,7 @@
 use gaplock_jobs::TaskKey;
 use gaplock_types::ids;
 
-use crate::decisions::room;
+use crate::decisions::free_capacity;
 use crate::interface::message::WorkerIx;
 use crate::state::State;
 
@@ -21,7 +21,7 @@
 /// Takes in that a run of a step has begun or ended at a worker.
 pub fn note_short_change(cx: &mut State, ix: WorkerIx, key: TaskKey) {
     let now = cx.now;
-    if cx.step(key).is_some_and(room::is_short) {
+    if cx.step(key).is_some_and(free_capacity::is_short) {
         cx.worker_mut(ix).short_task_changed_at = Some(now);
     }
 }
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -14,7 +14,7 @@
 
 use crate::changes::crashes::kept::{self, BASE_TRIAL_TIME};
 use crate::changes::starts;
-use crate::decisions::{asks, losses, placement};
+use crate::decisions::{requests, losses, placement};
 use crate::interface::message::WorkerIx;
 use crate::state::job_table::TaskState;
 use crate::state::trial::Trial;
@@ -127,8 +127,8 @@
 /// innocent task.
 fn start_alone(cx: &mut State, key: TaskKey, empty: &mut Vec<WorkerIx>) -> bool {
     let Some(job) = cx.jobs.get(&key.job).map(|entry| entry.job.clone()) else { return false };
-    let Some(service) = asks::service_of(cx, &job) else { return false };
-    let Some(wanted) = asks::placement_request(cx, &job, &service, key) else { return false };
+    let Some(service) = requests::service_of(cx, &job) else { return false };
+    let Some(wanted) = requests::placement_request(cx, &job, &service, key) else { return false };
     let rank = |ix: WorkerIx| {
         let worker = cx.worker(ix);
         let heard = worker.clock.map(|(heard, _)| heard);
--- a/crates/sched/src/decisions.rs
+++ b/crates/sched/src/decisions.rs
@@ -1,8 +1,8 @@
 //! Functions that read the state and return an answer; they change nothing.
 
-pub mod asks;
+pub mod requests;
 pub mod availability;
-pub mod choices;
+pub mod ranking;
 pub mod interference;
 pub mod best_effort;
 pub mod leaving;
@@ -10,6 +10,6 @@
 pub mod paces;
 pub mod placement;
 pub mod racks;
-pub mod room;
+pub mod free_capacity;
 pub mod slowness;
 pub mod waves;
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -7,7 +7,7 @@
 use gaplock_types::time::Millis;
 
 use crate::decisions::interference;
-use crate::decisions::room;
+use crate::decisions::free_capacity;
 use crate::interface::message::{StepKey, WorkerIx};
 use crate::state::job_table;
 use crate::state::worker::{TaskRole, Worker};
@@ -218,8 +218,8 @@
     if step.most_per_worker.is_some_and(|most| count_same_step(worker, wanted.task) >= most) {
         return Err(UnfitReason::TooManyOfStep);
     }
-    let may_take_kept = !step.lasting || room::may_use_reserved(wanted.waited, wanted.may_have_run);
-    if !may_take_kept && room::is_reserved(cx, worker) {
+    let may_take_kept = !step.lasting || free_capacity::may_use_reserved(wanted.waited, wanted.may_have_run);
+    if !may_take_kept && free_capacity::is_reserved(cx, worker) {
         return Err(UnfitReason::Reserved);
     }
     Ok(())
@@ -257,7 +257,7 @@
 /// where the task would disturb too much yet.
 fn score(cx: &State, ix: WorkerIx, worker: &Worker, wanted: &PlacementRequest<'_>) -> Option<f64> {
     let mut score =
-        if wanted.step.fills { unclaimed_share(worker) } else { room::best_fit_score(worker, wanted.step) };
+        if wanted.step.fills { unclaimed_share(worker) } else { free_capacity::best_fit_score(worker, wanted.step) };
     let in_rack = |rack: &String| worker.info.labels.contains(rack);
     if wanted.step.rack.as_ref().is_some_and(in_rack) {
         score += RACK_BONUS;
--- a/crates/sched/tests/fleet/packing.rs
+++ b/crates/sched/tests/fleet/packing.rs
@@ -1,7 +1,7 @@
 //! Room on a pool that lasting tasks fill, on virtual time: who gets it and in what pieces.
 
 use gaplock_jobs::{Job, Step};
-use gaplock_sched::room;
+use gaplock_sched::free_capacity;
 use gaplock_types::sizes::{MilliCores, Resources};
 
 use crate::world::{assert_kept, job, step, World};
@@ -63,8 +63,8 @@
     // Half of the fleet's processors, which fit on half of the workers.
     world.submit(lasting_job(1, WORKERS as u32, WHOLE / 2));
     world.run(2_000);
-    let half = room::FreeCpu { total: HALF_OF_ALL, largest: MilliCores(WHOLE) };
-    assert_eq!(room::free_cpu(world.cx.as_ref().expect("it is led")), half);
+    let half = free_capacity::FreeCpu { total: HALF_OF_ALL, largest: MilliCores(WHOLE) };
+    assert_eq!(free_capacity::free_cpu(world.cx.as_ref().expect("it is led")), half);
     world.submit(short_job(2, WORKERS as u32 / 2, WHOLE));
     world.run(AT_ONCE_MS);
     assert_eq!(world.running_of(2), WORKERS / 2);
