--- a/crates/sched/src/changes.rs
+++ b/crates/sched/src/changes.rs
@@ -1,21 +1,20 @@
 //! Functions that change the state, write their log lines and ask for what is to be done.
 
-pub mod account;
+pub mod abandoned_starts;
 pub mod checkpoints;
 pub mod commits;
 pub mod crashes;
 pub mod directory;
 pub mod dispatch;
-pub mod abandoned_starts;
 pub mod drain;
 pub mod ends;
 pub mod evacuation;
 pub mod freshness;
 pub mod gangs;
-pub mod terminated;
 pub mod intake;
 pub mod leases;
 pub mod lifecycle;
+pub mod maintenance;
 pub mod moving;
 pub mod orders;
 pub mod pacing;
@@ -28,6 +27,7 @@
 pub mod starts;
 pub mod stragglers;
 pub mod takeover;
+pub mod terminated;
 pub mod trace;
 pub mod trials;
-pub mod maintenance;
+pub mod worker_report;
--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -165,7 +165,8 @@
     let kept = |t: &Task| t.checkpoint.as_ref().is_some_and(|c| !is_at_worker(t, c));
     let is_noted = |t: &Task| t.failed > 0 || kept(t) || t.crash_evidence.is_some();
     let noted = |t: &Task| t.state != TaskState::Done && is_noted(t);
-    let crashed = |t: &Task| t.crash_evidence.as_ref().map(|s| s.crashed.clone()).unwrap_or_default();
+    let crashed =
+        |t: &Task| t.crash_evidence.as_ref().map(|s| s.crashed.clone()).unwrap_or_default();
     let waits = |t: &Task| matches!(t.state, TaskState::Waiting | TaskState::Pending);
     let started = |t: &Task| t.crash_evidence.as_ref()?.possible_workers_to_store(waits(t));
     let notes = tasks.filter(|(_, t)| noted(t)).map(|(index, t)| TaskRecord {
--- a/crates/sched/src/changes/crashes.rs
+++ b/crates/sched/src/changes/crashes.rs
@@ -20,5 +20,7 @@
 mod verdict;
 
 pub use evidence::worker_lost;
-pub use inherited::{count_losses_without_holder, register_suspects, count_loss_of_holder, restore_suspicion};
+pub use inherited::{
+    count_loss_of_holder, count_losses_without_holder, register_suspects, restore_suspicion,
+};
 pub use verdict::{check, worker_answers, worker_terminated};
--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -7,7 +7,7 @@
 use crate::changes::{commits, trace};
 use crate::decisions::losses::{self, BlamedTask, Loss, START_CRASH_WINDOW};
 use crate::interface::message::WorkerIx;
-use crate::state::crash_evidence::{Saved, RecordedStart};
+use crate::state::crash_evidence::{RecordedStart, Saved};
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
@@ -47,7 +47,18 @@
             continue;
         }
         let alone = cx.worker(ix).slots.keys().all(|other| other.job == key.job);
-        record_loss(cx, key, &Evidence { worker: &id, loss, known_runtime: lived, confirmed, lost_together: together, only_its_job: alone });
+        record_loss(
+            cx,
+            key,
+            &Evidence {
+                worker: &id,
+                loss,
+                known_runtime: lived,
+                confirmed,
+                lost_together: together,
+                only_its_job: alone,
+            },
+        );
     }
 }
 
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -5,11 +5,11 @@
 use gaplock_types::ids;
 use rustc_hash::FxHashSet;
 
-use super::evidence::{record_possible_crash, hold_until_saved, record_loss, Evidence};
+use super::evidence::{hold_until_saved, record_loss, record_possible_crash, Evidence};
 use crate::changes::commits;
 use crate::decisions::losses::{self, Loss, START_CRASH_WINDOW};
 use crate::interface::message::WorkerIx;
-use crate::state::crash_evidence::{RecordedStart, CrashEvidence};
+use crate::state::crash_evidence::{CrashEvidence, RecordedStart};
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
@@ -31,7 +31,12 @@
         None => RecordedStart::Unrecorded,
         Some(workers) => workers.first().cloned().map_or(RecordedStart::Nowhere, RecordedStart::At),
     };
-    Some(Box::new(CrashEvidence { crashed, possible_crash: perhaps, recorded_start: started, ..CrashEvidence::default() }))
+    Some(Box::new(CrashEvidence {
+        crashed,
+        possible_crash: perhaps,
+        recorded_start: started,
+        ..CrashEvidence::default()
+    }))
 }
 
 /// Finds the suspects of a job that was restored.
@@ -65,14 +70,25 @@
 /// Builds the evidence of a crash whose runs a former leader started: how long they lived is not known.
 fn crash_of_unknown_runtime(worker: &ids::WorkerId, together: usize) -> Evidence<'_> {
     let (loss, lived, confirmed, alone) = (Loss::Crashed, START_CRASH_WINDOW, false, false);
-    Evidence { worker, loss, known_runtime: lived, confirmed, lost_together: together, only_its_job: alone }
+    Evidence {
+        worker,
+        loss,
+        known_runtime: lived,
+        confirmed,
+        lost_together: together,
+        only_its_job: alone,
+    }
 }
 
 /// Takes in that a successor has found workers gone that may have run any task, and these tasks at no
 /// other one: each of them may have been there, or may have waited. Of a suspect whose starts are stored it
 /// is known. Another one of which that has been supposed once is counted the second time, so that no more
 /// than one crash is forgotten.
-pub fn count_losses_without_holder(cx: &mut State, lost: &[WorkerIx], unfound: &FxHashSet<TaskKey>) {
+pub fn count_losses_without_holder(
+    cx: &mut State,
+    lost: &[WorkerIx],
+    unfound: &FxHashSet<TaskKey>,
+) {
     let unfound = count_recorded_starts(cx, lost, unfound);
     let crashed = lost.iter().find(|&&ix| !losses::was_leaving(cx.worker(ix)));
     let Some(&ix) = crashed else { return };
--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded.rs
@@ -12,7 +12,7 @@
 use crate::changes::{commits, lifecycle, orders};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::proof::ReleaseProof;
-use crate::state::crash_evidence::{Saved, RecordedStart};
+use crate::state::crash_evidence::{RecordedStart, Saved};
 use crate::state::worker::Phase;
 use crate::state::State;
 
@@ -21,7 +21,9 @@
 pub fn hold_until_stored(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) -> bool {
     let id = cx.worker(ix).info.id.clone();
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
-    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else { return false };
+    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else {
+        return false;
+    };
     if is_gang {
         suspicion.recorded_start = RecordedStart::Unrecorded;
     }
@@ -41,8 +43,8 @@
     }
     for (ix, key, run) in mem::take(&mut cx.crashes.held_starts) {
         let slot = cx.worker(ix).slots.get(&key);
-        let is_held =
-            slot.is_some_and(|s| s.run == run && s.phase == Phase::Starting && s.attempts.sent() == 0);
+        let is_held = slot
+            .is_some_and(|s| s.run == run && s.phase == Phase::Starting && s.attempts.sent() == 0);
         if !is_held {
             continue;
         }
--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -5,7 +5,7 @@
 
 use gaplock_types::ids;
 
-use crate::changes::{evacuation, roster, trace, maintenance};
+use crate::changes::{evacuation, maintenance, roster, trace};
 use crate::interface::message::{WorkerInfo, WorkerIx};
 use crate::state::worker::{Listing, Worker};
 use crate::state::State;
@@ -83,7 +83,9 @@
 /// Keeps an entry whose pool is not named, and gives the worker that it names no more tasks.
 fn keep_unnamed(cx: &mut State, info: WorkerInfo) {
     unreadable(cx, &info.id);
-    if cx.unknown_pool_workers.len() < MAX_UNNAMED_ENTRIES || cx.unknown_pool_workers.contains_key(&info.id) {
+    if cx.unknown_pool_workers.len() < MAX_UNNAMED_ENTRIES
+        || cx.unknown_pool_workers.contains_key(&info.id)
+    {
         cx.unknown_pool_workers.insert(info.id.clone(), info);
     }
 }
--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -8,9 +8,9 @@
 use gaplock_types::{ids, sizes};
 
 use crate::changes::{gangs, pacing, permits, scarcity, starts, trace, trials};
-use crate::decisions::requests::{self, WaitStatus};
 use crate::decisions::ranking::RankedWorkers;
-use crate::decisions::{interference, placement, free_capacity};
+use crate::decisions::requests::{self, WaitStatus};
+use crate::decisions::{free_capacity, interference, placement};
 use crate::state::job_table::{self, ReadyStep};
 use crate::state::State;
 
@@ -44,8 +44,15 @@
             demand: step.demand.cpu,
             may_interfere: interference::may_interfere(first.waited),
         });
-        let lasting = step.lasting.then(|| free_capacity::may_use_reserved(first.waited, first.may_have_run));
-        Self { service, label: step.label.clone(), takes: job_table::reservation(step), best_effort: filling, may_use_reserved: lasting }
+        let lasting =
+            step.lasting.then(|| free_capacity::may_use_reserved(first.waited, first.may_have_run));
+        Self {
+            service,
+            label: step.label.clone(),
+            takes: job_table::reservation(step),
+            best_effort: filling,
+            may_use_reserved: lasting,
+        }
     }
 
     /// Tells whether a task that is asked for now finds no worker either.
@@ -111,7 +118,9 @@
     let Some(round) = entry.round(ready.round).filter(|_| step.lasting) else { return false };
     let state = &round.steps[usize::from(ready.step)];
     let mut tasks = state.pending.iter().filter_map(|&index| state.tasks.get(index as usize));
-    tasks.any(|task| free_capacity::has_restart_priority(step, cx.now.since(task.since), task.may_have_run))
+    tasks.any(|task| {
+        free_capacity::has_restart_priority(step, cx.now.since(task.since), task.may_have_run)
+    })
 }
 
 /// Returns the most free processors, and the most in all, of any worker that takes tasks.
@@ -221,9 +230,15 @@
         if !requests::may_start(cx, task) {
             continue;
         }
-        let Some(wanted) = requests::placement_request(cx, job, service, task) else { return Some(task) };
+        let Some(wanted) = requests::placement_request(cx, job, service, task) else {
+            return Some(task);
+        };
         let chosen = choices.take_best(cx, &wanted);
-        debug_assert_eq!(chosen, placement::best_worker(cx, &wanted), "the kept order is another one");
+        debug_assert_eq!(
+            chosen,
+            placement::best_worker(cx, &wanted),
+            "the kept order is another one"
+        );
         let Some(ix) = chosen else { return Some(task) };
         starts::start_at(cx, ix, task);
     }
--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -5,7 +5,7 @@
 use gaplock_types::time::Millis;
 
 use crate::changes::{checkpoints, commits, lifecycle, speed, trace};
-use crate::interface::message::{RunEnd, EndCause, Run, WorkerIx};
+use crate::interface::message::{EndCause, Run, RunEnd, WorkerIx};
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
@@ -130,7 +130,8 @@
 
 /// Counts a failure against the worker, which gets no new tasks for a while after several.
 fn count_worker_failure(cx: &mut State, ix: WorkerIx) {
-    let (now, limit, quarantine) = (cx.now, cx.settings.max_worker_failures, cx.settings.quarantine);
+    let (now, limit, quarantine) =
+        (cx.now, cx.settings.max_worker_failures, cx.settings.quarantine);
     let worker = cx.worker_mut(ix);
     worker.failures += 1;
     if worker.failures < limit {
--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -8,7 +8,7 @@
 
 use crate::changes::{checkpoints, lifecycle, permits, starts};
 use crate::decisions::placement::{self, PlacementRequest};
-use crate::decisions::{requests, racks};
+use crate::decisions::{racks, requests};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::proof::ReleaseProof;
 use crate::state::job_table::ReadyStep;
@@ -77,7 +77,8 @@
     let checkpoint = checkpoints::of_gang(cx, members);
     let mut placed: Vec<(TaskKey, WorkerIx)> = Vec::new();
     for &task in members {
-        let wanted = requests::placement_request(cx, job, service, task).map(|w| PlacementRequest { only_rack: rack, ..w });
+        let wanted = requests::placement_request(cx, job, service, task)
+            .map(|w| PlacementRequest { only_rack: rack, ..w });
         let Some(ix) = wanted.and_then(|w| placement::best_worker(cx, &w)) else {
             release_placed(cx, &placed, run);
             return None;
--- a/crates/sched/src/changes/intake.rs
+++ b/crates/sched/src/changes/intake.rs
@@ -9,8 +9,8 @@
 
 use crate::changes::{commits, directory, lifecycle, permits, trace};
 use crate::interface::message::Record;
-use crate::state::recovery_scan::RecoveryScan;
 use crate::state::job_table::{JobEntry, Round};
+use crate::state::recovery_scan::RecoveryScan;
 use crate::state::State;
 
 /// Takes a version of the configuration into force; an older one is ignored.
@@ -139,8 +139,9 @@
     cx.early_cancellations.retain(|_, since| now.since(*since) < EARLY_CANCELLATION_RETENTION);
     let keep = cx.settings.finished_job_retention.0;
     let unix_ms = cx.unix_ms;
-    let old =
-        |e: &JobEntry| e.stored_state.is_final() && e.ended_unix_ms > 0 && e.ended_unix_ms + keep < unix_ms;
+    let old = |e: &JobEntry| {
+        e.stored_state.is_final() && e.ended_unix_ms > 0 && e.ended_unix_ms + keep < unix_ms
+    };
     let keys: Vec<JobKey> = cx.jobs.iter().filter(|(_, e)| old(e)).map(|(key, _)| *key).collect();
     for key in keys {
         cx.jobs.remove(&key);
--- a/crates/sched/src/changes/leases.rs
+++ b/crates/sched/src/changes/leases.rs
@@ -5,7 +5,7 @@
 
 use gaplock_jobs::TaskKey;
 
-use crate::changes::{crashes, abandoned_starts, lifecycle, roster, trace};
+use crate::changes::{abandoned_starts, crashes, lifecycle, roster, trace};
 use crate::interface::message::{Run, WorkerClock, WorkerIx};
 use crate::interface::proof::ReleaseProof;
 use crate::state::worker::Slot;
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -13,7 +13,7 @@
 use crate::interface::proof::ReleaseProof;
 use crate::state::checkpoint::Checkpoint;
 use crate::state::job_table::{self, JobEntry, ReadyStep, Round, Task, TaskState};
-use crate::state::worker::{TaskRole, Phase, Slot};
+use crate::state::worker::{Phase, Slot, TaskRole};
 use crate::state::State;
 
 /// How much later than its objective a lasting step is served: room that comes free goes to work
@@ -221,7 +221,9 @@
         }
         let waiting = |t: &Task| t.state == TaskState::Waiting;
         let keys = state.tasks.iter().enumerate().filter(|(_, t)| waiting(t));
-        found.extend(keys.map(|(index, _)| job_table::task_key(entry.job.key, round.number, at, index)));
+        found.extend(
+            keys.map(|(index, _)| job_table::task_key(entry.job.key, round.number, at, index)),
+        );
     }
     found
 }
--- a/crates/sched/src/changes/upkeep.rs
+++ b/crates/sched/src/changes/maintenance.rs
@@ -19,7 +19,7 @@
 use crate::changes::{commits, trace};
 use crate::decisions::waves;
 use crate::interface::message::{
-    Action, HostInfo, HostState, Record, MaintenanceAnswer, WaveNumber, WaveProgress, WaveRequest,
+    Action, HostInfo, HostState, MaintenanceAnswer, Record, WaveNumber, WaveProgress, WaveRequest,
 };
 use crate::state::maintenance::{DownHost, Wave};
 use crate::state::State;
@@ -94,7 +94,8 @@
         let is_up = |h: &ids::HostId| upkeep.hosts.get(h).is_some_and(|h| h.state == HostState::Up);
         // A list that was asked for before the answer may show the host as it was before its
         // upkeep.
-        let is_back = |h: &ids::HostId, d: &DownHost| is_up(h) && d.begun.is_some_and(|at| sent > at);
+        let is_back =
+            |h: &ids::HostId, d: &DownHost| is_up(h) && d.begun.is_some_and(|at| sent > at);
         let back = wave.down.iter().filter(|(h, d)| is_back(h, d)).map(|(h, _)| h.clone());
         let back: Vec<ids::HostId> = back.collect();
         wave.down.retain(|h, _| !back.contains(h));
@@ -117,7 +118,12 @@
 }
 
 /// Takes in what became of an order that a host goes down.
-pub fn handle_order_answer(cx: &mut State, number: WaveNumber, host: &ids::HostId, answer: MaintenanceAnswer) {
+pub fn handle_order_answer(
+    cx: &mut State,
+    number: WaveNumber,
+    host: &ids::HostId,
+    answer: MaintenanceAnswer,
+) {
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     let Some(down) = wave.down.get_mut(host) else { return };
@@ -125,7 +131,9 @@
     match answer {
         MaintenanceAnswer::Begun => record_begun(cx, number, host),
         MaintenanceAnswer::NotOfWave => {
-            if down.record_outcome(Execution::NotDone, now + REFUSED_ORDER_RETRY_PAUSE) == Execution::NotDone {
+            if down.record_outcome(Execution::NotDone, now + REFUSED_ORDER_RETRY_PAUSE)
+                == Execution::NotDone
+            {
                 exclude_host(cx, number, host);
             }
         }
--- a/crates/sched/src/changes/moving.rs
+++ b/crates/sched/src/changes/moving.rs
@@ -9,7 +9,7 @@
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::search_budget::{self, SearchBudget};
 use crate::state::interference_model::Column;
-use crate::state::worker::{TaskRole, Phase, Slot};
+use crate::state::worker::{Phase, Slot, TaskRole};
 use crate::state::State;
 
 /// How long a filling task is slowed down before it is moved.
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -10,11 +10,13 @@
 use gaplock_policy::attempts::Execution;
 use gaplock_types::time::Millis;
 
-use crate::changes::{checkpoints, abandoned_starts, terminated, leases, lifecycle, pacing, permits, trace};
+use crate::changes::{
+    abandoned_starts, checkpoints, leases, lifecycle, pacing, permits, terminated, trace,
+};
 use crate::interface::message::{Action, Outcome, Refusal, Run, StepKey, WorkerClock, WorkerIx};
 use crate::interface::proof::ReleaseProof;
-use crate::state::rates::ProgressSample;
 use crate::state::job_table::TaskState;
+use crate::state::rates::ProgressSample;
 use crate::state::worker::Phase;
 use crate::state::State;
 
@@ -89,7 +91,14 @@
 
 /// Frees a task whose start was certainly not carried out, or withdraws the start while a try of it
 /// is open: that one may be carried out when the task has long ended elsewhere.
-fn release_or_withdraw(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, fate: Execution, proof: ReleaseProof) {
+fn release_or_withdraw(
+    cx: &mut State,
+    ix: WorkerIx,
+    key: TaskKey,
+    run: Run,
+    fate: Execution,
+    proof: ReleaseProof,
+) {
     match fate {
         Execution::NotDone => lifecycle::requeue(cx, ix, key, run, proof),
         Execution::Done | Execution::Unknown => {
@@ -193,7 +202,8 @@
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     slot.stop_refusals += 1;
     if slot.confirmed.is_none() {
-        slot.resend_stop_at = now + lifecycle::exponential_backoff(FIRST_STOP_RETRY_PAUSE, slot.stop_refusals, most);
+        slot.resend_stop_at =
+            now + lifecycle::exponential_backoff(FIRST_STOP_RETRY_PAUSE, slot.stop_refusals, most);
     }
 }
 
--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -5,8 +5,8 @@
 //! tasks need (`decisions/paces.rs`), and what stays slow for long is moved (`moving.rs`).
 
 mod paces;
-mod roles;
 mod readings;
+mod roles;
 mod spare_capacity;
 
 use crate::changes::trace;
@@ -18,8 +18,8 @@
 pub use crate::state::pace_orders::{PaceOrders, FULL_PACE};
 
 pub use paces::{handle_pace_outcome, order_paces};
-pub use roles::role_of;
 pub use readings::store_learned;
+pub use roles::role_of;
 pub use spare_capacity::refresh_spare_capacity;
 
 /// Takes in a worker's fresh readings: learns from them, then sets the paces that they ask for.
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -11,7 +11,7 @@
 use crate::decisions::paces;
 use crate::interface::message::{Action, Run, WorkerIx};
 use crate::state::pace_orders::FULL_PACE;
-use crate::state::worker::{TaskRole, Phase};
+use crate::state::worker::{Phase, TaskRole};
 use crate::state::State;
 
 /// Lowers the pace of what disturbs a serving task too much, and raises it again.
@@ -75,7 +75,10 @@
 fn order_pace(cx: &mut State, ix: WorkerIx, wanted: &BestEffortTask) {
     let now = cx.now;
     let again_after = paces::part_of(cx.settings.max_tail_excess, PACE_REPEAT_FRACTION);
-    let surveying = cx.recovery_scan.as_ref().is_some_and(|survey| now.since(survey.began) < RECOVERY_SCAN_PACE_DELAY);
+    let surveying = cx
+        .recovery_scan
+        .as_ref()
+        .is_some_and(|survey| now.since(survey.began) < RECOVERY_SCAN_PACE_DELAY);
     let worker = cx.worker_mut(ix);
     let Some(slot) = worker.slots.get_mut(&wanted.key) else { return };
     let edge = wanted.pace == 0 || wanted.pace == FULL_PACE;
@@ -100,7 +103,14 @@
 }
 
 /// Takes in what became of an order of pace.
-pub fn handle_pace_outcome(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, percent: u32, fate: Execution) {
+pub fn handle_pace_outcome(
+    cx: &mut State,
+    ix: WorkerIx,
+    key: TaskKey,
+    run: Run,
+    percent: u32,
+    fate: Execution,
+) {
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key).filter(|s| s.run == run) else {
         return;
     };
--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -3,8 +3,8 @@
 use gaplock_types::time::Millis;
 
 use crate::changes::commits;
-use crate::decisions::interference::CONTENTION_SHARE;
 use crate::decisions::best_effort::{self, READING_WINDOW};
+use crate::decisions::interference::CONTENTION_SHARE;
 use crate::interface::message::{Record, WorkerIx};
 use crate::state::interference_model::{Column, ServingTask};
 use crate::state::worker::TaskRole;
@@ -57,7 +57,8 @@
     for (served, tail_ms) in tails {
         let load = cx.interference.load(served.job, now, 0.0);
         let surprise = cx.interference.utilization(served, *tail_ms) - load;
-        let relative = if surprise > MIN_SLOW_UTILIZATION_EXCESS { SLOW_READING_SPEED } else { 1.0 };
+        let relative =
+            if surprise > MIN_SLOW_UTILIZATION_EXCESS { SLOW_READING_SPEED } else { 1.0 };
         cx.worker_mut(ix).speed.record(now, relative);
     }
 }
--- a/crates/sched/src/changes/pacing/roles.rs
+++ b/crates/sched/src/changes/pacing/roles.rs
@@ -12,7 +12,9 @@
         return TaskRole::Filling(cx.interference.column(image));
     }
     match step.tail_target {
-        Some(target) => TaskRole::Serving { row: cx.interference.row(image), target_ms: target.0 as u32 },
+        Some(target) => {
+            TaskRole::Serving { row: cx.interference.row(image), target_ms: target.0 as u32 }
+        }
         None => TaskRole::Plain,
     }
 }
--- a/crates/sched/src/changes/pacing/spare_capacity.rs
+++ b/crates/sched/src/changes/pacing/spare_capacity.rs
@@ -1,7 +1,7 @@
 //! The room that serving tasks leave on a worker for filling ones.
 
-use crate::decisions::interference::MAX_BEST_EFFORT_SHARE;
 use crate::decisions::best_effort::{self, BestEffortTask};
+use crate::decisions::interference::MAX_BEST_EFFORT_SHARE;
 use crate::interface::message::WorkerIx;
 use crate::state::interference_model::Row;
 use crate::state::worker::{TaskRole, Worker};
@@ -28,8 +28,15 @@
     let mut spare: Vec<(Row, f64)> = Vec::new();
     for (key, slot) in &worker.slots {
         let Some(served) = best_effort::as_served(*key, slot) else { continue };
-        let pressure = cx.interference.interference(served.row, tasks.iter().map(BestEffortTask::at_full_pace));
-        let bearable = cx.interference.tolerable_interference(&served, PLACEMENT_TAIL_SHARE, now, PLACEMENT_LOOKAHEAD_S);
+        let pressure = cx
+            .interference
+            .interference(served.row, tasks.iter().map(BestEffortTask::at_full_pace));
+        let bearable = cx.interference.tolerable_interference(
+            &served,
+            PLACEMENT_TAIL_SHARE,
+            now,
+            PLACEMENT_LOOKAHEAD_S,
+        );
         let left = bearable - pressure;
         match spare.iter_mut().find(|(row, _)| *row == served.row) {
             Some((_, known)) => *known = known.min(left),
@@ -37,8 +44,11 @@
         }
     }
     let left = spare_filling(cx, worker);
-    let openness =
-        if left < TYPICAL_TASK_SHARE { 0.0 } else { cx.interference.fitting_image_share(&spare, TYPICAL_TASK_SHARE) };
+    let openness = if left < TYPICAL_TASK_SHARE {
+        0.0
+    } else {
+        cx.interference.fitting_image_share(&spare, TYPICAL_TASK_SHARE)
+    };
     let worker = cx.worker_mut(ix);
     worker.fitting_image_share = openness;
     worker.spare_interference = spare;
@@ -53,7 +63,9 @@
     for (key, slot) in &worker.slots {
         let takes = f64::from(slot.reservation.cpu.0);
         busy += match slot.role {
-            TaskRole::Serving { .. } => takes * cx.interference.load(key.job, cx.now, PLACEMENT_LOOKAHEAD_S),
+            TaskRole::Serving { .. } => {
+                takes * cx.interference.load(key.job, cx.now, PLACEMENT_LOOKAHEAD_S)
+            }
             TaskRole::Plain => takes,
             TaskRole::Filling(_) => 0.0,
         };
--- a/crates/sched/src/changes/permits.rs
+++ b/crates/sched/src/changes/permits.rs
@@ -39,7 +39,10 @@
     let step = StepKey { job: ready.job, round: ready.round, step: ready.step };
     let now = cx.now;
     let known = cx.permits.steps.entry(step).or_default();
-    if known.call_in_flight || known.not_before > now || cx.permits.calls_in_flight >= MAX_CALLS_IN_FLIGHT {
+    if known.call_in_flight
+        || known.not_before > now
+        || cx.permits.calls_in_flight >= MAX_CALLS_IN_FLIGHT
+    {
         return;
     }
     let workers = candidates(cx, step, pending);
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -4,10 +4,10 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::changes::{
-    account, commits, crashes, abandoned_starts, terminated, leases, pacing, restarts, roster, takeover, trace,
-    trials,
+    abandoned_starts, commits, crashes, leases, pacing, restarts, roster, takeover, terminated,
+    trace, trials, worker_report,
 };
-use crate::interface::message::{WorkerReport, Action, Outcome, Refusal, WorkerIx};
+use crate::interface::message::{Action, Outcome, Refusal, WorkerIx, WorkerReport};
 use crate::state::worker::Renewal;
 use crate::state::State;
 
@@ -36,7 +36,11 @@
         || worker.unanswered_renewals > 0
         || worker.awaits_withdrawal_proof();
     let wait = if quick || worker.slots.is_empty() { Millis(0) } else { wait };
-    let wait = if worker.mixes_serving_and_best_effort() { wait.min(MAX_WAIT_ON_SHARED_WORKER) } else { wait };
+    let wait = if worker.mixes_serving_and_best_effort() {
+        wait.min(MAX_WAIT_ON_SHARED_WORKER)
+    } else {
+        wait
+    };
     let wait = if worker.trial.is_some() { wait.min(trials::RENEWAL_WAIT) } else { wait };
     let stored = worker.to_acknowledge();
     worker.acknowledging_up_to = stored;
@@ -77,7 +81,12 @@
 const MAX_WAIT_ON_SHARED_WORKER: Millis = Millis(350);
 
 /// Takes in what became of a renewal.
-pub fn handle_renewal_outcome(cx: &mut State, ix: WorkerIx, sent: Instant, outcome: Outcome<WorkerReport>) {
+pub fn handle_renewal_outcome(
+    cx: &mut State,
+    ix: WorkerIx,
+    sent: Instant,
+    outcome: Outcome<WorkerReport>,
+) {
     // What an incarnation said before it was known to be over speaks of runs that are over too; nobody
     // would look for their ends. One that is listed again is asked anew.
     cx.set_due(ix, cx.now);
@@ -140,7 +149,12 @@
 
 /// Takes in the account that a worker gave in answer to a renewal of its former start; one of its own may be in
 /// flight.
-fn answered_by_later_incarnation(cx: &mut State, ix: WorkerIx, sent: Instant, account: WorkerReport) {
+fn answered_by_later_incarnation(
+    cx: &mut State,
+    ix: WorkerIx,
+    sent: Instant,
+    account: WorkerReport,
+) {
     let renewal = cx.worker(ix).renewal;
     answered(cx, ix, sent, account);
     if renewal == Renewal::InFlight {
@@ -168,7 +182,7 @@
     worker.first_answered_at.get_or_insert(now);
     worker.acknowledged_up_to = worker.acknowledged_up_to.max(worker.acknowledging_up_to);
     worker.record_clock(now, account.clock);
-    account::apply(cx, ix, sent, &account);
+    worker_report::apply(cx, ix, sent, &account);
     if is_first {
         restarts::terminate_previous(cx, ix);
     }
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -10,8 +10,8 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::changes::lifecycle::Occupant;
-use crate::changes::{crashes, directory, terminated, lifecycle, roster, trace};
-use crate::interface::message::{WorkerReport, Run, WorkerIx};
+use crate::changes::{crashes, directory, lifecycle, roster, terminated, trace};
+use crate::interface::message::{Run, WorkerIx, WorkerReport};
 use crate::state::job_table::TaskState;
 use crate::state::worker::{Listing, Phase, Slot};
 use crate::state::State;
--- a/crates/sched/src/changes/roster.rs
+++ b/crates/sched/src/changes/roster.rs
@@ -82,7 +82,9 @@
 /// Opens a worker that may be given tasks, unless it is open.
 pub fn open_if_ready(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker(ix);
-    let able = worker.listing == Listing::Ready && worker.unanswered_renewals == 0 && worker.first_answered_at.is_some();
+    let able = worker.listing == Listing::Ready
+        && worker.unanswered_renewals == 0
+        && worker.first_answered_at.is_some();
     if able && !worker.terminated {
         add_if_missing(cx, ix);
     }
--- a/crates/sched/src/changes/speed.rs
+++ b/crates/sched/src/changes/speed.rs
@@ -10,7 +10,7 @@
 use crate::interface::message::WorkerIx;
 use crate::state::pace_orders::FULL_PACE;
 use crate::state::rates::{ProgressSample, COMPLETE_PERCENT};
-use crate::state::worker::{TaskRole, Phase, Slot};
+use crate::state::worker::{Phase, Slot, TaskRole};
 use crate::state::State;
 
 /// The shortest time over which a rate is read.
@@ -82,7 +82,8 @@
     let span = now.since(mark.at);
     let gained = slot.progress_percent.saturating_sub(mark.percent);
     let expected = typical.map_or(0.0, |rate| rate * span.0 as f64 / 1_000.0);
-    let enough = gained >= MIN_RATE_PROGRESS_PERCENT || expected >= f64::from(MIN_RATE_PROGRESS_PERCENT);
+    let enough =
+        gained >= MIN_RATE_PROGRESS_PERCENT || expected >= f64::from(MIN_RATE_PROGRESS_PERCENT);
     if span < MIN_RATE_SPAN || !enough {
         return None;
     }
@@ -95,7 +96,8 @@
     if slot.best_effort_millicores == 0 {
         return true;
     }
-    let wanted = f64::from(slot.best_effort_millicores) * f64::from(slot.pace) / f64::from(FULL_PACE);
+    let wanted =
+        f64::from(slot.best_effort_millicores) * f64::from(slot.pace) / f64::from(FULL_PACE);
     let used = f64::from(slot.reading.unwrap_or(0));
     let certain = !slot.pace_order_in_flight && slot.pace_orders.is_certain();
     slot.pace >= MIN_RATE_PACE_PERCENT && certain && used >= wanted * MIN_RATE_CPU_SHARE
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -14,11 +14,11 @@
 use crate::changes::evacuation::{self, Evacuated};
 use crate::changes::pacing::Learned;
 use crate::changes::{
-    checkpoints, crashes, directory, intake, leases, lifecycle, roster, trace, maintenance,
+    checkpoints, crashes, directory, intake, leases, lifecycle, maintenance, roster, trace,
 };
 use crate::interface::message::{RosterEntry, Run, WaveProgress, WorkerIx};
-use crate::state::recovery_scan::RecoveryScan;
 use crate::state::job_table::{JobEntry, Round, StepState, TaskState};
+use crate::state::recovery_scan::RecoveryScan;
 use crate::state::worker::Listing;
 use crate::state::State;
 
@@ -45,8 +45,16 @@
 
 /// Fills a new leader's state from the store and begins the survey.
 pub fn restore(cx: &mut State, stored: StoredState) {
-    let StoredState { jobs, mut progress, unreadable, cancelled, roster, learned: learnt, waves, evacuated } =
-        stored;
+    let StoredState {
+        jobs,
+        mut progress,
+        unreadable,
+        cancelled,
+        roster,
+        learned: learnt,
+        waves,
+        evacuated,
+    } = stored;
     evacuation::apply(cx, evacuated);
     cx.interference.restore(&learnt);
     maintenance::restore(cx, waves);
@@ -69,7 +77,14 @@
     let until = cx.now + lease + cx.settings.takeover_margin;
     trace::takeover_began(cx.term.number, jobs.len(), waiting.len(), closed.len());
     let lost = Vec::new();
-    let survey = RecoveryScan { unanswered_open: waiting, unanswered_closed: closed, terminated: lost, open_workers_resolved: false, leases_over_at: until, began: cx.now };
+    let survey = RecoveryScan {
+        unanswered_open: waiting,
+        unanswered_closed: closed,
+        terminated: lost,
+        open_workers_resolved: false,
+        leases_over_at: until,
+        began: cx.now,
+    };
     cx.recovery_scan = Some(survey);
     for job in jobs {
         let key = job.key;
--- a/crates/sched/src/changes/trace.rs
+++ b/crates/sched/src/changes/trace.rs
@@ -14,8 +14,8 @@
 use crate::decisions::losses::Loss;
 use crate::decisions::placement::UnfitCounts;
 use crate::interface::message::{
-    RunEnd, EndSeq, Outcome, Run, MaintenanceAnswer, WaveNumber, WaveRequest, WorkerClock, WorkerInfo,
-    WorkerIx,
+    EndSeq, MaintenanceAnswer, Outcome, Run, RunEnd, WaveNumber, WaveRequest, WorkerClock,
+    WorkerInfo, WorkerIx,
 };
 use crate::interface::proof::ReleaseProof;
 use crate::state::checkpoint::Checkpoint;
@@ -337,7 +337,12 @@
 }
 
 /// The platform has answered such an order, or not.
-pub fn upkeep_answered(wave: WaveNumber, host: &ids::HostId, answer: MaintenanceAnswer, tries: CallAttempts) {
+pub fn upkeep_answered(
+    wave: WaveNumber,
+    host: &ids::HostId,
+    answer: MaintenanceAnswer,
+    tries: CallAttempts,
+) {
     let (attempt, open) = (tries.sent(), tries.unanswered());
     info!(event = "upkeep_answered", wave = wave.0, %host, ?answer, attempt, open);
 }
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -14,7 +14,7 @@
 
 use crate::changes::crashes::kept::{self, BASE_TRIAL_TIME};
 use crate::changes::starts;
-use crate::decisions::{requests, losses, placement};
+use crate::decisions::{losses, placement, requests};
 use crate::interface::message::WorkerIx;
 use crate::state::job_table::TaskState;
 use crate::state::trial::Trial;
@@ -103,11 +103,18 @@
     let mut found: Vec<WaitingSuspect> = Vec::new();
     for &key in &cx.crashes.suspects {
         let Some(task) = cx.task(key).filter(|t| t.state == TaskState::Pending) else { continue };
-        let Some(suspicion) = task.crash_evidence.as_ref().filter(|s| !s.exempt_from_trial) else { continue };
+        let Some(suspicion) = task.crash_evidence.as_ref().filter(|s| !s.exempt_from_trial) else {
+            continue;
+        };
         any = true;
         if task.not_before <= now && suspicion.may_start() {
             let (losses, lived) = (suspicion.losses(), suspicion.last_run_duration);
-            found.push(WaitingSuspect { task: key, losses, known_runtime: lived, waited: now.since(task.since) });
+            found.push(WaitingSuspect {
+                task: key,
+                losses,
+                known_runtime: lived,
+                waited: now.since(task.since),
+            });
         }
     }
     cx.crashes.suspect_may_wait = any;
@@ -134,8 +141,10 @@
         let heard = worker.clock.map(|(heard, _)| heard);
         (cx.crashes.last_crash_by_addr.get(&worker.info.addr).copied(), Reverse(heard))
     };
-    let fit =
-        empty.iter().enumerate().filter(|(_, ix)| placement::score_if_fit(cx, **ix, &wanted).is_some());
+    let fit = empty
+        .iter()
+        .enumerate()
+        .filter(|(_, ix)| placement::score_if_fit(cx, **ix, &wanted).is_some());
     let Some((at, &ix)) = fit.min_by_key(|(_, ix)| rank(**ix)) else { return false };
     empty.swap_remove(at);
     starts::start_at(cx, ix, key);
--- a/crates/sched/src/changes/account.rs
+++ b/crates/sched/src/changes/worker_report.rs
@@ -6,7 +6,7 @@
 
 use crate::changes::lifecycle::Occupant;
 use crate::changes::{checkpoints, ends, lifecycle, speed, trace};
-use crate::interface::message::{WorkerReport, Action, Run, RunningTask, WorkerIx};
+use crate::interface::message::{Action, Run, RunningTask, WorkerIx, WorkerReport};
 use crate::interface::proof::ReleaseProof;
 use crate::state::job_table::TaskState;
 use crate::state::worker::{Phase, Slot, READY_PERCENT};
@@ -137,7 +137,9 @@
     let before = |at: Option<Instant>| at.is_some_and(|at| at < sent);
     let settled = |slot: &Slot| match slot.phase {
         Phase::Running => before(slot.confirmed),
-        Phase::Stopping => (before(slot.confirmed) || before(slot.stop_confirmed)) && slot.ordered_at < sent,
+        Phase::Stopping => {
+            (before(slot.confirmed) || before(slot.stop_confirmed)) && slot.ordered_at < sent
+        }
         Phase::Starting | Phase::Uncertain => false,
     };
     let missing: Vec<(TaskKey, Run)> = worker
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -6,8 +6,8 @@
 
 use crate::changes::crashes::recorded;
 use crate::changes::{
-    commits, crashes, directory, dispatch, drain, evacuation, freshness, terminated, intake, moving,
-    orders, pacing, permits, renewals, roster, stragglers, takeover, maintenance,
+    commits, crashes, directory, dispatch, drain, evacuation, freshness, intake, maintenance,
+    moving, orders, pacing, permits, renewals, roster, stragglers, takeover, terminated,
 };
 use crate::interface::message::{Action, Event, WorkerIx};
 use crate::interface::settings::Settings;
--- a/crates/sched/src/decisions/availability.rs
+++ b/crates/sched/src/decisions/availability.rs
@@ -13,8 +13,8 @@
     let Some(round) = cx.jobs.get(&key.job).and_then(|e| e.round(key.round)) else { return true };
     let Some(step) = round.steps.get(usize::from(key.step)) else { return true };
     let others = step.tasks.iter().enumerate().filter(|(index, _)| *index as u32 != key.index);
-    let away = others
-        .filter(|(index, task)| !is_ready(cx, TaskKey { index: *index as u32, ..key }, task));
+    let away =
+        others.filter(|(index, task)| !is_ready(cx, TaskKey { index: *index as u32, ..key }, task));
     (away.count() as u32) < most
 }
 
--- a/crates/sched/src/decisions/best_effort.rs
+++ b/crates/sched/src/decisions/best_effort.rs
@@ -6,7 +6,7 @@
 use crate::interface::message::Run;
 use crate::state::interference_model::{Column, ServingTask};
 use crate::state::pace_orders::FULL_PACE;
-use crate::state::worker::{TaskRole, Phase, Slot, Worker};
+use crate::state::worker::{Phase, Slot, TaskRole, Worker};
 
 /// Readings cover the last half second; a worker on which a filling task has ended within this
 /// time shows what that task did, but no longer the task.
--- a/crates/sched/src/decisions/free_capacity.rs
+++ b/crates/sched/src/decisions/free_capacity.rs
@@ -76,7 +76,10 @@
 pub fn is_reserved(cx: &State, worker: &Worker) -> bool {
     let within = |at: &Instant, span| cx.now.since(*at) < span;
     worker.short_task_changed_at.is_some_and(|at| within(&at, RESERVED_FOR))
-        && cx.short_task_waited_at.get(&worker.info.service).is_some_and(|at| within(at, SCARCITY_WINDOW))
+        && cx
+            .short_task_waited_at
+            .get(&worker.info.service)
+            .is_some_and(|at| within(at, SCARCITY_WINDOW))
 }
 
 /// Tells whether a lasting task has waited so long that it may take kept room; `again` says that it
--- a/crates/sched/src/decisions/losses.rs
+++ b/crates/sched/src/decisions/losses.rs
@@ -53,11 +53,16 @@
     let heard = worker.clock.map(|(heard, _)| heard);
     let mut found = Vec::new();
     for (&key, slot) in &worker.slots {
-        let settled = |t: Trial| slot.confirmed.is_some_and(|at| t.began.since(at) >= START_CRASH_WINDOW);
+        let settled =
+            |t: Trial| slot.confirmed.is_some_and(|at| t.began.since(at) >= START_CRASH_WINDOW);
         let excused = worker.trial.is_some_and(|t| t.task.job != key.job && settled(t));
         let lived = known_runtime(slot, heard);
         if !excused && may_have_begun(slot) && lived < CLEARED_AFTER {
-            found.push(BlamedTask { key, confirmed: slot.confirmed.is_some(), known_runtime: lived });
+            found.push(BlamedTask {
+                key,
+                confirmed: slot.confirmed.is_some(),
+                known_runtime: lived,
+            });
         }
     }
     found
@@ -69,9 +74,15 @@
 
 /// Tells whether so many workers have fallen silent or were lost lately that one cause is likely.
 pub fn is_mass_loss(cx: &State) -> bool {
-    let lately = |w: &Worker| w.clock.is_some_and(|(heard, _)| cx.now.since(heard) < SILENCE_WINDOW);
+    let lately =
+        |w: &Worker| w.clock.is_some_and(|(heard, _)| cx.now.since(heard) < SILENCE_WINDOW);
     let silent = cx.workers.iter().filter(|w| !w.terminated && !w.answers() && lately(w)).count();
-    let lost = cx.crashes.last_crash_by_addr.values().filter(|at| cx.now.since(**at) < MASS_LOSS_WINDOW).count();
+    let lost = cx
+        .crashes
+        .last_crash_by_addr
+        .values()
+        .filter(|at| cx.now.since(**at) < MASS_LOSS_WINDOW)
+        .count();
     silent + lost >= MIN_MASS_LOSS.max(cx.worker_ixs().len() / MASS_LOSS_DIVISOR)
 }
 
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -28,7 +28,12 @@
     }
     for (key, slot) in &worker.slots {
         let Some(served) = best_effort::as_served(*key, slot) else { continue };
-        let bearable = cx.interference.tolerable_interference(&served, RUNNING_TAIL_SHARE, now, RUNNING_LOOKAHEAD_S);
+        let bearable = cx.interference.tolerable_interference(
+            &served,
+            RUNNING_TAIL_SHARE,
+            now,
+            RUNNING_LOOKAHEAD_S,
+        );
         lower_paces(&cx.interference, served.row, bearable, &mut tasks);
     }
     halt(cx, worker, &mut tasks);
@@ -72,7 +77,8 @@
     let suspected_after = part_of(cx.settings.max_tail_excess, HALT_SUSPECTED_FRACTION);
     let all_after = part_of(cx.settings.max_tail_excess, HALT_ALL_FRACTION);
     for slot in worker.slots.values() {
-        let (TaskRole::Serving { row, .. }, Some(since)) = (slot.role, slot.over_target_since) else {
+        let (TaskRole::Serving { row, .. }, Some(since)) = (slot.role, slot.over_target_since)
+        else {
             continue;
         };
         let lasted = cx.now.since(since);
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -6,8 +6,8 @@
 use gaplock_types::sizes::Resources;
 use gaplock_types::time::Millis;
 
-use crate::decisions::interference;
 use crate::decisions::free_capacity;
+use crate::decisions::interference;
 use crate::interface::message::{StepKey, WorkerIx};
 use crate::state::job_table;
 use crate::state::worker::{TaskRole, Worker};
@@ -123,7 +123,9 @@
     for (at, worker) in cx.workers.iter().enumerate() {
         let unfit = match check_fit(cx, WorkerIx(at as u32), wanted) {
             Err(unfit) => unfit,
-            Ok(()) if score(cx, WorkerIx(at as u32), worker, wanted).is_none() => UnfitReason::Interferes,
+            Ok(()) if score(cx, WorkerIx(at as u32), worker, wanted).is_none() => {
+                UnfitReason::Interferes
+            }
             Ok(()) => continue,
         };
         let free = worker.info.capacity.minus(&worker.used).cpu.0;
@@ -173,12 +175,28 @@
     let queue = cx.config.as_ref()?.queue(&entry.job.queue)?;
     let (service, advice) = (&queue.service, queue.advice.as_ref());
     let (avoid, waited, again, only_rack) = (Some(here), Millis(0), true, None);
-    best_worker(cx, &PlacementRequest { service, step, task: key, avoid, waited, may_have_run: again, only_rack, advice })
-        .filter(|ix| *ix != here)
+    best_worker(
+        cx,
+        &PlacementRequest {
+            service,
+            step,
+            task: key,
+            avoid,
+            waited,
+            may_have_run: again,
+            only_rack,
+            advice,
+        },
+    )
+    .filter(|ix| *ix != here)
 }
 
 /// Checks whether a worker may and can run the task.
-pub fn check_fit(cx: &State, ix: WorkerIx, wanted: &PlacementRequest<'_>) -> Result<(), UnfitReason> {
+pub fn check_fit(
+    cx: &State,
+    ix: WorkerIx,
+    wanted: &PlacementRequest<'_>,
+) -> Result<(), UnfitReason> {
     let worker = cx.worker(ix);
     let takes = job_table::reservation(wanted.step);
     if worker.terminated || worker.info.service != *wanted.service {
@@ -198,7 +216,10 @@
         return Err(UnfitReason::Full);
     }
     let step = wanted.step;
-    if !step.lasting && wanted.waited < MAX_WAIT_WITHOUT_SLOW_WORKERS && worker.speed.is_slow(cx.now) {
+    if !step.lasting
+        && wanted.waited < MAX_WAIT_WITHOUT_SLOW_WORKERS
+        && worker.speed.is_slow(cx.now)
+    {
         return Err(UnfitReason::Slow);
     }
     let ticket = || cx.permits.ticket(StepKey::of(wanted.task), ix, cx.now);
@@ -218,7 +239,8 @@
     if step.most_per_worker.is_some_and(|most| count_same_step(worker, wanted.task) >= most) {
         return Err(UnfitReason::TooManyOfStep);
     }
-    let may_take_kept = !step.lasting || free_capacity::may_use_reserved(wanted.waited, wanted.may_have_run);
+    let may_take_kept =
+        !step.lasting || free_capacity::may_use_reserved(wanted.waited, wanted.may_have_run);
     if !may_take_kept && free_capacity::is_reserved(cx, worker) {
         return Err(UnfitReason::Reserved);
     }
@@ -256,8 +278,11 @@
 /// Returns how good a place a worker is for the task, in whole workers, or nothing
 /// where the task would disturb too much yet.
 fn score(cx: &State, ix: WorkerIx, worker: &Worker, wanted: &PlacementRequest<'_>) -> Option<f64> {
-    let mut score =
-        if wanted.step.fills { unclaimed_share(worker) } else { free_capacity::best_fit_score(worker, wanted.step) };
+    let mut score = if wanted.step.fills {
+        unclaimed_share(worker)
+    } else {
+        free_capacity::best_fit_score(worker, wanted.step)
+    };
     let in_rack = |rack: &String| worker.info.labels.contains(rack);
     if wanted.step.rack.as_ref().is_some_and(in_rack) {
         score += RACK_BONUS;
@@ -265,7 +290,9 @@
     if wanted.avoid == Some(ix) {
         score -= FAILED_HERE_COST;
     }
-    if wanted.step.lasting && count_same_step(worker, wanted.task) * COLOCATION_DIVISOR >= wanted.step.count {
+    if wanted.step.lasting
+        && count_same_step(worker, wanted.task) * COLOCATION_DIVISOR >= wanted.step.count
+    {
         score -= COLOCATION_COST;
     }
     if worker.speed.is_slow(cx.now) {
--- a/crates/sched/src/decisions/ranking.rs
+++ b/crates/sched/src/decisions/ranking.rs
@@ -79,7 +79,11 @@
 
     /// Works the order out anew, or only the place of the worker that took the last task.
     fn refresh_ranking(&mut self, cx: &State, wanted: &PlacementRequest<'_>) {
-        let asked = Some(RankingKey { avoid: wanted.avoid, waited: wanted.waited, again: wanted.may_have_run });
+        let asked = Some(RankingKey {
+            avoid: wanted.avoid,
+            waited: wanted.waited,
+            again: wanted.may_have_run,
+        });
         let all = 0..cx.workers.len() as u32;
         if self.asked != asked {
             self.asked = asked;
--- a/crates/sched/src/decisions/requests.rs
+++ b/crates/sched/src/decisions/requests.rs
@@ -53,7 +53,16 @@
     let WaitStatus { waited, may_have_run: again } = wait_status(cx, found);
     let avoid = found.failed_on;
     let (advice, only_rack) = (advice_of(cx, job), None);
-    Some(PlacementRequest { service, step, task, avoid, waited, may_have_run: again, only_rack, advice })
+    Some(PlacementRequest {
+        service,
+        step,
+        task,
+        avoid,
+        waited,
+        may_have_run: again,
+        only_rack,
+        advice,
+    })
 }
 
 /// Tells whether a pending task may start like any other one.
--- a/crates/sched/src/decisions/slowness.rs
+++ b/crates/sched/src/decisions/slowness.rs
@@ -6,7 +6,7 @@
 use crate::decisions::availability;
 use crate::interface::message::WorkerIx;
 use crate::state::rates::COMPLETE_PERCENT;
-use crate::state::worker::{TaskRole, Phase, Slot};
+use crate::state::worker::{Phase, Slot, TaskRole};
 use crate::state::State;
 
 /// What a copy costs in time besides its work: the order and the wait for its end to be seen.
@@ -37,7 +37,8 @@
     }
     match slot.role {
         TaskRole::Serving { .. } => {
-            let over = slot.over_target_since.is_some_and(|at| cx.now.since(at) >= MOVE_AFTER_EXCESS);
+            let over =
+                slot.over_target_since.is_some_and(|at| cx.now.since(at) >= MOVE_AFTER_EXCESS);
             over && availability::may_stop(cx, key)
         }
         TaskRole::Plain | TaskRole::Filling(_) => is_late(cx, ix, key, slot),
@@ -50,7 +51,10 @@
     let typical = cx.step_state(key).and_then(|state| state.rates.median());
     let Some(typical) = typical.filter(|_| !step.gang && !step.lasting) else { return false };
     let left = |percent: u32, rate: f64| f64::from(COMPLETE_PERCENT.saturating_sub(percent)) / rate;
-    let here = left(slot.progress_percent, typical * cx.worker(ix).speed.relative(cx.now).max(MIN_RELATIVE_SPEED));
+    let here = left(
+        slot.progress_percent,
+        typical * cx.worker(ix).speed.relative(cx.now).max(MIN_RELATIVE_SPEED),
+    );
     let kept = if step.checkpoints { slot.progress_percent } else { 0 };
     let there = left(kept, typical) + overhead(cx, step).0 as f64 / 1_000.0;
     here > there * MIN_SPEEDUP
--- a/crates/sched/src/decisions/waves.rs
+++ b/crates/sched/src/decisions/waves.rs
@@ -16,7 +16,10 @@
 const HOST_MAINTENANCE_TIME: Millis = Millis(5_000);
 
 /// Lists the hosts of a wave that are empty, or empty enough, with their workers.
-pub fn emptied_hosts(cx: &State, number: WaveNumber) -> Vec<(ids::HostId, Option<ids::WorkerName>)> {
+pub fn emptied_hosts(
+    cx: &State,
+    number: WaveNumber,
+) -> Vec<(ids::HostId, Option<ids::WorkerName>)> {
     let Some(wave) = cx.maintenance.waves.get(&number) else { return Vec::new() };
     let late = is_late(wave, cx.now);
     let ready = |host: &ids::HostId, since: Instant| match worker_on(cx, host) {
@@ -24,7 +27,8 @@
         None => true,
     };
     let emptied = wave.emptying.iter().filter(|(host, since)| ready(host, **since));
-    let worker_of = |host: &ids::HostId| cx.maintenance.hosts.get(host).and_then(|h| h.worker.clone());
+    let worker_of =
+        |host: &ids::HostId| cx.maintenance.hosts.get(host).and_then(|h| h.worker.clone());
     emptied.map(|(host, _)| (host.clone(), worker_of(host))).collect()
 }
 
--- a/crates/sched/src/interface/commit_writer.rs
+++ b/crates/sched/src/interface/commit_writer.rs
@@ -8,7 +8,7 @@
 //! so reading the last mark says which one is stored. A driver carries out what [`Writer`] asks for
 //! and hands the answers back.
 
-use gaplock_policy::attempts::{Execution, CallAttempts};
+use gaplock_policy::attempts::{CallAttempts, Execution};
 
 /// The stored number of the leadership and of its last commit.
 #[derive(
--- a/crates/sched/src/interface/search_budget.rs
+++ b/crates/sched/src/interface/search_budget.rs
@@ -22,7 +22,10 @@
 
 /// Begins a check on a fleet of so many workers.
 pub fn open(workers: usize) -> SearchBudget {
-    SearchBudget { left: (MAX_EVALUATIONS_PER_CHECK / workers.max(1)).max(MIN_SEARCHES_PER_CHECK), made: 0 }
+    SearchBudget {
+        left: (MAX_EVALUATIONS_PER_CHECK / workers.max(1)).max(MIN_SEARCHES_PER_CHECK),
+        made: 0,
+    }
 }
 
 impl SearchBudget {
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -16,5 +16,5 @@
 pub use decisions::free_capacity;
 pub use interface::message::{Action, Event};
 pub use interface::settings::Settings;
-pub use interface::{claims, message, search_budget, settings, commit_writer};
+pub use interface::{claims, commit_writer, message, search_budget, settings};
 pub use state::{job_table, worker};
--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -1,19 +1,19 @@
 //! All that one leader knows, as plain data.
 
+pub mod abandoned_start;
 pub mod checkpoint;
 pub mod commits;
-pub mod abandoned_start;
-pub mod renewal_queue;
+pub mod crash_evidence;
 pub mod freshness;
 pub mod interference_model;
+pub mod job_table;
+pub mod maintenance;
 pub mod pace_orders;
 pub mod permits;
 pub mod rates;
 pub mod recovery_scan;
-pub mod crash_evidence;
-pub mod job_table;
+pub mod renewal_queue;
 pub mod trial;
-pub mod maintenance;
 pub mod worker;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,14 +28,14 @@
 use crate::interface::settings::Settings;
 
 use commits::Commits;
-use renewal_queue::RenewalQueue;
+use crash_evidence::CrashTracker;
 use freshness::Freshness;
 use interference_model::InterferenceModel;
-use permits::Permits;
-use recovery_scan::RecoveryScan;
-use crash_evidence::CrashTracker;
 use job_table::{JobEntry, ReadyStep, StepState, Task, TaskState};
 use maintenance::Maintenance;
+use permits::Permits;
+use recovery_scan::RecoveryScan;
+use renewal_queue::RenewalQueue;
 use worker::{Renewal, Worker};
 
 /// Sound entries whose pool the configuration does not name; a later one may.
@@ -178,7 +178,8 @@
 
     /// Tells whether as many starts are under way to a worker as may be.
     pub fn is_worker_at_start_limit(&self, ix: WorkerIx) -> bool {
-        let most = (self.settings.max_starts_in_flight / WORKER_STARTS_DIVISOR).max(MIN_STARTS_PER_WORKER);
+        let most =
+            (self.settings.max_starts_in_flight / WORKER_STARTS_DIVISOR).max(MIN_STARTS_PER_WORKER);
         self.worker(ix).starts_in_flight >= most
     }
 
--- a/crates/sched/src/state/crash_evidence.rs
+++ b/crates/sched/src/state/crash_evidence.rs
@@ -91,14 +91,17 @@
     pub(crate) fn possible_workers_to_store(&self, waits: bool) -> Option<Vec<ids::WorkerId>> {
         match &self.recorded_start {
             RecordedStart::Unrecorded => None,
-            RecordedStart::At(worker) if !waits || !self.silent.is_empty() => Some(vec![worker.clone()]),
+            RecordedStart::At(worker) if !waits || !self.silent.is_empty() => {
+                Some(vec![worker.clone()])
+            }
             RecordedStart::Nowhere | RecordedStart::At(_) => Some(Vec::new()),
         }
     }
 
     /// Tells whether the task is held to crash its workers.
     pub(crate) fn is_proven(&self) -> bool {
-        let at_start = self.all_at_start && self.last_was_alone && self.crashed.len() >= MAX_CRASHES_AT_START;
+        let at_start =
+            self.all_at_start && self.last_was_alone && self.crashed.len() >= MAX_CRASHES_AT_START;
         at_start || self.crashed.len() >= MAX_CRASHES
     }
 
--- a/crates/sched/src/state/interference_model.rs
+++ b/crates/sched/src/state/interference_model.rs
@@ -251,7 +251,8 @@
             image.grow(columns);
             for (at, factor) in placed {
                 image.factors[at] = factor.factor;
-                image.covariance[at][at] = factor.variance.clamp(MIN_RESTORED_VARIANCE, FACTOR_PRIOR_VARIANCE);
+                image.covariance[at][at] =
+                    factor.variance.clamp(MIN_RESTORED_VARIANCE, FACTOR_PRIOR_VARIANCE);
             }
         }
     }
@@ -295,7 +296,13 @@
 
     /// Returns the pressure under which a serving task's tail stays below `share` of its target,
     /// `ahead_s` seconds from now; it may be negative.
-    pub fn tolerable_interference(&self, served: &ServingTask, share: f64, now: Instant, ahead_s: f64) -> f64 {
+    pub fn tolerable_interference(
+        &self,
+        served: &ServingTask,
+        share: f64,
+        now: Instant,
+        ahead_s: f64,
+    ) -> f64 {
         let limit = self.utilization(served, served.target_ms * share);
         limit / self.load(served.job, now, ahead_s) - 1.0
     }
--- a/crates/sched/src/state/job_table.rs
+++ b/crates/sched/src/state/job_table.rs
@@ -11,8 +11,8 @@
 
 use crate::interface::message::{Run, WorkerIx};
 use crate::state::checkpoint::Checkpoint;
-use crate::state::rates::StepRates;
 use crate::state::crash_evidence::CrashEvidence;
+use crate::state::rates::StepRates;
 
 /// Where a task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sched/src/state/maintenance.rs
+++ b/crates/sched/src/state/maintenance.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gaplock_policy::attempts::{Execution, CallAttempts};
+use gaplock_policy::attempts::{CallAttempts, Execution};
 use gaplock_types::ids;
 use gaplock_types::time::Instant;
 use rustc_hash::FxHashMap;
--- a/crates/sched/src/state/pace_orders.rs
+++ b/crates/sched/src/state/pace_orders.rs
@@ -5,7 +5,7 @@
 //! for as long as it lasts: its wanted pace is put in force again and again, and what runs beside
 //! it reckons with the worst.
 
-use gaplock_policy::attempts::{Execution, CallAttempts};
+use gaplock_policy::attempts::{CallAttempts, Execution};
 use gaplock_types::time::{Instant, Millis};
 
 /// The pace at which every run begins, in percent of full speed.
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -9,8 +9,8 @@
 use rustc_hash::FxHashMap;
 
 use crate::interface::message::{EndSeq, Run, WorkerClock, WorkerInfo, WorkerIx};
-use crate::state::checkpoint::Checkpoint;
 use crate::state::abandoned_start::AbandonedStart;
+use crate::state::checkpoint::Checkpoint;
 use crate::state::interference_model::{Column, Row};
 use crate::state::pace_orders::PaceOrders;
 use crate::state::rates::{ProgressSample, Speed};
@@ -285,7 +285,8 @@
         let slot = self.slots.remove(&task)?;
         self.trial = self.trial.filter(|trial| trial.task != task);
         self.used = self.used.minus(&slot.reservation);
-        self.best_effort_millicores = self.best_effort_millicores.saturating_sub(slot.best_effort_millicores);
+        self.best_effort_millicores =
+            self.best_effort_millicores.saturating_sub(slot.best_effort_millicores);
         Some(slot)
     }
 
--- a/crates/sched/tests/floors/table.rs
+++ b/crates/sched/tests/floors/table.rs
@@ -95,7 +95,7 @@
             "changes::crashes::recorded",
             "changes::starts",
             "changes::ends",
-            "changes::account",
+            "changes::worker_report",
             "changes::gangs",
             "changes::trials",
             "changes::dispatch",
