--- a/crates/sched/src/changes/crashes.rs
+++ b/crates/sched/src/changes/crashes.rs
@@ -14,13 +14,13 @@
 
 mod evidence;
 mod inherited;
-pub mod kept;
-pub mod recorded;
+pub mod recorded_starts;
+pub mod reserved;
+mod resolution;
 pub mod saved;
-mod verdict;
 
 pub use evidence::worker_lost;
 pub use inherited::{
     count_loss_of_holder, count_losses_without_holder, register_suspects, restore_suspicion,
 };
-pub use verdict::{check, worker_answers, worker_terminated};
+pub use resolution::{check, worker_answers, worker_terminated};
--- a/crates/sched/src/changes/crashes/recorded.rs
+++ b/crates/sched/src/changes/crashes/recorded_starts.rs
@@ -8,7 +8,7 @@
 
 use gaplock_jobs::TaskKey;
 
-use crate::changes::crashes::kept;
+use crate::changes::crashes::reserved;
 use crate::changes::{commits, lifecycle, orders};
 use crate::interface::message::{Run, WorkerIx};
 use crate::interface::proof::ReleaseProof;
@@ -53,7 +53,7 @@
             cx.crashes.held_starts.push((ix, key, run));
         } else if cx.worker(ix).accepts_tasks(cx.now) {
             if cx.worker(ix).trial.is_some_and(|trial| trial.task == key) {
-                kept::reserve(cx, ix, key);
+                reserved::reserve(cx, ix, key);
             }
             orders::send_start(cx, ix, key, run);
         } else {
--- a/crates/sched/src/changes/starts.rs
+++ b/crates/sched/src/changes/starts.rs
@@ -2,7 +2,7 @@
 
 use gaplock_jobs::TaskKey;
 
-use crate::changes::crashes::{kept, recorded};
+use crate::changes::crashes::{recorded_starts, reserved};
 use crate::changes::lifecycle::Occupant;
 use crate::changes::{checkpoints, lifecycle, orders, trace};
 use crate::interface::message::{Run, WorkerIx};
@@ -21,7 +21,7 @@
 
 /// Sends a start that has its slot, or holds it back until it is stored where its task is a suspect.
 pub fn send(cx: &mut State, ix: WorkerIx, task: TaskKey, run: Run) {
-    if !recorded::hold_until_stored(cx, ix, task, run) {
+    if !recorded_starts::hold_until_stored(cx, ix, task, run) {
         orders::send_start(cx, ix, task, run);
     }
 }
@@ -53,5 +53,5 @@
         t.may_have_run = true;
         trace::start_ordered(task, run, &worker, now.since(t.since));
     }
-    kept::reserve_after_placement(cx, ix, task);
+    reserved::reserve_after_placement(cx, ix, task);
 }
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -12,7 +12,7 @@
 use gaplock_types::ids;
 use gaplock_types::time::Millis;
 
-use crate::changes::crashes::kept::{self, BASE_TRIAL_TIME};
+use crate::changes::crashes::reserved::{self, BASE_TRIAL_TIME};
 use crate::changes::starts;
 use crate::decisions::{losses, placement, requests};
 use crate::interface::message::WorkerIx;
@@ -148,7 +148,7 @@
     let Some((at, &ix)) = fit.min_by_key(|(_, ix)| rank(**ix)) else { return false };
     empty.swap_remove(at);
     starts::start_at(cx, ix, key);
-    kept::reserve(cx, ix, key);
+    reserved::reserve(cx, ix, key);
     true
 }
 
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -4,7 +4,7 @@
 
 use gaplock_types::time::{Instant, Millis};
 
-use crate::changes::crashes::recorded;
+use crate::changes::crashes::recorded_starts;
 use crate::changes::{
     commits, crashes, directory, dispatch, drain, evacuation, freshness, intake, maintenance,
     moving, orders, pacing, permits, renewals, roster, stragglers, takeover, terminated,
@@ -126,7 +126,7 @@
             }
             Event::Committed => {
                 commits::committed(self);
-                recorded::send_stored_starts(self);
+                recorded_starts::send_stored_starts(self);
             }
             Event::CommitFailed => commits::failed(self),
         }
@@ -147,7 +147,7 @@
         roster::check(self);
         orders::check(self);
         crashes::check(self);
-        recorded::send_stored_starts(self);
+        recorded_starts::send_stored_starts(self);
         maintenance::advance_waves(self);
         drain::check(self);
         self.rebalance();
