--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -22,7 +22,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::engine::Engine;
-use crate::following;
+use crate::follower;
 use crate::node::Node;
 
 /// The client of one worker.
@@ -232,7 +232,7 @@
 
 /// Makes sure that this host still leads.
 async fn confirm_leadership(calls: CallContext) {
-    following::confirm_leadership(&calls.node, &calls.engine.leadership, Revision(calls.token.0))
+    follower::confirm_leadership(&calls.node, &calls.engine.leadership, Revision(calls.token.0))
         .await;
 }
 
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -20,9 +20,9 @@
 
 use crate::actions::{self, CallContext, Clients};
 use crate::leadership::{Authority, LeadershipStatus};
-use crate::ledger::{CommitError, StoreWriter};
 use crate::node::Node;
 use crate::peers::{QueueCount, StatusAnswer};
+use crate::store_writer::{CommitError, StoreWriter};
 
 /// What reaches the engine.
 pub enum Message {
--- a/crates/node/src/following.rs
+++ b/crates/node/src/follower.rs
@@ -16,8 +16,8 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::handover::PendingInvitation;
+use crate::leader;
 use crate::leadership::{self, Authority, Claim, Holder, LeadershipStatus};
-use crate::leading;
 use crate::node::{Node, Role};
 use crate::peers::{Heartbeat, HeartbeatAnswer, PeerError};
 
@@ -290,7 +290,7 @@
         strength = node.leader_capacity.0
     );
     node.handover.set_named(false);
-    leading::lead(node, claim, sent).await;
+    leader::lead(node, claim, sent).await;
     node.set_role(Role::Follower(None));
     tracing::info!(event = "leadership_over", term = claim.term);
 }
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -10,9 +10,9 @@
 use gaplock_policy::store_outcome::{self, LeaderReply, StoreOutcome, StoredJob};
 
 use crate::keys;
-use crate::ledger;
 use crate::node::Node;
 use crate::peers::PeerError;
+use crate::store_writer;
 
 /// The pause before a write whose fate is unknown is made again.
 const UNCLEAR_RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -52,7 +52,7 @@
     let key = keys::job(job.key);
     let txn = Txn {
         expected: vec![(key.clone(), Revision(0))],
-        set: vec![(key, ledger::encode(&*job), None)],
+        set: vec![(key, store_writer::encode(&*job), None)],
         remove: Vec::new(),
     };
     let handed = match write_once(node, &txn).await {
--- a/crates/node/src/leading.rs
+++ b/crates/node/src/leader.rs
@@ -11,14 +11,14 @@
 use crate::leadership::{Claim, LeadershipStatus};
 use crate::node::{Node, Role};
 use crate::peers::Invitation;
-use crate::{engine, entries, feeds, keeping, keys, ledger, reading};
+use crate::{engine, entries, feeds, keys, lease_renewal, state_reader, store_writer};
 
 /// Leads until the leadership is over.
 pub async fn lead(node: &Arc<Node>, claim: Claim, sent: Instant) {
     let standing = LeadershipStatus::open(sent);
     node.handover.forget_followers();
-    keeping::spawn(node, &standing, claim, sent);
-    let state = reading::read_all(node, &standing).await;
+    lease_renewal::spawn(node, &standing, claim, sent);
+    let state = state_reader::read_all(node, &standing).await;
     if let Some(state) = state {
         node.metrics.terms.inc();
         run(node, claim, &standing, state).await;
@@ -50,9 +50,9 @@
     node: &Arc<Node>,
     claim: Claim,
     standing: &Arc<LeadershipStatus>,
-    state: reading::LoadedState,
+    state: state_reader::LoadedState,
 ) {
-    let ledger = ledger::open(Arc::clone(&node.store), Arc::clone(standing), &claim);
+    let ledger = store_writer::open(Arc::clone(&node.store), Arc::clone(standing), &claim);
     let term = engine::term(claim.term, claim.revision);
     let (now, unix_ms) = (clock::now(), clock::unix_ms());
     let mut cx = Context::open(node.settings(), term, now, unix_ms);
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -14,7 +14,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use crate::keys;
-use crate::{ledger, records};
+use crate::{records, store_writer};
 
 /// How long the store keeps a leader that does not renew. A shorter lease finds a dead host
 /// sooner; a store that answers a hundred times slower than usual must still fit in.
@@ -98,14 +98,15 @@
     );
     let (lease, last) = (lease?, last?);
     let commits = last.as_ref().map_or(Revision(0), |item| item.revision);
-    let term = last.and_then(|item| ledger::decode_mark(&item.value)).map_or(1, |m| m.term + 1);
+    let term =
+        last.and_then(|item| store_writer::decode_mark(&item.value)).map_or(1, |m| m.term + 1);
     let mark = CommitId { term, number: 0 };
     let record = LeaderRecord { term, lease: lease.0, ..me.clone() };
     let txn = Txn {
         expected: vec![(keys::LEADER.to_string(), seen), (keys::COMMITS.to_string(), commits)],
         set: vec![
-            (keys::LEADER.to_string(), ledger::encode(&record), Some(lease)),
-            (keys::COMMITS.to_string(), ledger::encode(&mark), None),
+            (keys::LEADER.to_string(), store_writer::encode(&record), Some(lease)),
+            (keys::COMMITS.to_string(), store_writer::encode(&mark), None),
         ],
         remove: Vec::new(),
     };
--- a/crates/node/src/keeping.rs
+++ b/crates/node/src/lease_renewal.rs
@@ -14,7 +14,7 @@
 
 use crate::leadership::{self, Authority, Claim, LeadershipStatus};
 use crate::node::Node;
-use crate::{following, threads};
+use crate::{follower, threads};
 
 /// The thread's name.
 const THREAD: &str = "leadership";
@@ -42,9 +42,9 @@
             return;
         }
         // Boxed: the states of three calls beside each other are too large for the thread's stack.
-        let confirmed = Box::pin(following::confirm_leadership(&node, &standing, claim.revision));
+        let confirmed = Box::pin(follower::confirm_leadership(&node, &standing, claim.revision));
         let kept = Box::pin(node.store.keep(claim.lease));
-        let read = Box::pin(following::read_config(&node));
+        let read = Box::pin(follower::read_config(&node));
         let (_, kept, _) = futures::join!(confirmed, kept, read);
         match kept {
             Ok(()) => node.record_store_answer(),
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -7,22 +7,22 @@
 mod entries;
 mod evacuations;
 mod feeds;
-mod following;
+mod follower;
 mod handover;
 mod inbox;
-mod keeping;
 mod keys;
+mod leader;
 mod leadership;
-mod leading;
-mod ledger;
+mod lease_renewal;
 mod metrics;
 mod node;
 mod peers;
-mod reading;
 mod records;
 mod reloading;
 mod serving;
 mod settings;
+mod state_reader;
+mod store_writer;
 mod threads;
 
 use std::path::PathBuf;
@@ -75,7 +75,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let following = task::spawn(following::run(node.clone()));
+    let following = task::spawn(follower::run(node.clone()));
     task::spawn(reloading::run(node.clone(), PathBuf::from(path)));
     task::spawn(count_dropped_lines(node.clone(), logs.dropped()));
     if let Err(e) = wait_for_stop().await {
--- a/crates/node/src/reading.rs
+++ b/crates/node/src/state_reader.rs
@@ -20,7 +20,7 @@
 use crate::feeds::{self, Handed};
 use crate::leadership::{Authority, LeadershipStatus};
 use crate::node::Node;
-use crate::{evacuations, following, keys, records};
+use crate::{evacuations, follower, keys, records};
 
 /// The stored state, from which the scheduler's state is restored and the feeds go on.
 pub struct LoadedState {
@@ -133,7 +133,7 @@
     };
     // Boxed: the states of so many calls are too large for a thread's stack.
     let (_, roster, directory, progress, inbox, found, evacuated, waves) = futures::join!(
-        Box::pin(following::read_config(node)),
+        Box::pin(follower::read_config(node)),
         Box::pin(store.read_on(keys::ROSTER, roster)),
         Box::pin(store.read_on(directory::PREFIX, directory)),
         Box::pin(store.read_on(keys::PROGRESS, progress)),
