--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,10 @@
-//! The decisions: where work goes, who goes first, what is throttled, refused or tried again.
+//! Scheduling and routing decisions: where work is placed, in which order, and what is throttled,
+//! refused or retried.
 //!
-//! Everything here is sans-I/O: time and randomness come in as arguments and decisions go out as
-//! values, so that seeds replay. Learnt values are a cache that may be lost at any time; nothing
-//! that must last lives in this crate. `docs/DECISIONS.md` says why each rule is as it is.
+//! All code here is sans-I/O: time and randomness are arguments and decisions are return values, so
+//! that a run can be replayed from its seed. Learned values are a cache that may be lost at any
+//! time; this crate holds no state that must be durable. `docs/DECISIONS.md` gives the reason for
+//! each rule.
 
 pub mod attempts;
 pub mod connections;
