--- a/crates/policy/src/connections.rs
+++ b/crates/policy/src/connections.rs
@@ -1,19 +1,21 @@
-//! How many unused connections a leader keeps to each worker.
+//! How many idle connections a leader keeps open to each worker.
 //!
-//! A kept connection saves a start the time and price of a new one. On a large fleet the kept ones
-//! grow with the workers until the process has no descriptor left for a new one, and then it can
-//! neither start tasks nor renew leases. So their number is what the descriptors allow.
+//! An idle connection saves a task start the time and cost of a new one. In a large fleet the
+//! number of idle connections grows with the workers until the process has no file descriptor left
+//! for a new connection, and then it can neither start tasks nor renew leases. The file descriptor
+//! limit therefore bounds their number.
 
-/// The most that are kept to one worker: one for its renewal, the others for orders.
+/// The maximum number of idle connections to one worker: one to renew its leases, the others for
+/// orders.
 const MAX_IDLE_PER_WORKER: usize = 4;
 
-/// The part of the descriptors that connections to workers may take, in percent. The others are for
-/// files, callers, other hosts and the store, and for bursts of orders to single workers.
+/// The share of the file descriptors that connections to workers may use, in percent. The others
+/// are for files, callers, other hosts and the store, and for bursts of orders to single workers.
 const DESCRIPTOR_SHARE_PERCENT: usize = 70;
 
-/// Returns how many unused connections may be kept to each worker, of a process that may open
-/// `descriptors` files and leads `workers` workers. Each has a connection in use besides.
+/// Returns how many idle connections to each worker may be kept by a process that may open
+/// `descriptors` files and leads `workers` workers. One more connection to each worker is in use.
 pub fn idle_connections_per_worker(descriptors: usize, workers: usize) -> usize {
-    let for_each = descriptors * DESCRIPTOR_SHARE_PERCENT / 100 / workers.max(1);
-    for_each.saturating_sub(1).clamp(1, MAX_IDLE_PER_WORKER)
+    let per_worker = descriptors * DESCRIPTOR_SHARE_PERCENT / 100 / workers.max(1);
+    per_worker.saturating_sub(1).clamp(1, MAX_IDLE_PER_WORKER)
 }
