--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,15 +1,16 @@
-//! Tells a worker that fails everything from a job that fails everywhere.
+//! Distinguishes a worker on which every task fails from a job that fails on every worker.
 //!
-//! A worker is suspected by failures in a row over different jobs; a job is suspected by failures
-//! on different workers. A failure counts against the worker only while its job has not failed
-//! elsewhere, so one bad job cannot empty a fleet.
+//! Consecutive failures of different jobs count against a worker; failures on different workers
+//! count against a job. A failure counts against the worker only while its job has not failed on
+//! another worker, so that one bad job cannot put the whole fleet into quarantine.
 
 use gaplock_types::{ids, time};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Failures in a row, of different jobs or of one job that runs elsewhere, before quarantine.
+/// Consecutive failures after which a worker is quarantined: of different jobs, or of one job that
+/// does not fail on other workers.
 pub const WORKER_FAILURE_LIMIT: u32 = 3;
-/// Different workers on which a task must have failed before its job is given up.
+/// Number of different workers on which tasks of a job must have failed before the job fails.
 pub const JOB_FAILED_WORKER_LIMIT: usize = 3;
 const INITIAL_QUARANTINE: time::Millis = time::Millis(30_000);
 const MAX_QUARANTINE: time::Millis = time::Millis(1_800_000);
@@ -22,14 +23,14 @@
     on_probation: bool,
 }
 
-/// What a failure led to.
+/// What to do after a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureAction {
-    /// Nothing yet.
+    /// Do nothing yet.
     None,
-    /// The worker gets no new work for a while.
+    /// Give the worker no new work until its quarantine ends.
     Quarantine,
-    /// The job fails everywhere and is given up.
+    /// End the job as failed, since it fails on every worker.
     FailJob,
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl HealthTracker {
-    /// Takes in that a task of `job` ended well on `worker`.
+    /// Records that a task of `job` succeeded on `worker`.
     pub fn record_success(&mut self, worker: &ids::WorkerId, job: ids::JobId) {
         if let Some(w) = self.workers.get_mut(worker) {
             *w = WorkerHealth::default();
@@ -49,7 +50,7 @@
         self.jobs.remove(&job);
     }
 
-    /// Takes in that a task of `job` failed on `worker`.
+    /// Records that a task of `job` failed on `worker`, and returns what to do about it.
     pub fn record_failure(
         &mut self,
         now: time::Instant,
@@ -78,7 +79,8 @@
         FailureAction::Quarantine
     }
 
-    /// Tells whether `worker`'s quarantine has ended; it then gets one task as a trial.
+    /// Returns whether `worker` is out of quarantine. A worker whose quarantine has just ended goes
+    /// on probation and gets one task as a trial.
     pub fn end_quarantine_if_due(&mut self, now: time::Instant, worker: &ids::WorkerId) -> bool {
         let Some(w) = self.workers.get_mut(worker) else { return true };
         match w.quarantined_until {
@@ -92,12 +94,12 @@
         }
     }
 
-    /// Tells whether `worker` may hold only one task, as a trial after its quarantine.
+    /// Returns whether `worker` may hold only one task, as a trial after its quarantine.
     pub fn on_probation(&self, worker: &ids::WorkerId) -> bool {
         self.workers.get(worker).is_some_and(|w| w.on_probation)
     }
 
-    /// Forgets a job that has ended.
+    /// Removes the failures of a job that has ended.
     pub fn forget_job(&mut self, job: ids::JobId) {
         self.jobs.remove(&job);
     }
