--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,41 +1,42 @@
 //! Chooses the worker for a task.
 //!
-//! A choice looks only at the workers of one partition, whose number does not grow with the
-//! fleet, so its cost stays flat (`scripts/measure scale`). Processors, memory and accelerators
-//! are never exceeded: a worker that does not hold the whole demand is no candidate.
+//! A choice considers only the workers of one partition. Their number does not grow with the fleet,
+//! so the cost of a choice stays constant (`scripts/measure scale`). Processors, memory and
+//! accelerators are never overcommitted: a worker without free capacity for the whole demand is not
+//! considered.
 
 use gaplock_types::{ids, sizes};
 
 use crate::interference;
 
-/// One worker as a choice sees it.
+/// A worker that is considered for a task.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// What it can carry.
+    /// Its capacity.
     pub capacity: sizes::Resources,
-    /// What is reserved on it.
+    /// The resources that are reserved on it.
     pub used: sizes::Resources,
-    /// Processors reserved on it by batch.
+    /// Processors reserved on it for batch tasks.
     pub batch_cpu: sizes::MilliCores,
     /// Its rack.
     pub rack: ids::RackId,
-    /// Services with a replica on it, their load band and their ceiling in microseconds;
-    /// an idle service has no finite ceiling.
+    /// Services with a replica on it, their load band and the ceiling of their 99th percentile in
+    /// microseconds; the ceiling of an idle service is not finite.
     pub services: Vec<(ids::ServiceId, interference::LoadBand, f64)>,
-    /// Processors' share by batch class on it.
+    /// Share of its processors by batch class.
     pub shares: interference::BatchCpuShares,
-    /// Whether batch on it is throttled now because a service suffers.
+    /// Whether batch work on it is throttled now to protect a service.
     pub throttled: bool,
-    /// How many tasks of a batch class not yet known beside its services run on it.
+    /// How many tasks run on it whose batch class has not been measured enough beside its services.
     pub unknown_tasks: u32,
 }
 
-/// How a batch task is to be placed.
+/// What a batch task needs, and how its placement is weighed.
 #[derive(Debug, Clone)]
 pub struct BatchDemand<'a> {
     /// Its class.
     pub class: &'a ids::BatchClass,
-    /// What to reserve.
+    /// The resources to reserve.
     pub demand: sizes::Resources,
     /// The largest share of a worker's processors that batch may take, in percent.
     pub batch_cpu_percent: u32,
@@ -43,10 +44,12 @@
     pub tail_weight: f64,
 }
 
-/// A predicted 99th percentile above this share of its ceiling rules a worker out.
+/// A worker is ruled out if the predicted 99th percentile of a service exceeds this share of its
+/// ceiling.
 const MAX_PREDICTED_P99_SHARE: f64 = 0.95;
 
-/// Chooses a worker for a batch task: the one whose services lose least, then the fullest.
+/// Chooses a worker for a batch task: the one whose services are slowed down least; fuller workers
+/// are preferred.
 pub fn for_batch(
     candidates: &[Candidate],
     want: &BatchDemand<'_>,
@@ -67,8 +70,9 @@
     !c.throttled && batch <= limit && c.capacity.holds(&c.used.plus(&want.demand))
 }
 
-/// Returns the cost of putting the task here, or none where a service would miss its objective or
-/// where an unknown pair is already being tried.
+/// Returns the cost of placing the task on this worker. Returns `None` if a service would miss its
+/// objective, or if the pair of a service and the task's class is unknown and another task of an
+/// unknown pair already runs there.
 fn batch_cost(
     c: &Candidate,
     want: &BatchDemand<'_>,
@@ -106,8 +110,8 @@
     shares
 }
 
-/// Chooses a worker for a replica of `service`: few replicas of it on the worker and its rack
-/// first, then the emptiest.
+/// Chooses a worker for a replica of `service`: the one with the fewest replicas of it, then the
+/// one in the rack with the fewest, then the least used one.
 pub fn for_service(
     candidates: &[Candidate],
     service: &ids::ServiceId,
@@ -134,7 +138,7 @@
         .map(|(i, _)| i)
 }
 
-/// Tells whether any of `capacities` could ever hold `demand`.
+/// Returns whether any of `capacities` can hold `demand`.
 pub fn ever_fits<'a>(
     mut capacities: impl Iterator<Item = &'a sizes::Resources>,
     demand: &sizes::Resources,
