--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -1,22 +1,23 @@
 //! Calls that are sent several times under one name.
 //!
-//! An answer speaks of the try that it answers and of no other. A try without an answer is *open*:
-//! it may have been carried out, and may yet be, after later calls and after the refusal of a later
-//! try. Whoever repeats a call keeps its [`Tries`] and goes by [`Tries::settle`], never by the last
-//! answer alone (`docs/PLATFORM.md`, section Repeated calls).
+//! An answer says something only about the attempt that it answers. An attempt without an answer is
+//! *unanswered*: it may have been carried out, or may still be carried out later, even after later
+//! calls and after a later attempt was refused. Code that repeats a call keeps its [`CallAttempts`]
+//! and uses the result of [`CallAttempts::record_outcome`], never the last answer alone
+//! (`docs/PLATFORM.md`, section Repeated calls).
 
-/// What became of a call, or of one try of it.
+/// Whether a call, or one attempt of it, was carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
     /// It was carried out.
     Done,
     /// It was not carried out and never will be.
     NotDone,
-    /// It may have been carried out, or may be yet.
+    /// It may have been carried out, or may still be carried out later.
     Unknown,
 }
 
-/// The tries of one call so far.
+/// The attempts of one call so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CallAttempts {
     sent: u32,
@@ -24,13 +25,13 @@
 }
 
 impl CallAttempts {
-    /// Counts a try that is being sent.
+    /// Counts an attempt that is being sent.
     pub fn record_send(&mut self) {
         self.sent += 1;
     }
 
-    /// Takes in what became of the last try and returns what became of the call. A call is not done
-    /// only if that is known of each of its tries.
+    /// Records the outcome of the last attempt and returns the outcome of the call. The call is
+    /// `NotDone` only if each of its attempts is known not to be carried out.
     pub fn record_outcome(&mut self, last: Execution) -> Execution {
         match last {
             Execution::Done => Execution::Done,
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Returns how many tries were sent.
+    /// Returns how many attempts were sent.
     pub fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Returns how many tries got no answer.
+    /// Returns how many attempts got no answer.
     pub fn unanswered(&self) -> u32 {
         self.unanswered
     }
