--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,14 +1,17 @@
-//! Corrects declared processor demand by what was observed, with its uncertainty.
+//! Corrects the declared processor demand of tasks by their observed use.
 //!
-//! Declared sizes are often far off. Memory and accelerators stay hard limits as declared; for
-//! processors the reservation follows the observed ratio of use to declaration of the same class,
-//! plus a margin that shrinks as observations gather.
+//! Declared sizes are often far off. Memory and accelerators stay hard limits as declared. For
+//! processors the reservation follows the observed ratio of use to declaration in the same batch
+//! class, plus a margin for uncertainty that shrinks with more observations.
 
 use gaplock_types::{ids, sizes};
 use rustc_hash::FxHashMap;
 
+/// The smallest weight of one observation in the averages.
 const SMOOTHING: f64 = 0.05;
+/// The margin above the mean ratio, in mean absolute deviations.
 const MARGIN_DEVIATIONS: f64 = 3.0;
+/// With fewer observations, the declaration is reserved.
 const MIN_SAMPLES: u32 = 20;
 /// A reservation never falls below this share of the declaration.
 const MIN_RATIO: f64 = 0.25;
@@ -29,7 +32,7 @@
 }
 
 impl Estimator {
-    /// Takes in that a run of `class` which declared `declared` used `used`.
+    /// Records that a run of `class` that declared `declared` used `used`.
     pub fn observe(
         &mut self,
         class: &ids::BatchClass,
@@ -46,7 +49,8 @@
             samples: 0,
         });
         r.samples += 1;
-        // The first samples count in full, so that the starting guess is forgotten.
+        // The first samples have more weight, so that the initial deviation, which is a guess, is
+        // forgotten.
         let rate = SMOOTHING.max(1.0 / f64::from(r.samples));
         let error = ratio - r.mean;
         r.mean += rate * error;
