--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,26 +1,28 @@
-//! Limits how much extra load retries make, and spreads them in time.
+//! Limits the extra load that retries cause, and spreads retries over time.
 
 use gaplock_types::time;
 use rand::Rng;
 
-/// Extra tries allowed for each first try, in thousandths.
+/// What each first attempt earns, in thousandths of a retry.
 const EARNED_PER_CALL: u32 = 100;
+/// What a retry costs, in thousandths of a retry.
 const RETRY_COST: u32 = 1000;
+/// The maximum amount that a budget saves, in thousandths of a retry.
 const MAX_SAVED: u32 = 10 * RETRY_COST;
 
-/// A budget of extra tries, earned by first tries.
+/// A budget of retries, earned by first attempts.
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
     saved: u32,
 }
 
 impl RetryBudget {
-    /// Takes in a first try.
+    /// Adds what a first attempt earns.
     pub fn earn(&mut self) {
         self.saved = (self.saved + EARNED_PER_CALL).min(MAX_SAVED);
     }
 
-    /// Tells whether an extra try is allowed, and takes its cost.
+    /// Returns whether a retry is allowed; if so, deducts its cost.
     pub fn try_spend(&mut self) -> bool {
         if self.saved < RETRY_COST {
             return false;
@@ -30,7 +32,8 @@
     }
 }
 
-/// Returns the wait before try number `attempt` (from 1): doubled each time, fully jittered.
+/// Returns the wait before attempt number `attempt` (from 1): a random time between half of a limit
+/// and the limit, which starts at `first` and doubles with each attempt up to `longest`.
 pub fn backoff(
     attempt: u32,
     first: time::Millis,
