--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -1,33 +1,37 @@
-//! Shares between partners: weighted dominant resource fairness with quotas, urgent work first.
+//! Shares capacity between partners: weighted dominant resource fairness with quotas, urgent work
+//! first.
 //!
 //! The next task comes from the partner whose dominant share, divided by its weight, is lowest.
-//! A flood only lengthens the flooder's own queue, and a cancellation wave only shortens it.
+//! A partner that submits a flood of jobs only lengthens its own queue, and one that cancels many
+//! jobs only shortens it.
 
 use gaplock_types::{ids, sizes, time};
 
-/// What one partner holds and is allowed to hold within a partition.
+/// The resource use of one partner within a partition, and its limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartnerShare {
     /// The partner.
     pub partner: ids::PartnerId,
-    /// What its running tasks hold.
+    /// The resources that its running tasks hold.
     pub held: sizes::Resources,
-    /// The most that they may hold.
+    /// The maximum resources that its running tasks may hold.
     pub quota: sizes::Resources,
-    /// Its weight.
+    /// Its weight relative to the other partners.
     pub weight: u32,
     /// Demand of its first waiting task, and whether that task is urgent.
     pub next: Option<(sizes::Resources, bool)>,
 }
 
-/// Work counts as urgent while its partner holds at most this many times its fair part.
+/// Work counts as urgent only while its partner holds at most this many times its fair share.
 const MAX_URGENT_FAIR_SHARES: f64 = 2.0;
 
-/// Returns the index of the partner whose task goes next, or none if nobody's may.
+/// Returns the index of the partner whose task is placed next, or `None` if no partner has a
+/// waiting task that its quota allows.
 ///
-/// `total` is the partition's capacity. Among partners with an urgent task the lowest share goes
-/// first; only then the others. Work is urgent only while its partner holds at most twice its fair
-/// part, so that calling everything urgent gains little.
+/// `total` is the partition's capacity. Partners with an urgent task come first, the one with the
+/// lowest share before the others; then come all other partners. Work counts as urgent only while
+/// its partner holds at most twice its fair share, so that a partner gains little by marking all
+/// its work as urgent.
 pub fn next_partner(shares: &[PartnerShare], total: &sizes::Resources) -> Option<usize> {
     let weights: f64 = shares.iter().map(|s| f64::from(s.weight.max(1))).sum();
     let rank = |share: &PartnerShare| {
@@ -45,21 +49,21 @@
         .map(|(_, i)| i)
 }
 
-/// Keeps room that comes free for urgent work which found none.
+/// Holds capacity that becomes free for an urgent task that did not fit anywhere.
 ///
-/// Without it, smaller ordinary tasks would take every bit that comes free.
+/// Without the hold, smaller ordinary tasks would take all capacity as soon as it becomes free.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct UrgentHold {
     since: Option<time::Instant>,
 }
 
-/// Ordinary work is held back at most this long for one urgent task.
+/// Ordinary work waits at most this long for one urgent task.
 const MAX_HOLD: time::Millis = time::Millis(5_000);
-/// After this long, an ordinary task is moved away to make room.
+/// Once an urgent task has waited this long, an ordinary task is evicted to free capacity.
 const EVICT_AFTER: time::Millis = time::Millis(300);
 
 impl UrgentHold {
-    /// Takes in whether urgent work found no room in this round.
+    /// Records whether an urgent task found no free capacity in this scheduling round.
     pub fn record(&mut self, now: time::Instant, urgent_waits: bool) {
         match (urgent_waits, self.since) {
             (false, _) => self.since = None,
@@ -68,12 +72,13 @@
         }
     }
 
-    /// Tells whether ordinary work must wait now.
+    /// Returns whether ordinary work must wait in a round in which an urgent task found no free
+    /// capacity.
     pub fn blocks_ordinary_work(&self, now: time::Instant) -> bool {
         self.since.is_none_or(|since| now.since(since) < MAX_HOLD)
     }
 
-    /// Tells whether an ordinary task should be moved away now.
+    /// Returns whether an ordinary task should be evicted now.
     pub fn should_evict(&self, now: time::Instant) -> bool {
         self.since.is_some_and(|since| now.since(since) >= EVICT_AFTER)
     }
@@ -86,26 +91,27 @@
     }
 }
 
-/// Returns a partition's part of a partner's quota, by its part of the whole capacity.
+/// Returns the part of a partner's quota that applies in one partition, in proportion to the
+/// partition's part of the whole capacity.
 ///
-/// A part smaller than one task would starve the partner here, so the caller passes the smallest
-/// waiting demand as `floor`.
+/// A part smaller than one task would starve the partner in this partition, so the caller passes
+/// the smallest waiting demand as `min_demand`.
 pub fn partition_quota(
     quota: &sizes::Resources,
     part: &sizes::Resources,
     whole: &sizes::Resources,
-    floor: &sizes::Resources,
+    min_demand: &sizes::Resources,
 ) -> sizes::Resources {
-    let scale = |quota: u32, part: u32, whole: u32, floor: u32| {
+    let scale = |quota: u32, part: u32, whole: u32, min_demand: u32| {
         if whole == 0 {
-            return quota.min(floor);
+            return quota.min(min_demand);
         }
         let scaled = u64::from(quota) * u64::from(part) / u64::from(whole);
-        (scaled as u32).max(floor.min(quota))
+        (scaled as u32).max(min_demand.min(quota))
     };
     sizes::Resources::new(
-        scale(quota.cpu.0, part.cpu.0, whole.cpu.0, floor.cpu.0),
-        scale(quota.mem.0, part.mem.0, whole.mem.0, floor.mem.0),
-        scale(quota.acc, part.acc, whole.acc, floor.acc),
+        scale(quota.cpu.0, part.cpu.0, whole.cpu.0, min_demand.cpu.0),
+        scale(quota.mem.0, part.mem.0, whole.mem.0, min_demand.mem.0),
+        scale(quota.acc, part.acc, whole.acc, min_demand.acc),
     )
 }
