--- a/crates/policy/src/guard.rs
+++ b/crates/policy/src/guard.rs
@@ -1,65 +1,67 @@
-//! Guards a service's tail latency on one worker: throttle batch first, then checkpoint and move.
+//! Protects a service's tail latency on one worker: throttles batch work first, then checkpoints a
+//! batch task and moves it away.
 //!
-//! Measurements come late, so a decision must not be repeated before its effect can be seen:
-//! after each step the guard waits for the lag and one whole window. The size of a step follows
-//! from the measurement: disturbance is in proportion to batch's speed. Batch returns by itself
-//! once the service is well below its ceiling.
+//! Measurements arrive late, so a step must not be repeated before its effect can be measured: after
+//! each step the guard waits for the measurement lag and one whole window. The size of a step
+//! follows from the measurement, since interference is proportional to the speed of batch work. The
+//! guard speeds batch work up again once the service is well below its ceiling.
 
 use gaplock_types::{time, wire};
 
 /// The full speed of a batch task, in thousandths.
 pub const FULL_SPEED_PER_MILLE: u32 = 1000;
-/// The lowest speed to which batch is throttled, in thousandths.
+/// The lowest speed to which batch work is throttled, in thousandths.
 pub const MIN_SPEED_PER_MILLE: u32 = 100;
 
-/// Above this share of the ceiling, batch is slowed.
+/// Batch work is slowed down while the service's 99th percentile is above this share of its
+/// ceiling.
 const HIGH_WATER: f64 = 1.0;
-/// Below this share of the ceiling, batch may return.
+/// Batch work is sped up again below this share of the ceiling.
 const LOW_WATER: f64 = 0.8;
-/// Where a step aims, as a share of the ceiling.
+/// The 99th percentile that a step aims for, as a share of the ceiling.
 const TARGET_SHARE: f64 = 0.9;
-/// The largest steps down and up, as factors on the speed.
+/// Bounds on the factor by which one step changes the speed.
 const MIN_SPEED_FACTOR: f64 = 0.3;
 const MAX_SPEED_FACTOR: f64 = 1.5;
 const MIN_INCREASE_FACTOR: f64 = 1.05;
-/// Steps at the lowest speed after which a task is moved away.
+/// Number of measurements above [`HIGH_WATER`] at the lowest speed after which a task is evicted.
 const STEPS_AT_MIN_SPEED_BEFORE_EVICTION: u32 = 2;
 
-/// The guard's memory for one worker.
+/// The guard's state for one worker.
 #[derive(Debug, Clone)]
 pub struct TailGuard {
-    /// The speed of batch on the worker, in thousandths.
+    /// The speed of batch tasks on the worker, in thousandths.
     pub speed: u32,
     last_step_at: wire::WorkerClock,
     steps_at_min_speed: u32,
 }
 
-/// What a measurement showed of the worst service, in shares of its ceiling.
+/// The measured tail latency of the worst service, in shares of its ceiling.
 #[derive(Debug, Clone, Copy)]
 pub struct TailMeasurement {
     /// Its 99th percentile.
     pub worst: f64,
-    /// What its 99th percentile would be without batch, as learnt.
+    /// Its 99th percentile without batch, as learned.
     pub baseline: f64,
 }
 
 impl TailMeasurement {
-    /// Returns by which factor batch must be faster or slower to bring the service to the aim,
-    /// given that the disturbance is in proportion to the speed.
+    /// Returns the factor by which the speed of batch work must change to bring the service to
+    /// [`TARGET_SHARE`], given that interference is proportional to the speed.
     fn factor(&self) -> f64 {
-        let disturbance = (self.worst - self.baseline).max(0.01);
-        ((TARGET_SHARE - self.baseline) / disturbance).clamp(MIN_SPEED_FACTOR, MAX_SPEED_FACTOR)
+        let interference = (self.worst - self.baseline).max(0.01);
+        ((TARGET_SHARE - self.baseline) / interference).clamp(MIN_SPEED_FACTOR, MAX_SPEED_FACTOR)
     }
 }
 
-/// What the guard wants.
+/// What the guard decides after a measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GuardAction {
-    /// Nothing changes.
+    /// Change nothing.
     Nothing,
-    /// All batch on the worker runs at this many thousandths.
+    /// Run all batch tasks on the worker at this speed, in thousandths.
     Speed(u32),
-    /// One batch task is to be moved away.
+    /// Evict one batch task.
     EvictOne,
 }
 
@@ -74,7 +76,7 @@
 }
 
 impl TailGuard {
-    /// Judges a measurement that was taken over `window` up to `taken`.
+    /// Decides on a measurement that was taken over `window` up to `taken`.
     ///
     /// `now` is the worker's clock as last read.
     pub fn evaluate(
@@ -82,24 +84,24 @@
         now: wire::WorkerClock,
         taken: wire::WorkerClock,
         window: time::Millis,
-        seen: TailMeasurement,
+        measured: TailMeasurement,
     ) -> GuardAction {
         let window_began = taken.0.saturating_sub(window.0);
         if window_began < self.last_step_at.0 {
             return GuardAction::Nothing;
         }
-        let wish = if seen.worst > HIGH_WATER {
-            self.slow_down(seen.factor())
-        } else if seen.worst < LOW_WATER && self.speed < FULL_SPEED_PER_MILLE {
+        let action = if measured.worst > HIGH_WATER {
+            self.slow_down(measured.factor())
+        } else if measured.worst < LOW_WATER && self.speed < FULL_SPEED_PER_MILLE {
             self.steps_at_min_speed = 0;
-            self.scale(seen.factor().clamp(MIN_INCREASE_FACTOR, MAX_SPEED_FACTOR))
+            self.scale(measured.factor().clamp(MIN_INCREASE_FACTOR, MAX_SPEED_FACTOR))
         } else {
             GuardAction::Nothing
         };
-        if wish != GuardAction::Nothing {
+        if action != GuardAction::Nothing {
             self.last_step_at = now;
         }
-        wish
+        action
     }
 
     fn scale(&mut self, factor: f64) -> GuardAction {
@@ -121,7 +123,7 @@
     }
 }
 
-/// A batch task that could be moved away.
+/// A batch task that could be evicted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Victim {
     /// Work since its last checkpoint, in milliseconds.
@@ -130,11 +132,11 @@
     pub evictions: u32,
     /// Whether it is urgent.
     pub urgent: bool,
-    /// How much it disturbs the worst service, by the learnt pairing.
+    /// How much it interferes with the worst service, by the learned interference model.
     pub interference: f64,
 }
 
-/// Chooses the task whose move costs least for the relief that it brings.
+/// Chooses the task whose eviction costs least in proportion to the interference that it removes.
 pub fn choose_victim(victims: &[Victim], eviction_weight: f64) -> Option<usize> {
     let cost = |v: &Victim| {
         let lost_s = v.unsaved_ms as f64 / 1000.0;
