--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,29 +1,32 @@
-//! Chooses the worker for a service request within exact slots, and refuses early what would be
-//! late.
+//! Chooses the worker for a service request within exact slot counts, and refuses early the
+//! requests that would end late.
 //!
-//! The owner of a worker alone hands out its slots, so the count here is exact for its own
-//! requests; slots still taken by a former owner's requests are learnt from the worker's lease
-//! answer. A waiting request holds no slot. A request that cannot end before its deadline is
-//! refused at once, with "not run" and the time to come back.
+//! Only the owner of a worker hands out its slots, so the count here is exact for the owner's own
+//! requests. The number of slots still taken by requests of a previous owner comes from the
+//! worker's lease reply. A waiting request holds no slot. A request that cannot end before its
+//! deadline is refused at once, as not run and with the time after which to retry.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use gaplock_types::{ids, time};
 
+/// The weight of one request in the mean service times.
 const SERVICE_TIME_SMOOTHING: f64 = 0.05;
+/// The service time that is assumed until a request has been measured.
 const INITIAL_SERVICE_TIME_MS: f64 = 5.0;
-/// The wait may take this share of the time that a request has left.
+/// The expected wait may take at most this share of the time that a request has left.
 const MAX_WAIT_SHARE: f64 = 0.8;
-/// The longest retry hint, in seconds.
+/// The longest time after which a refused caller is asked to retry, in seconds.
 const MAX_RETRY_AFTER_S: u32 = 30;
-/// Once the oldest wait has stayed above this many milliseconds, the newest waiter is served first.
+/// Once the oldest request in a queue has waited longer than this many milliseconds, the newest one
+/// is served first.
 const STANDING_QUEUE_MS: u64 = 50;
 
-/// Marks a waiting request.
+/// Identifies a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A slot that has been handed out; give it back with [`Router::give_back`].
+/// A slot that has been handed out; return it with [`Router::release_slot`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Slot {
     /// The worker.
@@ -34,16 +37,16 @@
     pub partition: ids::PartitionId,
 }
 
-/// What becomes of a request.
+/// The router's decision about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// Send it now.
+    /// Send it now, in this slot.
     Slot(Slot),
-    /// It waits; [`Router::ready`] names it when its turn comes.
+    /// It waits; [`Router::take_ready`] returns it when its turn comes.
     Wait(Ticket),
-    /// It cannot end in time.
+    /// It cannot end before its deadline.
     Refuse {
-        /// When to come back, in seconds.
+        /// After how many seconds to retry.
         after_s: u32,
     },
     /// No worker of this entry runs the service.
@@ -55,7 +58,9 @@
     epoch: ids::Epoch,
     partition: ids::PartitionId,
     slots: u32,
+    /// Slots taken by this entry's requests.
     own_busy: u32,
+    /// Slots taken by abandoned requests and by requests of a previous owner.
     foreign_busy: u32,
     service_time_ms: f64,
     services: Vec<ids::ServiceId>,
@@ -83,14 +88,14 @@
 /// Slots, queues and service times of the workers that one entry owns.
 #[derive(Debug, Default)]
 pub struct Router {
-    targets: BTreeMap<ids::WorkerId, WorkerSlots>,
+    workers: BTreeMap<ids::WorkerId, WorkerSlots>,
     queues: BTreeMap<ids::ServiceId, VecDeque<Waiting>>,
     service_time_ms: BTreeMap<ids::ServiceId, f64>,
     next_ticket: u64,
     cursor: usize,
 }
 
-/// What the router is told about a worker.
+/// The current state of a worker, as the router needs it.
 #[derive(Debug, Clone)]
 pub struct WorkerUpdate {
     /// The worker.
@@ -99,85 +104,86 @@
     pub partition: ids::PartitionId,
     /// The owner's epoch.
     pub epoch: ids::Epoch,
-    /// Service requests that it works on at once.
+    /// How many service requests it can work on at once.
     pub slots: u32,
     /// Services with a running replica on it.
     pub services: Vec<ids::ServiceId>,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub open: bool,
 }
 
 impl Router {
-    /// Takes in how a worker stands; requests that are out keep their slots.
-    pub fn update_worker(&mut self, offer: WorkerUpdate) {
-        let t = self.targets.entry(offer.worker).or_insert(WorkerSlots {
-            epoch: offer.epoch,
-            partition: offer.partition,
-            slots: offer.slots,
+    /// Updates the state of a worker; requests in progress keep their slots.
+    pub fn update_worker(&mut self, update: WorkerUpdate) {
+        let t = self.workers.entry(update.worker).or_insert(WorkerSlots {
+            epoch: update.epoch,
+            partition: update.partition,
+            slots: update.slots,
             own_busy: 0,
-            foreign_busy: offer.slots,
+            foreign_busy: update.slots,
             service_time_ms: INITIAL_SERVICE_TIME_MS,
             services: Vec::new(),
             open: false,
             changes: 0,
         });
-        t.epoch = offer.epoch;
-        t.partition = offer.partition;
-        t.slots = offer.slots;
-        t.services = offer.services;
-        t.open = offer.open;
+        t.epoch = update.epoch;
+        t.partition = update.partition;
+        t.slots = update.slots;
+        t.services = update.services;
+        t.open = update.open;
     }
 
-    /// Takes in how many requests the worker said it was working on.
+    /// Records how many requests a worker reported to be working on.
     ///
-    /// Foreign requests can only become fewer, since a former owner's new ones are refused. If
-    /// nothing changed here since the question (`changes_then`), the rest is exactly foreign.
+    /// Foreign requests, those of a previous owner, can only become fewer, since the worker refuses
+    /// new ones. If the counts have not changed since the worker was asked (`changes_then`), all
+    /// reported requests that are not this entry's own are foreign.
     pub fn record_busy(&mut self, worker: &ids::WorkerId, busy: u32, changes_then: u64) {
-        if let Some(t) = self.targets.get_mut(worker) {
+        if let Some(t) = self.workers.get_mut(worker) {
             let exact = t.changes == changes_then;
             let foreign = if exact { busy.saturating_sub(t.own_busy) } else { busy };
             t.foreign_busy = t.foreign_busy.min(foreign);
         }
     }
 
-    /// Returns the worker's change count, to be kept until its answer to a lease request.
+    /// Returns the worker's change count, to be kept until the worker answers a lease request.
     pub fn changes(&self, worker: &ids::WorkerId) -> u64 {
-        self.targets.get(worker).map_or(0, |t| t.changes)
+        self.workers.get(worker).map_or(0, |t| t.changes)
     }
 
-    /// Gives up a request whose answer is still owed: its slot stays taken at the worker.
+    /// Abandons a request that has not been answered: its slot stays taken at the worker.
     pub fn abandon(&mut self, slot: &Slot) {
-        if let Some(t) = self.targets.get_mut(&slot.worker) {
+        if let Some(t) = self.workers.get_mut(&slot.worker) {
             t.changes += 1;
             t.own_busy = t.own_busy.saturating_sub(1);
             t.foreign_busy += 1;
         }
     }
 
-    /// Takes in that this entry no longer owns the partition: nothing new goes to its workers.
+    /// Records that this entry no longer owns the partition: its workers get no new requests.
     pub fn close_partition(&mut self, partition: ids::PartitionId) {
-        for t in self.targets.values_mut().filter(|t| t.partition == partition) {
+        for t in self.workers.values_mut().filter(|t| t.partition == partition) {
             t.open = false;
             t.foreign_busy = t.slots;
             t.changes += 1;
         }
     }
 
-    /// Stops sending new requests to a worker, as when it refuses one.
+    /// Stops sending new requests to a worker, for example after it refused one.
     pub fn close(&mut self, worker: &ids::WorkerId) {
-        if let Some(t) = self.targets.get_mut(worker) {
+        if let Some(t) = self.workers.get_mut(worker) {
             t.open = false;
         }
     }
 
-    /// Returns the free slots for `service`.
+    /// Returns the number of free slots for `service`.
     pub fn free(&self, service: &ids::ServiceId) -> u32 {
         self.serving(service).map(|(_, t)| t.free()).sum()
     }
 
-    /// Returns every service that a worker of this entry runs.
+    /// Returns all services that the open workers of this entry run.
     pub fn services(&self) -> Vec<ids::ServiceId> {
-        let all = self.targets.values().filter(|t| t.open).flat_map(|t| t.services.iter());
+        let all = self.workers.values().filter(|t| t.open).flat_map(|t| t.services.iter());
         let mut services: Vec<_> = all.cloned().collect();
         services.sort();
         services.dedup();
@@ -188,7 +194,7 @@
         &'a self,
         service: &'a ids::ServiceId,
     ) -> impl Iterator<Item = (&'a ids::WorkerId, &'a WorkerSlots)> {
-        self.targets.iter().filter(move |(_, t)| t.open && t.services.contains(service))
+        self.workers.iter().filter(move |(_, t)| t.open && t.services.contains(service))
     }
 
     fn take_slot(&mut self, service: &ids::ServiceId) -> Option<Slot> {
@@ -206,13 +212,13 @@
                 cost(a).total_cmp(&cost(b)).then(turn(*i).cmp(&turn(*j)))
             })
             .map(|(_, (worker, _))| worker.clone())?;
-        let t = self.targets.get_mut(&best)?;
+        let t = self.workers.get_mut(&best)?;
         t.own_busy += 1;
         t.changes += 1;
         Some(Slot { worker: best, epoch: t.epoch, partition: t.partition })
     }
 
-    /// Decides about a request that must end by `deadline`.
+    /// Decides what to do with a request that must end by `deadline`.
     pub fn route(
         &mut self,
         now: time::Instant,
@@ -243,9 +249,9 @@
         RouteDecision::Wait(ticket)
     }
 
-    /// Gives a slot back; `took_ms` is how long the answered request took.
+    /// Returns a slot; `took_ms` is how long the request took if it was answered.
     pub fn release_slot(&mut self, slot: &Slot, service: &ids::ServiceId, took_ms: Option<f64>) {
-        if let Some(t) = self.targets.get_mut(&slot.worker) {
+        if let Some(t) = self.workers.get_mut(&slot.worker) {
             t.own_busy = t.own_busy.saturating_sub(1);
             t.changes += 1;
             if let Some(took) = took_ms {
@@ -258,7 +264,8 @@
         }
     }
 
-    /// Takes a waiting request out, as when its caller left. Returns whether it still waited.
+    /// Removes a waiting request, for example after its caller disconnected. Returns whether it was
+    /// still waiting.
     pub fn remove_waiting(&mut self, service: &ids::ServiceId, ticket: Ticket) -> bool {
         let Some(queue) = self.queues.get_mut(service) else { return false };
         let before = queue.len();
@@ -266,8 +273,8 @@
         queue.len() < before
     }
 
-    /// Names the waiting requests whose turn has come, with their slots, and those that would now
-    /// be late (`None`).
+    /// Removes and returns the waiting requests whose turn has come, with their slots, and those
+    /// that can no longer end before their deadlines, with `None`.
     pub fn take_ready(&mut self, now: time::Instant) -> Vec<(Ticket, Option<Slot>)> {
         let services: Vec<_> =
             self.queues.iter().filter(|(_, q)| !q.is_empty()).map(|(s, _)| s.clone()).collect();
@@ -303,7 +310,7 @@
     ) {
         while let Some(oldest) = self.queues.get(service).and_then(VecDeque::front).copied() {
             let Some(slot) = self.take_slot(service) else { return };
-            let queue = self.queues.get_mut(service).expect("the queue has a front");
+            let queue = self.queues.get_mut(service).expect("this queue was found non-empty above");
             let standing = now.since(oldest.since).0 > STANDING_QUEUE_MS;
             let next = if standing { queue.pop_back() } else { queue.pop_front() };
             out.extend(next.map(|w| (w.ticket, Some(slot))));
