--- a/crates/policy/src/store_outcome.rs
+++ b/crates/policy/src/store_outcome.rs
@@ -1,11 +1,11 @@
-//! What became of something that a caller handed in: a job or a cancellation.
+//! The outcome of storing what a caller submitted: a job or a cancellation.
 //!
-//! A host writes it by its own connection to the store or asks the leader to, or both. Each of
-//! these is a try of one call, and what one of them proves says nothing of the other
-//! ([`crate::tries`]). A caller is refused only where it is certain that nothing is stored and
-//! nothing ever will be.
+//! A host writes it over its own connection to the store, asks the leader to write it, or does
+//! both. Each of these is an attempt of one call, and the outcome of one proves nothing about the
+//! other ([`crate::attempts`]). A caller is refused only if it is certain that nothing is stored
+//! and that nothing ever will be.
 
-/// What became of something handed in.
+/// The outcome of storing a job or a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum StoreOutcome {
     /// It is stored.
@@ -14,54 +14,54 @@
     NoSuchJob,
     /// It is not stored and never will be.
     NotStored,
-    /// It may be stored, or may be yet.
+    /// It may be stored, or may still be stored later.
     Unclear,
 }
 
-/// What is known of the leader's part.
+/// What is known about the leader's attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaderReply {
-    /// The leader was not asked, or the question was never sent.
+    /// The leader was not asked, or the request to it was never sent.
     NotAsked,
     /// The leader was asked and did not answer; it may store what it was asked to.
     Silent,
-    /// The leader's answer, which speaks of its own tries only.
+    /// The leader's answer, which covers only its own attempts.
     Answered(StoreOutcome),
 }
 
-/// Joins what became of it here with what became of it at the leader; the same rule holds for jobs
-/// and cancellations. What is stored by either is stored, and a job that either found gone takes no
-/// cancellation any more; otherwise it is not stored only if that is certain of both.
+/// Combines this host's outcome with the leader's; the same rule holds for jobs and cancellations.
+/// What either of them stored is stored. If either found that the job is gone, it can no longer be
+/// cancelled. Otherwise the outcome is `NotStored` only if both of them are certain of that.
 pub fn combine(here: StoreOutcome, at_leader: LeaderReply) -> StoreOutcome {
     let there = match at_leader {
         LeaderReply::NotAsked => return here,
         LeaderReply::Silent => StoreOutcome::Unclear,
         LeaderReply::Answered(there) => there,
     };
-    let either = |fate| here == fate || there == fate;
-    let order = [StoreOutcome::Stored, StoreOutcome::NoSuchJob, StoreOutcome::Unclear];
-    order.into_iter().find(|&fate| either(fate)).unwrap_or(StoreOutcome::NotStored)
+    let either = |outcome| here == outcome || there == outcome;
+    let precedence = [StoreOutcome::Stored, StoreOutcome::NoSuchJob, StoreOutcome::Unclear];
+    precedence.into_iter().find(|&outcome| either(outcome)).unwrap_or(StoreOutcome::NotStored)
 }
 
-/// How a job is stored now, seen from a cancellation that expected it to be there.
+/// How a job is stored now, compared with what a cancellation expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoredJob {
-    /// It is gone.
+    /// It is no longer stored.
     Gone,
-    /// It is there as the cancellation expects it.
+    /// It is stored as the cancellation expects it.
     AsExpected,
-    /// It was forgotten and handed in anew.
+    /// It was removed and submitted again.
     Recreated,
 }
 
-/// Tells what became of a cancellation that met a conflict, by what is stored after it. It expects
-/// that there is no cancellation yet and that the job is as it was read; the conflict alone does
-/// not say which of the two is not so.
+/// Returns the outcome of a cancellation whose write met a conflict, by what is stored after it.
+/// The write expects that there is no cancellation yet and that the job is unchanged since it was
+/// read; the conflict alone does not say which of the two expectations failed.
 pub fn cancel_outcome_after_conflict(cancelled: bool, job: StoredJob) -> StoreOutcome {
     match (cancelled, job) {
         (true, _) => StoreOutcome::Stored,
         (false, StoredJob::Gone) => StoreOutcome::NoSuchJob,
-        // No try of it can be carried out any more: revisions never repeat.
+        // No attempt of it can still be carried out: revisions never repeat.
         (false, StoredJob::Recreated) => StoreOutcome::NotStored,
         (false, StoredJob::AsExpected) => StoreOutcome::Unclear,
     }
