--- a/crates/policy/src/tail.rs
+++ b/crates/policy/src/tail.rs
@@ -1,17 +1,17 @@
-//! Turns a service-wide tail objective into an allowance for each worker.
+//! Turns a service-wide tail latency objective into an allowance for each worker.
 //!
-//! The objective is on the 99th percentile over all of a service's requests. Holding every worker
-//! to it wastes what the quiet ones leave, so the ceiling on each worker is the objective times an
-//! allowance, and the allowance follows the share of all requests that miss the objective. That
-//! share is estimated from each late measurement's median and 99th percentile, taken as
-//! log-normal.
+//! The objective applies to the 99th percentile over all of a service's requests. Holding every
+//! worker to it would waste the margin that fast workers leave. The ceiling on each worker is
+//! therefore the objective times an allowance, and the allowance follows the share of all requests
+//! that miss the objective. That share is estimated from the median and 99th percentile of each
+//! late measurement, assuming a log-normal distribution.
 
 use gaplock_types::time;
 
-/// The share of requests that may miss a 99th percentile, less a margin.
+/// The target share of requests above a 99th percentile objective: 1 %, less a margin.
 const TARGET_MISSED_SHARE: f64 = 0.008;
 const MIN_ALLOWANCE: f64 = 0.7;
-const MOST: f64 = 1.8;
+const MAX_ALLOWANCE: f64 = 1.8;
 /// Weight of one measurement in the estimate.
 const SMOOTHING: f64 = 0.01;
 /// The largest change of the allowance in one adjustment.
@@ -21,17 +21,17 @@
 const NORMAL_P99: f64 = 2.326;
 const MIN_SIGMA: f64 = 0.05;
 
-/// The tail of one service.
+/// Adjusts the allowance of one service.
 #[derive(Debug, Clone)]
 pub struct TailController {
-    missed: f64,
+    missed_share: f64,
     allowance: f64,
     adjusted_at: time::Instant,
 }
 
 impl Default for TailController {
     fn default() -> Self {
-        Self { missed: TARGET_MISSED_SHARE, allowance: 1.0, adjusted_at: time::Instant(0) }
+        Self { missed_share: TARGET_MISSED_SHARE, allowance: 1.0, adjusted_at: time::Instant(0) }
     }
 }
 
@@ -63,20 +63,22 @@
 }
 
 impl TailController {
-    /// Returns the factor on the objective that each worker may reach.
+    /// Returns the factor that turns the objective into the ceiling of each worker.
     pub fn allowance(&self) -> f64 {
         self.allowance
     }
 
-    /// Takes in one worker's measurement.
+    /// Records one worker's measurement and adjusts the allowance if that is due.
     pub fn observe(&mut self, now: time::Instant, p50_us: f64, p99_us: f64, objective_us: f64) {
         let missed = missed_share(p50_us, p99_us, objective_us);
-        self.missed += SMOOTHING * (missed - self.missed);
+        self.missed_share += SMOOTHING * (missed - self.missed_share);
         if now.since(self.adjusted_at) < ADJUST_INTERVAL {
             return;
         }
         self.adjusted_at = now;
-        let room = ((TARGET_MISSED_SHARE - self.missed) / TARGET_MISSED_SHARE).clamp(-1.0, 1.0);
-        self.allowance = (self.allowance + MAX_ALLOWANCE_STEP * room).clamp(MIN_ALLOWANCE, MOST);
+        let margin =
+            ((TARGET_MISSED_SHARE - self.missed_share) / TARGET_MISSED_SHARE).clamp(-1.0, 1.0);
+        self.allowance =
+            (self.allowance + MAX_ALLOWANCE_STEP * margin).clamp(MIN_ALLOWANCE, MAX_ALLOWANCE);
     }
 }
