--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -1,9 +1,9 @@
-//! How many connections a leader keeps, at the sizes that it has to bear.
+//! Tests how many idle connections a leader keeps, at the fleet sizes that it must support.
 
 use gaplock_policy::connections;
 
-/// The descriptors that files and other peers need at least.
-const OTHERS: usize = 400;
+/// The minimum number of descriptors that files and other peers need.
+const OTHER_DESCRIPTORS: usize = 400;
 
 #[test]
 fn a_small_fleet_keeps_connections_for_orders() {
@@ -16,7 +16,10 @@
     for (descriptors, workers) in [(4_100, 890), (4_100, 1_300), (8_192, 1_300), (8_192, 3_000)] {
         let kept = connections::idle_connections_per_worker(descriptors, workers);
         let taken = workers * (kept + 1);
-        assert!(taken + OTHERS <= descriptors, "{taken} of {descriptors} for {workers} workers");
+        assert!(
+            taken + OTHER_DESCRIPTORS <= descriptors,
+            "{taken} of {descriptors} for {workers} workers"
+        );
     }
 }
 
