--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Single decisions: pairing, guard, fairness, health, retries, estimates.
+//! Tests single decisions: interference model, guard, fairness, health, retries, estimates.
 
 use gaplock_policy::estimate::Estimator;
 use gaplock_policy::fair::{self, PartnerShare};
@@ -15,7 +15,7 @@
 use gaplock_types::wire::WorkerClock;
 
 #[test]
-fn pairing_finds_the_disturbing_class() {
+fn the_model_finds_the_interfering_class() {
     let (mut p, service) = (InterferenceModel::default(), ids::ServiceId::from("s"));
     for i in 0..400 {
         let (class, coefficient) = if i % 2 == 0 { ("loud", 5.0) } else { ("calm", 0.3) };
@@ -27,7 +27,7 @@
     assert!((slowdown("loud") - 2.0).abs() < 0.05, "{}", slowdown("loud"));
     assert!((slowdown("calm") - 1.06).abs() < 0.05, "{}", slowdown("calm"));
     assert!(p.is_known(&service, &"loud".into(), LoadBand(1)));
-    assert!(!p.is_known(&service, &"loud".into(), LoadBand(3)), "another load is another pair");
+    assert!(!p.is_known(&service, &"loud".into(), LoadBand(3)), "each load band has its own pairs");
 }
 
 #[test]
@@ -40,7 +40,7 @@
     assert_eq!(e.during(WorkerClock(6_500), 1_000), Some(&vec![("b".into(), 0.2)]));
 }
 
-fn judge(g: &mut TailGuard, now: u64, taken: u64, worst: f64) -> GuardAction {
+fn evaluate(g: &mut TailGuard, now: u64, taken: u64, worst: f64) -> GuardAction {
     g.evaluate(
         WorkerClock(now),
         WorkerClock(taken),
@@ -50,31 +50,31 @@
 }
 
 #[test]
-fn the_guard_waits_for_its_effect_before_it_acts_again() {
+fn the_guard_waits_for_the_effect_of_a_step_before_the_next_one() {
     let mut g = TailGuard::default();
-    let GuardAction::Speed(slower) = judge(&mut g, 10_000, 7_000, 1.4) else {
-        panic!("it should slow")
+    let GuardAction::Speed(slower) = evaluate(&mut g, 10_000, 7_000, 1.4) else {
+        panic!("the guard should slow batch work down")
     };
     assert!(slower < FULL_SPEED_PER_MILLE);
-    // Readings from before the step say nothing about it.
-    assert_eq!(judge(&mut g, 10_500, 7_500, 1.4), GuardAction::Nothing);
-    assert_eq!(judge(&mut g, 13_900, 10_900, 1.4), GuardAction::Nothing);
-    assert_ne!(judge(&mut g, 14_100, 11_100, 1.4), GuardAction::Nothing);
+    // Measurements from before the step do not show its effect.
+    assert_eq!(evaluate(&mut g, 10_500, 7_500, 1.4), GuardAction::Nothing);
+    assert_eq!(evaluate(&mut g, 13_900, 10_900, 1.4), GuardAction::Nothing);
+    assert_ne!(evaluate(&mut g, 14_100, 11_100, 1.4), GuardAction::Nothing);
 }
 
 #[test]
-fn the_guard_throttles_before_it_evicts_and_lets_batch_return() {
+fn the_guard_throttles_before_it_evicts_and_restores_full_speed() {
     let mut g = TailGuard::default();
     let mut evicted_at = None;
     for step in 0..20 {
         let now = 10_000 * (step + 1);
-        if judge(&mut g, now, now - 1_000, 3.0) == GuardAction::EvictOne {
+        if evaluate(&mut g, now, now - 1_000, 3.0) == GuardAction::EvictOne {
             evicted_at.get_or_insert((step, g.speed));
         }
     }
     assert_eq!(evicted_at.map(|(_, speed)| speed), Some(MIN_SPEED_PER_MILLE));
     for step in 20..40 {
-        judge(&mut g, 10_000 * (step + 1), 10_000 * (step + 1) - 1_000, 0.5);
+        evaluate(&mut g, 10_000 * (step + 1), 10_000 * (step + 1) - 1_000, 0.5);
     }
     assert_eq!(g.speed, FULL_SPEED_PER_MILLE);
 }
@@ -104,7 +104,7 @@
     assert_eq!(fair::next_partner(&shares, &total), Some(1));
     let shares = [share("a", 30, Some(true)), share("b", 10, Some(false))];
     assert_eq!(fair::next_partner(&shares, &total), Some(0));
-    // Nobody gets ahead by calling everything urgent.
+    // A partner does not get ahead by marking all its work as urgent.
     let shares = [share("a", 80, Some(true)), share("b", 10, Some(false)), share("c", 0, None)];
     assert_eq!(fair::next_partner(&shares, &total), Some(1));
     let shares = [share("a", 95, Some(false))];
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_bad_worker_is_quarantined_and_tried_again_gently() {
+fn a_bad_worker_is_quarantined_and_then_put_on_probation() {
     let (mut h, w) = (HealthTracker::default(), ids::WorkerId::from("w"));
     let now = Instant(0);
     assert_eq!(h.record_failure(now, &w, job(1)), FailureAction::None);
@@ -132,16 +132,16 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_does_not_empty_the_fleet() {
+fn a_job_that_fails_on_every_worker_does_not_quarantine_the_fleet() {
     let mut h = HealthTracker::default();
-    let findings: Vec<FailureAction> = (0..3)
+    let actions: Vec<FailureAction> = (0..3)
         .map(|i| h.record_failure(Instant(0), &ids::WorkerId(format!("w{i}")), job(1)))
         .collect();
-    assert_eq!(findings, [FailureAction::None, FailureAction::None, FailureAction::FailJob]);
+    assert_eq!(actions, [FailureAction::None, FailureAction::None, FailureAction::FailJob]);
 }
 
 #[test]
-fn retries_are_a_tenth_of_first_tries() {
+fn retries_are_a_tenth_of_first_attempts() {
     let mut b = RetryBudget::default();
     let allowed = (0..1_000).filter(|_| {
         b.earn();
@@ -160,5 +160,9 @@
     }
     let reserved = e.reserve(&class, &declared);
     assert!(reserved.cpu.0 >= 1_500 && reserved.cpu.0 < 1_600, "{reserved}");
-    assert_eq!((reserved.mem, reserved.acc), (declared.mem, declared.acc), "hard limits stay");
+    assert_eq!(
+        (reserved.mem, reserved.acc),
+        (declared.mem, declared.acc),
+        "memory and accelerators are hard limits"
+    );
 }
