--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,7 +1,7 @@
-//! Plain data about jobs made of steps: what callers hand in, and how far each job has come.
+//! Data types for jobs made of steps: what callers submit, and the progress of each job.
 //!
-//! These types are what the scheduler, the store and the callers' interface have in common. They
-//! hold no decision. `docs/PLATFORM.md` says which of them is stored under which key.
+//! The scheduler, the store and the callers' interface share these types. They make no scheduling
+//! decisions. `docs/PLATFORM.md` says which of them is stored under which key.
 
 pub mod config;
 pub mod job;
