--- a/crates/jobs/src/config.rs
+++ b/crates/jobs/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration in force: queues and the pools of workers that serve them.
+//! The operators' configuration: queues, and the pools of workers that run their tasks.
 
 use gaplock_types::{ids, time};
 
@@ -13,26 +13,27 @@
     pub prefix: String,
     /// The pool of workers that runs its tasks.
     pub service: ids::ServiceId,
-    /// 0 goes first and may preempt others.
+    /// The priority; 0 is the highest and may preempt others.
     pub priority: u32,
     /// How many failed runs a task may have.
     pub max_attempts: u32,
-    /// The objective allows this many times the longest chain of work.
+    /// The time objective of a job allows this many times the duration of its longest chain of
+    /// steps.
     pub stretch: f64,
-    /// The objective allows this much on top.
+    /// The time objective of a job allows this much in addition.
     pub slack: time::Millis,
-    /// How the service that decides where tasks may run is asked, if one is to be asked.
+    /// Time limits of the service that says which workers may run a step, if it is to be asked.
     pub advice: Option<Advice>,
 }
 
-/// Bounds of the service that says which workers may run a step.
+/// Time limits of the service that says which workers may run a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Advice {
-    /// The fixed time of a call.
+    /// The time limit of a call, without the time for the named workers.
     pub decide: time::Millis,
-    /// The time for each named worker.
+    /// The additional time for each worker that the call names.
     pub each: time::Millis,
-    /// How long an answer holds.
+    /// How long an answer is valid.
     pub valid: time::Millis,
 }
 
@@ -41,9 +42,9 @@
 pub struct Pool {
     /// The pool's name.
     pub service: ids::ServiceId,
-    /// Whether its workers refuse what does not fit.
+    /// Whether its workers refuse tasks that do not fit their capacity.
     pub guards_capacity: bool,
-    /// Whether its hosts are switched off and held back.
+    /// Whether its hosts are switched off and kept in reserve.
     pub headroom: bool,
 }
 
@@ -52,16 +53,16 @@
 pub struct CallerLimits {
     /// The largest body in bytes.
     pub body_bytes: usize,
-    /// How long a header may take.
+    /// The longest time for receiving a header.
     pub header: time::Millis,
-    /// How long a connection may be idle.
+    /// The longest time for which a connection may be idle.
     pub idle: time::Millis,
 }
 
 /// One version of the configuration.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Config {
-    /// The rising version.
+    /// The version number, which increases with each change.
     pub version: u64,
     /// All queues.
     pub queues: Vec<Queue>,
@@ -77,7 +78,8 @@
         self.queues.iter().find(|q| q.name == name)
     }
 
-    /// Finds the queue that a caller addresses: its host, and the longest prefix of the path.
+    /// Finds the queue that a caller addresses: the host must match, and among the matching path
+    /// prefixes the longest one wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
             .iter()
