--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -76,18 +76,18 @@
 pub struct Step {
     /// How many tasks the step has.
     pub count: u32,
-    /// What each task asks for.
+    /// The resources that each task needs.
     pub demand: sizes::Resources,
-    /// The caller's rough guess of one task's time.
+    /// The caller's rough estimate of the duration of one task.
     pub estimate: time::Millis,
-    /// Earlier steps, all of whose tasks must be done first.
+    /// Earlier steps whose tasks must all be done before this step starts.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<u16>,
     /// Whether tasks write checkpoints from which they can resume.
     pub checkpoints: bool,
-    /// Whether the tasks work only together, under one run number.
+    /// Whether the tasks can only run together, under one run number.
     pub gang: bool,
-    /// Whether a gang is slowed down when it spans racks.
+    /// Whether a gang runs slower when it spans racks.
     pub same_rack: bool,
     /// A label that the worker must carry.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -95,35 +95,36 @@
     /// The rack that holds the data.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rack: Option<String>,
-    /// The most tasks of the step on one worker; `None` sets no bound.
+    /// The maximum number of tasks of the step on one worker; `None` sets no limit.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub most_per_worker: Option<u32>,
-    /// Whether copies of one task may run at the same time.
+    /// Whether speculative copies of one task may run at the same time.
     pub duplicates: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks are long-running: they run until the job is cancelled.
     pub lasting: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run; tasks with the same image behave alike.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// The bound on the tail of a serving task's answers.
+    /// The upper bound on the tail latency of a serving task.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tail_target: Option<time::Millis>,
-    /// Whether the tasks use only the processor time that others leave, so that their demand is
-    /// not counted against the worker's processors.
+    /// Whether the tasks are best-effort: they use only the processor time that others leave idle,
+    /// so that their demand is not counted against the worker's processors.
     pub fills: bool,
-    /// For a lasting step, how many tasks the scheduler may have taken away at one time.
+    /// For a long-running step, how many tasks may be down at the same time because the scheduler
+    /// stopped them; `None` sets no limit.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub may_miss: Option<u32>,
 }
 
-/// A job that runs again and again.
+/// The schedule of a job that repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Repeat {
-    /// How many rounds there are.
+    /// The number of rounds.
     pub times: u32,
-    /// When round 0 falls due, in milliseconds since 1970.
+    /// When round 0 is due, in milliseconds since 1970.
     pub first_unix_ms: u64,
-    /// The time from one round to the next.
+    /// The interval from one round to the next.
     pub every: time::Millis,
 }
 
@@ -134,48 +135,48 @@
     pub key: JobKey,
     /// The queue that accepted the job.
     pub queue: String,
-    /// The caller's own text, handed to each task unchanged.
+    /// The caller's own text, passed to each task unchanged.
     pub spec: String,
     /// The steps.
     pub steps: Vec<Step>,
-    /// Set for a job that repeats.
+    /// The schedule of a job that repeats; `None` for a job that runs once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeat: Option<Repeat>,
     /// When the job was accepted, by the accepting host's wall clock.
     pub accepted_unix_ms: u64,
 }
 
-/// Why a job cannot be taken.
+/// Why a job is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum JobError {
-    /// There is no step.
+    /// The job has no step.
     #[display("a job needs at least one step")]
     NoSteps,
     /// A step has no task.
     #[display("a step needs at least one task")]
     EmptyStep,
-    /// A step waits for itself or for a later one.
+    /// A step depends on itself or on a later one.
     #[display("a step may only follow earlier steps")]
     InvalidStepOrder,
-    /// There are more tasks than one job may have.
+    /// The job has more than [`MOST_TASKS`] tasks.
     #[display("a job may have at most {MOST_TASKS} tasks")]
     TooManyTasks,
-    /// The spec is too long.
+    /// The spec is longer than [`SPEC_MAX_BYTES`].
     #[display("the spec is longer than {SPEC_MAX_BYTES} bytes")]
     SpecTooLong,
 }
 
-/// The longest spec in bytes, from the callers' interface.
+/// The maximum length of a spec in bytes, as the callers' interface defines it.
 pub const SPEC_MAX_BYTES: usize = 4_000;
 
-/// The most tasks that the steps of one job may have together; the users' widest jobs have some
-/// hundred. It bounds what one request makes the leader keep.
+/// The maximum number of tasks that the steps of one job may have together; the users' widest jobs
+/// have some hundred tasks. It bounds how much state one request makes the leader keep.
 pub const MOST_TASKS: u64 = 20_000;
 
-/// Checks what a scheduler relies on.
+/// Checks the properties of a job that the scheduler relies on.
 ///
 /// # Errors
-/// Returns the first fault.
+/// Returns the first error found.
 pub fn validate(job: &Job) -> Result<(), JobError> {
     if job.spec.len() > SPEC_MAX_BYTES {
         return Err(JobError::SpecTooLong);
