--- a/crates/jobs/tests/jobs.rs
+++ b/crates/jobs/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! What a job must be, and how its names are written.
+//! Tests the validation of jobs and the text form of their keys.
 
 use gaplock_jobs::job::{validate, JobError, MOST_TASKS, SPEC_MAX_BYTES};
 use gaplock_jobs::{progress, Job, JobKey, Step, TaskKey};
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn one_request_cannot_ask_for_any_number_of_tasks() {
-    let most = u32::try_from(MOST_TASKS).expect("it is a count");
+fn the_number_of_tasks_and_the_length_of_the_spec_are_limited() {
+    let most = u32::try_from(MOST_TASKS).expect("MOST_TASKS fits in 32 bits");
     assert_eq!(validate(&job(vec![step(most, &[])])), Ok(()));
     assert_eq!(
         validate(&job(vec![step(u32::MAX, &[]), step(1, &[])])),
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn names_are_read_as_they_are_written() {
+fn keys_are_parsed_as_they_are_printed() {
     let task = TaskKey { job: JobKey(0x5c0e_7a21_d94b_36f8), round: 0, step: 1, index: 17 };
     assert_eq!(task.to_string(), "5c0e7a21d94b36f8.0.1.17");
     assert_eq!("5c0e7a21d94b36f8.0.1.17".parse(), Ok(task));
     assert!("5c0e7a21d94b36f8.0.1".parse::<TaskKey>().is_err());
-    assert!("5C0E7A21D94B36F8".parse::<JobKey>().is_err(), "capitals are another name");
+    assert!("5C0E7A21D94B36F8".parse::<JobKey>().is_err(), "upper-case digits are rejected");
     assert!("5c0e".parse::<JobKey>().is_err());
 }
 
