--- a/crates/types/src/api.rs
+++ b/crates/types/src/api.rs
@@ -1,4 +1,5 @@
-//! Messages of the caller and intent interfaces, and between entries.
+//! Messages of the interface for callers, of the interface for operators' intents, and between
+//! entries.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,7 +9,7 @@
 use crate::sizes;
 use crate::wire;
 
-/// A refusal or outcome as callers and operators read it.
+/// A refusal or outcome as callers and operators receive it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
     /// The result code's number.
@@ -17,15 +18,15 @@
     pub name: String,
     /// Whether the work ran.
     pub ran: codes::Ran,
-    /// One sentence for a person.
+    /// An explanation for people.
     pub message: String,
-    /// When to come back, in seconds.
+    /// After how many seconds to retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<u32>,
 }
 
 impl Refusal {
-    /// Builds a refusal with the table's remedy as last sentence.
+    /// Creates a refusal whose message ends with the remedy from the result code table.
     pub fn new(code: codes::Code, why: impl Into<String>) -> Self {
         let row = code.row();
         let why = why.into();
@@ -35,7 +36,7 @@
         Self { code: row.number, name: row.name.to_string(), ran: row.ran, message, retry_after_s }
     }
 
-    /// Sets when the caller should come back.
+    /// Sets after how many seconds the caller should retry.
     pub fn with_retry_after(mut self, seconds: u32) -> Self {
         self.retry_after_s = Some(seconds);
         self
@@ -47,20 +48,20 @@
     }
 }
 
-/// A job as its submitter states it.
+/// A job as its submitter describes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
     /// The batch class.
     pub class: ids::BatchClass,
-    /// What one task may hold.
+    /// The resources that one task may use.
     pub demand: sizes::Resources,
-    /// Declared work of one task, in milliseconds of undisturbed run time.
+    /// Declared work of one task, in milliseconds of run time without interference.
     pub work_ms: u64,
     /// How many tasks the job has.
     #[serde(default = "one_task")]
     pub tasks: u32,
-    /// Whether it goes ahead of the partner's other work.
+    /// Whether it is scheduled before the partner's other work.
     #[serde(default)]
     pub urgent: bool,
 }
@@ -69,15 +70,15 @@
     1
 }
 
-/// The most tasks that one job may have.
+/// The maximum number of tasks of one job.
 pub const JOB_MAX_TASKS: u32 = 256;
 
-/// Where one task of a job stands.
+/// The status of one task of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task.
     pub task: ids::TaskId,
-    /// The state by the name in `charts/task.chart`.
+    /// The name of its state in `charts/task.chart`.
     pub state: String,
     /// The worker that runs it.
     pub worker: Option<ids::WorkerId>,
@@ -89,7 +90,7 @@
     pub why: String,
 }
 
-/// Where a job stands.
+/// The status of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job.
@@ -102,28 +103,28 @@
     pub tasks: Vec<TaskStatus>,
     /// Whether every task has ended.
     pub ended: bool,
-    /// The latest decisions about it, oldest first.
+    /// The latest scheduling decisions about it, oldest first.
     pub history: Vec<String>,
 }
 
-/// A plan: what a stated intent would change.
+/// A plan: what an operator's intent would change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The plan's id, for its confirmation.
+    /// The plan's id, with which it is confirmed.
     pub id: ids::PlanId,
-    /// The generation that it was made against.
+    /// The generation that the plan would change.
     pub base: ids::Generation,
-    /// What would change, a sentence each.
+    /// What would change, one sentence for each change.
     pub changes: Vec<String>,
-    /// What is refused and why; a plan with refusals cannot be confirmed.
+    /// What is refused, and why; a plan with refusals cannot be confirmed.
     pub refused: Vec<String>,
-    /// How long the plan can be confirmed, in seconds.
+    /// For how long the plan can be confirmed, in seconds.
     pub lifetime_s: u64,
-    /// The configuration that a confirmation would put in force.
+    /// The configuration that is in force once the plan is confirmed.
     pub wanted: config::Config,
 }
 
-/// How far a generation has come.
+/// Which entries use a generation of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigStatus {
     /// The newest generation that this entry knows to be accepted.
@@ -132,28 +133,28 @@
     pub plan: ids::PlanId,
     /// Entries in which it is in force.
     pub in_force: Vec<ids::EntryId>,
-    /// Entries that are not known to have it.
+    /// Entries that are not known to use it yet.
     pub waiting: Vec<ids::EntryId>,
 }
 
-/// One past generation.
+/// One past generation of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HistoryRow {
     /// The generation.
     pub generation: ids::Generation,
     /// Who confirmed it.
     pub by: String,
-    /// When, in milliseconds since 1970.
+    /// When it was confirmed, in milliseconds since 1970.
     pub at_unix_ms: u64,
-    /// What changed, a sentence each.
+    /// What changed, one sentence for each change.
     pub changes: Vec<String>,
-    /// The plan that made it, by which a repeated confirmation learns what became of the plan;
-    /// empty in rows of earlier versions.
+    /// The plan that made it. A repeated confirmation finds the outcome of its plan by this; empty
+    /// in rows of earlier versions.
     #[serde(default)]
     pub plan: ids::PlanId,
 }
 
-/// How many requests of a service an entry could take.
+/// How many requests of a service an entry can accept.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLoad {
     /// The service.
@@ -162,7 +163,7 @@
     pub free: u32,
 }
 
-/// What an entry tells each peer, several times within its lease.
+/// What an entry sends to each peer, several times within its lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
@@ -175,9 +176,9 @@
     pub generation: ids::Generation,
     /// The partitions it owns, with their epochs.
     pub owned: Vec<(ids::PartitionId, ids::Epoch)>,
-    /// What it could take.
+    /// How many requests it can accept, by service.
     pub load: Vec<ServiceLoad>,
-    /// Its partitions in which nothing waits, with their room.
+    /// The free capacity of those of its partitions in which no task waits.
     #[serde(default)]
     pub rooms: Vec<FreeCapacity>,
 }
@@ -185,9 +186,9 @@
 /// A command to the owner of a partition, forwarded by the entry that received it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Store a job; repeats of one key store one job.
+    /// Store a job; repeats with the same key store one job only.
     Submit {
-        /// Who submits.
+        /// The partner that submits the job.
         partner: ids::PartnerId,
         /// The submitter's key for this job.
         key: ids::RequestKey,
@@ -196,77 +197,79 @@
     },
     /// Cancel a job.
     Cancel {
-        /// Who cancels; operators' tools name none.
+        /// The partner that cancels; `None` for operators' tools.
         partner: Option<ids::PartnerId>,
         /// The job.
         job: ids::JobId,
     },
-    /// Tell where a job stands.
+    /// Return the status of a job.
     Status {
-        /// Who asks; operators' tools name none.
+        /// The partner that asks; `None` for operators' tools.
         partner: Option<ids::PartnerId>,
         /// The job.
         job: ids::JobId,
     },
-    /// Claim the one run of a request that must not be repeated.
+    /// Claim the single run of a request that must not be repeated.
     OnceClaim {
-        /// Who asks.
+        /// The partner that sends the request.
         partner: ids::PartnerId,
         /// The caller's key.
         key: ids::RequestKey,
-        /// A digest of the request, so that a key reused for another request is refused.
+        /// A digest of the request, so that a key that is reused for another request is refused.
         digest: String,
-        /// Marks the claimer: repeats of its claim are granted again, others' are not.
+        /// Identifies the claimer: repeats of its claim are granted again, claims of others are
+        /// not.
         claimer: String,
     },
     /// Store how a claimed request ended.
     OnceDone {
-        /// Who asked.
+        /// The partner that sent the request.
         partner: ids::PartnerId,
         /// The caller's key.
         key: ids::RequestKey,
-        /// The claimer; the end of another's claim is not stored.
+        /// The claimer; the end of a claim of another claimer is not stored.
         claimer: String,
         /// How it ended.
         end: OnceEnd,
     },
-    /// An operator declares a worker's host switched off, so that its tasks may run elsewhere.
+    /// Record an operator's declaration that a worker's host is switched off, so that its tasks may
+    /// run elsewhere.
     ConfirmDead {
         /// The worker.
         worker: ids::WorkerId,
-        /// The boot that the operator was shown: a declaration that comes late says nothing of a
-        /// newer one.
+        /// The boot that the operator was shown: a declaration that arrives late does not apply to
+        /// a newer one.
         #[serde(default)]
         boot: Option<wire::Boot>,
     },
-    /// Run a task that another partition lends, or tell how it stands; may be repeated.
+    /// Run a task that another partition lends, or return its state; may be repeated.
     Borrow(Loan),
     /// List the partition's jobs and workers, for operators.
     Survey,
 }
 
-/// A task that one partition lends to another.
+/// A task that one partition lends to another one, which runs it in its place.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
     /// The lender's run.
     pub run: wire::Run,
-    /// What it is.
+    /// What the task is.
     pub kind: wire::TaskKind,
-    /// On whose behalf it runs.
+    /// The partner on whose behalf it runs.
     pub partner: ids::PartnerId,
-    /// What it may hold.
+    /// The resources that it may use.
     pub demand: sizes::Resources,
-    /// Its work.
+    /// Its work, in milliseconds of run time without interference.
     pub work_ms: u64,
-    /// The checkpoint from which it resumes.
+    /// The checkpoint from which it resumes, in milliseconds of work.
     pub resume_ms: u64,
-    /// Whether it goes first.
+    /// Whether it is urgent.
     pub urgent: bool,
-    /// Whether it is to be stopped and come back.
+    /// Whether it is to be stopped and returned to the lender.
     pub stop: bool,
 }
 
-/// How a lent task stands.
+/// The state of a lent task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LoanState {
@@ -276,29 +279,29 @@
     Running,
     /// It finished.
     Done,
-    /// It failed for good there.
+    /// It failed there and is not retried.
     Failed,
     /// It was stopped and has left its worker.
     Stopped,
 }
 
-/// The borrower's word on a lent task.
+/// The borrower's report on a lent task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoanReport {
-    /// How it stands.
+    /// Its state.
     pub state: LoanState,
-    /// Work that is kept, in milliseconds.
+    /// Work that is saved in a checkpoint, in milliseconds.
     pub checkpoint_ms: u64,
 }
 
-/// What a partition could take at once. It travels in every heartbeat, so its serialised form is a
+/// The free capacity of a partition. It is part of every heartbeat, so its serialized form is a
 /// plain list of numbers: partition, processors, memory, accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[u32; 4]", into = "[u32; 4]")]
 pub struct FreeCapacity {
     /// The partition.
     pub partition: ids::PartitionId,
-    /// The most that one worker has free.
+    /// The free resources of the worker that has the most.
     pub free: sizes::Resources,
 }
 
@@ -318,14 +321,14 @@
 /// How a request that must not be repeated ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OnceEnd {
-    /// It ran with this answer.
+    /// It ran and gave this answer.
     Ran {
         /// The HTTP status.
         status: u16,
         /// The body in base 64; none if it was too large to keep.
         body: Option<String>,
     },
-    /// It is certain that it did not run; the claim is given back.
+    /// It certainly did not run; the claim is released.
     NotRun,
     /// It may have run.
     Unknown,
@@ -336,23 +339,23 @@
 pub enum Reply {
     /// The job is stored.
     Submitted(ids::JobId),
-    /// Done.
+    /// The command was carried out.
     Done,
-    /// How a lent task stands.
+    /// The state of a lent task.
     Loan(LoanReport),
     /// The job's status.
     Status(JobStatus),
-    /// The claim is the asker's: run the request once.
+    /// The claim is granted: the claimer runs the request once.
     Granted,
     /// The request was claimed before and has ended.
     Ended(OnceEnd),
     /// The partition's jobs and workers.
     Survey(PartitionSummary),
-    /// Refused.
+    /// The command was refused.
     Refused(Refusal),
 }
 
-/// A worker as its owner sees it.
+/// A worker as its owner knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRow {
     /// The worker.
@@ -366,17 +369,17 @@
     pub partition: ids::PartitionId,
     /// Its owner.
     pub owner: ids::EntryId,
-    /// How it stands, by the name in `charts/upstream.chart`.
+    /// The name of its state in `charts/upstream.chart`.
     pub state: String,
-    /// What is assigned to it.
+    /// The resources that are assigned on it.
     pub used: sizes::Resources,
-    /// What it can carry.
+    /// Its capacity.
     pub capacity: sizes::Resources,
-    /// Its tasks.
+    /// The number of its tasks.
     pub tasks: u32,
 }
 
-/// A job in a survey.
+/// A job in a [`PartitionSummary`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRow {
     /// The job.
@@ -385,17 +388,17 @@
     pub partner: ids::PartnerId,
     /// Its class or service.
     pub kind: wire::TaskKind,
-    /// Tasks by state.
+    /// Tasks that wait for a worker.
     pub queued: u32,
     /// Tasks assigned to a worker.
     pub running: u32,
-    /// Tasks that ended well.
+    /// Tasks that succeeded.
     pub done: u32,
     /// Tasks that failed or were cancelled.
     pub lost: u32,
 }
 
-/// What an owner knows of its partition.
+/// The workers and jobs of a partition, as its owner knows them.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PartitionSummary {
     /// The workers.
@@ -404,7 +407,7 @@
     pub jobs: Vec<JobRow>,
 }
 
-/// A service request on its way from one entry to another.
+/// A service request that one entry forwards to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Forward {
     /// The service.
@@ -413,7 +416,7 @@
     pub path: String,
     /// The body in base 64.
     pub body: String,
-    /// How long the caller still waits, in milliseconds.
+    /// How long the caller will still wait, in milliseconds.
     pub deadline_ms: u64,
     /// The request id, for logs.
     pub request_id: String,
@@ -424,13 +427,13 @@
 /// The answer to a [`Forward`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ForwardReply {
-    /// The worker's whole answer.
+    /// The worker's complete answer.
     Answer {
         /// The HTTP status.
         status: u16,
         /// The body in base 64.
         body: String,
     },
-    /// Refused or failed.
+    /// The request was refused or failed.
     Refused(Refusal),
 }
