--- a/crates/types/src/config.rs
+++ b/crates/types/src/config.rs
@@ -1,6 +1,8 @@
-//! The operators' configuration: one value with one rising generation.
+//! The operators' configuration: one value with one generation number, which increases with each
+//! change.
 //!
-//! `docs/OPERATORS.md` gives examples; [`Config::faults`] lists everything wrong with a value.
+//! `docs/OPERATORS.md` gives examples; [`Config::validation_errors`] lists everything that is wrong
+//! with a value.
 
 use std::collections::BTreeSet;
 
@@ -9,8 +11,8 @@
 use crate::ids;
 use crate::sizes;
 
-/// The largest serialised configuration. The store holds values up to one megabyte, and the
-/// stored document has the configuration, the one before it and the history.
+/// The maximum size of the serialized configuration. The store holds values up to one megabyte, and
+/// the stored document contains the configuration, the previous one and the history.
 pub const CONFIG_MAX_BYTES: usize = 400 * 1024;
 
 /// A latency-critical service and what it needs.
@@ -19,15 +21,15 @@
 pub struct Service {
     /// The service's name.
     pub id: ids::ServiceId,
-    /// How many replicas run over the whole installation.
+    /// How many replicas run in the whole installation.
     pub replicas: u32,
-    /// What one replica takes of its worker.
+    /// The resources that one replica needs.
     pub demand: sizes::Resources,
-    /// The 99th percentile that its callers were promised, in milliseconds.
+    /// The 99th percentile of latency that its callers were promised, in milliseconds.
     pub objective_ms: u32,
 }
 
-/// How the decisions of one placement weigh its outcomes against each other.
+/// The weights by which the decisions of one placement trade its goals off against each other.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
@@ -45,7 +47,8 @@
     }
 }
 
-/// Which services and batch classes share which failure domains' workers, and for whom.
+/// Which services and batch classes share the workers of which failure domains, and for which
+/// partners.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Placement {
@@ -57,16 +60,16 @@
     /// The batch classes that may run here.
     #[serde(default)]
     pub batch: BTreeSet<ids::BatchClass>,
-    /// The failure domains; none named means all.
+    /// The failure domains; an empty set means all.
     #[serde(default)]
     pub domains: BTreeSet<ids::DomainId>,
-    /// The partners whose work may run here; none named means all.
+    /// The partners whose work may run here; an empty set means all.
     #[serde(default)]
     pub partners: BTreeSet<ids::PartnerId>,
     /// The largest share of a worker's processors that batch may take, in percent.
     #[serde(default = "full_percent")]
     pub batch_cpu_percent: u32,
-    /// How outcomes are weighed.
+    /// The weights of the goals.
     #[serde(default)]
     pub weights: Weights,
 }
@@ -83,9 +86,9 @@
     pub id: ids::PartnerId,
     /// The SHA-256 of the partner's key, in hexadecimal; the key itself is never stored.
     pub key_sha256: String,
-    /// The partner's share relative to the others'.
+    /// The weight of the partner's share relative to the other partners.
     pub weight: u32,
-    /// The most that its batch tasks may hold at once over the installation.
+    /// The maximum resources that its batch tasks may hold at once in the whole installation.
     pub quota: sizes::Resources,
 }
 
@@ -115,16 +118,19 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The rising number of this value; 0 is the empty configuration before the first change.
+    /// The number of this value, which increases with each change; 0 is the empty configuration
+    /// before the first change.
     #[serde(default)]
     pub generation: ids::Generation,
-    /// Who made this generation.
+    /// The operator who made this generation.
     #[serde(default)]
     pub by: String,
-    /// When, in milliseconds since 1970 by the confirming entry's clock; for people only.
+    /// When it was made, in milliseconds since 1970 by the confirming entry's clock; for display
+    /// only.
     #[serde(default)]
     pub at_unix_ms: u64,
-    /// The plan that was confirmed; also tells a confirmer its own write from another's.
+    /// The plan that was confirmed. By it, an entry that confirms a plan also distinguishes its own
+    /// write from that of another entry.
     #[serde(default)]
     pub plan: ids::PlanId,
     /// The placements.
@@ -164,7 +170,7 @@
         self.partners.iter().find(|p| &p.id == id)
     }
 
-    /// Lists everything that is wrong with this configuration, in words for its author.
+    /// Lists everything that is wrong with this configuration, as messages for its author.
     pub fn validation_errors(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut names = BTreeSet::new();
