--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,9 +1,10 @@
-//! Typed identifiers, so that a worker's number can never be passed where a task's is meant.
+//! Typed identifiers, so that the identifier of a worker cannot be passed where that of a task is
+//! expected.
 
 use std::fmt;
 use std::str;
 
-/// The text of an identifier could not be read.
+/// The text of an identifier could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("`{text}` is not a {kind}: {why}")]
 pub struct ParseError {
@@ -31,7 +32,7 @@
     Ok(())
 }
 
-/// Declares an identifier that is a text.
+/// Declares an identifier that consists of text.
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -79,17 +80,18 @@
 }
 
 name_id!(
-    /// An entry host's process, by the name in its settings.
+    /// The name of an entry, from the settings of its process.
     EntryId, "entry name");
 name_id!(
-    /// A worker's name in the platform's lists, which it may keep when it starts again.
+    /// A worker's name in the platform's lists; a restarted worker may keep it.
     WorkerName, "worker name");
 text_id!(
-    /// One start of a worker. Where the platform tells when that was, the text is `NAME@MILLISECONDS`, so that
-    /// nothing said of an earlier start is taken for this one.
+    /// One incarnation of a worker. If the platform reports when it started, the text is
+    /// `NAME@MILLISECONDS`, so that nothing reported about a previous incarnation is attributed to
+    /// this one.
     WorkerId);
 name_id!(
-    /// A host that workers come and go on, by the platform's name for it.
+    /// The platform's name of a host. Workers start and end on it over time.
     HostId, "host name");
 name_id!(
     /// A failure domain, such as `vrhnika-hall`.
@@ -104,20 +106,21 @@
     /// A latency-critical service, such as `coldtrace` or `booking`.
     ServiceId, "service name");
 name_id!(
-    /// A class of batch work whose tasks disturb services alike.
+    /// A class of batch work whose tasks interfere with services alike.
     BatchClass, "batch class name");
 name_id!(
-    /// An operator's plan, waiting for its confirmation.
+    /// An operator's plan that waits for confirmation.
     PlanId, "plan id");
 name_id!(
-    /// A caller's key that marks repeats of one request.
+    /// A caller's key that identifies repeats of one request.
     RequestKey, "request key");
 
-/// Stands between a worker's name and the time of its start; no name has it.
+/// Separates a worker's name from its start time in a [`WorkerId`]; no name contains it.
 const START_TIME_SEPARATOR: char = '@';
 
 impl WorkerId {
-    /// Builds the id of the start of a worker at `started`, in milliseconds since 1970, where that is known.
+    /// Creates the id of the incarnation of a worker that started at `started`, in milliseconds
+    /// since 1970, if that time is known.
     pub fn of(name: &WorkerName, started: Option<u64>) -> Self {
         match started {
             Some(ms) => Self(format!("{name}{START_TIME_SEPARATOR}{ms}")),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Returns the name of the worker that started.
+    /// Returns the name of the worker.
     pub fn name(&self) -> WorkerName {
         let name = self.0.split_once(START_TIME_SEPARATOR).map_or(self.as_str(), |(name, _)| name);
         WorkerName::from(name)
@@ -150,7 +153,7 @@
     }
 }
 
-/// Declares a dense number used as identifier or rising counter.
+/// Declares a number that is used as an identifier or an increasing counter.
 macro_rules! number_id {
     ($(#[$doc:meta])* $name:ident, $inner:ty, $prefix:literal) => {
         $(#[$doc])*
@@ -162,7 +165,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// Returns the following number.
+            /// Returns the next number.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -191,10 +194,11 @@
 }
 
 number_id!(
-    /// A partition: a share of one failure domain's racks with the journal of their work.
+    /// A partition: some of the racks of one failure domain, with the journal of the work on them.
     PartitionId, u32, "p");
 number_id!(
-    /// The rising number of a partition's ownership; a higher one fences every lower one.
+    /// The number of a partition's ownership, which increases with each new owner; a higher one
+    /// fences every lower one.
     Epoch, u64, "e");
 number_id!(
     /// The position of an entry in a partition's journal.
@@ -203,16 +207,16 @@
     /// The store's modification index of a key; 0 means that the key does not exist.
     StoreIndex, u64, "i");
 number_id!(
-    /// The rising number of the configuration.
+    /// The number of the configuration, which increases with each change.
     Generation, u64, "g");
 number_id!(
     /// How often a task has been assigned to a worker.
     Attempt, u32, "a");
 number_id!(
-    /// A random number drawn by a process at its start, so that a restart is seen as one.
+    /// A random number that a process draws when it starts, so that a restart can be recognized.
     Incarnation, u64, "n");
 
-/// A job: its home partition and a number unique there.
+/// A job: its home partition and a number that is unique in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct JobId {
     /// The partition whose journal holds the job.
@@ -272,7 +276,7 @@
     }
 }
 
-/// Serialises an identifier by its text, so that it can be a key of a JSON object.
+/// Serializes an identifier as its text, so that it can be a key of a JSON object.
 #[macro_export]
 macro_rules! serde_by_text {
     ($name:ident) => {
@@ -294,7 +298,8 @@
 serde_by_text!(JobId);
 serde_by_text!(TaskId);
 
-/// One running process of an entry: its name and the incarnation drawn at its start.
+/// One running process of an entry: the entry's name, and the incarnation drawn when the process
+/// started.
 #[derive(
     Debug,
     Clone,
