--- a/crates/types/src/sizes.rs
+++ b/crates/types/src/sizes.rs
@@ -1,4 +1,4 @@
-//! Sizes of workers and demands of work, always in whole units so that sums are exact.
+//! Capacities of workers and demands of tasks, always in whole units so that sums are exact.
 
 use std::fmt;
 use std::str;
@@ -99,17 +99,17 @@
 }
 
 impl Resources {
-    /// Builds an amount from thousandths of a core, mebibytes and accelerators.
+    /// Creates an amount from thousandths of a core, mebibytes and accelerators.
     pub const fn new(cpu: u32, mem: u32, acc: u32) -> Self {
         Self { cpu: MilliCores(cpu), mem: MebiBytes(mem), acc }
     }
 
-    /// Tells whether `self` can hold `demand` in every dimension.
+    /// Returns whether `self` can hold `demand` in every dimension.
     pub fn holds(&self, demand: &Self) -> bool {
         self.cpu >= demand.cpu && self.mem >= demand.mem && self.acc >= demand.acc
     }
 
-    /// Adds up two amounts; saturates rather than wraps.
+    /// Adds two amounts; saturates instead of wrapping around.
     pub fn plus(&self, other: &Self) -> Self {
         Self::new(
             self.cpu.0.saturating_add(other.cpu.0),
@@ -118,7 +118,7 @@
         )
     }
 
-    /// Takes `other` away; a dimension that would fall below nothing becomes nothing.
+    /// Subtracts `other`; a dimension that would become negative becomes zero.
     pub fn minus(&self, other: &Self) -> Self {
         Self::new(
             self.cpu.0.saturating_sub(other.cpu.0),
@@ -127,7 +127,7 @@
         )
     }
 
-    /// Returns the largest share that `self` takes of `total` over all dimensions.
+    /// Returns the largest share of `total` that `self` takes in any dimension.
     pub fn dominant_share(&self, total: &Self) -> f64 {
         let share = |part: u32, whole: u32| match (part, whole) {
             (0, _) => 0.0,
