--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Instants and durations of the sans-I/O parts.
+//! Instants and durations for the sans-I/O code.
 //!
 //! An [`Instant`] counts milliseconds of a monotonic clock that keeps running while a process is
 //! frozen (see `docs/DESIGN.md`, section Time). Instants of two processes are never compared.
@@ -40,11 +40,11 @@
 #[serde(transparent)]
 pub struct Millis(pub u64);
 
-/// The assumed bound on how much two hosts' clocks differ in rate, in parts per thousand.
+/// The assumed upper bound on how much the clock rates of two hosts differ, in parts per thousand.
 pub const DEFAULT_DRIFT_PER_MILLE: u64 = 10;
 
 impl Millis {
-    /// Lengthens a span by the assumed clock drift, rounding up.
+    /// Extends a span by the assumed clock drift, rounding up.
     pub fn with_drift(self, drift_per_mille: u64) -> Self {
         Self(self.0 + (self.0 * drift_per_mille).div_ceil(1000))
     }
@@ -56,7 +56,7 @@
 }
 
 impl Instant {
-    /// Returns the span since `earlier`, or nothing if `earlier` lies in the future.
+    /// Returns the span since `earlier`, or zero if `earlier` is after `self`.
     pub fn since(self, earlier: Self) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
