--- a/crates/types/src/wire.rs
+++ b/crates/types/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of the platform's worker protocol, as `docs/DESIGN.md` describes it.
+//! Messages of the platform's worker protocol, which `docs/DESIGN.md` describes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,14 +7,14 @@
 
 /// A reading of one worker's own monotonic clock, in milliseconds since its boot.
 ///
-/// It means something to that worker only; an owner sends it back to show how old its wish is.
+/// It has a meaning only for that worker; an owner sends it back to show how old its command is.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct WorkerClock(pub u64);
 
-/// The random number that a worker draws at its boot.
+/// The random number that a worker draws when it boots.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -32,7 +32,7 @@
     pub attempt: ids::Attempt,
 }
 
-/// What a task is, for its worker and for the decisions about it.
+/// What a task is, for its worker and for scheduling.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskKind {
@@ -42,7 +42,7 @@
     Batch(ids::BatchClass),
 }
 
-/// Asks a worker for the right to command it, and renews its tasks' leases.
+/// Asks a worker for the right to send it commands, and renews its tasks' leases.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The partition whose owner asks.
@@ -51,40 +51,40 @@
     pub epoch: ids::Epoch,
     /// The owner.
     pub owner: ids::Member,
-    /// The boot that the owner believes in; a different one renews nothing.
+    /// The boot that the owner expects; a worker with a different one renews nothing.
     pub boot: Option<Boot>,
     /// The worker's clock as the owner last read it; tasks are renewed until `seen + ttl_ms`.
     pub seen: Option<WorkerClock>,
-    /// The tasks' lease, in milliseconds.
+    /// The duration of the tasks' leases, in milliseconds.
     pub ttl_ms: u64,
-    /// Ended runs whose end the owner has stored; the worker may forget them.
+    /// Ended runs whose end the owner has stored; the worker may remove them.
     pub acked: Vec<Run>,
 }
 
-/// How a run stands at its worker.
+/// The state of a run at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunState {
-    /// It runs, perhaps throttled.
+    /// It is running, perhaps throttled.
     Running,
     /// It finished its work.
     Done,
     /// It failed.
     Failed,
-    /// It was stopped, by command or because its lease lapsed.
+    /// It was stopped, by a command or because its lease expired.
     Stopped,
 }
 
-/// One run as its worker sees it.
+/// One run as its worker reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
     /// The run.
     pub run: Run,
-    /// How it stands.
+    /// Its state.
     pub state: RunState,
-    /// Work done, in milliseconds of undisturbed run time.
+    /// Work done, in milliseconds of run time without interference.
     pub progress_ms: u64,
-    /// Work that its last checkpoint holds, in milliseconds.
+    /// Work that its last checkpoint contains, in milliseconds.
     pub checkpoint_ms: u64,
 }
 
@@ -99,32 +99,32 @@
     pub clock: WorkerClock,
     /// Whether the worker's host is leaving.
     pub leaving: bool,
-    /// Service requests that it is working on.
+    /// The number of service requests that it is working on.
     pub slots_busy: u32,
-    /// Every run it knows, ended ones until they are acknowledged.
+    /// All runs that it knows; ended ones are listed until they are acknowledged.
     pub runs: Vec<RunReport>,
-    /// Its late measurement of itself.
+    /// Its measurement of itself, which arrives late.
     pub usage: Option<Usage>,
 }
 
 /// Starts a run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StartRequest {
-    /// The commanding owner's epoch.
+    /// The epoch of the owner that sends the command.
     pub epoch: ids::Epoch,
-    /// The boot that the owner believes in; another one refuses.
+    /// The boot that the owner expects; a worker with a different one refuses.
     pub boot: Boot,
     /// The worker's clock as the owner last read it; the task's lease ends at `seen + ttl_ms`.
     pub seen: WorkerClock,
-    /// The task's first lease, in milliseconds.
+    /// The duration of the task's first lease, in milliseconds.
     pub ttl_ms: u64,
     /// The run.
     pub run: Run,
-    /// What it is.
+    /// What it runs.
     pub kind: TaskKind,
-    /// What it may hold.
+    /// The resources that it may use.
     pub demand: sizes::Resources,
-    /// How much work it has, in milliseconds of undisturbed run time; services have none.
+    /// How much work it has, in milliseconds of run time without interference; 0 for services.
     pub work_ms: u64,
     /// The checkpoint from which it resumes, in milliseconds of work.
     pub resume_ms: u64,
@@ -133,17 +133,17 @@
 /// Stops a run or throttles it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ControlRequest {
-    /// The commanding owner's epoch.
+    /// The epoch of the owner that sends the command.
     pub epoch: ids::Epoch,
-    /// The boot that the owner believes in.
+    /// The boot that the owner expects.
     pub boot: Boot,
     /// The run.
     pub run: Run,
-    /// The wish.
+    /// What to do with the run.
     pub control: Control,
 }
 
-/// What is to be done with a run.
+/// A command for a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Control {
@@ -151,7 +151,7 @@
     Stop,
     /// Write a checkpoint, then stop.
     CheckpointAndStop,
-    /// Run at this many thousandths of full speed.
+    /// Run at this speed, in thousandths of full speed.
     Throttle(u32),
 }
 
@@ -159,15 +159,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CommandOutcome {
-    /// Done, or done before.
+    /// The command was carried out, now or before.
     Done,
-    /// The command's epoch is below the worker's.
+    /// The command's epoch is lower than the worker's.
     StaleEpoch,
-    /// The worker has booted since.
+    /// The worker has a different boot than the owner expects.
     OtherBoot,
-    /// The command is older than the lease it asks for.
+    /// The command arrived after the end of the lease that it asks for.
     TooLate,
-    /// The worker's capacity does not hold it.
+    /// The run does not fit the worker's capacity.
     NoRoom,
     /// The worker's host is leaving.
     Leaving,
@@ -177,20 +177,20 @@
     Failed,
 }
 
-/// A worker's late measurement.
+/// A worker's measurement of itself, which arrives late.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// When it was taken, by the worker's clock.
     pub taken: WorkerClock,
     /// Processors in use, in thousandths of a core.
     pub cpu: sizes::MilliCores,
-    /// Each service's 99th percentile over the measured window, in microseconds.
+    /// Each service's requests and service times over the measured window.
     pub services: Vec<ServiceUsage>,
     /// What each run used.
     pub runs: Vec<RunUsage>,
 }
 
-/// A run's share of a [`Usage`].
+/// What one run used, as part of a [`Usage`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunUsage {
     /// The run.
@@ -199,12 +199,12 @@
     pub cpu: sizes::MilliCores,
 }
 
-/// A service's share of a [`Usage`].
+/// What was measured of one service, as part of a [`Usage`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceUsage {
     /// The service.
     pub service: ids::ServiceId,
-    /// Requests in the window.
+    /// The number of requests in the window.
     pub requests: u32,
     /// Median of service time, in microseconds.
     pub p50_us: u64,
@@ -215,7 +215,7 @@
 /// One host of the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// The worker that it carries.
+    /// The worker that runs on it.
     pub worker: ids::WorkerId,
     /// Its address, an IP number with a port.
     pub addr: String,
@@ -223,18 +223,19 @@
     pub domain: ids::DomainId,
     /// Its rack.
     pub rack: ids::RackId,
-    /// What it can carry.
+    /// Its capacity.
     pub capacity: sizes::Resources,
-    /// Service requests that it works on at once.
+    /// How many service requests it can work on at once.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// How many connections it accepts at once.
     pub connections: u32,
     /// Whether it is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The header that carries the commanding epoch of a service request.
+/// The header that carries the owner's epoch with a service request.
 pub const EPOCH_HEADER: &str = "x-gaplock-epoch";
-/// The header that carries a worker's refusal, a [`Verdict`] in JSON; such a request did not run.
+/// The header that carries a worker's refusal, a [`CommandOutcome`] in JSON; a request that is
+/// refused in this way did not run.
 pub const REFUSAL_HEADER: &str = "x-worker-refusal";
