--- a/crates/types/src/codes.rs
+++ b/crates/types/src/codes.rs
@@ -1,6 +1,6 @@
-//! Numbered result codes, the single vocabulary for every refusal and outcome.
+//! Numbered result codes. Every refusal and every outcome uses one of them.
 //!
-//! `docs/RESULT-CODES.md` is checked against this table by a test.
+//! A test checks `docs/RESULT-CODES.md` against the table in this module.
 
 use std::fmt;
 
@@ -35,11 +35,11 @@
     pub number: u16,
     /// The code's stable name.
     pub name: &'static str,
-    /// The HTTP status it travels with.
+    /// The HTTP status that it is sent with.
     pub status: u16,
     /// Whether the work ran.
     pub ran: Ran,
-    /// Whether the same request may be sent again as it is.
+    /// Whether the same request may be sent again unchanged.
     pub repeat: bool,
     /// What the caller should do.
     pub remedy: &'static str,
@@ -56,7 +56,7 @@
             $(#[doc = $remedy] $code,)*
         }
 
-        /// Every result code, in rising order of its number.
+        /// Every result code, in ascending order of its number.
         pub const TABLE: &[Row] = &[
             $(Row {
                 code: Code::$code,
@@ -117,7 +117,7 @@
 impl Code {
     /// Returns the code's row in the table.
     pub fn row(self) -> &'static Row {
-        TABLE.iter().find(|row| row.code == self).expect("the macro makes a row for every code")
+        TABLE.iter().find(|row| row.code == self).expect("every code has a row in the table")
     }
 
     /// Finds a code by its number.
