--- a/crates/types/tests/codes.rs
+++ b/crates/types/tests/codes.rs
@@ -1,4 +1,4 @@
-//! The result code page and the table in the code say the same.
+//! Tests that the page of result codes and the table in the code agree.
 
 use gaplock_types::codes::{self, Code};
 
