--- a/crates/types/tests/text.rs
+++ b/crates/types/tests/text.rs
@@ -1,11 +1,11 @@
-//! Identifiers and sizes read back what they print, and refuse what they do not know.
+//! Tests that identifiers and sizes parse the text that they print, and reject invalid text.
 
 use expect_test::expect;
 use gaplock_types::ids;
 use gaplock_types::sizes::{MebiBytes, MilliCores, Resources};
 
 #[test]
-fn identifiers_read_back_what_they_print() {
+fn identifiers_parse_what_they_print() {
     let job = ids::JobId { home: ids::PartitionId(3), number: 17 };
     let task = ids::TaskId { job, index: 2 };
     assert_eq!(task.to_string(), "j3-17.2");
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn starts_of_a_worker_differ_and_have_its_name() {
+fn incarnations_of_a_worker_differ_and_have_its_name() {
     let name = ids::WorkerName::from("i-3");
     let [unknown, first, next] = [None, Some(5), Some(6)].map(|ms| ids::WorkerId::of(&name, ms));
     assert_eq!(first.to_string(), "i-3@5");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn wrong_text_is_refused_with_a_reason() {
+fn invalid_text_is_rejected_with_a_reason() {
     let errors = [
         "x".repeat(65).parse::<ids::WorkerId>().map(drop).unwrap_err().why.to_string(),
         "a b".parse::<ids::EntryId>().map(drop).unwrap_err().to_string(),
