--- a/crates/policy/tests/handing.rs
+++ b/crates/policy/tests/store_outcome.rs
@@ -1,8 +1,10 @@
-//! What callers are told of jobs and cancellations, by what became of them here and at the leader.
+//! Tests the outcome that callers get for jobs and cancellations, by the outcomes on this host and
+//! at the leader.
 //!
-//! Found by reading, not seen on a run: a cancellation that was not stored here was refused
-//! although the leader, asked to store it, gave no answer; and one that may have been stored here
-//! was refused because the leader's own try was. Cause: one try's answer was taken for the fate of
+//! Guards against two faults that were found by reading the code, not in a run. A cancellation that
+//! was not stored by this host was refused although the leader, which was asked to store it, had not
+//! answered. A cancellation that may have been stored by this host was refused because the leader's
+//! own attempt was refused. In both cases the answer to one attempt was taken for the outcome of
 //! both.
 
 use gaplock_policy::store_outcome::{self, LeaderReply, StoreOutcome, StoredJob};
@@ -10,7 +12,7 @@
 
 const ALL: [StoreOutcome; 4] = [Stored, NoSuchJob, NotStored, Unclear];
 
-/// What became of it here, at the leader, and what the caller is told.
+/// The outcome on this host, the outcome at the leader, and the outcome that the caller gets.
 const TABLE: [(StoreOutcome, StoreOutcome, StoreOutcome); 16] = [
     (Stored, Stored, Stored),
     (Stored, NoSuchJob, Stored),
@@ -31,10 +33,10 @@
 ];
 
 #[test]
-fn both_fates_are_joined_by_one_rule() {
-    for (here, there, told) in TABLE {
-        let joined = store_outcome::combine(here, LeaderReply::Answered(there));
-        assert_eq!(joined, told, "{here:?} here and {there:?} at the leader");
+fn both_outcomes_are_combined_by_one_rule() {
+    for (here, there, expected) in TABLE {
+        let combined = store_outcome::combine(here, LeaderReply::Answered(there));
+        assert_eq!(combined, expected, "{here:?} here and {there:?} at the leader");
     }
 }
 
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn a_conflict_of_a_cancellation_is_told_by_what_is_stored() {
+fn the_outcome_of_a_conflicting_cancellation_follows_from_what_is_stored() {
     for job in [StoredJob::Gone, StoredJob::AsExpected, StoredJob::Recreated] {
         assert_eq!(store_outcome::cancel_outcome_after_conflict(true, job), Stored);
     }
