--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -1,4 +1,5 @@
-//! The driver of one leader: takes events in, calls what follows from them, and hands actions out.
+//! Handles the events of one leader: passes each to its module, runs the periodic checks, and
+//! returns the actions.
 
 use std::ops::{Deref, DerefMut};
 
@@ -15,36 +16,38 @@
 
 pub use crate::state::Term;
 
-/// How often a dispatch pass may run while events pour in; a pass looks at every ready step.
+/// The shortest interval between dispatch passes under a high rate of events; a pass examines every
+/// ready step.
 const MIN_PASS_INTERVAL: Millis = Millis(4);
 
-/// A pass goes over all workers, so on large fleets it runs less often: once in a millisecond for
-/// so many of them.
+/// A pass goes over all workers, so it runs less often on large fleets: the interval grows by one
+/// millisecond for this many workers.
 const WORKERS_PER_MS: u64 = 150;
 
-/// A pass that held many waiting steps against many workers is followed by a longer pause: one
-/// millisecond for so many looks at a worker. Without that the passes of a full installation leave no
-/// processor time for its renewals.
+/// A pass that compared many waiting steps with many workers is followed by a longer pause: one
+/// millisecond for this many candidate evaluations. Otherwise the passes of a full installation
+/// would leave no processor time for its renewals.
 const EVALUATIONS_PER_MS: u64 = 2_000;
 
-/// How often due renewals are looked for while events pour in; a look goes over all workers.
+/// How often due renewals are looked for under a high rate of events; each check sends all that are
+/// due.
 const RENEWAL_CHECK_INTERVAL: Millis = Millis(2);
 
-/// How often bounds of time are checked.
+/// How often time limits are checked.
 const HOUSEKEEPING_INTERVAL: Millis = Millis(50);
 
-/// How often better places are looked for: each look goes over all workers for every image that is
-/// stuck, and moves one task to a worker.
+/// How often better workers are looked for. Each check goes over all workers for every image that
+/// is stuck, and moves at most one task to each worker.
 const REBALANCE_INTERVAL: Millis = Millis(200);
 
-/// What a leader knows, with the times at which it was last looked over. A driver reads the state through
-/// it as if it were the state.
+/// A leader's state, with the times of its last periodic checks. It dereferences to the state, so a
+/// driver reads the state through it.
 #[derive(Debug)]
 pub struct Context {
     state: State,
     last_pass: Instant,
     last_renewals: Instant,
-    /// Set when renewals may be due that were not looked for.
+    /// Set when renewals may be due but were not looked for.
     renewals_postponed: bool,
     last_housekeeping: Instant,
     last_rebalanced: Instant,
@@ -65,7 +68,8 @@
 }
 
 impl Context {
-    /// Builds the driver of a leader that knows nothing yet; [`takeover::restore`] fills its state.
+    /// Creates the context of a leader that knows nothing yet; [`takeover::restore`] fills its
+    /// state.
     pub fn open(settings: Settings, term: Term, now: Instant, unix_ms: u64) -> Self {
         Self {
             state: State::open(settings, term, now, unix_ms),
@@ -77,8 +81,8 @@
         }
     }
 
-    /// Takes in what happened at `now`, then does what time alone calls for. Actions gather in
-    /// [`State::actions`].
+    /// Handles an event that happened at `now`, then does what is due by time alone. Actions are
+    /// collected in [`State::actions`].
     pub fn handle(&mut self, now: Instant, unix_ms: u64, event: Event) {
         self.now = now;
         self.unix_ms = unix_ms;
@@ -88,7 +92,7 @@
         self.run_due_pass();
     }
 
-    /// Hands an event to the one module that takes it in.
+    /// Passes an event to the one module that handles it.
     fn apply(&mut self, event: Event) {
         match event {
             Event::Tick => {}
@@ -101,7 +105,7 @@
             Event::Unlisted(id) => directory::unlisted(self, &id),
             Event::DirectoryRecovered => self.directory_recovered_at = self.now,
             Event::DirectoryRead(read) => freshness::directory_read(self, read),
-            Event::StoreRevision(mark) => freshness::record_mark(self, mark),
+            Event::StoreRevision(sample) => freshness::record_mark(self, sample),
             Event::Evacuated(evacuated) => evacuation::apply(self, evacuated),
             Event::Renewed { worker, sent, outcome } => {
                 renewals::handle_renewal_outcome(self, worker, sent, outcome);
@@ -113,8 +117,8 @@
             Event::Stopped { worker, task, run, outcome } => {
                 orders::handle_stop_outcome(self, worker, task, run, outcome);
             }
-            Event::Paced { worker, task, run, percent, execution: fate } => {
-                pacing::handle_pace_outcome(self, worker, task, run, percent, fate);
+            Event::Paced { worker, task, run, percent, execution } => {
+                pacing::handle_pace_outcome(self, worker, task, run, percent, execution);
             }
             Event::Advised { step, asked, sent, answer } => {
                 permits::handle_advice(self, step, &asked, sent, answer);
@@ -132,9 +136,10 @@
         }
     }
 
-    /// Checks bounds of time now and then. What is over comes first, since it frees tasks and room; then what
-    /// it proves of the tasks that ran there; then what has to leave its worker, by need and by wish; then what
-    /// is kept or forgotten.
+    /// Checks time limits, at most once per [`HOUSEKEEPING_INTERVAL`]. The order matters. Expired
+    /// leases and ended incarnations come first, since they free tasks and capacity; then what they
+    /// prove about the tasks that ran there; then the tasks that must leave their worker and those
+    /// that would be better off elsewhere; then what is stored or dropped.
     fn run_housekeeping(&mut self) {
         if self.now.since(self.last_housekeeping) < HOUSEKEEPING_INTERVAL {
             return;
@@ -165,7 +170,8 @@
         }
     }
 
-    /// Starts what can start, last of all: with what has come free by now.
+    /// Runs a dispatch pass if one is due. It comes last, so that it can use the capacity that was
+    /// freed before.
     fn run_due_pass(&mut self) {
         if self.pass_wanted && self.now.since(self.last_pass) >= self.min_pass_interval() {
             self.last_pass = self.now;
@@ -176,7 +182,7 @@
         }
     }
 
-    /// Takes in that one start fewer is under way; steps may have waited for that.
+    /// Records that one start fewer is in flight; steps may have waited for that.
     fn start_answered(&mut self, ix: WorkerIx) {
         let waited_for = self.is_at_start_limit() || self.is_worker_at_start_limit(ix);
         self.pass_wanted |= waited_for && !self.ready.is_empty();
@@ -185,7 +191,7 @@
         worker.starts_in_flight = worker.starts_in_flight.saturating_sub(1);
     }
 
-    /// Looks now and then for better places for what runs.
+    /// Periodically looks for better workers for running tasks.
     fn rebalance(&mut self) {
         if self.now.since(self.last_rebalanced) < REBALANCE_INTERVAL {
             return;
@@ -194,14 +200,14 @@
         self.rebalance_searches = moving::check(self) + stragglers::check(self);
     }
 
-    /// Returns the least time between two passes.
+    /// Returns the shortest interval between two passes.
     fn min_pass_interval(&self) -> Millis {
         let by_fleet = Millis(self.fleet_size() as u64 / WORKERS_PER_MS);
-        let by_looks = Millis(self.pass_evaluations as u64 / EVALUATIONS_PER_MS);
-        MIN_PASS_INTERVAL.max(by_fleet).max(by_looks)
+        let by_evaluations = Millis(self.pass_evaluations as u64 / EVALUATIONS_PER_MS);
+        MIN_PASS_INTERVAL.max(by_fleet).max(by_evaluations)
     }
 
-    /// Returns when [`Event::Tick`] is wanted next.
+    /// Returns when [`Event::Tick`] is needed next.
     pub fn next_wake(&self) -> Instant {
         let pass = self.last_pass + self.min_pass_interval();
         let mut wake = self.last_housekeeping + HOUSEKEEPING_INTERVAL;
@@ -214,7 +220,7 @@
         wake
     }
 
-    /// Takes the actions that have gathered.
+    /// Takes the collected actions.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.state.actions)
     }
