--- a/crates/sched/src/interface.rs
+++ b/crates/sched/src/interface.rs
@@ -1,4 +1,5 @@
-//! What the driver shares with the scheduler: events, actions, records, settings, and what is stored.
+//! The types that the driver and the scheduler exchange: events, actions, stored records and
+//! settings.
 
 pub mod claims;
 pub mod commit_writer;
