--- a/crates/sched/src/interface/claims.rs
+++ b/crates/sched/src/interface/claims.rs
@@ -1,38 +1,40 @@
-//! Claims of the leadership as they are stored, and what a stored one says of a try without an
-//! answer.
+//! Claims of leadership as they are stored, and what a stored claim says about an unanswered
+//! attempt.
 //!
-//! Each try of a claim is made under a lease of its own. A leader renews the lease of the try that
-//! it takes for stored, so it must know which one that is: another try's claim goes with another
-//! lease.
+//! Each attempt to store a claim uses a lease of its own. A leader renews the lease of the attempt
+//! that it believes to be stored. It must know which attempt that is, because the claim of another
+//! attempt is bound to another lease.
 
 use gaplock_policy::attempts::Execution;
 use gaplock_types::ids;
 
-/// The stored claim.
+/// A stored claim of leadership.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LeaderRecord {
     /// The leader's host.
     pub host: ids::EntryId,
-    /// Where it answers other hosts.
+    /// The address at which the leader answers other hosts.
     pub addr: String,
-    /// The process that claimed.
+    /// The process that made the claim.
     pub incarnation: ids::Incarnation,
-    /// The number of the leadership.
+    /// The number of the leadership (its term).
     pub term: u64,
-    /// The lease that keeps the claim, which no other try has; 0 in records of earlier versions.
+    /// The lease that the claim is bound to. No other attempt has the same one; 0 in records of
+    /// earlier versions.
     #[serde(default)]
     pub lease: u64,
 }
 
 impl LeaderRecord {
-    /// Tells whether the same process made both claims, be it in one try or in two.
+    /// Returns whether the same process made both claims, in one attempt or in two.
     pub fn is_same_process(&self, other: &LeaderRecord) -> bool {
         (&self.host, self.incarnation) == (&other.host, other.incarnation)
     }
 }
 
-/// Tells what became of a try without an answer, by a claim that is stored after it. Any other
-/// claim than the try itself leaves it open, also one that an earlier try of the same process made.
+/// Returns what became of the unanswered attempt `sent`, given the claim that is stored after it.
+/// Any claim other than that of the attempt itself leaves this unknown, even one from an earlier
+/// attempt of the same process.
 pub fn execution_of_unanswered(sent: &LeaderRecord, stored: &LeaderRecord) -> Execution {
     if stored == sent {
         Execution::Done
