--- a/crates/sched/src/interface/commit_writer.rs
+++ b/crates/sched/src/interface/commit_writer.rs
@@ -1,23 +1,24 @@
-//! The leader's writes to the store: which transaction is stored, by what the answers prove.
+//! The leader's writes to the store: finds out from the answers which transaction is stored.
 //!
-//! A commit is a transaction that expects the last one. A try of it without an answer may be
-//! carried out seconds later, also after the refusal of a repeat, so a transaction with an open try
-//! is neither given up nor replaced: the very same one is sent again until it is known what became
-//! of it. At most one try can be carried out, since the first one that is ends what the others
-//! expect, and nothing newer can be written in its place. Each transaction bears a mark of its own,
-//! so reading the last mark says which one is stored. A driver carries out what [`Writer`] asks for
-//! and hands the answers back.
+//! A commit is a transaction that is conditional on the previous commit. An unanswered attempt to
+//! store it may be carried out seconds later, even after a repeated attempt was refused. So a
+//! transaction with an unanswered attempt is neither abandoned nor replaced: the same transaction
+//! is sent again until its outcome is known. At most one attempt can be carried out, because the
+//! first one invalidates the condition of the others, and nothing newer can be written in its
+//! place. Each transaction has an identifier of its own, so reading the last identifier shows which
+//! transaction is stored. A driver carries out the steps that [`CommitWriter`] returns and passes
+//! the answers back.
 
 use gaplock_policy::attempts::{CallAttempts, Execution};
 
-/// The stored number of the leadership and of its last commit.
+/// The identifier of a commit, which is stored with it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct CommitId {
-    /// The leadership.
+    /// The number of the leadership (its term).
     pub term: u64,
-    /// The transaction within it.
+    /// The number of the transaction within the leadership.
     pub number: u64,
 }
 
@@ -25,26 +26,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommitRevision(pub u64);
 
-/// What a try of a transaction was answered.
+/// The answer to one attempt to store a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitAnswer {
     /// It is stored.
     Stored(CommitRevision),
-    /// The store did not take it on; this try never will be carried out.
+    /// The store did not accept it; this attempt will never be carried out.
     Refused,
-    /// Something that it expects is not so; this try never will be carried out.
+    /// A condition of the transaction does not hold; this attempt will never be carried out.
     Conflict,
-    /// No answer came; it may have been carried out, or may be yet.
+    /// No answer came; the attempt may have been carried out or may be carried out later.
     Silent,
 }
 
-/// What a look at the store showed.
+/// The result of reading the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreView {
-    /// The last commit that is stored, and, where that is the last one known, whether the claim
-    /// stands.
+    /// The last stored commit and, if that is the last one known, whether the claim is still valid.
     Last {
-        /// Its mark, where it can be read.
+        /// Its identifier, if it can be read.
         mark: Option<CommitId>,
         /// Its revision.
         revision: CommitRevision,
@@ -58,45 +58,48 @@
 /// What the driver does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Sends the transaction, and hands the answer to [`Writer::answered`].
+    /// Send the transaction and pass the answer to [`CommitWriter::answered`].
     Send,
-    /// Looks at the last commit and the claim, and hands both to [`Writer::looked`].
+    /// Read the last commit and the claim, and pass both to [`CommitWriter::store_read`].
     ReadStore,
-    /// Waits a while and calls [`Writer::waited`].
+    /// Wait a while and call [`CommitWriter::waited`].
     Wait,
-    /// Ends: the transaction is stored.
+    /// Finish: the transaction is stored.
     Stored,
-    /// Ends: the transaction is not stored and never will be; its records may be written anew.
+    /// Finish: the transaction is not stored and never will be; its records may be written again in
+    /// another one.
     NotStored,
-    /// Ends: the leadership is over, and nothing more is written under it.
+    /// Finish: the leadership has ended, and nothing more is written under it.
     LeadershipOver,
 }
 
 /// The writes of one leadership, one transaction at a time.
 #[derive(Debug)]
 pub struct CommitWriter {
-    /// The mark of the last transaction that was built, be it stored or not.
-    mark: CommitId,
-    /// The last commit that is stored.
+    /// The identifier of the last transaction that was built, whether it is stored or not.
+    last_id: CommitId,
+    /// The revision of the last commit that is stored.
     last: CommitRevision,
     attempts: CallAttempts,
-    /// Whether any try met a conflict, which a leadership that stands cannot cause by itself.
+    /// Whether any attempt met a conflict. A leadership that is still valid cannot cause one by
+    /// itself.
     conflict: bool,
 }
 
-/// Builds the writes of a leadership whose claim bears `mark` and is stored at `last`.
-pub fn open(mark: CommitId, last: CommitRevision) -> CommitWriter {
-    CommitWriter { mark, last, attempts: CallAttempts::default(), conflict: false }
+/// Creates the writer of a leadership whose claim has the identifier `claim_id` and is stored
+/// at `last`.
+pub fn open(claim_id: CommitId, last: CommitRevision) -> CommitWriter {
+    CommitWriter { last_id: claim_id, last, attempts: CallAttempts::default(), conflict: false }
 }
 
 impl CommitWriter {
-    /// Begins a transaction that expects the last commit, and returns its mark. Marks count the
-    /// transactions that were built, so no two of them ever share one.
+    /// Begins a transaction that is conditional on the last commit, and returns its identifier.
+    /// Identifiers count the transactions that were built, so no two of them are the same.
     pub fn begin(&mut self) -> CommitId {
-        self.mark.number += 1;
+        self.last_id.number += 1;
         self.attempts = CallAttempts::default();
         self.conflict = false;
-        self.mark
+        self.last_id
     }
 
     /// Returns the revision of the last commit that is stored.
@@ -104,37 +107,37 @@
         self.last
     }
 
-    /// Returns the tries of the transaction so far.
+    /// Returns the attempts of the transaction so far.
     pub fn attempts(&self) -> CallAttempts {
         self.attempts
     }
 
-    /// Takes in that a try is being sent.
+    /// Records that an attempt is being sent.
     pub fn sent(&mut self) {
         self.attempts.record_send();
     }
 
-    /// Takes in what the last try was answered.
+    /// Handles the answer to the last attempt.
     pub fn answered(&mut self, answer: CommitAnswer) -> NextStep {
-        let fate = match answer {
+        let execution = match answer {
             CommitAnswer::Stored(revision) => return self.stored(revision),
             CommitAnswer::Refused | CommitAnswer::Conflict => Execution::NotDone,
             CommitAnswer::Silent => Execution::Unknown,
         };
         self.conflict |= answer == CommitAnswer::Conflict;
-        match self.attempts.record_outcome(fate) {
-            // Its conflict says that the claim or the last commit is another's.
+        match self.attempts.record_outcome(execution) {
+            // The conflict shows that another process may have stored the claim or the last commit.
             Execution::NotDone if !self.conflict => NextStep::NotStored,
             _ => NextStep::ReadStore,
         }
     }
 
-    /// Takes in a look at the store. A mark other than this transaction's, at another revision than
-    /// that of the last commit, is another leader's: each earlier transaction is stored as that
-    /// commit or never will be.
-    pub fn store_read(&mut self, sight: StoreView) -> NextStep {
-        let StoreView::Last { mark, revision, leads } = sight else { return NextStep::Wait };
-        if mark == Some(self.mark) {
+    /// Handles the result of reading the store. If the last commit has neither this transaction's
+    /// identifier nor the revision of the last known commit, another leader wrote it: each earlier
+    /// transaction is stored as that commit or never will be.
+    pub fn store_read(&mut self, view: StoreView) -> NextStep {
+        let StoreView::Last { mark, revision, leads } = view else { return NextStep::Wait };
+        if mark == Some(self.last_id) {
             return self.stored(revision);
         }
         if revision != self.last || !leads {
@@ -143,7 +146,7 @@
         NextStep::Wait
     }
 
-    /// Takes in that a while has passed; against a silent store the loop ends with the leadership.
+    /// Handles the end of a wait. If the store does not answer, the loop ends with the leadership.
     pub fn waited(&self, leads: bool) -> NextStep {
         if leads {
             NextStep::Send
