--- a/crates/sched/src/interface/message/hosts.rs
+++ b/crates/sched/src/interface/message/hosts.rs
@@ -1,88 +1,88 @@
-//! What is said of the workers' hosts and of their upkeep.
+//! The workers' hosts and their maintenance waves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use gaplock_types::ids;
 use gaplock_types::time::Millis;
 
-/// Whether a host is there.
+/// Whether a host is up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostState {
     /// It runs a worker.
     Up,
-    /// It is moving, in upkeep or down.
+    /// It is moving, under maintenance or down.
     Away,
 }
 
-/// A host, as the platform lists it.
+/// A host as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostInfo {
-    /// The host; it keeps its name over all its workers.
+    /// The host; it keeps its name across all its workers.
     pub id: ids::HostId,
-    /// Whether it is there.
+    /// Whether it is up.
     pub state: HostState,
     /// Its worker's name, while it has one.
     pub worker: Option<ids::WorkerName>,
 }
 
-/// The number of a wave of upkeep.
+/// The number of a maintenance wave.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(transparent)]
 pub struct WaveNumber(pub u64);
 
-/// A wave of upkeep, as the operators ask for it.
+/// A maintenance wave as the operators request it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaveRequest {
     /// Its number.
     pub number: WaveNumber,
     /// The hosts that must go down once.
     pub hosts: Vec<ids::HostId>,
-    /// How long the whole wave may take.
+    /// The time limit for the whole wave.
     pub within: Millis,
-    /// How many of the hosts may be down at once.
+    /// How many of the hosts may be down at the same time.
     pub at_once: u32,
 }
 
-/// How far a wave has come, in the form in which it is stored.
+/// The progress of a maintenance wave as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct WaveProgress {
     /// The wave.
     pub number: WaveNumber,
-    /// When it was first heard of, in milliseconds since 1970.
+    /// When the leader first learned of it, in milliseconds since 1970.
     pub began_unix_ms: u64,
-    /// The hosts whose upkeep has begun.
+    /// The hosts whose maintenance has begun.
     pub begun: BTreeSet<ids::HostId>,
-    /// The hosts that may have been ordered down and are not known to have begun, with the worker
-    /// that each of them ran; empty in what former versions stored. It is stored before the order
-    /// is given, so a successor knows what may go down yet, and which worker gets no tasks, before
-    /// it has a list of the hosts.
+    /// The hosts that may have been ordered down and whose maintenance is not known to have begun,
+    /// each with the worker that it ran; empty in records of earlier versions. They are stored
+    /// before the order is sent, so a new leader knows which hosts may still go down, and which
+    /// workers get no tasks, before it has a list of the hosts.
     #[serde(default)]
     pub ordered: BTreeMap<ids::HostId, Option<ids::WorkerName>>,
-    /// Whether the upkeep of every host that stays has begun.
+    /// Whether the maintenance of every host that stays in the wave has begun.
     pub completed: bool,
 }
 
 impl WaveProgress {
-    /// Builds the progress of a wave that was just heard of.
+    /// Creates the progress of a wave that the leader has just learned of.
     pub fn new(number: WaveNumber, began_unix_ms: u64) -> Self {
         let (begun, ordered) = (BTreeSet::new(), BTreeMap::new());
         Self { number, began_unix_ms, begun, ordered, completed: false }
     }
 }
 
-/// What became of an order that a host goes down for its upkeep.
+/// The answer to an order that takes a host down for maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MaintenanceAnswer {
-    /// Its upkeep has begun, now or earlier.
+    /// Its maintenance has begun, now or earlier.
     Begun,
     /// It is not up, or is leaving; nothing was done.
     Busy,
-    /// It is not of this wave; nothing was done.
+    /// It is not part of this wave; nothing was done.
     NotOfWave,
     /// A later leader has given orders for it; nothing was done.
     Fenced,
-    /// No answer came; it may have been done.
+    /// No answer came; the order may have been carried out.
     Unclear,
 }
