--- a/crates/sched/src/interface/message/learned.rs
+++ b/crates/sched/src/interface/message/learned.rs
@@ -1,28 +1,29 @@
-//! What was learnt of how images disturb each other, in the form in which it outlives a leader.
+//! The learned interference between images, in the form that is stored for the next leader.
 
-/// What was learnt of one serving image, in the form in which it outlives a leader.
+/// What was learned about one serving image, in the form that is stored for the next leader.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LearnedImage {
     /// The serving image.
     pub image: String,
-    /// Its lowest tail in milliseconds.
+    /// Its lowest tail latency in milliseconds.
     pub lowest_ms: f64,
-    /// The pressure that filling images put on it.
+    /// How much each best-effort image interferes with it.
     pub factors: Vec<LearnedFactor>,
 }
 
-/// What was learnt of one pair of images.
+/// What was learned about one pair of images.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct LearnedFactor {
-    /// The filling image.
+    /// The best-effort image.
     pub image: String,
-    /// Its factor.
+    /// The interference per share of a worker's processors that the best-effort image uses, where
+    /// 1 is all of them.
     pub factor: f64,
-    /// How uncertain the factor is, as a variance.
+    /// The uncertainty of the factor, as a variance.
     pub variance: f64,
 }
 
-/// What was learnt of all images.
+/// What was learned about all images.
 #[derive(Debug, Clone, PartialEq, Default, serde::Serialize, serde::Deserialize)]
 pub struct Learned {
     /// The serving images.
