--- a/crates/sched/src/interface/message/readings.rs
+++ b/crates/sched/src/interface/message/readings.rs
@@ -2,22 +2,23 @@
 
 use gaplock_types::time::Instant;
 
-/// The store's revision at a time.
+/// A reading of the store's revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RevisionSample {
     /// When the store was asked.
     pub sent: Instant,
-    /// The revision that it was at then, or later.
+    /// The revision at that time, or a later one.
     pub revision: u64,
 }
 
-/// A reading of the directory whose changes have been handed over.
+/// A completed read of the directory; the events of its changes have been reported before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DirectoryRead {
-    /// When the directory was asked for.
+    /// When the directory was requested.
     pub sent: Instant,
     /// The revision up to which it was read.
     pub revision: u64,
-    /// Whether the answer left nothing out that had been written when it was asked for.
+    /// Whether the answer contains everything that had been written when the directory was
+    /// requested.
     pub complete: bool,
 }
