--- a/crates/sched/src/interface/message/steps.rs
+++ b/crates/sched/src/interface/message/steps.rs
@@ -1,4 +1,4 @@
-//! Names of steps.
+//! Keys of steps.
 
 use gaplock_jobs::{JobKey, TaskKey};
 
