--- a/crates/sched/src/interface/settings.rs
+++ b/crates/sched/src/interface/settings.rs
@@ -1,65 +1,68 @@
-//! Bounds and intervals of the scheduler. Those that an installation sets come from its settings;
-//! the others are our own, each with the reason for its value.
+//! Limits and intervals of the scheduler. Some of them come from the installation's settings; the
+//! others are fixed here, each with the reason for its value.
 
 use gaplock_types::time::Millis;
 
-/// Bounds and intervals, see each field for unit and origin.
+/// Limits and intervals. Fields that the installation sets say so.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// The longest lease that a worker grants; set by the installation.
     pub lease_max: Millis,
-    /// The longest time that a stop takes at a worker; set by the installation.
+    /// The longest time that a worker takes to stop a run; set by the installation.
     pub stop_limit: Millis,
-    /// How long a draining worker serves at least; set by the installation.
+    /// The shortest time for which a draining worker keeps running; set by the installation.
     pub min_drain: Millis,
-    /// How much slower than ours a worker's clock may run, in parts per thousand; the workers'
-    /// interface names 2 %.
+    /// How much slower than the leader's clock a worker's clock may run, in parts per thousand. The
+    /// workers' interface specifies 2 %.
     pub clock_drift_per_mille: u64,
-    /// How long a renewal of leases may wait at a worker for a task's end. Shorter waits cost a
-    /// call each, longer ones let readings of serving tasks grow old.
+    /// How long a renewal of leases may wait at a worker for a task to end. Shorter waits cost more
+    /// calls; longer ones let the readings of serving tasks become stale.
     pub renew_wait: Millis,
-    /// The wait used while uncommitted ends keep a worker from answering late: a plain poll.
+    /// The interval between renewals of a worker while some of its ends are not stored. These
+    /// renewals are plain polls: they do not wait at the worker.
     pub poll_every: Millis,
-    /// How long after a renewal without an answer the next one is sent.
+    /// How long after an unanswered renewal the next one is sent.
     pub renew_retry: Millis,
-    /// How often a worker without tasks is asked, for its clock's sake.
+    /// The interval between renewals of a worker without tasks, which only refresh the reading of
+    /// its clock.
     pub idle_renew_every: Millis,
-    /// How many times a start without an answer is sent again before it is stopped instead.
+    /// How many times a start is sent without an answer before the run is stopped instead.
     pub max_start_attempts: u32,
-    /// How many starts may be under way at one time; set from the host's share of a processor. More
-    /// at once than a host can send and hear of delays the renewals behind them.
+    /// How many starts may be in flight at one time; set from the host's share of a processor. More
+    /// starts than a host can send and process would delay the renewals queued behind them.
     pub max_starts_in_flight: usize,
-    /// How long an ordered stop may go unanswered or unlisted before it is sent again.
+    /// How long a stop may go unanswered, or the end of its run unlisted, before the stop is sent
+    /// again.
     pub stop_retry: Millis,
-    /// How long ends are gathered into one commit.
+    /// How long ends are collected before they are stored in one commit.
     pub commit_delay: Millis,
-    /// The first pause before a task that failed starts again; it doubles with each failure.
+    /// The first pause before a failed task is started again; it doubles with each failure.
     pub retry_pause: Millis,
-    /// The longest pause before a task that failed starts again; below the time within which the
-    /// installation expects a lasting task to be at work again.
+    /// The longest pause before a failed task is started again. It is shorter than the time within
+    /// which the installation expects a long-running task to be ready again.
     pub retry_pause_max: Millis,
-    /// How many runs in a row a worker may fail before it gets no new tasks for a while.
+    /// How many runs in a row may fail on a worker before it gets no new tasks for a while.
     pub max_worker_failures: u32,
-    /// How long a worker that fails what it starts gets no new tasks; doubles with each time.
+    /// How long a worker on which runs keep failing gets no new tasks; it doubles each time.
     pub quarantine: Millis,
-    /// How long a worker that refused a task for want of room is not offered tasks.
+    /// How long no tasks are offered to a worker that refused one for lack of capacity.
     pub full_pause: Millis,
-    /// How long a serving task may exceed its target at a stretch; set by the installation.
+    /// How long a serving task may continuously exceed its target; set by the installation.
     pub max_tail_excess: Millis,
-    /// How long a successor waits for workers that do not answer, beyond the longest lease.
+    /// How long beyond the longest lease a new leader waits for workers that do not answer.
     pub takeover_margin: Millis,
     /// How long a finished job's state is kept; set by the installation, with a margin.
     pub finished_job_retention: Millis,
 }
 
-/// The longest lease that is asked for, whatever workers would grant. A task at a worker that is lost
-/// starts elsewhere only once its lease is over, and a successor that cannot reach a worker starts
-/// nothing for as long; the users expect lasting tasks at work again some 7 s after trouble has ended.
-/// A change of leader takes up to 3 s.
+/// The longest lease that is requested, whatever workers would grant. A task at a lost worker
+/// starts elsewhere only after its lease has expired, and a new leader that cannot reach a worker
+/// starts nothing for as long. The users expect long-running tasks to be ready again some 7 s after
+/// a fault has ended. A change of leader takes up to 3 s.
 const MAX_LEASE_REQUESTED: Millis = Millis(6_000);
 
 impl Settings {
-    /// Returns the length of the leases that are asked for.
+    /// Returns the length of the leases that are requested.
     pub fn lease(&self) -> Millis {
         self.lease_max.min(MAX_LEASE_REQUESTED)
     }
