--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,9 +1,9 @@
-//! The scheduler's decisions and state, without any input or output.
+//! The scheduler's state and decisions, without any input or output.
 //!
-//! [`context::Context`] owns everything that the leader of an installation knows. Events go in
-//! with the time at which they happened, actions come out; a driver carries the actions out and
-//! reports what became of them. `docs/PLATFORM.md` explains the design, above all why a successor
-//! learns what runs from the workers themselves.
+//! [`context::Context`] owns everything that the leader of an installation knows. It takes events,
+//! each with the time at which it happened, and produces actions. A driver carries the actions out
+//! and reports their results as events. `docs/PLATFORM.md` explains the design, above all why a new
+//! leader learns from the workers themselves what they run.
 
 pub mod changes;
 pub mod context;
