--- a/crates/sched/src/state.rs
+++ b/crates/sched/src/state.rs
@@ -1,4 +1,4 @@
-//! All that one leader knows, as plain data.
+//! Everything that one leader knows, as plain data.
 
 pub mod abandoned_start;
 pub mod checkpoint;
@@ -38,40 +38,41 @@
 use renewal_queue::RenewalQueue;
 use worker::{Renewal, Worker};
 
-/// Sound entries whose pool the configuration does not name; a later one may.
+/// Valid directory entries whose pool the configuration does not name; a later configuration may.
 pub type UnknownPoolWorkers = BTreeMap<ids::WorkerId, WorkerInfo>;
 
-/// A leadership: its rising number and the token that fences every earlier one.
+/// A leadership: its rising number and the token that fences all earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Term {
     /// Counts leaderships of the installation, from 1; run numbers are derived from it.
     pub number: u64,
-    /// What workers compare.
+    /// The token that workers compare.
     pub token: FencingToken,
 }
 
-/// Runs that one leader may give a task; a run's number is the term's number times this, plus the
-/// count of starts. Two leaders therefore never use the same number.
+/// The number of runs that one leader may give a task. A run's number is the term's number times
+/// this, plus the count of starts, so two leaders never use the same number.
 const MAX_RUNS_PER_TERM: u64 = 1 << 12;
 
-/// The part of all starts under way that one worker may have, as a divisor. What takes processors goes
-/// to the fullest worker that holds it, so without a bound a few workers that have just fallen silent
-/// would take up all of them.
+/// The part of all starts in flight that one worker may have, as a divisor. Tasks that take
+/// processors go to the fullest worker with enough capacity, so without this limit a few workers
+/// that have just stopped answering would use up all starts.
 const WORKER_STARTS_DIVISOR: usize = 16;
 
-/// The starts that one worker may have under way on the weakest of leaders.
+/// The number of starts that one worker may have in flight even under the leader with the least
+/// capacity.
 const MIN_STARTS_PER_WORKER: usize = 2;
 
 /// Everything that a leader knows.
 #[derive(Debug)]
 pub struct State {
-    /// Bounds and intervals.
+    /// Limits and intervals.
     pub settings: Settings,
     /// The configuration in force.
     pub config: Option<Arc<config::Config>>,
-    /// The leadership under which all orders go out.
+    /// The leadership under which all orders are sent.
     pub term: Term,
-    /// The time of the event in hand.
+    /// The time of the event that is being handled.
     pub now: Instant,
     /// The wall clock at that time, in milliseconds since 1970.
     pub unix_ms: u64,
@@ -79,61 +80,62 @@
     pub jobs: FxHashMap<JobKey, JobEntry>,
     /// Cancellations of jobs that are not known yet, and when they came.
     pub early_cancellations: FxHashMap<JobKey, Instant>,
-    /// All workers ever seen by this leader, each start for itself.
+    /// All workers that this leader has ever seen, with one element for each incarnation.
     pub workers: Vec<Worker>,
-    /// When their renewals fall due.
+    /// When the renewals of workers are due.
     pub renewal_queue: RenewalQueue,
-    /// How many of them are gone.
+    /// How many of the workers are terminated.
     pub terminated_count: usize,
-    /// Workers by their start.
+    /// Workers by the id of their incarnation.
     pub by_id: FxHashMap<ids::WorkerId, WorkerIx>,
-    /// The last start of each worker.
+    /// The latest incarnation of each worker.
     pub by_name: FxHashMap<ids::WorkerName, WorkerIx>,
     /// Entries of the directory whose pool the configuration does not name.
     pub unknown_pool_workers: UnknownPoolWorkers,
-    /// The failure domains to whose workers nothing new goes.
+    /// The failure domains whose workers get no new tasks.
     pub evacuated: Evacuated,
     /// How old the view of the directory is.
     pub freshness: Freshness,
     /// Steps with pending tasks.
     pub ready: BTreeSet<ReadyStep>,
-    /// Set while former leaders' runs are being searched for.
+    /// Set while the leader looks for runs of previous leaders.
     pub recovery_scan: Option<RecoveryScan>,
     /// What is to be stored.
     pub commits: Commits,
-    /// What is known of how tasks disturb each other.
+    /// The learned interference between tasks.
     pub interference: InterferenceModel,
-    /// Where steps may run whose queue asks another service.
+    /// Where steps may run whose queue asks an external service.
     pub permits: Permits,
-    /// Tasks under which workers were lost.
+    /// Tasks that were running on workers when these were lost, and may have crashed them.
     pub crashes: CrashTracker,
-    /// Waves of upkeep.
+    /// Maintenance waves.
     pub maintenance: Maintenance,
-    /// What is to be done.
+    /// The actions for the driver.
     pub actions: Vec<Action>,
-    /// How many starts have been sent whose answer, or the lack of one, is not known yet.
+    /// How many starts are in flight: sent, and neither answered nor known to be unanswered.
     pub starts_in_flight: usize,
     /// Set when a dispatch pass could find something to start.
     pub pass_wanted: bool,
-    /// How many looks at a worker the last dispatch pass took.
+    /// How many candidate evaluations the last dispatch pass made.
     pub pass_evaluations: usize,
-    /// The worker with which the next look for better places begins: for what is slowed down, and for what
-    /// runs on a slow worker.
+    /// The workers at which the next check for better workers begins: for tasks that are slowed
+    /// down, and for tasks on slow workers.
     pub rebalance_cursors: (WorkerIx, WorkerIx),
-    /// How many searches over all workers the last look for better places made.
+    /// How many searches over all workers the last check for better workers made.
     pub rebalance_searches: usize,
-    /// When a short task last found no room, by pool.
+    /// When a short task last found no free capacity, by pool.
     pub short_task_waited_at: FxHashMap<ids::ServiceId, Instant>,
     /// When the directory could be read again after the last outage, or was first read.
     pub directory_recovered_at: Instant,
-    /// When what was learnt was last stored.
+    /// When the learned interference was last stored.
     pub learned_stored_at: Instant,
-    /// How many listed runs were found of jobs that had ended before, without a stop on its way.
+    /// How many runs were listed although their job had ended before and no stop was on its way.
     pub runs_after_end: u64,
 }
 
 impl State {
-    /// Builds the state of a leader that knows nothing yet; [`crate::changes::takeover::restore`] fills it.
+    /// Creates the state of a leader that knows nothing yet; [`crate::changes::takeover::restore`]
+    /// fills it.
     pub fn open(settings: Settings, term: Term, now: Instant, unix_ms: u64) -> Self {
         Self {
             settings,
@@ -171,16 +173,16 @@
         }
     }
 
-    /// Tells whether as many starts are under way as may be.
+    /// Returns whether no more starts may be in flight.
     pub fn is_at_start_limit(&self) -> bool {
         self.starts_in_flight >= self.settings.max_starts_in_flight
     }
 
-    /// Tells whether as many starts are under way to a worker as may be.
+    /// Returns whether no more starts may be in flight to a worker.
     pub fn is_worker_at_start_limit(&self, ix: WorkerIx) -> bool {
-        let most =
+        let limit =
             (self.settings.max_starts_in_flight / WORKER_STARTS_DIVISOR).max(MIN_STARTS_PER_WORKER);
-        self.worker(ix).starts_in_flight >= most
+        self.worker(ix).starts_in_flight >= limit
     }
 
     /// Returns a worker.
@@ -188,40 +190,40 @@
         &self.workers[ix.0 as usize]
     }
 
-    /// Finds a task of a job that is known.
+    /// Returns a task, if its job is known.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         self.jobs.get(&key.job)?.task(key)
     }
 
-    /// Finds a task of a job that is known.
+    /// Returns a task for modification, if its job is known.
     pub fn task_mut(&mut self, key: TaskKey) -> Option<&mut Task> {
         self.jobs.get_mut(&key.job)?.task_mut(key)
     }
 
-    /// Tells whether a task is held to be at a worker under a run.
+    /// Returns whether a task is believed to be at a worker under this run.
     pub fn is_active(&self, key: TaskKey, worker: WorkerIx, run: Run) -> bool {
         let state = self.task(key).map(|t| t.state);
         state == Some(TaskState::Active { worker, run })
     }
 
-    /// Finds the description of a task's step.
+    /// Returns the description of a task's step.
     pub fn step(&self, key: TaskKey) -> Option<&Step> {
         self.jobs.get(&key.job)?.step(key)
     }
 
-    /// Finds the state of a task's step.
+    /// Returns the state of a task's step.
     pub fn step_state(&self, key: TaskKey) -> Option<&StepState> {
         let round = self.jobs.get(&key.job)?.round(key.round)?;
         round.steps.get(usize::from(key.step))
     }
 
-    /// Finds the state of a task's step, for a change.
+    /// Returns the state of a task's step for modification.
     pub fn step_state_mut(&mut self, key: TaskKey) -> Option<&mut StepState> {
         let round = self.jobs.get_mut(&key.job)?.round_mut(key.round)?;
         round.steps.get_mut(usize::from(key.step))
     }
 
-    /// Returns a worker.
+    /// Returns a worker for modification.
     pub fn worker_mut(&mut self, ix: WorkerIx) -> &mut Worker {
         &mut self.workers[ix.0 as usize]
     }
@@ -245,10 +247,11 @@
         self.workers.len() - self.terminated_count
     }
 
-    /// Notes that a worker is gone, or is there again; whether that is new.
-    pub fn set_terminated(&mut self, ix: WorkerIx, gone: bool) -> bool {
-        let changed = std::mem::replace(&mut self.worker_mut(ix).terminated, gone) != gone;
-        if changed && gone {
+    /// Records that a worker is terminated, or is not after all; returns whether that changed.
+    pub fn set_terminated(&mut self, ix: WorkerIx, terminated: bool) -> bool {
+        let changed =
+            std::mem::replace(&mut self.worker_mut(ix).terminated, terminated) != terminated;
+        if changed && terminated {
             self.terminated_count += 1;
         } else if changed {
             self.terminated_count -= 1;
@@ -259,13 +262,13 @@
         changed
     }
 
-    /// Lists the positions of all workers that may still run something.
+    /// Returns the positions of all workers that may still run something.
     pub fn worker_ixs(&self) -> Vec<WorkerIx> {
         let all = 0..self.workers.len() as u32;
         all.map(WorkerIx).filter(|&ix| !self.worker(ix).terminated).collect()
     }
 
-    /// Derives the number of a task's run from how often this leader has started it.
+    /// Returns the number of a run from how often this leader has started its task.
     pub fn run_number(&self, starts: u32) -> Run {
         Run(self.term.number * MAX_RUNS_PER_TERM + u64::from(starts))
     }
