--- a/crates/sched/src/state/checkpoint.rs
+++ b/crates/sched/src/state/checkpoint.rs
@@ -1,4 +1,4 @@
-//! What tasks saved.
+//! Checkpoints of tasks.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
 
 use crate::interface::message::{Run, WorkerIx};
 
-/// What a task saved.
+/// A checkpoint that a task saved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Checkpoint {
-    /// The worker's text, which is handed on unchanged.
+    /// The worker's text, which is passed on unchanged.
     pub text: Arc<str>,
-    /// The run that saved it; 0 where a former leader's record does not say.
+    /// The run that saved it; 0 if a previous leader's record does not say.
     pub run: Run,
-    /// The worker that listed it; unset where a former leader stored it.
+    /// The worker that listed it; unset if a previous leader stored it.
     pub worker: Option<WorkerIx>,
-    /// When this leader heard of it.
+    /// When this leader learned of it.
     pub received_at: Instant,
 }
