--- a/crates/sched/src/state/commits.rs
+++ b/crates/sched/src/state/commits.rs
@@ -1,4 +1,4 @@
-//! What waits to be stored, and what is being stored.
+//! What is waiting to be stored, and what is being stored.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,8 +9,8 @@
 
 use crate::interface::message::{EndSeq, Record, WaveNumber, WorkerIx};
 
-/// What a record speaks of. A transaction writes each key once, and the newer record of a subject holds all that
-/// the older one does.
+/// What a record describes. A transaction writes each key once, and the newer record of a subject
+/// contains everything that the older one does.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RecordSubject {
     Progress(JobKey),
@@ -21,7 +21,7 @@
 }
 
 impl RecordSubject {
-    /// Returns what a record speaks of.
+    /// Returns what a record describes.
     fn of(record: &Record) -> Self {
         match record {
             Record::Progress(progress) => Self::Progress(progress.key),
@@ -34,13 +34,13 @@
     }
 }
 
-/// Records by their subjects. Thousands of workers enter the roster in one commit, so a newer record finds the
-/// older one by its subject.
+/// Records by their subjects. Thousands of workers enter the roster in one commit, so a newer
+/// record finds the older one by its subject.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Records(BTreeMap<RecordSubject, Record>);
 
 impl Records {
-    /// Adds a record in place of an older one of its subject.
+    /// Adds a record and replaces an older one of its subject.
     pub(crate) fn put(&mut self, record: Record) {
         self.0.insert(RecordSubject::of(&record), record);
     }
@@ -61,21 +61,30 @@
     }
 }
 
-/// What waits to be stored, and what is being stored.
+/// What is waiting to be stored, and what is being stored.
 #[derive(Debug, Default)]
 pub struct Commits {
+    /// Jobs whose progress has changed.
     pub(crate) dirty_jobs: BTreeSet<JobKey>,
+    /// Records other than jobs' progress.
     pub(crate) other: Records,
+    /// Since when the oldest change has been waiting.
     pub(crate) since: Option<Instant>,
+    /// Whether the next commit must not wait for further changes.
     pub(crate) urgent: bool,
+    /// The commit that is being stored.
     pub(crate) in_flight: Option<InFlightCommit>,
 }
 
-/// What becomes true once the commit in flight is stored.
+/// What becomes valid once the commit in flight is stored.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightCommit {
+    /// The jobs whose progress it contains, with their states.
     pub(crate) jobs: Vec<(JobKey, JobState)>,
+    /// The last end that it covers of each worker.
     pub(crate) ends: Vec<(WorkerIx, EndSeq)>,
+    /// Its records other than jobs' progress.
     pub(crate) other: Records,
+    /// The workers that it adds to the roster.
     pub(crate) roster: Vec<WorkerIx>,
 }
