--- a/crates/sched/src/state/interference_model.rs
+++ b/crates/sched/src/state/interference_model.rs
@@ -1,10 +1,11 @@
-//! The learnt model of disturbance, in the form in which queues behave.
+//! The learned interference model, which has the form of a queueing model.
 //!
-//! A serving task's tail is `unloaded / (1 - utilisation)`, and its utilisation is the load of its
-//! job, which swings within seconds, times one plus the pressure of what fills beside it. The
-//! pressure is the sum, over filling tasks, of the processor share each uses times a factor that
-//! depends on the pair of images; most pairs have none. Fitted to 24,000 readings of one calm day
-//! this explains 84 to 88 % of their variance (`docs/MEASUREMENTS.md`, section Disturbance).
+//! A serving task's tail latency is `unloaded / (1 - utilization)`. Its utilization is the load of
+//! its job, which varies within seconds, times one plus the interference of the best-effort tasks
+//! beside it. The interference is the sum, over these tasks, of the share of the processors that
+//! each of them uses times a factor that depends on the pair of images; for most pairs the factor
+//! is zero. Fitted to 24,000 readings of one calm day this explains 84 to 88 % of their variance
+//! (`docs/MEASUREMENTS.md`, section Disturbance).
 
 use gaplock_jobs::JobKey;
 use gaplock_types::time::Instant;
@@ -16,61 +17,64 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Row(pub u16);
 
-/// A filling image by its position.
+/// A best-effort image by its position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Column(pub u16);
 
-/// A filling task whose push on a serving image is less than this is left alone.
+/// A best-effort task that interferes less than this with a serving image is ignored.
 pub const MIN_INTERFERENCE: f64 = 0.02;
 
-/// The most filling images that are told apart; further ones share the last column.
+/// The number of best-effort images that are told apart; further ones share the last column.
 const MAX_COLUMNS: usize = 48;
 
-/// What a factor is held to be before anything was seen; measured ones are 0 or 1 to 4.
+/// A factor's value before the first reading; measured factors are 0 or 1 to 4.
 const FACTOR_PRIOR: f64 = 0.4;
 
-/// How uncertain that is, as a variance.
+/// How uncertain that value is, as a variance.
 const FACTOR_PRIOR_VARIANCE: f64 = 1.5;
 
-/// The variance of one utilisation around the model, as measured.
+/// The variance of one utilization around the model.
 const UTILIZATION_NOISE_VARIANCE: f64 = 0.02;
 
-/// How much of the past each reading keeps; half of it is gone after some 1,400 readings.
+/// How much weight earlier readings keep at each reading; half of it is gone after some 1,400
+/// readings.
 const FORGETTING_FACTOR: f64 = 0.9995;
 
-/// The utilisation from which a reading only says "at least": tails far above the target vary
-/// wildly.
+/// The utilization from which a reading is only a lower bound: tails far above the target vary
+/// widely.
 const SATURATED_UTILIZATION: f64 = 0.93;
 
-/// The load that a job is held to have before its first reading: the middle of measured ones.
+/// A job's load before its first reading: the middle of measured loads.
 const LOAD_PRIOR: f64 = 0.5;
 
-/// The bounds of a job's load, somewhat wider than measured ones.
+/// The bounds of a job's load, somewhat wider than measured loads.
 const LOAD_RANGE: (f64, f64) = (0.05, 0.9);
 
-/// How much of one reading's surprise enters its job's load, where nothing presses. A job has some
-/// six tasks, each read about once a second.
+/// The weight of one reading's residual in its job's load, without interference. A job has some six
+/// tasks, each of which is read about once a second.
 const LOAD_GAIN: f64 = 0.3;
 
-/// How much of one reading's surprise enters the slope of its job's load, per second.
+/// The weight of one reading's residual in the slope of its job's load, per second.
 const SLOPE_GAIN: f64 = 0.05;
 
-/// The steepest slope of a load, per second; measured ones reach 0.1.
+/// The steepest slope of a load, per second; measured slopes reach 0.1.
 const MAX_SLOPE_PER_S: f64 = 0.12;
 
-/// How far a slope is carried on without a reading, in seconds.
+/// How far a slope is extrapolated without a reading, in seconds.
 const SLOPE_HORIZON_S: f64 = 2.0;
 
-/// The lowest reading seen is taken at this load: measured loads never fell far below it.
+/// The load at which the lowest tail is assumed to have been read: measured loads never fell far
+/// below it.
 const LOAD_AT_LOWEST_TAIL: f64 = 0.2;
 
-/// The share of its target that an image's unloaded tail is held to be at most, at first.
+/// The largest share of its target that an image's unloaded tail is assumed to be, until lower
+/// tails have been read.
 const MAX_UNLOADED_SHARE_OF_TARGET: f64 = 0.25;
 
-/// How fast the lowest reading is forgotten, for each reading.
+/// The factor by which the lowest tail grows at each reading, so that old values are forgotten.
 const LOWEST_TAIL_GROWTH: f64 = 1.0002;
 
-/// One serving image.
+/// What is learned about one serving image.
 #[derive(Debug, Clone)]
 struct ServingImage {
     lowest_ms: f64,
@@ -99,13 +103,13 @@
         self.factors.get(usize::from(column.0)).copied().unwrap_or(FACTOR_PRIOR).max(0.0)
     }
 
-    /// One step of recursive least squares.
+    /// Performs one step of recursive least squares.
     fn update(&mut self, inputs: &[f64], output: f64) {
         let gains: Vec<f64> = self.covariance.iter().map(|row| dot(row, inputs)).collect();
         let scale = UTILIZATION_NOISE_VARIANCE + dot(inputs, &gains);
-        let surprise = output - dot(&self.factors, inputs);
+        let residual = output - dot(&self.factors, inputs);
         for (factor, gain) in self.factors.iter_mut().zip(&gains) {
-            *factor += gain / scale * surprise;
+            *factor += gain / scale * residual;
         }
         for (row, gain) in self.covariance.iter_mut().zip(&gains) {
             for (cell, other) in row.iter_mut().zip(&gains) {
@@ -115,7 +119,8 @@
         self.bound_covariance();
     }
 
-    /// Keeps forgetting from blowing up the uncertainty of images that are not seen for long.
+    /// Limits the variances, which forgetting would otherwise let grow without bound for images
+    /// that are not seen for long.
     fn bound_covariance(&mut self) {
         for at in 0..self.factors.len() {
             let variance = self.covariance[at][at];
@@ -135,7 +140,7 @@
     a.iter().zip(b).map(|(x, y)| x * y).sum()
 }
 
-/// The load of a lasting job, which all its tasks share.
+/// The load of a long-running job, which all its tasks share.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     value: f64,
@@ -152,21 +157,22 @@
     }
 }
 
-/// A serving task, as far as the model needs it.
+/// The properties of a serving task that the model needs.
 #[derive(Debug, Clone, Copy)]
 pub struct ServingTask {
-    /// The lasting job.
+    /// The long-running job.
     pub job: JobKey,
     /// The image.
     pub row: Row,
-    /// The bound on the tail in milliseconds.
+    /// The target for the tail in milliseconds.
     pub target_ms: f64,
 }
 
-/// The least variance that a factor keeps over a change of leader: it may have shifted meanwhile.
+/// The least variance of a factor after a change of leader: the factor may have changed in the
+/// meantime.
 const MIN_RESTORED_VARIANCE: f64 = 0.1;
 
-/// What is known of how images disturb each other.
+/// What is known about the interference between images.
 #[derive(Debug, Default)]
 pub struct InterferenceModel {
     rows: FxHashMap<String, Row>,
@@ -176,7 +182,7 @@
 }
 
 impl InterferenceModel {
-    /// Returns a serving image's row, adding it where it is new.
+    /// Returns a serving image's row, adding one for a new image.
     pub fn row(&mut self, image: &str) -> Row {
         if let Some(&row) = self.rows.get(image) {
             return row;
@@ -188,7 +194,7 @@
         row
     }
 
-    /// Returns a filling image's column, adding it where it is new.
+    /// Returns a best-effort image's column, adding one for a new image.
     pub fn column(&mut self, image: &str) -> Column {
         if let Some(&column) = self.columns.get(image) {
             return column;
@@ -203,12 +209,12 @@
         self.rows.get(image).copied()
     }
 
-    /// Returns a filling image's column, if it has been seen.
+    /// Returns a best-effort image's column, if it has been seen.
     pub fn known_column(&self, image: &str) -> Option<Column> {
         self.columns.get(image).copied()
     }
 
-    /// Returns what has been learnt, rounded, for a successor.
+    /// Returns what has been learned, rounded, for the next leader.
     pub fn learned(&self) -> Learned {
         let round = |x: f64| (x * 100.0).round() / 100.0;
         let mut images: Vec<LearnedImage> = Vec::new();
@@ -233,9 +239,9 @@
         Learned { images }
     }
 
-    /// Takes over what a former leader has learnt.
-    pub fn restore(&mut self, learnt: &Learned) {
-        for known in &learnt.images {
+    /// Restores what a previous leader has learned.
+    pub fn restore(&mut self, learned: &Learned) {
+        for known in &learned.images {
             let row = self.row(&known.image);
             for factor in &known.factors {
                 self.column(&factor.image);
@@ -257,31 +263,33 @@
         }
     }
 
-    /// Returns the pressure that a filling image puts on a serving one, for each whole share of
-    /// the worker's processors that it uses.
+    /// Returns the interference of a best-effort image with a serving one, per share of the
+    /// worker's processors that it uses, where 1 is all of them.
     pub fn factor(&self, row: Row, column: Option<Column>) -> f64 {
         column.map_or(FACTOR_PRIOR, |c| self.images[usize::from(row.0)].factor(c))
     }
 
-    /// Returns the pressure of filling tasks on a serving image.
-    pub fn interference(&self, row: Row, filling: impl Iterator<Item = (Column, f64)>) -> f64 {
+    /// Returns the interference of best-effort tasks with a serving image.
+    pub fn interference(&self, row: Row, best_effort: impl Iterator<Item = (Column, f64)>) -> f64 {
         let image = &self.images[usize::from(row.0)];
-        filling.map(|(column, share)| image.factor(column) * share).sum()
+        best_effort.map(|(column, share)| image.factor(column) * share).sum()
     }
 
-    /// Returns the share of the known filling images of which one more task, on so much of a worker's
-    /// processors, is bearable beside serving images with so much pressure to spare.
+    /// Returns the share of the known best-effort images of which one more task, using `share` of a
+    /// worker's processors, is tolerable beside serving images with this much spare interference.
     pub fn fitting_image_share(&self, spare: &[(Row, f64)], share: f64) -> f64 {
         let columns = self.columns.len().min(MAX_COLUMNS);
         if columns == 0 {
             return 1.0;
         }
-        let bearable = |column: Column| {
-            let push = |row: Row| self.factor(row, Some(column)) * share;
-            spare.iter().all(|&(row, left)| push(row) < MIN_INTERFERENCE || push(row) <= left)
+        let tolerable = |column: Column| {
+            let interference = |row: Row| self.factor(row, Some(column)) * share;
+            spare.iter().all(|&(row, left)| {
+                interference(row) < MIN_INTERFERENCE || interference(row) <= left
+            })
         };
-        let open = (0..columns as u16).filter(|&c| bearable(Column(c))).count();
-        open as f64 / columns as f64
+        let fitting = (0..columns as u16).filter(|&c| tolerable(Column(c))).count();
+        fitting as f64 / columns as f64
     }
 
     /// Returns a job's expected load `ahead_s` seconds from now.
@@ -294,77 +302,77 @@
         self.loads.remove(&job);
     }
 
-    /// Returns the pressure under which a serving task's tail stays below `share` of its target,
+    /// Returns the interference at which a serving task's tail stays below `share` of its target,
     /// `ahead_s` seconds from now; it may be negative.
     pub fn tolerable_interference(
         &self,
-        served: &ServingTask,
+        task: &ServingTask,
         share: f64,
         now: Instant,
         ahead_s: f64,
     ) -> f64 {
-        let limit = self.utilization(served, served.target_ms * share);
-        limit / self.load(served.job, now, ahead_s) - 1.0
+        let limit = self.utilization(task, task.target_ms * share);
+        limit / self.load(task.job, now, ahead_s) - 1.0
     }
 
-    /// Returns the utilisation that a tail tells of.
-    pub fn utilization(&self, served: &ServingTask, tail_ms: f64) -> f64 {
-        let most = served.target_ms * MAX_UNLOADED_SHARE_OF_TARGET;
-        let unloaded = self.images[usize::from(served.row.0)].unloaded_ms().min(most);
+    /// Returns the utilization that a tail implies.
+    pub fn utilization(&self, task: &ServingTask, tail_ms: f64) -> f64 {
+        let max_unloaded = task.target_ms * MAX_UNLOADED_SHARE_OF_TARGET;
+        let unloaded = self.images[usize::from(task.row.0)].unloaded_ms().min(max_unloaded);
         (1.0 - unloaded / tail_ms.max(1.0)).max(0.0)
     }
 
-    /// Takes in one reading of a serving task's tail beside filling tasks.
+    /// Learns from one reading of a serving task's tail beside best-effort tasks.
     pub fn learn(
         &mut self,
-        served: &ServingTask,
-        filling: &[(Column, f64)],
+        task: &ServingTask,
+        best_effort: &[(Column, f64)],
         tail_ms: f64,
         now: Instant,
     ) {
         let columns = self.columns.len().min(MAX_COLUMNS);
-        let image = &mut self.images[usize::from(served.row.0)];
+        let image = &mut self.images[usize::from(task.row.0)];
         image.lowest_ms = (image.lowest_ms * LOWEST_TAIL_GROWTH).min(tail_ms);
         image.grow(columns);
-        let utilisation = self.utilization(served, tail_ms);
-        let pressure = self.interference(served.row, filling.iter().copied());
-        let load = self.load(served.job, now, 0.0);
-        let expected = load * (1.0 + pressure);
-        let saturated = utilisation >= SATURATED_UTILIZATION;
+        let utilization = self.utilization(task, tail_ms);
+        let interference = self.interference(task.row, best_effort.iter().copied());
+        let load = self.load(task.job, now, 0.0);
+        let expected = load * (1.0 + interference);
+        let saturated = utilization >= SATURATED_UTILIZATION;
         if saturated && expected >= SATURATED_UTILIZATION {
             return;
         }
-        if !filling.is_empty() {
+        if !best_effort.is_empty() {
             let mut inputs = vec![0.0; columns];
-            for (column, share) in filling {
+            for (column, share) in best_effort {
                 inputs[usize::from(column.0)] += share * load;
             }
-            self.images[usize::from(served.row.0)].update(&inputs, utilisation - load);
+            self.images[usize::from(task.row.0)].update(&inputs, utilization - load);
         }
-        self.update_load(served.job, utilisation, pressure, now);
+        self.update_load(task.job, utilization, interference, now);
     }
 
-    /// Lets a job's load follow a reading, the less the more presses on it.
-    fn update_load(&mut self, job: JobKey, utilisation: f64, pressure: f64, now: Instant) {
+    /// Updates a job's load from a reading, which counts less the more interference there is.
+    fn update_load(&mut self, job: JobKey, utilization: f64, interference: f64, now: Instant) {
         let fresh = Load { value: LOAD_PRIOR, slope: 0.0, at: now };
         let load = self.loads.entry(job).or_insert(fresh);
         let value = load.expected(now, 0.0);
-        let trust = 1.0 / ((1.0 + pressure) * (1.0 + 2.0 * pressure));
-        let surprise = utilisation / (1.0 + pressure) - value;
-        let slope = load.slope + SLOPE_GAIN * trust * surprise;
-        load.value = (value + LOAD_GAIN * trust * surprise).clamp(LOAD_RANGE.0, LOAD_RANGE.1);
+        let weight = 1.0 / ((1.0 + interference) * (1.0 + 2.0 * interference));
+        let residual = utilization / (1.0 + interference) - value;
+        let slope = load.slope + SLOPE_GAIN * weight * residual;
+        load.value = (value + LOAD_GAIN * weight * residual).clamp(LOAD_RANGE.0, LOAD_RANGE.1);
         load.slope = slope.clamp(-MAX_SLOPE_PER_S, MAX_SLOPE_PER_S);
         load.at = now;
     }
 
-    /// Describes the learnt factors, for the log.
+    /// Describes the learned factors, for the log.
     pub fn describe(&self) -> String {
         let mut text = String::new();
         for (image, row) in &self.rows {
-            let learnt = &self.images[usize::from(row.0)];
-            text.push_str(&format!("{image} unloaded {:.1} ms:", learnt.unloaded_ms()));
+            let learned = &self.images[usize::from(row.0)];
+            text.push_str(&format!("{image} unloaded {:.1} ms:", learned.unloaded_ms()));
             for (other, column) in &self.columns {
-                text.push_str(&format!(" {other}={:.1}", learnt.factor(*column)));
+                text.push_str(&format!(" {other}={:.1}", learned.factor(*column)));
             }
             text.push_str("; ");
         }
