--- a/crates/sched/src/state/job_table.rs
+++ b/crates/sched/src/state/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs that the leader knows, down to each task's state.
+//! The jobs that the leader knows, down to the state of each task.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use crate::state::crash_evidence::CrashEvidence;
 use crate::state::rates::StepRates;
 
-/// Where a task stands.
+/// The state of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
-    /// Earlier steps are not done, or its round is not due.
+    /// Earlier steps are not done, or its round is not due yet.
     Waiting,
     /// It may start once its pause is over.
     Pending,
@@ -28,41 +28,41 @@
         /// The run.
         run: Run,
     },
-    /// A former leader may have started it on a worker that has not answered yet.
+    /// A previous leader may have started it on a worker that has not answered yet.
     Unknown,
-    /// It ended well.
+    /// It ended successfully.
     Done,
 }
 
 /// One task.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// Where it stands.
+    /// Its state.
     pub state: TaskState,
     /// How many runs this leader has started.
     pub starts: u32,
     /// How many runs have failed.
     pub failed: u32,
-    /// The last runs that were counted as failed, in the order of counting.
+    /// The runs that were last counted as failed, in the order of counting.
     pub counted_runs: Vec<Run>,
-    /// Failures since the task last worked, for the pause before the next start.
+    /// Failures since the progress of a run last reached 100 %, which determine the pause before
+    /// the next start.
     pub consecutive_failures: u32,
-    /// Starts in a row that were refused as invalid, for the pause before the next one.
+    /// Starts in a row that were refused as invalid, which determine the pause before the next one.
     pub consecutive_invalid_starts: u32,
-    /// No start before this time.
+    /// The task is not started before this time.
     pub not_before: Instant,
-    /// Where the next run resumes.
+    /// The checkpoint from which the next run resumes.
     pub checkpoint: Option<Checkpoint>,
     /// The worker on which the last run failed; the next run avoids it.
     pub failed_on: Option<WorkerIx>,
-    /// When the task became pending, for the log.
+    /// When the task became pending.
     pub since: Instant,
-    /// Whether it may have been at work before: it was ordered to a worker, be it by a former
-    /// leader.
+    /// Whether it may have run before: it was ordered to a worker, possibly by a previous leader.
     pub may_have_run: bool,
-    /// A run on a slow worker that goes on while a copy is started elsewhere.
+    /// A run on a slow worker that continues while a speculative copy is started elsewhere.
     pub slow_run: Option<(WorkerIx, Run)>,
-    /// What speaks against it, if workers were lost under it; few tasks have any.
+    /// The evidence against it, if workers were lost while they ran it; few tasks have any.
     pub crash_evidence: Option<Box<CrashEvidence>>,
 }
 
@@ -97,7 +97,7 @@
     pub pending: BTreeSet<u32>,
     /// When the log last said why its tasks wait.
     pub last_explained_at: Instant,
-    /// How fast its tasks come along.
+    /// How fast its tasks make progress.
     pub rates: StepRates,
 }
 
@@ -106,12 +106,12 @@
 pub struct Round {
     /// The round's number.
     pub number: u32,
-    /// One state for each step.
+    /// The state of each step.
     pub steps: Vec<StepState>,
 }
 
 impl Round {
-    /// Builds an untouched round.
+    /// Creates a round in which nothing has run.
     pub fn new(number: u32, job: &Job) -> Self {
         let step = |s: &Step| StepState {
             tasks: vec![Task::new(); s.count as usize],
@@ -123,12 +123,12 @@
         Self { number, steps: job.steps.iter().map(step).collect() }
     }
 
-    /// Tells whether every task is done.
+    /// Returns whether every task is done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(|s| s.unfinished == 0)
     }
 
-    /// Tells whether the steps that `step` follows are done.
+    /// Returns whether the steps that `step` comes after are done.
     pub fn may_begin(&self, step: &Step) -> bool {
         step.after.iter().all(|&before| self.steps[usize::from(before)].unfinished == 0)
     }
@@ -137,11 +137,11 @@
 /// A job with its progress.
 #[derive(Debug, Clone)]
 pub struct JobEntry {
-    /// What the caller asked for.
+    /// The job as submitted.
     pub job: Arc<Job>,
-    /// The state by the leader's knowledge.
+    /// The job's state as far as this leader knows.
     pub state: JobState,
-    /// The state that is stored and may be shown.
+    /// The state that is stored and may be shown to callers.
     pub stored_state: JobState,
     /// Rounds that have begun and are not finished; none once the job has ended.
     pub rounds: Vec<Round>,
@@ -151,42 +151,42 @@
     pub next_round: u32,
     /// When the job ended, in milliseconds since 1970.
     pub ended_unix_ms: u64,
-    /// The objective by our clock, for ordering.
+    /// The job's objective as a time of the leader's clock, for ordering.
     pub due: Instant,
     /// The queue's priority; 0 goes first.
     pub priority: u32,
     /// How many failed runs a task may have.
     pub max_attempts: u32,
-    /// Set where the stored progress cannot be read, so that it is not known which tasks are done. None is started;
-    /// what runs may end.
+    /// Set if the stored progress cannot be read, so that it is not known which tasks are done. No
+    /// task is started, and running ones may end.
     pub unreadable: bool,
 }
 
 impl JobEntry {
-    /// Returns how many rounds the job has in all.
+    /// Returns how many rounds the job has in total.
     pub fn total_rounds(&self) -> u32 {
         self.job.repeat.map_or(1, |r| r.times)
     }
 
     /// Returns when a round is due, in milliseconds since 1970; 0 for a job that does not repeat.
     pub fn due_unix_ms(&self, round: u32) -> u64 {
-        let after = |r: Repeat| u64::from(round).saturating_mul(r.every.0);
-        self.job.repeat.map_or(0, |r| r.first_unix_ms.saturating_add(after(r)))
+        let offset = |r: Repeat| u64::from(round).saturating_mul(r.every.0);
+        self.job.repeat.map_or(0, |r| r.first_unix_ms.saturating_add(offset(r)))
     }
 
-    /// Tells whether as many rounds are under way as may be: together they have no more tasks than one
-    /// job may have, so that no request makes a leader keep more.
+    /// Returns whether no more rounds may be in progress. Together the rounds may have no more
+    /// tasks than one job may have, so that no request makes a leader keep more.
     pub fn is_at_round_limit(&self) -> bool {
         let tasks: u64 = self.job.steps.iter().map(|step| u64::from(step.count)).sum();
         self.rounds.len() as u64 >= (job::MOST_TASKS / tasks.max(1)).max(1)
     }
 
-    /// Goes over all tasks of the rounds under way.
+    /// Iterates over all tasks of the rounds in progress.
     pub fn tasks_mut(&mut self) -> impl Iterator<Item = &mut Task> {
         self.rounds.iter_mut().flat_map(|r| &mut r.steps).flat_map(|s| &mut s.tasks)
     }
 
-    /// Goes over all tasks of the rounds under way, with their keys.
+    /// Iterates over all tasks of the rounds in progress, with their keys.
     pub fn keyed_tasks_mut(&mut self) -> impl Iterator<Item = (TaskKey, &mut Task)> {
         let job = self.job.key;
         self.rounds.iter_mut().flat_map(move |round| {
@@ -199,23 +199,23 @@
         })
     }
 
-    /// Finds a round that is under way.
+    /// Returns a round that is in progress.
     pub fn round(&self, number: u32) -> Option<&Round> {
         self.rounds.iter().find(|r| r.number == number)
     }
 
-    /// Finds a round that is under way.
+    /// Returns a round that is in progress, for modification.
     pub fn round_mut(&mut self, number: u32) -> Option<&mut Round> {
         self.rounds.iter_mut().find(|r| r.number == number)
     }
 
-    /// Finds a task.
+    /// Returns a task.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         let round = self.round(key.round)?;
         round.steps.get(usize::from(key.step))?.tasks.get(key.index as usize)
     }
 
-    /// Finds a task.
+    /// Returns a task for modification.
     pub fn task_mut(&mut self, key: TaskKey) -> Option<&mut Task> {
         let round = self.round_mut(key.round)?;
         round.steps.get_mut(usize::from(key.step))?.tasks.get_mut(key.index as usize)
@@ -226,7 +226,7 @@
         self.job.steps.get(usize::from(key.step))
     }
 
-    /// Lists every task that is at a worker.
+    /// Returns every run that is at a worker, with its task.
     pub fn active(&self) -> Vec<(TaskKey, WorkerIx, Run)> {
         let mut found = Vec::new();
         for_each_task(self, |key, task| {
@@ -239,7 +239,7 @@
     }
 }
 
-/// Calls `f` for every task of the rounds under way.
+/// Calls `f` for every task of the rounds in progress.
 fn for_each_task(entry: &JobEntry, mut f: impl FnMut(TaskKey, &Task)) {
     for round in &entry.rounds {
         for (step, state) in round.steps.iter().enumerate() {
@@ -250,17 +250,17 @@
     }
 }
 
-/// Builds a task's key from positions.
+/// Builds the key of a task from its position in a job.
 pub fn task_key(job: JobKey, round: u32, step: usize, index: usize) -> TaskKey {
     TaskKey { job, round, step: step as u16, index: index as u32 }
 }
 
-/// A step with pending tasks, in the order in which steps are served.
+/// A step with pending tasks. Steps are dispatched in the order of this type.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReadyStep {
     /// The queue's priority; 0 goes first.
     pub priority: u32,
-    /// The job's objective.
+    /// The job's objective as a time of the leader's clock.
     pub due: Instant,
     /// The job.
     pub job: JobKey,
@@ -270,7 +270,8 @@
     pub step: u16,
 }
 
-/// Returns what a task takes of a worker's room; a filling task takes no processors of its own.
+/// Returns the resources that a task reserves on a worker; a best-effort task reserves no
+/// processors.
 pub fn reservation(step: &Step) -> Resources {
     if step.fills {
         return Resources::new(0, step.demand.mem.0, step.demand.acc);
@@ -278,7 +279,8 @@
     step.demand
 }
 
-/// Returns the processor demand of a filling task, and nothing for any other.
+/// Returns the processor demand of a best-effort task in thousandths of a core, and 0 for any
+/// other.
 pub fn best_effort_millicores(step: &Step) -> u32 {
     if step.fills {
         return step.demand.cpu.0;
