--- a/crates/sched/src/state/pace_orders.rs
+++ b/crates/sched/src/state/pace_orders.rs
@@ -1,9 +1,9 @@
-//! Which paces may be in force for a run.
+//! The orders of pace that were sent for a run, and which paces may be in force.
 //!
-//! No account of a worker says at which pace a run works, and an order without an answer may be
-//! carried out after newer ones, however much later. A run that was given such an order is in doubt
-//! for as long as it lasts: its wanted pace is put in force again and again, and what runs beside
-//! it reckons with the worst.
+//! No worker report says at which pace a run works, and an unanswered order may be carried out
+//! after newer ones, with any delay. The pace of a run that was given such an order stays uncertain
+//! for as long as the run lasts. Its wanted pace is ordered again and again, and decisions about
+//! its neighbors assume the worst case.
 
 use gaplock_policy::attempts::{CallAttempts, Execution};
 use gaplock_types::time::{Instant, Millis};
@@ -11,45 +11,45 @@
 /// The pace at which every run begins, in percent of full speed.
 pub const FULL_PACE: u32 = 100;
 
-/// The orders of pace that a run was given.
+/// The orders of pace that were sent for a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PaceOrders {
-    /// One for each order: whatever its pace, it may undo the others.
+    /// One attempt for each order: whatever its pace, it may undo the others.
     attempts: CallAttempts,
-    /// The last order: when it was sent, and the pace.
+    /// The last order: when it was sent, and its pace.
     last: Option<(Instant, u32)>,
-    /// Whether nothing is known of the pace in force, or the last order has got no answer.
+    /// Whether nothing is known of the pace in force, or the last order got no answer.
     pace_unknown: bool,
-    /// The highest pace among the orders without an answer.
+    /// The highest pace among the unanswered orders.
     max_unanswered_percent: u32,
 }
 
 impl PaceOrders {
-    /// Builds what is known of a run that a former leader started. The account that lists the run
-    /// answers a call of this leader, so its worker refuses what a former leader may have under
-    /// way: just the pace in force is not known, and one order that is answered settles it.
+    /// Creates the orders of a run that a previous leader started. The report that lists the run
+    /// answers a call of this leader, so its worker refuses any calls of previous leaders that are
+    /// still under way. Only the pace in force is unknown, and one answered order makes it known.
     pub fn adopted() -> Self {
         Self { pace_unknown: true, ..Self::default() }
     }
 
-    /// Counts an order that is being sent.
+    /// Records an order that is being sent.
     pub fn send(&mut self, now: Instant, percent: u32) {
         self.attempts.record_send();
         self.last = Some((now, percent));
     }
 
-    /// Tells whether an answer can be that of the last order; any other belongs to an order before
-    /// the run was given up and found again.
+    /// Returns whether an answer can be that of the last order. Any other answer belongs to an
+    /// order that was sent before the run was released and found again.
     pub fn may_answer_last(&self, percent: u32) -> bool {
         self.last.is_some_and(|(_, last)| last == percent)
     }
 
-    /// Takes in what became of the last order and tells whether its pace is in force. A refusal
-    /// says nothing of the orders before it.
-    pub fn record_outcome(&mut self, fate: Execution) -> bool {
+    /// Records the outcome of the last order and returns whether its pace is in force. A refusal
+    /// says nothing about the orders before it.
+    pub fn record_outcome(&mut self, execution: Execution) -> bool {
         let percent = self.last.map_or(FULL_PACE, |(_, percent)| percent);
-        self.attempts.record_outcome(fate);
-        match fate {
+        self.attempts.record_outcome(execution);
+        match execution {
             Execution::Done => self.pace_unknown = false,
             Execution::NotDone => {}
             Execution::Unknown => {
@@ -57,17 +57,18 @@
                 self.max_unanswered_percent = self.max_unanswered_percent.max(percent);
             }
         }
-        fate == Execution::Done
+        execution == Execution::Done
     }
 
-    /// Tells whether the wanted pace must be ordered although it is held to be in force: at once
-    /// where that is not known, and after `every` where an older order may have undone it.
+    /// Returns whether the wanted pace must be ordered although it is believed to be in force: at
+    /// once if the pace in force is unknown, and after `every` if an older order may have undone
+    /// it.
     pub fn must_resend(&self, now: Instant, every: Millis) -> bool {
         let waited = self.last.is_none_or(|(at, _)| now.since(at) >= every);
         self.pace_unknown || self.attempts.unanswered() > 0 && waited
     }
 
-    /// Tells whether the pace last confirmed is in force for certain.
+    /// Returns whether the pace that was last confirmed is certainly in force.
     pub fn is_certain(&self) -> bool {
         !self.pace_unknown && self.attempts.unanswered() == 0
     }
