--- a/crates/sched/src/state/permits.rs
+++ b/crates/sched/src/state/permits.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::message::{StepKey, WorkerIx};
 
-/// What is known of one step's permissions.
+/// What is known about the permissions of one step.
 #[derive(Debug, Default)]
 pub(crate) struct StepPermits {
     pub(crate) tickets: FxHashMap<WorkerIx, (String, Instant)>,
@@ -14,7 +14,7 @@
     pub(crate) not_before: Instant,
 }
 
-/// All permissions, and how many calls are under way.
+/// All permissions, and how many calls are in flight.
 #[derive(Debug, Default)]
 pub struct Permits {
     pub(crate) steps: FxHashMap<StepKey, StepPermits>,
@@ -22,7 +22,7 @@
 }
 
 impl Permits {
-    /// Returns the ticket for a step on a worker, if one holds.
+    /// Returns the ticket for a step on a worker, if a valid one is known.
     pub fn ticket(&self, step: StepKey, ix: WorkerIx, now: Instant) -> Option<String> {
         let (ticket, until) = self.steps.get(&step)?.tickets.get(&ix)?;
         (*until > now).then(|| ticket.clone())
