--- a/crates/sched/src/state/rates.rs
+++ b/crates/sched/src/state/rates.rs
@@ -1,42 +1,42 @@
-//! How fast runs come along, and the workers that they tell of.
+//! How fast runs make progress, and what that says about the speed of their workers.
 
 use gaplock_types::time::{Instant, Millis};
 
-/// The progress of a run that has done its work, in percent.
+/// The progress of a run that has finished its work, in percent.
 pub const COMPLETE_PERCENT: u32 = 100;
 
-/// A run's progress at one time.
+/// A sample of a run's progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProgressSample {
-    /// When it was read.
+    /// When it was taken.
     pub at: Instant,
     /// The progress in percent.
     pub percent: u32,
 }
 
-/// How many tasks' rates are kept of a step; more would not move the median by much.
+/// How many tasks' rates are kept for a step; more would hardly change the median.
 const MAX_RATES_PER_STEP: usize = 15;
 
-/// From how many tasks on the median says something: with fewer, one slow worker decides it.
+/// The number of tasks from which the median is meaningful: with fewer, one slow worker decides it.
 const MIN_RATES_FOR_MEDIAN: usize = 4;
 
 /// The latest rates of some tasks of a step, in percent a second at full pace.
 #[derive(Debug, Clone, Default)]
 pub struct StepRates {
     latest: Vec<(u32, f64)>,
-    next: usize,
+    next_replaced: usize,
 }
 
 impl StepRates {
-    /// Takes in a task's rate.
+    /// Records a task's rate.
     pub fn record(&mut self, index: u32, rate: f64) {
-        if let Some((_, known)) = self.latest.iter_mut().find(|(of, _)| *of == index) {
+        if let Some((_, known)) = self.latest.iter_mut().find(|(task, _)| *task == index) {
             *known = rate;
         } else if self.latest.len() < MAX_RATES_PER_STEP {
             self.latest.push((index, rate));
         } else {
-            self.latest[self.next] = (index, rate);
-            self.next = (self.next + 1) % MAX_RATES_PER_STEP;
+            self.latest[self.next_replaced] = (index, rate);
+            self.next_replaced = (self.next_replaced + 1) % MAX_RATES_PER_STEP;
         }
     }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// How fast a worker is against others.
+/// The speed of a worker relative to others.
 #[derive(Debug, Clone, Copy)]
 pub struct Speed {
     relative: f64,
@@ -65,26 +65,26 @@
     }
 }
 
-/// How much of one reading enters a worker's speed: two slow runs in a row show a slow worker.
+/// The weight of one reading in a worker's speed: two slow runs in a row show a slow worker.
 const SPEED_GAIN: f64 = 0.5;
 
 /// The relative speed below which a worker is slow. On the users' sites healthy runs lie between
-/// 0.6 and 1.5 of their step's median, those on slow workers between 0.1 and 0.3; where tasks of
-/// one step differ by a third, long ones come down to a half.
+/// 0.6 and 1.5 of their step's median, and those on slow workers between 0.1 and 0.3. Where the
+/// tasks of one step differ by a third, long ones come down to a half.
 const SLOW_RELATIVE_SPEED: f64 = 0.4;
 
-/// How long a worker's speed is believed without a new reading.
+/// How long a worker's speed is valid without a new reading.
 const SPEED_VALID_FOR: Millis = Millis(3_000);
 
 impl Speed {
-    /// Takes in how fast a run on the worker was against its step.
+    /// Records the rate of a run on the worker relative to the median of its step.
     pub fn record(&mut self, now: Instant, relative: f64) {
         let known = self.relative(now);
         self.relative = known + SPEED_GAIN * (relative.min(1.0) - known);
         self.at = now;
     }
 
-    /// Returns the worker's speed; 1 where nothing is known.
+    /// Returns the worker's relative speed; 1 if nothing is known.
     pub fn relative(&self, now: Instant) -> f64 {
         if now.since(self.at) > SPEED_VALID_FOR {
             return 1.0;
@@ -92,7 +92,7 @@
         self.relative
     }
 
-    /// Tells whether the worker is much slower than others.
+    /// Returns whether the worker is much slower than others.
     pub fn is_slow(&self, now: Instant) -> bool {
         self.relative(now) < SLOW_RELATIVE_SPEED
     }
