--- a/crates/sched/src/state/recovery_scan.rs
+++ b/crates/sched/src/state/recovery_scan.rs
@@ -1,4 +1,4 @@
-//! The search for runs of former leaders.
+//! The recovery scan: a new leader's search for runs that previous leaders started.
 
 use gaplock_jobs::TaskKey;
 use gaplock_types::time::Instant;
@@ -6,31 +6,33 @@
 
 use crate::interface::message::WorkerIx;
 
-/// The search for runs of former leaders.
+/// The state of the recovery scan. A worker is open if any task may run on it, and closed if the
+/// stored roster lists all tasks that it may run.
 #[derive(Debug)]
 pub struct RecoveryScan {
-    /// Workers that may run anything and have not answered.
+    /// Open workers that have not answered.
     pub unanswered_open: FxHashSet<WorkerIx>,
-    /// Workers that have not answered and may run just these tasks.
+    /// Closed workers that have not answered, with the tasks that may run on them.
     pub unanswered_closed: FxHashMap<WorkerIx, Vec<TaskKey>>,
-    /// Workers that might have run anything and are gone.
+    /// Open workers that turned out to be terminated.
     pub terminated: Vec<WorkerIx>,
-    /// Set once the open workers are through.
+    /// Set once all open workers have answered or are terminated.
     pub open_workers_resolved: bool,
-    /// When their leases are certainly over.
+    /// When the leases of all these workers have certainly expired.
     pub leases_over_at: Instant,
-    /// When the search began.
+    /// When the scan began.
     pub began: Instant,
 }
 
 impl RecoveryScan {
-    /// Tells whether it waits for a worker that may run any task. If it is gone, the roster names it until it
-    /// is known which tasks it may have taken along, since this leader may be lost before.
+    /// Returns whether the scan waits for an open worker. If that worker is terminated, the roster
+    /// keeps its entry until it is known which tasks may have been lost with it, since this leader
+    /// may be lost before.
     pub fn waits_for(&self, ix: WorkerIx) -> bool {
         self.unanswered_open.contains(&ix)
     }
 
-    /// Tells whether any restored task may still run anywhere, so that nothing is known of it.
+    /// Returns whether any restored task may still run somewhere, so that nothing is known of it.
     pub fn any_task_may_be_running(&self) -> bool {
         !self.unanswered_open.is_empty()
     }
