--- a/crates/sched/src/state/renewal_queue.rs
+++ b/crates/sched/src/state/renewal_queue.rs
@@ -1,5 +1,5 @@
-//! Renewals in the order in which they fall due, so that a look for those that are costs by their number and not
-//! by that of all workers.
+//! Renewals in the order in which they are due, so that finding the due ones costs by their number
+//! and not by that of all workers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,7 +8,8 @@
 
 use crate::interface::message::WorkerIx;
 
-/// When renewals fall due. A worker may stand here more than once; its own state says whether its renewal is due.
+/// When renewals are due. A worker may have several entries; its own state says whether its renewal
+/// is due.
 #[derive(Debug, Default)]
 pub struct RenewalQueue {
     queue: BinaryHeap<Reverse<(Instant, WorkerIx)>>,
@@ -16,12 +17,13 @@
 }
 
 impl RenewalQueue {
-    /// Adds a worker whose renewal falls due at `at`.
+    /// Adds a worker whose renewal is due at `at`.
     pub fn add(&mut self, at: Instant, worker: WorkerIx) {
         self.queue.push(Reverse((at, worker)));
     }
 
-    /// Takes the workers whose time has come, each of them once, in the order in which they became known.
+    /// Removes and returns the workers whose time has come, each of them once, in the order in
+    /// which they became known.
     pub fn take_due(&mut self, now: Instant) -> Vec<WorkerIx> {
         let mut due = Vec::new();
         while let Some(&Reverse((at, worker))) = self.queue.peek() {
@@ -37,7 +39,7 @@
         due
     }
 
-    /// Returns how many entries were taken so far.
+    /// Returns how many entries were removed so far.
     pub fn examined(&self) -> u64 {
         self.examined
     }
