--- a/crates/sched/src/state/trial.rs
+++ b/crates/sched/src/state/trial.rs
@@ -1,21 +1,21 @@
-//! Trials of tasks that may crash their workers.
+//! Trials of tasks that may crash their workers: each runs alone on a worker for a while.
 
 use gaplock_jobs::TaskKey;
 use gaplock_types::time::Instant;
 
-/// A worker that one task has to itself.
+/// The trial of one task on a worker that is reserved for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Trial {
     /// The task.
     pub task: TaskKey,
     /// When it began.
     pub began: Instant,
-    /// When others may start there again, if the task still runs.
+    /// When tasks of other jobs may start there again, even if the task still runs.
     pub until: Instant,
 }
 
 impl Trial {
-    /// Tells whether the worker is kept from a task of another job.
+    /// Returns whether the trial excludes a task of another job from the worker.
     pub fn excludes(&self, task: TaskKey, now: Instant) -> bool {
         self.until > now && self.task.job != task.job
     }
