--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one worker: its clock, its leases, and what it runs.
+//! What the leader knows about one worker: its clock, its leases, and what it runs.
 
 use std::collections::BTreeMap;
 
@@ -16,10 +16,10 @@
 use crate::state::rates::{ProgressSample, Speed};
 use crate::state::trial::Trial;
 
-/// The percentage at which a lasting task is at work.
+/// The progress in percent at which a long-running task is ready.
 pub const READY_PERCENT: u32 = 100;
 
-/// What the leader believes of a run at a worker.
+/// What the leader believes about a run at a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// The start has been sent.
@@ -37,17 +37,17 @@
 pub struct Slot {
     /// The run.
     pub run: Run,
-    /// How far the order has come.
+    /// The phase that the run is in.
     pub phase: Phase,
-    /// What the run takes of the worker's room.
+    /// The resources that the run reserves on the worker.
     pub reservation: Resources,
-    /// What the run is to the others on the worker.
+    /// The run's role among the runs on the worker.
     pub role: TaskRole,
-    /// The processor demand of a filling task, in thousandths of a core; nothing for others.
+    /// The processor demand of a best-effort task, in thousandths of a core; 0 for others.
     pub best_effort_millicores: u32,
     /// When the order in force was sent.
     pub ordered_at: Instant,
-    /// When a stop is sent again, unless the end of the run is seen before.
+    /// When the stop is sent again, unless the end of the run is seen before.
     pub resend_stop_at: Instant,
     /// How often its stop was refused.
     pub stop_refusals: u32,
@@ -55,62 +55,64 @@
     pub stopping_since: Instant,
     /// When the worker confirmed that the run is or was there; unset before.
     pub confirmed: Option<Instant>,
-    /// When the worker confirmed a stop, after which it refuses the run for ever; unset before.
+    /// When the worker confirmed a stop, after which it refuses the run forever; unset before.
     pub stop_confirmed: Option<Instant>,
-    /// What every try of its start brings; unset also for a run that a former leader started.
+    /// The checkpoint that every attempt of its start carries; also unset for a run that a previous
+    /// leader started.
     pub resumes_from: Option<Checkpoint>,
-    /// The tries of its start.
+    /// The attempts of its start.
     pub attempts: CallAttempts,
-    /// The share of full speed in percent that was last put in force.
+    /// The pace that was last put in force, in percent of full speed.
     pub pace: u32,
-    /// Whether an order for another pace is on its way.
+    /// Whether an order for another pace is in flight.
     pub pace_order_in_flight: bool,
-    /// The orders of pace so far, and what they leave in doubt.
+    /// The orders of pace so far, and what they leave uncertain.
     pub pace_orders: PaceOrders,
-    /// How far the run has come in percent.
+    /// The progress of the run in percent.
     pub progress_percent: u32,
-    /// The worker's last reading: tail in milliseconds or processor time in use.
+    /// The worker's last reading: tail latency in milliseconds or processor time in use.
     pub reading: Option<u32>,
-    /// The progress from which the run's rate is read next.
+    /// The sample from which the run's rate is computed next.
     pub progress_sample: Option<ProgressSample>,
-    /// Since when a serving task's readings have been over its target.
+    /// Since when a serving task's readings have been above its target.
     pub over_target_since: Option<Instant>,
-    /// Since when a filling task has been slowed down a lot.
+    /// Since when a best-effort task has been slowed down a lot.
     pub slowed_since: Option<Instant>,
 }
 
-/// What a run is to the others on its worker.
+/// The role of a run among the runs on its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskRole {
-    /// It neither serves nor fills.
+    /// It is neither a serving nor a best-effort task.
     Plain,
-    /// It serves users of its own, whose tail has a target.
+    /// It serves users of its own, and its tail latency has a target.
     Serving {
         /// Its image.
         row: Row,
-        /// The bound on its tail in milliseconds.
+        /// The target for its tail latency in milliseconds.
         target_ms: u32,
     },
-    /// It uses what the others leave.
+    /// It uses processors that the others leave idle.
     Filling(Column),
 }
 
-/// How the directory shows a worker.
+/// How the directory lists a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listing {
-    /// It takes work.
+    /// It accepts tasks.
     Ready,
-    /// It is leaving: when that was first seen, and how long it has at least.
+    /// It is leaving, and has at least a given time left.
     Draining {
         /// When the leader first saw it draining.
         since: Instant,
-        /// How long it stays at least.
+        /// The shortest time that it has left when it was first seen draining.
         remaining: Millis,
     },
-    /// Its entry is not what a worker writes. It gets no tasks, and keeps those that it has.
+    /// Its entry does not have the form in which workers write it. It gets no tasks, and keeps
+    /// those that it has.
     Unreadable,
-    /// It is not listed since this time. It may be about to end without having said so, may have
-    /// lost its way to the directory, or may be dead.
+    /// It has not been listed since a given time. It may be about to end without having announced
+    /// it, may have lost its connection to the directory, or may be dead.
     Absent {
         /// When the leader first saw it missing.
         since: Instant,
@@ -120,92 +122,96 @@
 /// The state of the renewal call to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Renewal {
-    /// None is in flight; the next one is due.
+    /// None is in flight; the next one is due at this time.
     Due(Instant),
     /// One is in flight.
     InFlight,
 }
 
-/// What the leader knows of one worker.
+/// What the leader knows about one worker.
 #[derive(Debug, Clone)]
 pub struct Worker {
     /// Its description.
     pub info: WorkerInfo,
-    /// How the directory shows it.
+    /// How the directory lists it.
     pub listing: Listing,
     /// Set once it is proven that this incarnation runs nothing and never will.
     pub terminated: bool,
-    /// The start of the worker before this one, if this leader knows of one.
+    /// The previous incarnation of the worker, if this leader knows of one.
     pub previous_incarnation: Option<WorkerIx>,
-    /// Set while it is emptied because its host is to go down for upkeep.
+    /// Set while it is emptied because its host is to go down for maintenance.
     pub emptying: bool,
     /// Set while its failure domain is evacuated.
     pub evacuated: bool,
-    /// Whether the roster in the store names it; without that it gets no task.
+    /// Whether the stored roster names it as a worker that may get tasks; otherwise it gets none.
     pub in_roster: bool,
     /// Whether its roster record is in the commit in flight.
     pub roster_pending: bool,
-    /// Set once the roster was told all that may run here, because the worker gets no tasks.
+    /// Set once the roster record lists everything that may run here, because the worker gets no
+    /// tasks.
     pub closed: bool,
     /// Set while the roster does not name the worker, because it runs nothing and gets nothing.
     pub dropped_from_roster: bool,
-    /// Its clock when it last answered, with our time of the answer.
+    /// Its clock when it last answered, with the time of the answer by the leader's clock.
     pub clock: Option<(Instant, WorkerClock)>,
     /// The latest end of leases that it was ever asked to grant.
     pub lease_until: Option<WorkerClock>,
     /// When it first answered under this leader; unset before.
     pub first_answered_at: Option<Instant>,
-    /// Renewals without an answer since the last answer.
+    /// How many renewals in a row got no report: they were unanswered or refused.
     pub unanswered_renewals: u32,
-    /// Whether the last renewal was refused: the worker is unwell but answers.
+    /// Whether the last renewal was refused: the worker is unhealthy or overloaded but answers.
     pub last_renewal_refused: bool,
-    /// Whether the worker has refused a stop for the length of a lease; looked at now and then.
+    /// Whether the worker has been refusing a stop for the length of a lease; updated periodically.
     pub refuses_stops: bool,
-    /// The renewal call.
+    /// The state of the renewal call.
     pub renewal: Renewal,
-    /// How many starts have been sent here whose answer, or the lack of one, is not known yet.
+    /// How many starts to this worker are in flight: sent, and neither answered nor known to be
+    /// unanswered.
     pub starts_in_flight: usize,
-    /// The last end that the leader has taken in.
+    /// The last end that the leader has recorded.
     pub recorded_up_to: EndSeq,
     /// The last end that is stored.
     pub stored_up_to: EndSeq,
-    /// The last end that the worker certainly lists no more.
+    /// The last end that the worker certainly no longer lists.
     pub acknowledged_up_to: EndSeq,
     /// The last end that the renewal in flight acknowledges.
     pub acknowledging_up_to: EndSeq,
-    /// What runs here.
+    /// The runs at this worker.
     pub slots: FxHashMap<TaskKey, Slot>,
-    /// Runs that were given up and may still begin here; until it refuses them the worker gets
-    /// nothing.
+    /// Abandoned starts: runs that were released and may still begin here. Until the worker refuses
+    /// them it gets no tasks.
     pub abandoned_starts: BTreeMap<TaskKey, AbandonedStart>,
-    /// The room that the slots take.
+    /// The resources that the runs reserve.
     pub used: Resources,
-    /// The processor demand of filling tasks here, in thousandths of a core.
+    /// The processor demand of the best-effort tasks here, in thousandths of a core.
     pub best_effort_millicores: u32,
-    /// How much more pressure each serving image here bears, by its task that bears least.
+    /// How much more interference each serving image here tolerates, by its task that tolerates
+    /// least.
     pub spare_interference: Vec<(Row, f64)>,
-    /// The share of the processors that more filling tasks may use without crowding what serves.
+    /// The share of the processors that more best-effort tasks may use without contending with
+    /// serving tasks.
     pub spare_best_effort_share: f64,
-    /// The share of the known filling images that would find a place here.
+    /// The share of the known best-effort images that would fit here.
     pub fitting_image_share: f64,
-    /// When a filling task last ended here.
+    /// When a best-effort task last ended here.
     pub best_effort_ended_at: Instant,
     /// When a short task last began or ended here.
     pub short_task_changed_at: Option<Instant>,
-    /// How fast it is against others.
+    /// Its speed relative to other workers.
     pub speed: Speed,
-    /// Failed runs since the last good one.
+    /// Failed runs since the last successful one.
     pub failures: u32,
-    /// How often the worker has been put in quarantine without a good run since.
+    /// How often the worker has been put in quarantine since the last successful run.
     pub quarantines: u32,
-    /// No new tasks before this time.
+    /// It gets no new tasks before this time.
     pub avoid_until: Instant,
-    /// Set while it is kept for a task that may crash it.
+    /// Set while it is reserved for a task that may crash it.
     pub trial: Option<Trial>,
 }
 
 impl Worker {
-    /// Builds the state of a worker that was just heard of.
+    /// Creates the state of a worker that the leader has just learned of.
     pub fn new(info: WorkerInfo, listing: Listing, now: Instant) -> Self {
         Self {
             info,
@@ -253,19 +259,19 @@
         Some(WorkerClock(clock.0 + now.since(read).0 + lease.0))
     }
 
-    /// Keeps the latest end of leases.
+    /// Records the end of a lease that the worker is asked to grant; the latest one is kept.
     pub fn extend_leases(&mut self, until: WorkerClock) {
         self.lease_until = self.lease_until.max(Some(until));
     }
 
-    /// Returns when every lease at this worker is certainly over, by our clock.
+    /// Returns when every lease at this worker has certainly expired, by the leader's clock.
     pub fn leases_expired_at(&self, drift_per_mille: u64) -> Option<Instant> {
         let (read, clock) = self.clock?;
         let left = self.lease_until?.0.saturating_sub(clock.0);
         Some(read + Millis(left).with_drift(drift_per_mille + 1))
     }
 
-    /// Takes in a reading of the worker's clock.
+    /// Records a reading of the worker's clock.
     pub fn record_clock(&mut self, now: Instant, clock: WorkerClock) {
         self.clock = Some((now, clock));
     }
@@ -277,7 +283,7 @@
         self.slots.insert(task, slot);
     }
 
-    /// Removes a run if it is the one meant.
+    /// Removes a task's run if it is the given one.
     pub fn remove_slot(&mut self, task: TaskKey, run: Run) -> Option<Slot> {
         if self.slots.get(&task).is_none_or(|slot| slot.run != run) {
             return None;
@@ -290,15 +296,16 @@
         Some(slot)
     }
 
-    /// Tells whether the next account may prove that a withdrawn start was never carried out. A run
-    /// that is or was here needs no such haste: its end answers a waiting renewal.
+    /// Returns whether the next report may prove that a withdrawn start was never carried out. No
+    /// early report is needed for a run that is or was here, since its end answers a waiting
+    /// renewal.
     pub fn awaits_withdrawal_proof(&self) -> bool {
         self.slots.values().any(|slot| slot.confirmed.is_none() && slot.stop_confirmed.is_some())
     }
 
-    /// Returns up to which end the next renewal acknowledges. It may reach the worker's next start, whose ends have
-    /// the same numbers: so it names ends only while they are listed, and none to a worker that has just been
-    /// silent.
+    /// Returns the number up to which the next renewal acknowledges ends. The renewal may reach the
+    /// worker's next incarnation, whose ends have the same numbers. So it acknowledges ends only
+    /// while they are listed, and none to a worker whose last renewal was unanswered.
     pub fn to_acknowledge(&self) -> EndSeq {
         let needed = self.unanswered_renewals == 0 && self.stored_up_to > self.acknowledged_up_to;
         if needed {
@@ -308,18 +315,19 @@
         }
     }
 
-    /// Tells whether the worker answers, if only with refusals.
+    /// Returns whether the worker answers, if only with refusals.
     pub fn answers(&self) -> bool {
         self.unanswered_renewals == 0 || self.last_renewal_refused
     }
 
-    /// Tells whether the worker's leases are left to end: a run that was given up may begin under a
-    /// new one, or the end of all leases is what frees the task of a stop that it refuses.
+    /// Returns whether the worker's leases are left to expire. This is so while an abandoned start
+    /// may begin under a new lease, and while the expiry of all leases is what frees the task of a
+    /// stop that the worker refuses.
     pub fn lets_leases_expire(&self) -> bool {
         !self.abandoned_starts.is_empty() || self.refuses_stops
     }
 
-    /// Tells whether the worker has refused a stop for so long.
+    /// Returns whether the worker has been refusing a stop for at least `limit`.
     pub fn has_refused_stop_for(&self, now: Instant, limit: Millis) -> bool {
         let is_stuck = |slot: &Slot| {
             let refused = slot.stop_refusals > 0 && slot.stop_confirmed.is_none();
@@ -328,18 +336,19 @@
         self.slots.values().any(is_stuck)
     }
 
-    /// Tells whether the directory does not list the worker.
+    /// Returns whether the directory does not list the worker.
     pub fn is_absent(&self) -> bool {
         matches!(self.listing, Listing::Absent { .. })
     }
 
-    /// Tells whether tasks fill beside tasks that serve.
+    /// Returns whether best-effort tasks run beside serving tasks.
     pub fn mixes_serving_and_best_effort(&self) -> bool {
-        let is = |part: fn(&TaskRole) -> bool| self.slots.values().any(|slot| part(&slot.role));
-        is(|p| matches!(p, TaskRole::Serving { .. })) && is(|p| matches!(p, TaskRole::Filling(_)))
+        let any_role = |is: fn(&TaskRole) -> bool| self.slots.values().any(|slot| is(&slot.role));
+        any_role(|r| matches!(r, TaskRole::Serving { .. }))
+            && any_role(|r| matches!(r, TaskRole::Filling(_)))
     }
 
-    /// Tells whether the worker may be given tasks now.
+    /// Returns whether the worker may be given tasks now.
     pub fn accepts_tasks(&self, now: Instant) -> bool {
         !self.terminated
             && !self.emptying
