--- a/crates/sched/src/interface/settings.rs
+++ b/crates/sched/src/interface/settings.rs
@@ -23,8 +23,8 @@
     pub poll_every: Millis,
     /// How long after an unanswered renewal the next one is sent.
     pub renew_retry: Millis,
-    /// The interval between renewals of a worker without tasks, which only refresh the reading of
-    /// its clock.
+    /// The interval between renewals of a worker without tasks; they keep the reading of its clock
+    /// recent.
     pub idle_renew_every: Millis,
     /// How many times a start is sent without an answer before the run is stopped instead.
     pub max_start_attempts: u32,
