--- a/crates/sched/src/state/crash_evidence.rs
+++ b/crates/sched/src/state/crash_evidence.rs
@@ -9,9 +9,9 @@
 
 use crate::interface::message::{Run, WorkerIx};
 
-/// How many workers may crash under a task before its job fails, whatever else is known. Users
-/// accept five starts of a task that crashes its workers; one of the crashes may be forgotten with
-/// its leader.
+/// How many workers may crash while running a task before its job fails, whatever else is known.
+/// Users accept five starts of a task that crashes its workers; one of the crashes may be forgotten
+/// with its leader.
 pub const MAX_CRASHES: usize = 4;
 
 /// How many crashes are enough if each of them followed a start at once and the last one took a
@@ -56,10 +56,10 @@
 /// The evidence against a task that was running on workers when they were lost.
 #[derive(Debug, Clone, Default)]
 pub struct CrashEvidence {
-    /// The workers that crashed under it.
+    /// The workers that crashed while running it.
     pub crashed: Vec<ids::WorkerId>,
-    /// One more worker that may have crashed under it, at a change of leader or together with many
-    /// others.
+    /// One more worker that may have crashed while running it, at a change of leader or together
+    /// with many others.
     pub possible_crash: Option<ids::WorkerId>,
     /// Workers that ran it and have not answered, although all their leases have expired and the
     /// directory lists them, and since when.
@@ -77,7 +77,7 @@
 }
 
 impl CrashEvidence {
-    /// Returns how many workers were lost under the task, including those that may not have
+    /// Returns how many workers were lost while running the task, including those that may not have
     /// crashed.
     pub(crate) fn possible_losses(&self) -> usize {
         self.crashed.len() + self.silent.len() + usize::from(self.possible_crash.is_some())
