--- a/crates/sched/src/state/maintenance.rs
+++ b/crates/sched/src/state/maintenance.rs
@@ -76,8 +76,8 @@
         down
     }
 
-    /// Records the outcome of the last order, to be sent again at `again`; returns the outcome of
-    /// all orders for the host.
+    /// Records the outcome of the last order, which is sent again at `again` unless the outcome of
+    /// all orders for the host is certain; returns that outcome.
     pub(crate) fn record_outcome(&mut self, last: Execution, again: Instant) -> Execution {
         self.resend_at = Some(again);
         self.attempts.record_outcome(last)
