--- a/crates/sched/src/changes.rs
+++ b/crates/sched/src/changes.rs
@@ -1,4 +1,5 @@
-//! Functions that change the state, write their log lines and ask for what is to be done.
+//! The functions that change the scheduler's state. They write the log lines of the changes and
+//! queue the actions that the driver carries out.
 
 pub mod abandoned_starts;
 pub mod checkpoints;
