--- a/crates/sched/src/changes/abandoned_starts.rs
+++ b/crates/sched/src/changes/abandoned_starts.rs
@@ -1,10 +1,11 @@
-//! Starts that may outlive the leases at their worker.
+//! Abandoned starts: released runs that may still begin.
 //!
-//! A run is given up once all leases at its silent worker are over. A try of its start that is
-//! still under way is void by then where the worker goes by the end of the lease that the start
-//! carries. Where it goes by its own leases, it may carry the start out under one that it gets
-//! later. So a worker that comes back gets leases and tasks only after it has been told, by stops,
-//! to refuse all such runs for ever. A later leader's token bars them without that.
+//! A run is released once all leases at its silent worker are over. An attempt of its start may
+//! then still be in flight. A worker that checks the end of the lease that the start carries
+//! refuses the attempt by then. But a worker that checks its own leases may carry it out under a
+//! lease that it gets later. So a worker that comes back gets leases and tasks only after stops
+//! have made it refuse all such runs for ever. A later leader does not need these stops, because
+//! its fencing token makes the worker refuse such starts.
 
 use gaplock_jobs::TaskKey;
 
@@ -14,16 +15,16 @@
 use crate::state::worker::{Slot, Worker};
 use crate::state::State;
 
-/// Keeps a run in doubt that is being given up, unless its worker has confirmed the run or its
-/// stop: what has begun there never begins again.
+/// Records a run that is being released as an abandoned start, unless its worker has confirmed the
+/// run or its stop: a run that has begun there never begins again.
 pub fn record(worker: &mut Worker, key: TaskKey, slot: &Slot) {
-    let unknown = slot.confirmed.is_none() && slot.stop_confirmed.is_none();
-    if unknown && slot.attempts.sent() > 0 {
+    let unconfirmed = slot.confirmed.is_none() && slot.stop_confirmed.is_none();
+    if unconfirmed && slot.attempts.sent() > 0 {
         worker.abandoned_starts.insert(key, AbandonedStart { run: slot.run, stop_sent_at: None });
     }
 }
 
-/// Sends the stops that are due to a worker that answers.
+/// Sends the due stops of abandoned starts to a worker, if it answers.
 pub fn send_due_stops(cx: &mut State, ix: WorkerIx) {
     let (now, retry) = (cx.now, cx.settings.stop_retry);
     let worker = cx.worker_mut(ix);
@@ -31,12 +32,12 @@
         return;
     }
     let mut due = Vec::new();
-    for (key, doubt) in &mut worker.abandoned_starts {
-        if doubt.stop_sent_at.is_some_and(|at| now.since(at) < retry) {
+    for (key, start) in &mut worker.abandoned_starts {
+        if start.stop_sent_at.is_some_and(|at| now.since(at) < retry) {
             continue;
         }
-        doubt.stop_sent_at = Some(now);
-        due.push((*key, doubt.run));
+        start.stop_sent_at = Some(now);
+        due.push((*key, start.run));
     }
     for (task, run) in due {
         trace::stop_ordered(task, run, &cx.worker(ix).info.id, "its start may outlive its lease");
@@ -44,7 +45,7 @@
     }
 }
 
-/// Takes in what became of a stop, which may be one for a run in doubt.
+/// Handles the outcome of a stop, which may be the stop of an abandoned start.
 pub fn handle_stop_outcome(
     cx: &mut State,
     ix: WorkerIx,
@@ -52,9 +53,9 @@
     run: Run,
     outcome: &Outcome<WorkerClock>,
 ) {
-    let barred = matches!(outcome, Outcome::Done(_) | Outcome::Refused(Refusal::OldRun));
+    let stop_confirmed = matches!(outcome, Outcome::Done(_) | Outcome::Refused(Refusal::OldRun));
     let worker = cx.worker_mut(ix);
-    if !barred || worker.abandoned_starts.get(&key).is_none_or(|doubt| doubt.run != run) {
+    if !stop_confirmed || worker.abandoned_starts.get(&key).is_none_or(|start| start.run != run) {
         return;
     }
     worker.abandoned_starts.remove(&key);
