--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -1,9 +1,9 @@
-//! Gathers what is to be stored into commits and remembers what each of them covers.
+//! Collects the changes to be stored into commits, and records what each commit covers.
 //!
-//! A worker forgets an end once it is acknowledged, so an end is acknowledged only after the
-//! commit that holds it. A final state is shown only after its commit. Nothing else waits but
-//! what speaks against a suspect and its starts (`crashes`): any other start needs no record of its own,
-//! because a successor learns from the workers what runs.
+//! A worker drops an end once it is acknowledged, so an end is acknowledged only after the commit
+//! that contains it. A final state is shown to callers only after its commit. Nothing else waits
+//! for a commit, except evidence against suspects and the starts of suspects (`crashes`). No other
+//! start needs a record, because a new leader learns from the workers what runs.
 
 use std::mem;
 
@@ -25,19 +25,19 @@
     commits.since.get_or_insert(now);
 }
 
-/// Marks a job's progress as changed in a way that its caller waits for.
+/// Marks a job's progress as changed in a way that the caller waits for.
 pub fn mark_dirty_urgent(commits: &mut Commits, now: Instant, job: JobKey) {
     mark_dirty(commits, now, job);
     commits.urgent = true;
 }
 
-/// Adds a record that is not a job's progress. It takes the place of an earlier one of the same subject.
+/// Adds a record other than a job's progress. It replaces an earlier record of the same subject.
 pub fn add(cx: &mut State, record: Record) {
     cx.commits.other.put(record);
     cx.commits.since.get_or_insert(cx.now);
 }
 
-/// Adds a worker to the stored roster; it gets tasks once that is stored.
+/// Adds a worker to the stored roster. The worker gets tasks once that is stored.
 pub fn add_worker(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker_mut(ix);
     worker.roster_pending = true;
@@ -48,7 +48,7 @@
     cx.commits.urgent = true;
 }
 
-/// Makes sure that ends which changed no job's progress are acknowledged too.
+/// Requests a commit, so that recorded ends which changed no job's progress are acknowledged, too.
 pub fn request_commit(cx: &mut State) {
     cx.commits.since.get_or_insert(cx.now);
 }
@@ -76,14 +76,14 @@
     Some(records)
 }
 
-/// Lists the last end of each worker whose ends are not all stored.
+/// Returns the last recorded end of each worker whose ends are not all stored.
 fn uncommitted_ends(cx: &State) -> Vec<(WorkerIx, EndSeq)> {
     let workers = cx.workers.iter().enumerate();
     let unstored = workers.filter(|(_, w)| w.recorded_up_to > w.stored_up_to);
     unstored.map(|(at, w)| (WorkerIx(at as u32), w.recorded_up_to)).collect()
 }
 
-/// Finds the workers that these records add to the stored roster.
+/// Returns the workers that these records add to the stored roster.
 fn workers_added(cx: &State, records: &Records) -> Vec<WorkerIx> {
     let ids = records.iter().filter_map(|r| match r {
         Record::Worker(entry) if entry.holds.is_none() => Some(&entry.info.id),
@@ -92,7 +92,7 @@
     ids.filter_map(|id| cx.by_id.get(id).copied()).collect()
 }
 
-/// Takes in that the commit in flight is stored.
+/// Updates the state after the commit in flight was stored.
 pub fn committed(cx: &mut State) {
     let Some(covered) = cx.commits.in_flight.take() else { return };
     saved::commit_ended(cx, true);
@@ -119,7 +119,7 @@
     cx.pass_wanted = true;
 }
 
-/// Takes in that the commit in flight is not stored: all of it is due again.
+/// Makes everything in the commit in flight due again after it was not stored.
 pub fn failed(cx: &mut State) {
     let Some(covered) = cx.commits.in_flight.take() else { return };
     trace::commit_failed(covered.jobs.len(), covered.other.len());
@@ -153,23 +153,26 @@
     Progress { key, state: entry.state, ended_unix_ms, rounds }
 }
 
-/// Tells whether the run that saved a task's checkpoint goes on, so that its worker keeps it. A run that only
-/// began there may be lost with its start.
-fn is_at_worker(task: &Task, checkpoint: &Checkpoint) -> bool {
+/// Returns whether the run that saved a task's checkpoint is still the active one, so that its
+/// worker keeps the checkpoint. A run that merely started from the checkpoint may be lost together
+/// with its start.
+fn is_kept_by_worker(task: &Task, checkpoint: &Checkpoint) -> bool {
     matches!(task.state, TaskState::Active { run, .. } if run == checkpoint.run)
 }
 
 fn step_progress(step: &StepState) -> StepProgress {
     let tasks = step.tasks.iter().enumerate().map(|(index, task)| (index as u32, task));
     let done = tasks.clone().filter(|(_, t)| t.state == TaskState::Done).map(|(index, _)| index);
-    let kept = |t: &Task| t.checkpoint.as_ref().is_some_and(|c| !is_at_worker(t, c));
-    let is_noted = |t: &Task| t.failed > 0 || kept(t) || t.crash_evidence.is_some();
-    let noted = |t: &Task| t.state != TaskState::Done && is_noted(t);
+    let must_store_checkpoint =
+        |t: &Task| t.checkpoint.as_ref().is_some_and(|c| !is_kept_by_worker(t, c));
+    let has_record =
+        |t: &Task| t.failed > 0 || must_store_checkpoint(t) || t.crash_evidence.is_some();
+    let needs_record = |t: &Task| t.state != TaskState::Done && has_record(t);
     let crashed =
         |t: &Task| t.crash_evidence.as_ref().map(|s| s.crashed.clone()).unwrap_or_default();
     let waits = |t: &Task| matches!(t.state, TaskState::Waiting | TaskState::Pending);
     let started = |t: &Task| t.crash_evidence.as_ref()?.possible_workers_to_store(waits(t));
-    let notes = tasks.filter(|(_, t)| noted(t)).map(|(index, t)| TaskRecord {
+    let notes = tasks.filter(|(_, t)| needs_record(t)).map(|(index, t)| TaskRecord {
         index,
         failed: t.failed,
         counted_runs: t.counted_runs.iter().map(|run| run.0).collect(),
