--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -1,7 +1,8 @@
-//! What the directory says of workers.
+//! Applies what the directory lists about workers.
 //!
-//! Others than workers may write there. An entry that cannot be read, or whose pool no configuration
-//! names, names no worker that gets tasks; what runs at a worker that was sound before goes on.
+//! Not only workers write to the directory. If an entry cannot be read, or no configuration names
+//! its pool, its worker gets no tasks. The tasks that already run on a worker whose earlier entry
+//! was valid go on.
 
 use gaplock_types::ids;
 
@@ -12,14 +13,14 @@
 
 pub use crate::state::UnknownPoolWorkers;
 
-/// How many such entries are kept. Workers of a pool that nobody uses are few; another writer's entries
-/// may be any number.
-const MAX_UNNAMED_ENTRIES: usize = 4_096;
+/// How many entries are kept whose pool is not in the configuration. Workers of a pool that nobody
+/// uses are few, but another writer may add any number of entries.
+const MAX_UNKNOWN_POOL_WORKERS: usize = 4_096;
 
-/// Takes in what the directory says of a worker.
+/// Handles a worker's entry in the directory, new or changed.
 pub fn listed(cx: &mut State, info: WorkerInfo) {
-    if !is_pool_named(cx, &info.service) {
-        return keep_unnamed(cx, info);
+    if !is_pool_known(cx, &info.service) {
+        return keep_unknown_pool(cx, info);
     }
     if names_another_address(cx, &info) {
         return unreadable(cx, &info.id);
@@ -29,16 +30,16 @@
     let is_new = !cx.by_id.contains_key(&info.id);
     let ix = find_or_add(cx, &info, listing);
     let worker = cx.worker_mut(ix);
-    let was = worker.listing;
-    worker.listing = match (was, listing) {
-        (Listing::Draining { .. }, Listing::Draining { .. }) => was,
+    let previous = worker.listing;
+    worker.listing = match (previous, listing) {
+        (Listing::Draining { .. }, Listing::Draining { .. }) => previous,
         _ => listing,
     };
     worker.info = info;
     cx.set_terminated(ix, false);
     evacuation::update_worker(cx, ix);
     let worker = cx.worker(ix);
-    if is_new || was != listing && !is_unchanged_at_takeover(cx, worker) {
+    if is_new || previous != listing && !is_unchanged_at_takeover(cx, worker) {
         trace::worker_listed(&worker.info, worker.listing);
     }
     if !worker.info.capacity.holds(&worker.used) {
@@ -48,16 +49,18 @@
     cx.pass_wanted = true;
 }
 
-/// Tells whether a successor reads for the first time of a worker that it knows from the roster, and finds it
-/// ready. A line for each of thousands would take up processor time that the survey needs.
+/// Returns whether a new leader reads the directory for the first time and finds a worker ready
+/// that it knows from the roster. A log line for each of thousands of workers would take up
+/// processor time that the recovery scan needs.
 fn is_unchanged_at_takeover(cx: &State, worker: &Worker) -> bool {
-    let restoring = cx.recovery_scan.as_ref().is_some_and(|survey| survey.began == cx.now);
+    let restoring = cx.recovery_scan.as_ref().is_some_and(|scan| scan.began == cx.now);
     restoring && worker.listing == Listing::Ready
 }
 
-/// Tells whether an entry names another address than that of an incarnation which may run something. None
-/// changes its address, and what answers at the other one would pass for proof that this one is over. The
-/// address is not known where the roster's record could not be read.
+/// Returns whether an entry names an address other than the one of an incarnation that may be
+/// running something. An incarnation never changes its address, and an answer from the other
+/// address would pass for proof that this incarnation is over. The address is unknown if the
+/// roster's record could not be read.
 fn names_another_address(cx: &State, info: &WorkerInfo) -> bool {
     let Some(&ix) = cx.by_id.get(&info.id) else { return false };
     let worker = cx.worker(ix);
@@ -65,7 +68,7 @@
     known && worker.info.addr != info.addr && roster::may_run_something(worker)
 }
 
-/// Returns how the directory shows a worker.
+/// Returns the listing that an entry stands for.
 fn listing_of(cx: &State, info: &WorkerInfo) -> Listing {
     if !info.draining {
         return Listing::Ready;
@@ -74,30 +77,31 @@
     Listing::Draining { since: cx.now, remaining }
 }
 
-/// Tells whether the configuration names a pool; before the first one each may be.
-fn is_pool_named(cx: &State, pool: &ids::ServiceId) -> bool {
+/// Returns whether the configuration names a pool. Until there is a configuration, any pool may be
+/// valid.
+fn is_pool_known(cx: &State, pool: &ids::ServiceId) -> bool {
     let Some(config) = &cx.config else { return true };
     config.pools.iter().any(|p| p.service == *pool)
 }
 
-/// Keeps an entry whose pool is not named, and gives the worker that it names no more tasks.
-fn keep_unnamed(cx: &mut State, info: WorkerInfo) {
+/// Keeps an entry whose pool is not in the configuration, and gives its worker no more tasks.
+fn keep_unknown_pool(cx: &mut State, info: WorkerInfo) {
     unreadable(cx, &info.id);
-    if cx.unknown_pool_workers.len() < MAX_UNNAMED_ENTRIES
+    if cx.unknown_pool_workers.len() < MAX_UNKNOWN_POOL_WORKERS
         || cx.unknown_pool_workers.contains_key(&info.id)
     {
         cx.unknown_pool_workers.insert(info.id.clone(), info);
     }
 }
 
-/// Takes in that the configuration has changed: entries may name workers now that did not before.
+/// Handles a change of the configuration: the pools of kept entries may be in it now.
 pub fn pools_changed(cx: &mut State) {
     for info in std::mem::take(&mut cx.unknown_pool_workers).into_values() {
         listed(cx, info);
     }
 }
 
-/// Finds a worker by its start, or adds it.
+/// Finds a worker by the id of its incarnation, or adds it.
 pub fn find_or_add(cx: &mut State, info: &WorkerInfo, listing: Listing) -> WorkerIx {
     if let Some(&ix) = cx.by_id.get(&info.id) {
         return ix;
@@ -114,8 +118,8 @@
     ix
 }
 
-/// Takes in that the directory's entry of a worker is not what a worker writes. One that is leaving goes
-/// on leaving.
+/// Handles a directory entry that no worker would write. A worker that is leaving keeps its
+/// listing.
 pub fn unreadable(cx: &mut State, id: &ids::WorkerId) {
     cx.unknown_pool_workers.remove(id);
     let Some(&ix) = cx.by_id.get(id) else { return };
@@ -126,8 +130,8 @@
     }
 }
 
-/// Takes in that the directory no longer lists a worker. It may live on, so nothing of it is
-/// given up here; see [`crate::changes::gone::check`].
+/// Handles the removal of a worker's directory entry. The worker may still be alive, so none of its
+/// runs is released here; see [`crate::changes::terminated::check`].
 pub fn unlisted(cx: &mut State, id: &ids::WorkerId) {
     cx.unknown_pool_workers.remove(id);
     let Some(&ix) = cx.by_id.get(id) else { return };
