--- a/crates/sched/src/changes/drain.rs
+++ b/crates/sched/src/changes/drain.rs
@@ -1,14 +1,16 @@
-//! Empties workers that are leaving: what lasts moves at once, the rest before the end comes.
+//! Empties workers that are leaving: long-running tasks move at once, other tasks shortly before
+//! the worker ends.
 //!
-//! A worker may say that it is leaving, or its entry in the directory just goes while it serves on
-//! for a while. The second looks the same as an entry that lapsed while the store was away, which
-//! comes back soon, so after an outage such a worker is given time to come back.
+//! A worker may announce that it is leaving, or its directory entry may just disappear while it
+//! serves on for a while. The second case looks the same as an entry that expired while the store
+//! was unavailable and that comes back soon. So after an outage of the store, such a worker is
+//! given time to come back.
 
 use crate::changes::lifecycle;
 use crate::decisions::{availability, leaving};
 use crate::state::State;
 
-/// Stops what must leave a departing worker.
+/// Stops the runs that must leave departing workers now.
 pub fn check(cx: &mut State) {
     for ix in cx.worker_ixs() {
         let worker = cx.worker(ix);
