--- a/crates/sched/src/changes/ends.rs
+++ b/crates/sched/src/changes/ends.rs
@@ -1,4 +1,4 @@
-//! Ends that workers list: what each means for its task, its job and its worker.
+//! Applies the ends of runs that workers list to the task, the job and the worker.
 
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::TaskKey;
@@ -9,7 +9,7 @@
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
-/// Takes in the ends of a worker that are new.
+/// Applies those of a worker's listed ends that are new.
 pub fn apply(cx: &mut State, ix: WorkerIx, ends: &[RunEnd]) {
     for end in ends {
         let worker = cx.worker(ix);
@@ -24,7 +24,7 @@
     }
 }
 
-/// Frees the room of a run that ended, and decides what becomes of its task.
+/// Releases the capacity of a run that ended, and decides what happens to its task.
 fn apply_end(cx: &mut State, ix: WorkerIx, end: &RunEnd) {
     let was_active = cx.is_active(end.task, ix, end.run);
     let saved = checkpoints::apply(cx, ix, end.task, end.run, end.checkpoint.as_deref());
@@ -38,12 +38,13 @@
         return;
     }
     if saved {
-        // The worker forgets the text with the acknowledged end, whether or not a newer run goes on.
+        // The worker drops the checkpoint once the end is acknowledged, so it must be stored even
+        // if a newer run of the task is running.
         commits::mark_dirty(&mut cx.commits, cx.now, end.task.job);
     }
     match end.cause {
-        EndCause::Done => done(cx, ix, end.task, end.run),
-        EndCause::Failed => failed(cx, ix, end.task, end.run, was_active),
+        EndCause::Done => apply_done(cx, ix, end.task, end.run),
+        EndCause::Failed => apply_failed(cx, ix, end.task, end.run, was_active),
         EndCause::Stopped | EndCause::Lapsed | EndCause::Broken | EndCause::Alone => {
             if was_active {
                 lifecycle::make_pending(cx, end.task, Millis(0));
@@ -52,14 +53,14 @@
     }
 }
 
-/// Marks a task done, its whole gang with it, and stops another run of it.
-fn done(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
+/// Marks a task as done, together with its whole gang, and stops other runs of it.
+fn apply_done(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
     let worker = cx.worker_mut(ix);
     worker.failures = 0;
     worker.quarantines = 0;
     let Some(step) = cx.step(key) else { return };
     if step.lasting {
-        // A lasting task is started again however it ends.
+        // A long-running task is started again however it ends.
         if cx.is_active(key, ix, run) {
             lifecycle::make_pending(cx, key, Millis(0));
         }
@@ -69,13 +70,13 @@
     let members = if gang { step.count } else { 0 };
     stop_other_runs(cx, ix, key, run);
     lifecycle::finish_task(cx, key);
-    // A gang's members end together, and one such end counts for all of them.
+    // The members of a gang end together, so the end of one counts for all of them.
     for index in 0..members {
         lifecycle::finish_task(cx, TaskKey { index, ..key });
     }
 }
 
-/// Stops other runs of the task that go on elsewhere.
+/// Stops the other runs of a task.
 fn stop_other_runs(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
     let Some(task) = cx.task(key) else { return };
     let active = match task.state {
@@ -89,10 +90,12 @@
     }
 }
 
-/// Counts a failure once, over all leaders, and ends the job or starts the task again.
-fn failed(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, was_active: bool) {
+/// Counts a failure, only once even if several leaders see it, and ends the job or starts the task
+/// again.
+fn apply_failed(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run, was_active: bool) {
     let Some(entry) = cx.jobs.get_mut(&key.job) else { return };
-    let (lasting, most) = (entry.step(key).is_some_and(|s| s.lasting), entry.max_attempts);
+    let (long_running, max_attempts) =
+        (entry.step(key).is_some_and(|s| s.lasting), entry.max_attempts);
     let Some(task) = entry.task_mut(key) else { return };
     if task.state == TaskState::Done || task.counted_runs.contains(&run) {
         return;
@@ -101,34 +104,36 @@
         task.counted_runs.remove(0);
     }
     task.counted_runs.push(run);
-    let first = task.consecutive_failures == 0;
+    let is_first_in_row = task.consecutive_failures == 0;
     task.failed += 1;
     task.consecutive_failures += 1;
     task.failed_on = Some(ix);
-    let (failed, in_row) = (task.failed, task.consecutive_failures);
+    let (failed, consecutive) = (task.failed, task.consecutive_failures);
     commits::mark_dirty(&mut cx.commits, cx.now, key.job);
-    // A task that can never be done fails everywhere, so only its first failure speaks against the
-    // worker.
-    if first {
+    // A task that can never succeed fails on every worker, so only its first failure in a row
+    // counts against the worker.
+    if is_first_in_row {
         count_worker_failure(cx, ix);
     }
-    if !lasting && failed >= most {
-        trace::attempts_used_up(key, failed, most);
+    if !long_running && failed >= max_attempts {
+        trace::attempts_used_up(key, failed, max_attempts);
         lifecycle::end_job(cx, key.job, JobState::Failed);
     } else if was_active {
-        let pause = lifecycle::retry_backoff(cx, in_row);
+        let pause = lifecycle::retry_backoff(cx, consecutive);
         lifecycle::make_pending(cx, key, pause);
     }
 }
 
-/// How many counted runs are remembered of a task. A task that ends has fewer attempts; a lasting
-/// one fails without limit, and its old ends have long been acknowledged.
+/// How many counted failed runs are remembered per task. A task that is not long-running has fewer
+/// attempts. A long-running task fails without limit, but the ends of its old runs have long been
+/// acknowledged.
 const MAX_COUNTED_RUNS_PER_TASK: usize = 8;
 
-/// How often the time without new tasks doubles at most.
+/// How often the quarantine of a worker is doubled at most.
 const MAX_QUARANTINE_DOUBLINGS: u32 = 3;
 
-/// Counts a failure against the worker, which gets no new tasks for a while after several.
+/// Counts a failure against a worker. After several failures the worker is quarantined: it gets no
+/// new tasks for a while.
 fn count_worker_failure(cx: &mut State, ix: WorkerIx) {
     let (now, limit, quarantine) =
         (cx.now, cx.settings.max_worker_failures, cx.settings.quarantine);
