--- a/crates/sched/src/changes/freshness.rs
+++ b/crates/sched/src/changes/freshness.rs
@@ -1,12 +1,13 @@
-//! How old the leader's view of the workers' directory is.
+//! The age of the leader's view of the workers' directory.
 //!
-//! A worker says in the directory that it is leaving, and a little later nothing may start there any more.
-//! Thousands of workers can write faster than a busy leader reads, and its view is then seconds old while each
-//! other call to the store is answered at once. While that is so nothing is started, on any worker: any may have
-//! said that it leaves, and the work that is saved is what the reading lacks.
+//! A worker announces in the directory that it is leaving, and shortly after that nothing may start
+//! there any more. Thousands of workers can write faster than a busy leader reads. The leader's
+//! view is then seconds old, although the store answers every other call at once. While that is so,
+//! nothing is started on any worker: any of them may have announced that it is leaving, and the
+//! saved processor time is what reading the directory lacks.
 //!
-//! The age is counted up to the last answer of the store to another call, not up to now: while the store is away no
-//! worker can say anything there, and starts go on as before.
+//! The age is counted up to the store's last answer to another call, not up to now. While the store
+//! is unavailable, no worker can announce anything there, and starts go on as before.
 
 use gaplock_types::time::Millis;
 
@@ -15,34 +16,35 @@
 
 pub use crate::interface::message::{DirectoryRead, RevisionSample};
 
-/// The most marks that are kept; the later ones are left out, so that the view counts as older than it is.
-const MAX_MARKS: usize = 64;
+/// How many samples of the store's revision are kept. Later ones are dropped, so that the view
+/// counts as older than it is.
+const MAX_PENDING_REVISIONS: usize = 64;
 
-/// Takes in the store's revision at a time.
-pub fn record_mark(cx: &mut State, mark: RevisionSample) {
+/// Records the store's revision at a point in time.
+pub fn record_mark(cx: &mut State, sample: RevisionSample) {
     let freshness = &mut cx.freshness;
-    if freshness.pending_revisions.len() < MAX_MARKS {
-        freshness.pending_revisions.push_back(mark);
+    if freshness.pending_revisions.len() < MAX_PENDING_REVISIONS {
+        freshness.pending_revisions.push_back(sample);
     }
 }
 
-/// Takes in that the directory was read; all that it said has been taken in before.
+/// Handles a read of the directory. The changes that it returned have been applied before.
 pub fn directory_read(cx: &mut State, read: DirectoryRead) {
     let freshness = &mut cx.freshness;
     if read.complete {
         freshness.as_of = freshness.as_of.max(read.sent);
     }
-    while let Some(mark) = freshness.pending_revisions.pop_front() {
-        if mark.revision > read.revision {
-            freshness.pending_revisions.push_front(mark);
+    while let Some(sample) = freshness.pending_revisions.pop_front() {
+        if sample.revision > read.revision {
+            freshness.pending_revisions.push_front(sample);
             break;
         }
-        freshness.as_of = freshness.as_of.max(mark.sent);
+        freshness.as_of = freshness.as_of.max(sample.sent);
     }
     check(cx);
 }
 
-/// Looks whether the view is too old, and says so when that changes.
+/// Checks whether the view is too old, and logs when that changes.
 pub fn check(cx: &mut State) {
     let (now, lag) = (cx.now, cx.freshness.lag());
     let behind = lag > max_lag(cx.settings.min_drain);
@@ -60,8 +62,9 @@
     }
 }
 
-/// Returns how far the view may be behind: half of the time after which nothing may start on a worker that is
-/// leaving. The other half is for the time since the store's last answer and for a start's way.
-fn max_lag(drain: Millis) -> Millis {
-    Millis(drain.0 / 2)
+/// Returns how far the view may lag: half of the time after which nothing may start on a leaving
+/// worker. The other half is for the time since the store's last answer and for the delivery of a
+/// start.
+fn max_lag(min_drain: Millis) -> Millis {
+    Millis(min_drain.0 / 2)
 }
