--- a/crates/sched/src/changes/gangs.rs
+++ b/crates/sched/src/changes/gangs.rs
@@ -1,7 +1,7 @@
-//! Gangs: all members of a step start together, or none of them.
+//! Gangs: all members of a step start together, or none of them does.
 //!
-//! A gang that several racks slow down is tried in one rack after the other, those with most room
-//! first, before its members are spread.
+//! If a gang runs slower when spread over several racks, one rack after another is tried, those
+//! with the most free capacity first, before its members are spread.
 
 use gaplock_jobs::{Job, TaskKey};
 use gaplock_types::ids;
@@ -44,13 +44,15 @@
     }
 }
 
-/// Returns how often the gang will have been started, counted by the member started most often.
+/// Returns how often the gang will have been started after its next start, counted by the member
+/// started most often.
 fn next_start_count(cx: &State, members: &[TaskKey]) -> u32 {
     let starts = members.iter().filter_map(|&task| cx.task(task)).map(|t| t.starts);
     starts.max().unwrap_or(0) + 1
 }
 
-/// Takes the room for all members, in one rack if that is wanted and any has room, or for none.
+/// Reserves capacity for all members or for none of them. They are placed in one rack if the step
+/// asks for that and any rack has enough free capacity.
 fn place_together(
     cx: &mut State,
     job: &Job,
@@ -64,7 +66,8 @@
     in_rack.or_else(|| place(cx, job, service, members, starts, None))
 }
 
-/// Takes the room for all members of a gang, in one rack where that is asked for, or for none.
+/// Reserves capacity for all members of a gang, in one rack if `rack` is given, or for none of
+/// them.
 fn place(
     cx: &mut State,
     job: &Job,
@@ -90,14 +93,14 @@
     Some(placed)
 }
 
-/// Frees the room of the members placed so far; nothing of them was sent.
+/// Releases the capacity of the members placed so far. No start of theirs was sent.
 fn release_placed(cx: &mut State, placed: &[(TaskKey, WorkerIx)], run: Run) {
     for &(task, ix) in placed {
         lifecycle::requeue(cx, ix, task, run, ReleaseProof::NeverSent);
     }
 }
 
-/// Sets how often a task was started; all members of a gang count alike.
+/// Sets how often a task was started. All members of a gang have the same count.
 fn set_starts(cx: &mut State, task: TaskKey, starts: u32) {
     if let Some(t) = cx.task_mut(task) {
         t.starts = starts;
