--- a/crates/sched/src/changes/intake.rs
+++ b/crates/sched/src/changes/intake.rs
@@ -1,4 +1,4 @@
-//! What comes in from outside: configuration, jobs, cancellations.
+//! Applies input from outside the scheduler: the configuration, jobs and cancellations.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::state::recovery_scan::RecoveryScan;
 use crate::state::State;
 
-/// Takes a version of the configuration into force; an older one is ignored.
+/// Puts a version of the configuration into force if it is newer than the current one.
 pub fn apply_config(cx: &mut State, config: Arc<config::Config>) {
     if cx.config.as_ref().is_some_and(|c| c.version >= config.version) {
         return;
@@ -29,14 +29,14 @@
     directory::pools_changed(cx);
 }
 
-/// How many failed runs a task may have whose queue the configuration no longer names.
-const FALLBACK_ATTEMPTS: u32 = 2;
+/// The number of failed runs allowed to a task whose queue is no longer in the configuration.
+const FALLBACK_MAX_ATTEMPTS: u32 = 2;
 
-/// The longest time that a job is allowed, for ordering: ten years. What callers estimate beyond that means
-/// nothing, and sums of times must not wrap around.
+/// The upper bound of the time allowed to a job, from which its due time is computed: ten years.
+/// Longer estimates by callers mean nothing, and sums of times must not overflow.
 const MAX_ALLOWED_TIME: Millis = Millis(315_360_000_000);
 
-/// Builds the entry of a job that nothing is known to have happened to.
+/// Builds the entry of a job of which no progress is known.
 pub fn new_entry(cx: &State, job: Arc<Job>) -> JobEntry {
     let queue = cx.config.as_ref().and_then(|c| c.queue(&job.queue));
     let chain = longest_chain(&job);
@@ -53,13 +53,13 @@
         ended_unix_ms: 0,
         due: Instant((cx.now.0 + allowed).saturating_sub(age.0)),
         priority: queue.map_or(0, |q| q.priority),
-        max_attempts: queue.map_or(FALLBACK_ATTEMPTS, |q| q.max_attempts),
+        max_attempts: queue.map_or(FALLBACK_MAX_ATTEMPTS, |q| q.max_attempts),
         unreadable: false,
         job,
     }
 }
 
-/// Returns the longest chain of estimated times through the steps.
+/// Returns the sum of the estimated times on the longest chain of dependent steps.
 pub fn longest_chain(job: &Job) -> Millis {
     let mut ends: Vec<u64> = Vec::with_capacity(job.steps.len());
     for step in &job.steps {
@@ -69,7 +69,7 @@
     Millis(ends.into_iter().max().unwrap_or(0))
 }
 
-/// Takes in a stored job; one that is known already changes nothing.
+/// Adds a stored job. If the job is already known, nothing changes.
 pub fn add_job(cx: &mut State, job: Arc<Job>) {
     let key = job.key;
     if cx.jobs.contains_key(&key) {
@@ -106,7 +106,7 @@
     }
 }
 
-/// Begins every round that has fallen due.
+/// Begins the due rounds of all jobs.
 pub fn begin_due_rounds(cx: &mut State) {
     if cx.recovery_scan.as_ref().is_some_and(RecoveryScan::any_task_may_be_running) {
         return;
@@ -119,12 +119,12 @@
     }
 }
 
-/// How long a cancellation waits for its job, which another host announces: longer than the watch takes that tells
-/// of both. An id that is handed in again within this time of its forgotten job's cancellation is cancelled too
-/// (`docs/KNOWN-ISSUES.md`).
+/// How long a cancellation waits for its job, which another host announces: longer than the watch
+/// takes to report both. If a forgotten job's id is submitted again within this time of the job's
+/// cancellation, the new job is cancelled, too (`docs/KNOWN-ISSUES.md`).
 const EARLY_CANCELLATION_RETENTION: Millis = Millis(10_000);
 
-/// Takes in a stored cancellation; one may be heard of before its job.
+/// Applies a stored cancellation. It may become known before its job.
 pub fn cancel(cx: &mut State, key: JobKey) {
     if !cx.jobs.contains_key(&key) {
         trace::cancelled_unknown(key);
@@ -133,16 +133,17 @@
     lifecycle::end_job(cx, key, JobState::Cancelled);
 }
 
-/// Drops jobs whose final state has been kept for long enough.
+/// Drops the jobs whose final state has been kept for the retention period.
 pub fn forget_finished(cx: &mut State) {
     let now = cx.now;
     cx.early_cancellations.retain(|_, since| now.since(*since) < EARLY_CANCELLATION_RETENTION);
-    let keep = cx.settings.finished_job_retention.0;
+    let retention = cx.settings.finished_job_retention.0;
     let unix_ms = cx.unix_ms;
-    let old = |e: &JobEntry| {
-        e.stored_state.is_final() && e.ended_unix_ms > 0 && e.ended_unix_ms + keep < unix_ms
+    let is_expired = |e: &JobEntry| {
+        e.stored_state.is_final() && e.ended_unix_ms > 0 && e.ended_unix_ms + retention < unix_ms
     };
-    let keys: Vec<JobKey> = cx.jobs.iter().filter(|(_, e)| old(e)).map(|(key, _)| *key).collect();
+    let keys: Vec<JobKey> =
+        cx.jobs.iter().filter(|(_, e)| is_expired(e)).map(|(key, _)| *key).collect();
     for key in keys {
         cx.jobs.remove(&key);
         cx.interference.forget(key);
