--- a/crates/sched/src/changes/leases.rs
+++ b/crates/sched/src/changes/leases.rs
@@ -1,7 +1,8 @@
-//! Leases at workers: granted with every start and renewal, and what follows when they are over.
+//! Leases at workers: each start and each renewal grants one, and all runs at a worker are released
+//! once its leases are over.
 //!
-//! A task that may run at a silent worker goes elsewhere only once its lease is certainly over
-//! there, even by a clock that is slower than ours.
+//! A task that may be running at a silent worker is started elsewhere only once its lease is
+//! certainly over there, even by a clock that is slower than the leader's.
 
 use gaplock_jobs::TaskKey;
 
@@ -11,13 +12,13 @@
 use crate::state::worker::Slot;
 use crate::state::State;
 
-/// Gives up every run at a worker whose leases are certainly over.
+/// Releases every run at a worker whose leases are certainly over.
 pub fn expire(cx: &mut State, ix: WorkerIx) {
     record_abandoned_starts(cx, ix);
     release_all(cx, ix, ReleaseProof::LeaseOver);
 }
 
-/// Remembers the runs at a worker that may still begin there once it gets leases again.
+/// Records the runs at a worker that may still begin there once it gets leases again.
 fn record_abandoned_starts(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker_mut(ix);
     let slots: Vec<(TaskKey, Slot)> = worker.slots.iter().map(|(k, s)| (*k, s.clone())).collect();
@@ -26,7 +27,7 @@
     }
 }
 
-/// Gives up every run at a worker.
+/// Releases every run at a worker.
 fn release_all(cx: &mut State, ix: WorkerIx, proof: ReleaseProof) {
     let slots: Vec<(TaskKey, Run)> =
         cx.worker(ix).slots.iter().map(|(key, slot)| (*key, slot.run)).collect();
@@ -38,7 +39,8 @@
     }
 }
 
-/// Forgets a worker whose incarnation certainly runs nothing any more; whether it was not forgotten before.
+/// Marks an incarnation of a worker as terminated, because it certainly no longer runs anything.
+/// Returns whether it was not marked before.
 pub fn mark_terminated(cx: &mut State, ix: WorkerIx) -> bool {
     crashes::worker_lost(cx, ix, true);
     crashes::worker_terminated(cx, ix);
@@ -51,14 +53,14 @@
     worker.lease_until = None;
     worker.in_roster = false;
     worker.roster_pending = false;
-    if !cx.recovery_scan.as_ref().is_some_and(|survey| survey.waits_for(ix)) {
+    if !cx.recovery_scan.as_ref().is_some_and(|scan| scan.waits_for(ix)) {
         roster::forget(cx, ix);
     }
     true
 }
 
-/// Returns the end of a lease at a worker that begins now, and remembers it as granted; none while
-/// the worker's leases are left to end.
+/// Grants a lease at a worker that begins now. Returns its end by the worker's clock, or none while
+/// the worker's leases are meant to expire.
 pub fn grant(cx: &mut State, ix: WorkerIx) -> Option<WorkerClock> {
     let (now, lease) = (cx.now, cx.settings.lease());
     let worker = cx.worker_mut(ix);
