--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Changes of a task's or a job's state; every other module goes through these functions.
+//! Changes of the state of tasks and jobs. Every other module makes them through these functions.
 
 use std::sync::Arc;
 
@@ -16,18 +16,18 @@
 use crate::state::worker::{Phase, Slot, TaskRole};
 use crate::state::State;
 
-/// How much later than its objective a lasting step is served: room that comes free goes to work
-/// that ends soon, whose caller waits for it, as long as there is any.
+/// How much later than its objective a long-running step is due. Capacity that becomes free goes
+/// first to work that ends soon and whose caller waits for it, as long as there is any.
 const LONG_RUNNING_DUE_DELAY: Millis = Millis(600_000);
 
-/// Builds the place of a step among those with pending tasks.
+/// Builds the position of a step in the queue of steps with pending tasks.
 fn ready_step(entry: &JobEntry, round: u32, step: u16) -> ReadyStep {
-    let lasting = entry.job.steps.get(usize::from(step)).is_some_and(|s| s.lasting);
-    let due = if lasting { entry.due + LONG_RUNNING_DUE_DELAY } else { entry.due };
+    let long_running = entry.job.steps.get(usize::from(step)).is_some_and(|s| s.lasting);
+    let due = if long_running { entry.due + LONG_RUNNING_DUE_DELAY } else { entry.due };
     ReadyStep { priority: entry.priority, due, job: entry.job.key, round, step }
 }
 
-/// Makes a task wait for a worker, after `pause`.
+/// Makes a task wait for a worker, with a start after `pause` at the earliest.
 pub fn make_pending(cx: &mut State, key: TaskKey, pause: Millis) {
     let now = cx.now;
     let Some(entry) = cx.jobs.get_mut(&key.job) else { return };
@@ -40,14 +40,15 @@
     task.not_before = now + pause;
     task.since = now;
     let is_suspect = task.crash_evidence.is_some();
-    let is_saved = task.checkpoint.is_some();
+    let has_checkpoint = task.checkpoint.is_some();
     if let Some(round) = entry.round_mut(key.round) {
         round.steps[usize::from(key.step)].pending.insert(key.index);
     }
     cx.ready.insert(ready);
     cx.pass_wanted = true;
-    if is_saved {
-        // No worker keeps the checkpoint once the end of its run is acknowledged.
+    if has_checkpoint {
+        // The worker drops the checkpoint once the end of its run is acknowledged, so it must be
+        // stored.
         commits::mark_dirty(&mut cx.commits, now, key.job);
     }
     if is_suspect {
@@ -55,7 +56,8 @@
     }
 }
 
-/// Takes a task out of the pending ones, because it is being started or was found running.
+/// Removes a task from the pending tasks of its step, because it is being started or was found
+/// running.
 pub fn leave_pending(cx: &mut State, key: TaskKey) {
     let Some(entry) = cx.jobs.get_mut(&key.job) else { return };
     let ready = ready_step(entry, key.round, key.step);
@@ -67,18 +69,18 @@
     }
 }
 
-/// What is known of a run when it is put on a worker.
+/// What is known of a run when it is added to a worker.
 #[derive(Debug, Clone)]
 pub struct Occupant {
     /// The run.
     pub run: Run,
-    /// What its start brings.
+    /// The checkpoint that its start carries.
     pub resumes_from: Option<Checkpoint>,
-    /// How far its order has come.
+    /// The phase of the run at the worker.
     pub phase: Phase,
-    /// How far the run has come in percent.
+    /// The progress of the run in percent.
     pub percent: u32,
-    /// The worker's last reading.
+    /// The worker's last reading of the run.
     pub reading: Option<u32>,
 }
 
@@ -92,21 +94,21 @@
     }
     let job = Arc::clone(&entry.job);
     let Some(step) = job.steps.get(usize::from(key.step)) else { return };
-    let part = pacing::role_of(cx, step);
+    let role = pacing::role_of(cx, step);
     let w = cx.worker_mut(worker);
-    w.add_slot(key, slot_of(step, part, occupant, now));
+    w.add_slot(key, slot_of(step, role, occupant, now));
     cx.expedite_renewal(worker);
     scarcity::note_short_change(cx, worker, key);
     pacing::refresh_spare_capacity(cx, worker);
 }
 
-fn slot_of(step: &Step, part: TaskRole, occupant: Occupant, now: Instant) -> Slot {
+fn slot_of(step: &Step, role: TaskRole, occupant: Occupant, now: Instant) -> Slot {
     let started = occupant.phase == Phase::Starting;
     Slot {
         run: occupant.run,
         phase: occupant.phase,
         reservation: job_table::reservation(step),
-        role: part,
+        role,
         best_effort_millicores: job_table::best_effort_millicores(step),
         ordered_at: now,
         resend_stop_at: now,
@@ -143,8 +145,8 @@
     Some(slot)
 }
 
-/// Takes a run off a worker by a proof that it is not there, and makes its task pending again if
-/// that was held to be there.
+/// Releases a run from a worker, given a proof that the run is not there. If the task was active
+/// there, makes it pending again.
 pub fn requeue(cx: &mut State, worker: WorkerIx, key: TaskKey, run: Run, proof: ReleaseProof) {
     let was_active = cx.is_active(key, worker, run);
     let slot = vacate(cx, worker, key, run);
@@ -155,21 +157,22 @@
     }
 }
 
-/// How often a pause doubles at most; settings bound it long before.
+/// How often a pause is doubled at most. The settings bound pauses long before.
 const MAX_PAUSE_DOUBLINGS: u32 = 8;
 
-/// Returns the pause before the next start of a task that failed `in_row` times in a row.
-pub fn retry_backoff(cx: &State, in_row: u32) -> Millis {
-    exponential_backoff(cx.settings.retry_pause, in_row, cx.settings.retry_pause_max)
+/// Returns the pause before the next start of a task after this many consecutive failures.
+pub fn retry_backoff(cx: &State, consecutive: u32) -> Millis {
+    exponential_backoff(cx.settings.retry_pause, consecutive, cx.settings.retry_pause_max)
 }
 
-/// Returns a pause that begins with `first` and doubles with each time in a row, up to `most`.
-pub fn exponential_backoff(first: Millis, in_row: u32, most: Millis) -> Millis {
-    let doublings = in_row.saturating_sub(1).min(MAX_PAUSE_DOUBLINGS);
-    Millis(first.0 << doublings).min(most)
+/// Returns a pause that begins with `first` and doubles with each further consecutive failure, up
+/// to `max`.
+pub fn exponential_backoff(first: Millis, consecutive: u32, max: Millis) -> Millis {
+    let doublings = consecutive.saturating_sub(1).min(MAX_PAUSE_DOUBLINGS);
+    Millis(first.0 << doublings).min(max)
 }
 
-/// Marks a task done and begins what waited for it.
+/// Marks a task as done and begins whatever waited for it.
 pub fn finish_task(cx: &mut State, key: TaskKey) {
     leave_pending(cx, key);
     let Some(entry) = cx.jobs.get_mut(&key.job) else { return };
@@ -202,7 +205,7 @@
     }
 }
 
-/// Makes every waiting task pending whose earlier steps are done.
+/// Makes every waiting task of a round pending whose earlier steps are done.
 pub fn begin_steps(cx: &mut State, job: JobKey, number: u32) {
     let Some(entry) = cx.jobs.get(&job) else { return };
     let Some(round) = entry.round(number) else { return };
@@ -212,7 +215,7 @@
     }
 }
 
-/// Lists the waiting tasks of steps whose earlier steps are done.
+/// Returns the waiting tasks of steps whose earlier steps are done.
 fn waiting_tasks(entry: &JobEntry, round: &Round) -> Vec<TaskKey> {
     let mut found = Vec::new();
     for (at, (step, state)) in entry.job.steps.iter().zip(&round.steps).enumerate() {
@@ -228,8 +231,9 @@
     found
 }
 
-/// Puts a job into a final state and stops whatever of it still runs. It keeps no tasks from then on, so nothing that
-/// keeps tasks by their keys, such as the list of suspects, finds one that could be started.
+/// Puts a job into a final state and stops its runs. The entry holds no tasks from then on, so
+/// nothing that refers to tasks by their keys, such as the list of suspects, finds one that could
+/// be started.
 pub fn end_job(cx: &mut State, job: JobKey, state: JobState) {
     let unix_ms = cx.unix_ms;
     let Some(entry) = cx.jobs.get_mut(&job) else { return };
@@ -238,8 +242,9 @@
     }
     entry.state = state;
     entry.ended_unix_ms = unix_ms.max(1);
-    // A member of a gang that is done may still be listed.
-    let unlike_its_tasks = entry.unreadable || entry.job.steps.iter().any(|step| step.gang);
+    // The tasks of an unreadable job do not show its runs, and a gang member that is done may still
+    // be listed by its worker.
+    let has_runs_beyond_tasks = entry.unreadable || entry.job.steps.iter().any(|step| step.gang);
     let mut active = entry.active();
     trace::job_ended(job, state, active.len());
     let ready: Vec<ReadyStep> = ready_steps(entry);
@@ -247,7 +252,7 @@
         cx.ready.remove(&step);
     }
     entry.rounds.clear();
-    if unlike_its_tasks {
+    if has_runs_beyond_tasks {
         active = runs_of(cx, job);
     }
     for (key, worker, run) in active {
@@ -256,7 +261,7 @@
     commits::mark_dirty_urgent(&mut cx.commits, cx.now, job);
 }
 
-/// Lists the runs of a job that are held to be at workers.
+/// Returns the runs of a job that the leader believes to be at workers.
 fn runs_of(cx: &State, job: JobKey) -> Vec<(TaskKey, WorkerIx, Run)> {
     let mut found = Vec::new();
     for ix in cx.worker_ixs() {
@@ -266,7 +271,7 @@
     found
 }
 
-/// Lists every step of the rounds under way.
+/// Returns the queue positions of all steps of the rounds in progress.
 fn ready_steps(entry: &JobEntry) -> Vec<ReadyStep> {
     let steps = entry
         .rounds
@@ -275,7 +280,7 @@
     steps.map(|(round, step)| ready_step(entry, round, step)).collect()
 }
 
-/// Orders a run to be stopped; its room stays taken until its end is seen.
+/// Orders a run to stop. Its capacity stays reserved until its end is seen.
 pub fn order_stop(cx: &mut State, worker: WorkerIx, key: TaskKey, run: Run, why: &'static str) {
     let (now, retry) = (cx.now, cx.settings.stop_retry);
     let w = cx.worker_mut(worker);
