--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -1,10 +1,10 @@
-//! Answers to starts and stops, and orders that got none.
+//! Handles the outcomes of starts and stops, and resends the unanswered ones.
 //!
-//! A start without an answer may be carried out seconds later, also after the refusal of its
-//! repeat. It is sent again under the same run number, which a worker carries out only once. Its
-//! task goes elsewhere once every try was refused. Where a try is open, the start is withdrawn: a
-//! stop makes the worker refuse the run for ever, and the next account tells whether it is there
-//! (`docs/PLATFORM.md`, section Repeated calls).
+//! A start without an answer may be carried out seconds later, even after a repeated attempt was
+//! refused. It is sent again under the same run number, which a worker carries out only once. Its
+//! task is started elsewhere once every attempt was refused. If an attempt is unanswered, the start
+//! is withdrawn: a stop makes the worker refuse the run for ever, and the next worker report shows
+//! whether the run is there (`docs/PLATFORM.md`, section Repeated calls).
 
 use gaplock_jobs::TaskKey;
 use gaplock_policy::attempts::Execution;
@@ -20,7 +20,7 @@
 use crate::state::worker::Phase;
 use crate::state::State;
 
-/// Takes in what became of the last try of a start.
+/// Handles the outcome of the last attempt of a start.
 pub fn handle_start_outcome(
     cx: &mut State,
     ix: WorkerIx,
@@ -28,21 +28,21 @@
     run: Run,
     outcome: Outcome<WorkerClock>,
 ) {
-    trace_answer(cx, ix, key, run, &outcome);
+    log_start_outcome(cx, ix, key, run, &outcome);
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     if slot.run != run {
         return;
     }
-    let fate = slot.attempts.record_outcome(outcome.execution());
+    let execution = slot.attempts.record_outcome(outcome.execution());
     if !matches!(slot.phase, Phase::Starting | Phase::Uncertain) {
         return;
     }
     match outcome {
-        Outcome::Done(clock) => confirmed(cx, ix, key, clock),
+        Outcome::Done(clock) => start_confirmed(cx, ix, key, clock),
         Outcome::Refused(Refusal::OtherIncarnation) => {
             trace::worker_gone(&cx.worker(ix).info.id, "another incarnation answers");
-            // A start of which no try is open did not reach the worker that is lost.
-            if fate == Execution::NotDone {
+            // A start without unanswered attempts did not reach the lost incarnation.
+            if execution == Execution::NotDone {
                 lifecycle::requeue(cx, ix, key, run, ReleaseProof::Refused);
             }
             terminated::mark_terminated(cx, ix);
@@ -52,28 +52,34 @@
             if refusal == Refusal::Invalid {
                 checkpoints::refused(cx, ix, key);
             }
-            release_or_withdraw(cx, ix, key, run, fate, ReleaseProof::Refused);
+            release_or_withdraw(cx, ix, key, run, execution, ReleaseProof::Refused);
             if refusal == Refusal::Invalid {
                 delay_invalid(cx, key);
             }
         }
         Outcome::NotSent => {
             avoid_for(cx, ix, cx.settings.renew_retry);
-            release_or_withdraw(cx, ix, key, run, fate, ReleaseProof::NeverSent);
+            release_or_withdraw(cx, ix, key, run, execution, ReleaseProof::NeverSent);
         }
         Outcome::Unclear => retry_or_withdraw(cx, ix, key, run),
     }
 }
 
-/// Logs a start that was not simply carried out, with the try that the answer belongs to.
-fn trace_answer(cx: &State, ix: WorkerIx, key: TaskKey, run: Run, outcome: &Outcome<WorkerClock>) {
+/// Logs a start that was not simply carried out, with the attempt that the outcome belongs to.
+fn log_start_outcome(
+    cx: &State,
+    ix: WorkerIx,
+    key: TaskKey,
+    run: Run,
+    outcome: &Outcome<WorkerClock>,
+) {
     let worker = cx.worker(ix);
-    let tries = worker.slots.get(&key).filter(|s| s.run == run).map(|s| s.attempts);
-    trace::start_answered(key, run, &worker.info.id, tries.unwrap_or_default(), outcome);
+    let attempts = worker.slots.get(&key).filter(|s| s.run == run).map(|s| s.attempts);
+    trace::start_answered(key, run, &worker.info.id, attempts.unwrap_or_default(), outcome);
 }
 
-/// Takes in that a run is at its worker.
-fn confirmed(cx: &mut State, ix: WorkerIx, key: TaskKey, clock: WorkerClock) {
+/// Handles the confirmation that a run is at its worker.
+fn start_confirmed(cx: &mut State, ix: WorkerIx, key: TaskKey, clock: WorkerClock) {
     let now = cx.now;
     let worker = cx.worker_mut(ix);
     worker.record_clock(now, clock);
@@ -89,17 +95,18 @@
     pacing::order_paces(cx, ix);
 }
 
-/// Frees a task whose start was certainly not carried out, or withdraws the start while a try of it
-/// is open: that one may be carried out when the task has long ended elsewhere.
+/// Releases a run whose start was certainly not carried out. If an attempt of the start is
+/// unanswered, withdraws the start instead: that attempt may be carried out long after the task has
+/// ended elsewhere.
 fn release_or_withdraw(
     cx: &mut State,
     ix: WorkerIx,
     key: TaskKey,
     run: Run,
-    fate: Execution,
+    execution: Execution,
     proof: ReleaseProof,
 ) {
-    match fate {
+    match execution {
         Execution::NotDone => lifecycle::requeue(cx, ix, key, run, proof),
         Execution::Done | Execution::Unknown => {
             lifecycle::order_stop(cx, ix, key, run, "an earlier try of its start is open");
@@ -107,19 +114,20 @@
     }
 }
 
-/// Lets a task pause whose start was refused as invalid: the next worker most likely refuses it, too.
+/// Delays a task whose start was refused as invalid, because the next worker most likely refuses
+/// it, too.
 fn delay_invalid(cx: &mut State, key: TaskKey) {
     let Some(task) = cx.task_mut(key) else { return };
     task.consecutive_invalid_starts += 1;
-    let in_row = task.consecutive_invalid_starts;
-    let until = cx.now + lifecycle::retry_backoff(cx, in_row);
+    let consecutive = task.consecutive_invalid_starts;
+    let until = cx.now + lifecycle::retry_backoff(cx, consecutive);
     let task = cx.task_mut(key).filter(|task| task.state == TaskState::Pending);
     if let Some(task) = task {
         task.not_before = until;
     }
 }
 
-/// Spares a worker that refused a start, where and for as long as that helps.
+/// Avoids a worker that refused a start, if and for as long as that helps.
 fn avoid_after_refusal(cx: &mut State, ix: WorkerIx, key: TaskKey, refusal: Refusal) {
     let (retry, full) = (cx.settings.renew_retry, cx.settings.full_pause);
     match refusal {
@@ -134,17 +142,17 @@
     }
 }
 
-/// Gives a worker no tasks for a while.
+/// Gives a worker no tasks for `pause`.
 fn avoid_for(cx: &mut State, ix: WorkerIx, pause: Millis) {
     let now = cx.now;
     cx.worker_mut(ix).avoid_until = now + pause;
 }
 
-/// Sends a start without an answer again, or withdraws it once it was tried often enough or nothing is to
-/// go to its worker any more.
+/// Sends an unanswered start again. Withdraws it instead if all allowed attempts were sent, or if
+/// its worker is to get nothing any more.
 fn retry_or_withdraw(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
     let now = cx.now;
-    let most = cx.settings.max_start_attempts;
+    let max_attempts = cx.settings.max_start_attempts;
     avoid_unresponsive(cx, ix);
     let evacuated = cx.worker(ix).evacuated;
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
@@ -152,7 +160,7 @@
     if evacuated {
         return lifecycle::order_stop(cx, ix, key, run, "its failure domain is evacuated");
     }
-    if slot.attempts.sent() >= most {
+    if slot.attempts.sent() >= max_attempts {
         return lifecycle::order_stop(cx, ix, key, run, "start not answered");
     }
     slot.ordered_at = now;
@@ -163,8 +171,8 @@
     send_start(cx, ix, key, run);
 }
 
-/// Spares a worker for a while that left a start unanswered, so that one silent worker does not
-/// take up the starts that may be under way.
+/// Avoids, for a while, a worker that left a start unanswered, so that one silent worker does not
+/// use up the starts that may be in flight.
 fn avoid_unresponsive(cx: &mut State, ix: WorkerIx) {
     let (now, pause) = (cx.now, cx.settings.renew_retry);
     let worker = cx.worker_mut(ix);
@@ -190,24 +198,24 @@
     cx.actions.push(start);
 }
 
-/// The first pause before the stop of a withdrawn start is sent again that was refused: a task
-/// waits for it, and a worker that refuses some calls may take the next one. It doubles with each
-/// refusal up to [`crate::Settings::stop_retry`], so that hundreds of unwell workers do not use up
-/// the leader's processor.
+/// The first pause before the refused stop of a withdrawn start is sent again. A task waits for
+/// this stop, and a worker that refuses some calls may accept the next one. The pause doubles with
+/// each refusal up to [`crate::Settings::stop_retry`], so that hundreds of overloaded workers do
+/// not use up the leader's processor.
 const FIRST_STOP_RETRY_PAUSE: Millis = Millis(50);
 
-/// Sets when a stop that was refused is sent again.
+/// Sets when a refused stop is sent again.
 fn delay_stop(cx: &mut State, ix: WorkerIx, key: TaskKey) {
-    let (now, most) = (cx.now, cx.settings.stop_retry);
+    let (now, max_pause) = (cx.now, cx.settings.stop_retry);
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     slot.stop_refusals += 1;
     if slot.confirmed.is_none() {
-        slot.resend_stop_at =
-            now + lifecycle::exponential_backoff(FIRST_STOP_RETRY_PAUSE, slot.stop_refusals, most);
+        slot.resend_stop_at = now
+            + lifecycle::exponential_backoff(FIRST_STOP_RETRY_PAUSE, slot.stop_refusals, max_pause);
     }
 }
 
-/// Takes in what became of a stop.
+/// Handles the outcome of a stop.
 pub fn handle_stop_outcome(
     cx: &mut State,
     ix: WorkerIx,
@@ -217,7 +225,7 @@
 ) {
     let now = cx.now;
     abandoned_starts::handle_stop_outcome(cx, ix, key, run, &outcome);
-    let limit = cx.settings.stop_retry.0 + cx.settings.stop_limit.0;
+    let resend_after_ms = cx.settings.stop_retry.0 + cx.settings.stop_limit.0;
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key) else { return };
     if slot.run != run || slot.phase != Phase::Stopping {
         return;
@@ -225,12 +233,12 @@
     match outcome {
         Outcome::Refused(Refusal::OtherIncarnation) => terminated::mark_terminated(cx, ix),
         Outcome::Refused(Refusal::Fenced) => cx.actions.push(Action::ConfirmLeadership),
-        // From now on the worker refuses the run, and an account that does not list it proves that
-        // it is over.
+        // From now on the worker refuses the run, and a report that does not list the run proves
+        // that it is over.
         Outcome::Done(_) | Outcome::Refused(Refusal::OldRun) => {
             slot.stop_confirmed.get_or_insert(now);
             slot.ordered_at = now;
-            slot.resend_stop_at = now + Millis(limit);
+            slot.resend_stop_at = now + Millis(resend_after_ms);
             cx.expedite_renewal(ix);
         }
         Outcome::Refused(_) => delay_stop(cx, ix, key),
@@ -238,7 +246,7 @@
     }
 }
 
-/// Sends stops again whose run is still there.
+/// Resends the stops of runs that are still there.
 pub fn check(cx: &mut State) {
     let (now, retry) = (cx.now, cx.settings.stop_retry);
     for ix in cx.worker_ixs() {
@@ -247,15 +255,15 @@
         if !worker.answers() {
             continue;
         }
-        let mut again = Vec::new();
+        let mut resend = Vec::new();
         for (key, slot) in &mut worker.slots {
             if slot.phase == Phase::Stopping && slot.resend_stop_at <= now {
                 slot.ordered_at = now;
                 slot.resend_stop_at = now + retry;
-                again.push((*key, slot.run));
+                resend.push((*key, slot.run));
             }
         }
-        for (task, run) in again {
+        for (task, run) in resend {
             cx.actions.push(Action::Stop { worker: ix, task, run });
         }
     }
