--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -1,5 +1,5 @@
-//! Renewals: one call that asks a worker for its account, acknowledges stored ends and extends the
-//! leases of all that runs there.
+//! Renewals: a call that asks a worker for its report, acknowledges stored ends and extends the
+//! leases of all runs at the worker.
 
 use gaplock_types::time::{Instant, Millis};
 
@@ -23,19 +23,19 @@
     }
 }
 
-/// Sends one renewal; it waits at the worker for an end where nothing is more pressing.
+/// Sends one renewal. The worker holds it back until a run ends, unless something is more urgent.
 fn send(cx: &mut State, ix: WorkerIx) {
-    // A worker that does not answer is only asked: a grant that may have arrived would put off the
-    // time from which its tasks are certainly over.
+    // A worker that does not answer is not granted a lease: a grant that may have arrived would put
+    // off the time from which its runs are certainly over.
     let until = if cx.worker(ix).unanswered_renewals == 0 { leases::grant(cx, ix) } else { None };
     let wait = spread_wait(cx, ix, renewal_wait(cx.settings.renew_wait, cx.fleet_size()));
     let worker = cx.worker_mut(ix);
     worker.renewal = Renewal::InFlight;
-    let quick = until.is_none()
+    let is_urgent = until.is_none()
         || worker.recorded_up_to > worker.stored_up_to
         || worker.unanswered_renewals > 0
         || worker.awaits_withdrawal_proof();
-    let wait = if quick || worker.slots.is_empty() { Millis(0) } else { wait };
+    let wait = if is_urgent || worker.slots.is_empty() { Millis(0) } else { wait };
     let wait = if worker.mixes_serving_and_best_effort() {
         wait.min(MAX_WAIT_ON_SHARED_WORKER)
     } else {
@@ -47,25 +47,26 @@
     cx.actions.push(Action::Renew { worker: ix, stored, until, wait });
 }
 
-/// How many renewals a second one leader carries: half a core, of which each takes some 0.15 ms,
-/// with more than half to spare (`docs/CAPACITY.md`).
+/// How many renewals per second one leader handles with half a core. Each takes about 0.15 ms, so
+/// more than half of that processor time is to spare (`docs/CAPACITY.md`).
 const MAX_RENEWALS_PER_SECOND: u64 = 1_000;
 
-/// The longest that a worker holds a renewal back, by the workers' interface.
+/// The longest time that a worker holds a renewal back, as the workers' interface defines it.
 const MAX_RENEWAL_WAIT: Millis = Millis(2_000);
 
-/// Returns how long a renewal waits for an end, on a fleet of so many workers.
+/// Returns how long a worker holds a renewal back while it waits for an end, in a fleet of
+/// `workers` workers.
 pub fn renewal_wait(usual: Millis, workers: usize) -> Millis {
     let needed = workers as u64 * 1_000 / MAX_RENEWALS_PER_SECOND;
     usual.max(Millis(needed)).min(MAX_RENEWAL_WAIT)
 }
 
-/// The prime by which workers' positions are spread over a wait.
+/// A prime that spreads the workers' positions in the table over a wait.
 const SPREAD_PRIME: u64 = 7_919;
 
-/// Returns the wait of a worker's renewal, or the time until an idle worker's next one. The first ones
-/// after a takeover differ from worker to worker, from a quarter of the wait on, since all workers were asked at one time and would answer
-/// at one time ever after.
+/// Returns the wait of a worker's renewal, or the time until the next renewal of an idle worker.
+/// The first waits after a takeover differ between workers, from a quarter of `wait` up: all
+/// workers were asked at the same time and would otherwise answer at the same time ever after.
 fn spread_wait(cx: &State, ix: WorkerIx, wait: Millis) -> Millis {
     let recent = cx.worker(ix).first_answered_at.is_some_and(|at| cx.now.since(at) < wait);
     if !recent {
@@ -75,32 +76,33 @@
     Millis(wait.0 / 4 + wait.0 * 3 / 4 * part / 1_000)
 }
 
-/// How long a renewal waits where tasks fill beside tasks that serve: readings are renewed every
-/// half second, and one that is a second old lets a task disturb or stand still for as long
-/// (`docs/DECISIONS.md`).
+/// How long at most a renewal waits at a worker that runs best-effort tasks beside serving tasks.
+/// Readings are renewed every half second. A reading that is a second old lets a best-effort task
+/// interfere or stand still for as long (`docs/DECISIONS.md`).
 const MAX_WAIT_ON_SHARED_WORKER: Millis = Millis(350);
 
-/// Takes in what became of a renewal.
+/// Handles the outcome of a renewal.
 pub fn handle_renewal_outcome(
     cx: &mut State,
     ix: WorkerIx,
     sent: Instant,
     outcome: Outcome<WorkerReport>,
 ) {
-    // What an incarnation said before it was known to be over speaks of runs that are over too; nobody
-    // would look for their ends. One that is listed again is asked anew.
+    // What an incarnation reported before it was known to be terminated is ignored: its runs are
+    // over, too, and nobody would look for their ends. If the incarnation is listed again, it is
+    // asked again.
     cx.set_due(ix, cx.now);
     if cx.worker(ix).terminated {
         return;
     }
     match outcome {
-        Outcome::Done(account) => match &account.worker {
+        Outcome::Done(report) => match &report.worker {
             Some(id) if *id != cx.worker(ix).info.id => {
                 let later = restarts::find_or_add(cx, ix, id);
-                answered_by_later_incarnation(cx, later, sent, account);
+                answered_by_later_incarnation(cx, later, sent, report);
                 terminated::mark_terminated(cx, ix);
             }
-            _ => answered(cx, ix, sent, account),
+            _ => apply_report(cx, ix, sent, report),
         },
         Outcome::Refused(Refusal::OtherIncarnation) => {
             trace::worker_gone(&cx.worker(ix).info.id, "another incarnation answers");
@@ -111,7 +113,7 @@
                 cx.actions.push(Action::ConfirmLeadership);
             }
             renewal_unanswered(cx, ix);
-            refused(cx, ix);
+            renewal_refused(cx, ix);
         }
         Outcome::NotSent | Outcome::Unclear => renewal_unanswered(cx, ix),
     }
@@ -121,7 +123,7 @@
 /// first one.
 const MAX_RETRY_PAUSE_FACTOR: u64 = 4;
 
-/// Takes in that a renewal got no account, and puts off the next one.
+/// Handles a renewal that got no report, and delays the next one.
 fn renewal_unanswered(cx: &mut State, ix: WorkerIx) {
     let (now, retry) = (cx.now, cx.settings.renew_retry);
     let worker = cx.worker_mut(ix);
@@ -134,11 +136,11 @@
     cx.set_due(ix, now + pause);
 }
 
-/// The pause before a refused renewal is sent again whose account a task waits for.
+/// The pause before a refused renewal is sent again if a task waits for its report.
 const REFUSED_RENEWAL_RETRY_PAUSE: Millis = Millis(50);
 
-/// Takes in that the last renewal was refused, by a worker that is unwell but answers.
-fn refused(cx: &mut State, ix: WorkerIx) {
+/// Handles the refusal of the last renewal by a worker that is overloaded but answers.
+fn renewal_refused(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
     let worker = cx.worker_mut(ix);
     worker.last_renewal_refused = true;
@@ -147,23 +149,23 @@
     }
 }
 
-/// Takes in the account that a worker gave in answer to a renewal of its former start; one of its own may be in
-/// flight.
+/// Applies the report that a worker gave in answer to a renewal meant for its previous incarnation.
+/// A renewal meant for this incarnation may be in flight.
 fn answered_by_later_incarnation(
     cx: &mut State,
     ix: WorkerIx,
     sent: Instant,
-    account: WorkerReport,
+    report: WorkerReport,
 ) {
     let renewal = cx.worker(ix).renewal;
-    answered(cx, ix, sent, account);
+    apply_report(cx, ix, sent, report);
     if renewal == Renewal::InFlight {
         cx.worker_mut(ix).renewal = renewal;
     }
 }
 
-/// Takes in a worker's account.
-fn answered(cx: &mut State, ix: WorkerIx, sent: Instant, account: WorkerReport) {
+/// Applies a worker's report.
+fn apply_report(cx: &mut State, ix: WorkerIx, sent: Instant, report: WorkerReport) {
     let now = cx.now;
     if cx.worker(ix).unanswered_renewals > 0 {
         trace::worker_back(&cx.worker(ix).info.id, cx.worker(ix).unanswered_renewals);
@@ -174,15 +176,15 @@
     }
     let is_first = cx.worker(ix).first_answered_at.is_none();
     if is_first {
-        restarts::inherit(cx, ix, sent, &account);
+        restarts::inherit(cx, ix, sent, &report);
     }
     let worker = cx.worker_mut(ix);
     worker.unanswered_renewals = 0;
     worker.last_renewal_refused = false;
     worker.first_answered_at.get_or_insert(now);
     worker.acknowledged_up_to = worker.acknowledged_up_to.max(worker.acknowledging_up_to);
-    worker.record_clock(now, account.clock);
-    worker_report::apply(cx, ix, sent, &account);
+    worker.record_clock(now, report.clock);
+    worker_report::apply(cx, ix, sent, &report);
     if is_first {
         restarts::terminate_previous(cx, ix);
     }
@@ -193,14 +195,15 @@
     schedule_next(cx, ix);
 }
 
-/// Sets when the next renewal is due: at once where something runs, since it waits at the worker.
+/// Sets when the next renewal is due: at once if something runs at the worker, because the worker
+/// then holds the renewal back.
 fn schedule_next(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
     let poll = renewal_wait(cx.settings.poll_every, cx.fleet_size());
     let idle = spread_wait(cx, ix, cx.settings.idle_renew_every);
     let worker = cx.worker_mut(ix);
     let unstored = worker.recorded_up_to > worker.stored_up_to;
-    // Without a lease to ask for, a renewal does not wait at the worker.
+    // A renewal that asks for no lease is not held back by the worker.
     let next = if unstored || worker.lets_leases_expire() {
         now + poll
     } else if worker.slots.is_empty() {
