--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -1,9 +1,10 @@
-//! Workers that start again under their names (`docs/PLATFORM.md`, section Workers that start again).
+//! Workers that restart under the same name (`docs/PLATFORM.md`, section Workers that start again).
 //!
-//! Each start is a worker of its own in the table, so whatever was kept of a former one ends with it. What that
-//! cannot tell apart is an order under way when the worker started again: it names the worker only, and either
-//! start may have carried it out. Such a run goes over to the later start, and its task waits until that one has
-//! listed the run or refuses it for ever.
+//! Each incarnation is a separate worker in the table, so everything recorded of a previous
+//! incarnation ends with it. The exception is an order that was in flight when the worker
+//! restarted: it names the worker only, so either incarnation may have carried it out. Such a run
+//! is moved to the later incarnation, and its task waits until that incarnation has listed the run
+//! or refuses it for ever.
 
 use gaplock_jobs::TaskKey;
 use gaplock_types::ids;
@@ -16,16 +17,16 @@
 use crate::state::worker::{Listing, Phase, Slot};
 use crate::state::State;
 
-/// How long the directory's entry of a start may be behind its first account: workers write theirs about every
-/// second, and a change takes half a second to reach us.
+/// How long the directory entry of an incarnation may lag behind its first report. Workers write
+/// their entries about every second, and a change takes half a second to reach the leader.
 const DIRECTORY_ENTRY_DELAY: Millis = Millis(2_000);
 
-/// Finds the start that has answered a call to an earlier one, or adds it. Until the directory tells what it
-/// holds now, it gets no tasks.
-pub fn find_or_add(cx: &mut State, former: WorkerIx, id: &ids::WorkerId) -> WorkerIx {
-    let former = &cx.worker(former).info;
-    trace::worker_restarted(&former.id, id);
-    let mut info = former.clone();
+/// Finds the incarnation that has answered a call to a previous one, or adds it. It gets no tasks
+/// until the directory lists its current capacity.
+pub fn find_or_add(cx: &mut State, previous: WorkerIx, id: &ids::WorkerId) -> WorkerIx {
+    let previous = &cx.worker(previous).info;
+    trace::worker_restarted(&previous.id, id);
+    let mut info = previous.clone();
     info.id = id.clone();
     (info.draining, info.remaining) = (false, None);
     let listing = Listing::Absent { since: cx.now + DIRECTORY_ENTRY_DELAY };
@@ -35,68 +36,72 @@
     ix
 }
 
-/// Moves to a start that answers for the first time what it may hold of its former ones, by its account that
-/// answers a renewal sent at `sent`.
-pub fn inherit(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
-    for former in previous_incarnations(cx, ix) {
-        let doubts = std::mem::take(&mut cx.worker_mut(former).abandoned_starts);
-        let unasked = doubts.into_iter().map(|(key, doubt)| (key, doubt.with_stop_unsent()));
-        cx.worker_mut(ix).abandoned_starts.extend(unasked);
+/// When an incarnation answers for the first time, moves to it the runs and abandoned starts of its
+/// previous incarnations that it may hold. `report` answers a renewal that was sent at `sent`.
+pub fn inherit(cx: &mut State, ix: WorkerIx, sent: Instant, report: &WorkerReport) {
+    for previous in previous_incarnations(cx, ix) {
+        let abandoned = std::mem::take(&mut cx.worker_mut(previous).abandoned_starts);
+        let unsent = abandoned.into_iter().map(|(key, start)| (key, start.with_stop_unsent()));
+        cx.worker_mut(ix).abandoned_starts.extend(unsent);
         let slots: Vec<(TaskKey, Slot)> =
-            cx.worker(former).slots.iter().map(|(key, slot)| (*key, slot.clone())).collect();
-        let (here, rest): (Vec<_>, Vec<_>) =
-            slots.into_iter().partition(|(key, slot)| report_lists(account, *key, slot.run));
-        for (key, slot) in here {
-            move_run(cx, (former, ix), key, &slot, true);
+            cx.worker(previous).slots.iter().map(|(key, slot)| (*key, slot.clone())).collect();
+        let (listed, not_listed): (Vec<_>, Vec<_>) =
+            slots.into_iter().partition(|(key, slot)| report_lists(report, *key, slot.run));
+        for (key, slot) in listed {
+            move_run(cx, (previous, ix), key, &slot, true);
         }
-        // Whatever is not listed speaks of the former start's end, also what may yet begin.
-        crashes::worker_lost(cx, former, true);
-        for (key, slot) in rest.iter().filter(|(_, slot)| !was_at_previous(slot, sent)) {
-            move_run(cx, (former, ix), *key, slot, false);
+        // Runs that the report does not list, even those that may yet begin, are evidence of why
+        // the previous incarnation ended.
+        crashes::worker_lost(cx, previous, true);
+        for (key, slot) in not_listed.iter().filter(|(_, slot)| !was_at_previous(slot, sent)) {
+            move_run(cx, (previous, ix), *key, slot, false);
         }
-        // A lease that was asked of a former start may have been granted by this one.
-        let until = account.clock.after(cx.settings.lease_max);
+        // A lease that a previous incarnation was asked to grant may have been granted by this one.
+        let until = report.clock.after(cx.settings.lease_max);
         cx.worker_mut(ix).extend_leases(until);
     }
-    let lists_something = !account.running.is_empty() || !account.ends.is_empty();
+    let lists_something = !report.running.is_empty() || !report.ends.is_empty();
     let holds_something = lists_something || !cx.worker(ix).slots.is_empty();
     if cx.worker(ix).previous_incarnation.is_some() && holds_something {
-        // Before the roster forgets the former start: a successor must find here what that one was told to start.
+        // Done before the roster drops the previous incarnation: a new leader must look here for
+        // what that one was told to start.
         roster::add_if_missing(cx, ix);
     }
 }
 
-/// Gives the former starts of a worker up that has answered: nothing runs there any more.
+/// Marks the previous incarnations of a worker that has answered as terminated: they no longer run
+/// anything.
 pub fn terminate_previous(cx: &mut State, ix: WorkerIx) {
-    for former in previous_incarnations(cx, ix) {
-        if !cx.worker(former).terminated {
-            trace::worker_gone(&cx.worker(former).info.id, "it has started again");
-            terminated::mark_terminated(cx, former);
+    for previous in previous_incarnations(cx, ix) {
+        if !cx.worker(previous).terminated {
+            trace::worker_gone(&cx.worker(previous).info.id, "it has started again");
+            terminated::mark_terminated(cx, previous);
         }
     }
 }
 
-/// Lists the earlier starts of a worker, the latest first.
+/// Returns the previous incarnations of a worker, the latest first.
 fn previous_incarnations(cx: &State, ix: WorkerIx) -> Vec<WorkerIx> {
     let before = |ix: &WorkerIx| cx.worker(*ix).previous_incarnation;
     std::iter::successors(before(&ix), before).collect()
 }
 
-/// Tells whether an account names a run.
-fn report_lists(account: &WorkerReport, key: TaskKey, run: Run) -> bool {
-    let runs = account.running.iter().any(|row| (row.task, row.run) == (key, run));
-    runs || account.ends.iter().any(|end| (end.task, end.run) == (key, run))
+/// Returns whether a report lists a run as running or ended.
+fn report_lists(report: &WorkerReport, key: TaskKey, run: Run) -> bool {
+    let runs = report.running.iter().any(|row| (row.task, row.run) == (key, run));
+    runs || report.ends.iter().any(|end| (end.task, end.run) == (key, run))
 }
 
-/// Tells whether a run that the account of a later start does not name was certainly at an earlier one: each try
-/// of its start was answered before that account was asked for.
+/// Returns whether a run that a later incarnation's report does not list was certainly at a
+/// previous incarnation: each attempt of its start was answered before that report was requested.
 fn was_at_previous(slot: &Slot, sent: Instant) -> bool {
-    let calls_under_way = matches!(slot.phase, Phase::Starting | Phase::Uncertain);
+    let start_in_flight = matches!(slot.phase, Phase::Starting | Phase::Uncertain);
     let confirmed = slot.confirmed.is_some_and(|at| at < sent);
-    confirmed && !calls_under_way && slot.attempts.unanswered() == 0
+    confirmed && !start_in_flight && slot.attempts.unanswered() == 0
 }
 
-/// Moves a run to the later start: as running there where that lists it, and as withdrawn where it may yet begin.
+/// Moves a run to the later incarnation: as running if that incarnation lists it, or as withdrawn
+/// if it may yet begin there.
 fn move_run(
     cx: &mut State,
     (from, to): (WorkerIx, WorkerIx),
@@ -104,8 +109,8 @@
     slot: &Slot,
     listed: bool,
 ) {
-    let (was, is) = ((from, slot.run), (to, slot.run));
-    let was_slow = cx.task(key).is_some_and(|task| task.slow_run == Some(was));
+    let (old, new) = ((from, slot.run), (to, slot.run));
+    let was_slow = cx.task(key).is_some_and(|task| task.slow_run == Some(old));
     lifecycle::vacate(cx, from, key, slot.run);
     let phase = if listed { Phase::Running } else { Phase::Starting };
     let (run, resumes_from) = (slot.run, slot.resumes_from.clone());
@@ -116,7 +121,7 @@
     }
     if let Some(task) = cx.task_mut(key) {
         if was_slow {
-            task.slow_run = Some(is);
+            task.slow_run = Some(new);
         }
         if task.state == (TaskState::Active { worker: from, run }) {
             task.state = TaskState::Active { worker: to, run };
