--- a/crates/sched/src/changes/roster.rs
+++ b/crates/sched/src/changes/roster.rs
@@ -1,9 +1,10 @@
-//! The stored roster: which workers may run something, and for a worker that gets no tasks, what.
+//! The roster that the leader stores: which workers may be running tasks and, for a worker that
+//! gets no new tasks, which tasks these are.
 //!
-//! A successor asks every worker of the roster what it runs. One that does not answer keeps in doubt
-//! all that it may run: any task, while the roster holds it open, or just the tasks that were there
-//! when the leader closed it. A closed worker gets no tasks until it is stored as open again
-//! (`docs/PLATFORM.md`).
+//! A new leader asks every worker in the roster what it runs. Until a worker answers, the state of
+//! all tasks that it may be running is unknown: any task if the roster shows the worker as open, or
+//! only the tasks that it had when the previous leader closed it. A closed worker gets no tasks
+//! until it is stored as open again (`docs/PLATFORM.md`).
 
 use gaplock_jobs::TaskKey;
 
@@ -13,11 +14,11 @@
 use crate::state::worker::{Listing, Worker};
 use crate::state::State;
 
-/// After how many renewals without an answer a worker is closed: a single answer is lost now and then,
-/// and each change is a write.
+/// The number of successive unanswered renewals after which a worker is closed. One answer is lost
+/// now and then, and each change of the roster is a write to the store.
 const CLOSE_AFTER_UNANSWERED_RENEWALS: u32 = 2;
 
-/// Closes the workers that are silent, and those that are leaving and run nothing any more.
+/// Closes the workers that are silent, and the workers that are leaving and no longer run anything.
 pub fn check(cx: &mut State) {
     for ix in cx.worker_ixs() {
         if should_close(cx.worker(ix)) {
@@ -26,7 +27,8 @@
     }
 }
 
-/// Tells whether a worker is to be closed. What it may run is known only once it has answered.
+/// Returns whether a worker should be closed. A worker that has not answered yet stays open,
+/// because the leader does not know what it may be running.
 fn should_close(worker: &Worker) -> bool {
     if worker.closed || worker.first_answered_at.is_none() {
         return false;
@@ -36,8 +38,8 @@
     silent || leaving
 }
 
-/// Gives a worker no tasks from now on and stores what may still run there, or takes it off the roster
-/// where that is nothing: a successor then need not wait for it.
+/// Stops giving a worker tasks and stores which tasks may still be running there. If there are
+/// none, removes the worker from the roster, so that the next leader need not wait for it.
 fn close(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker_mut(ix);
     worker.in_roster = false;
@@ -55,7 +57,7 @@
     commits::add(cx, record);
 }
 
-/// Takes a worker off the roster that certainly runs nothing any more.
+/// Removes from the roster a worker that certainly no longer runs anything.
 pub fn forget(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker_mut(ix);
     if worker.dropped_from_roster {
@@ -66,31 +68,33 @@
     commits::add(cx, Record::ForgetWorker(id));
 }
 
-/// Takes a closed worker off the roster once the leases of all that it may have run are over.
+/// Removes a closed worker from the roster once the leases of all its possible runs are over.
 pub fn leases_expired(cx: &mut State, ix: WorkerIx) {
     if cx.worker(ix).closed && !cx.worker(ix).dropped_from_roster {
         close(cx, ix);
     }
 }
 
-/// Tells whether a worker may run something, by its answers or by the roster.
+/// Returns whether a worker may be running something, according to its answers or the roster.
 pub fn may_run_something(worker: &Worker) -> bool {
-    let rostered = worker.in_roster || worker.roster_pending;
-    worker.first_answered_at.is_some() || rostered || (worker.closed && !worker.dropped_from_roster)
+    let listed_as_open = worker.in_roster || worker.roster_pending;
+    worker.first_answered_at.is_some()
+        || listed_as_open
+        || (worker.closed && !worker.dropped_from_roster)
 }
 
-/// Opens a worker that may be given tasks, unless it is open.
+/// Adds a worker to the roster as open if it can be given tasks.
 pub fn open_if_ready(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker(ix);
-    let able = worker.listing == Listing::Ready
+    let ready = worker.listing == Listing::Ready
         && worker.unanswered_renewals == 0
         && worker.first_answered_at.is_some();
-    if able && !worker.terminated {
+    if ready && !worker.terminated {
         add_if_missing(cx, ix);
     }
 }
 
-/// Enters a worker as open, unless it is.
+/// Adds a worker to the roster as open, unless it is already open or being added.
 pub fn add_if_missing(cx: &mut State, ix: WorkerIx) {
     let worker = cx.worker(ix);
     if !worker.in_roster && !worker.roster_pending {
