--- a/crates/sched/src/changes/starts.rs
+++ b/crates/sched/src/changes/starts.rs
@@ -1,4 +1,4 @@
-//! Begins a start: takes the room for its run and holds the task to be there.
+//! Starts tasks: reserves the capacity for a run and makes the task active at its worker.
 
 use gaplock_jobs::TaskKey;
 
@@ -19,14 +19,15 @@
     send(cx, ix, task, run);
 }
 
-/// Sends a start that has its slot, or holds it back until it is stored where its task is a suspect.
+/// Sends the start of a run that has its slot. If the task is a suspect, holds the start back until
+/// it is stored.
 pub fn send(cx: &mut State, ix: WorkerIx, task: TaskKey, run: Run) {
     if !recorded_starts::hold_until_stored(cx, ix, task, run) {
         orders::send_start(cx, ix, task, run);
     }
 }
 
-/// Counts another start of a task and returns its run.
+/// Counts another start of a task and returns the number of its run.
 fn next_run(cx: &mut State, task: TaskKey) -> Run {
     let found = cx.task_mut(task);
     let starts = found.map_or(1, |t| {
@@ -36,7 +37,8 @@
     cx.run_number(starts)
 }
 
-/// Takes the room for a run, says what its start brings, and holds the task to be there from now on.
+/// Reserves the capacity for a run, sets the checkpoint that its start carries, and makes the task
+/// active at the worker.
 pub fn reserve(
     cx: &mut State,
     ix: WorkerIx,
