--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -1,7 +1,9 @@
-//! What a new leader does before it may start anything that a former one may have started.
+//! What a new leader does before it may start a task that a previous leader may have started.
 //!
-//! Only starts of suspects are stored, so a successor asks every worker of the stored roster what it
-//! runs. A worker that does not answer keeps the tasks in doubt until its longest possible lease is over.
+//! The store records only the starts of suspects (tasks that may crash workers). So a new leader
+//! runs a recovery scan: it asks every worker in the stored roster what it runs. The state of the
+//! tasks that a worker may be running stays unknown until the worker answers or the longest lease
+//! that it can hold is over.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem;
@@ -22,28 +24,28 @@
 use crate::state::worker::Listing;
 use crate::state::State;
 
-/// What a former leader left in the store.
+/// What a previous leader left in the store.
 #[derive(Debug, Default)]
 pub struct StoredState {
     /// All jobs.
     pub jobs: Vec<Arc<Job>>,
-    /// Their progress.
+    /// The stored progress of the jobs.
     pub progress: BTreeMap<JobKey, Progress>,
-    /// Those whose progress is stored and cannot be read.
+    /// The jobs whose stored progress cannot be read.
     pub unreadable: BTreeSet<JobKey>,
-    /// Jobs that were cancelled.
+    /// The jobs that were cancelled.
     pub cancelled: Vec<JobKey>,
-    /// Workers that may run something.
+    /// The workers that may be running something.
     pub roster: Vec<RosterEntry>,
-    /// What was learnt of how images disturb each other.
+    /// What has been learned about how images interfere with each other.
     pub learned: Learned,
-    /// How far waves of upkeep have come.
+    /// The progress of the maintenance waves.
     pub waves: Vec<WaveProgress>,
     /// The failure domains that the operators have evacuated.
     pub evacuated: Evacuated,
 }
 
-/// Fills a new leader's state from the store and begins the survey.
+/// Fills a new leader's state from the store and begins the recovery scan.
 pub fn restore(cx: &mut State, stored: StoredState) {
     let StoredState {
         jobs,
@@ -51,14 +53,14 @@
         unreadable,
         cancelled,
         roster,
-        learned: learnt,
+        learned,
         waves,
         evacuated,
     } = stored;
     evacuation::apply(cx, evacuated);
-    cx.interference.restore(&learnt);
+    cx.interference.restore(&learned);
     maintenance::restore(cx, waves);
-    let (mut waiting, mut closed) = (FxHashSet::default(), FxHashMap::default());
+    let (mut unanswered_open, mut unanswered_closed) = (FxHashSet::default(), FxHashMap::default());
     for entry in roster {
         let ix = directory::find_or_add(cx, &entry.info, Listing::Absent { since: cx.now });
         let worker = cx.worker_mut(ix);
@@ -66,26 +68,31 @@
         worker.closed = entry.holds.is_some();
         match entry.holds {
             None => {
-                waiting.insert(ix);
+                unanswered_open.insert(ix);
             }
             Some(holds) => {
-                closed.insert(ix, holds);
+                unanswered_closed.insert(ix, holds);
             }
         }
     }
     let lease = cx.settings.lease().with_drift(cx.settings.clock_drift_per_mille);
-    let until = cx.now + lease + cx.settings.takeover_margin;
-    trace::takeover_began(cx.term.number, jobs.len(), waiting.len(), closed.len());
-    let lost = Vec::new();
-    let survey = RecoveryScan {
-        unanswered_open: waiting,
-        unanswered_closed: closed,
-        terminated: lost,
+    let leases_over_at = cx.now + lease + cx.settings.takeover_margin;
+    trace::takeover_began(
+        cx.term.number,
+        jobs.len(),
+        unanswered_open.len(),
+        unanswered_closed.len(),
+    );
+    let terminated = Vec::new();
+    let scan = RecoveryScan {
+        unanswered_open,
+        unanswered_closed,
+        terminated,
         open_workers_resolved: false,
-        leases_over_at: until,
+        leases_over_at,
         began: cx.now,
     };
-    cx.recovery_scan = Some(survey);
+    cx.recovery_scan = Some(scan);
     for job in jobs {
         let key = job.key;
         let entry = match unreadable.contains(&key) {
@@ -101,8 +108,9 @@
     check_recovery_scan(cx);
 }
 
-/// Builds the entry of a job whose progress cannot be read. Taken for a new one it would run tasks again that are
-/// done; only tasks that last are started again however they ended.
+/// Builds the entry of a job whose progress cannot be read. None of its tasks is started, because
+/// tasks that are already done would run again. A job with long-running tasks only is restored
+/// without progress instead, because such tasks are started again however they ended.
 fn unreadable_entry(cx: &State, job: Arc<Job>) -> JobEntry {
     if job.steps.iter().all(|step| step.lasting) {
         return restored_entry(cx, job, None);
@@ -115,7 +123,7 @@
     entry
 }
 
-/// Builds the entry of a job from its stored progress, if any was stored.
+/// Builds the entry of a job from its stored progress, if there is any.
 fn restored_entry(cx: &State, job: Arc<Job>, progress: Option<Progress>) -> JobEntry {
     let mut entry = intake::new_entry(cx, job);
     let Some(progress) = progress else {
@@ -135,15 +143,15 @@
         let mut round = Round::new(stored.round, &entry.job);
         let steps = round.steps.iter_mut().zip(&entry.job.steps);
         for ((state, step), stored) in steps.zip(&stored.steps) {
-            apply(state, step, stored);
+            apply_progress(state, step, stored);
         }
         entry.rounds.push(round);
     }
     with_possibly_started_rounds(entry, cx.unix_ms)
 }
 
-/// Adds rounds that a former leader may have begun without storing anything of them, and puts
-/// every task that is not done in doubt.
+/// Adds the rounds that a previous leader may have begun without storing anything about them. Sets
+/// the state of every task that is not done to unknown.
 fn with_possibly_started_rounds(mut entry: JobEntry, unix_ms: u64) -> JobEntry {
     while entry.next_round < entry.total_rounds() && !entry.is_at_round_limit() {
         let number = entry.next_round;
@@ -165,8 +173,8 @@
     entry
 }
 
-/// Puts stored ends, failures and checkpoints into an untouched step.
-fn apply(state: &mut StepState, step: &Step, stored: &StepProgress) {
+/// Applies the stored ends, failures and checkpoints to a step in its initial state.
+fn apply_progress(state: &mut StepState, step: &Step, stored: &StepProgress) {
     for index in progress::unpack(&stored.done) {
         if let Some(task) = state.tasks.get_mut(index as usize) {
             task.state = TaskState::Done;
@@ -183,77 +191,78 @@
     }
 }
 
-/// Takes in that a worker has answered, or certainly runs nothing.
+/// Updates the recovery scan after a worker has answered or was proven to run nothing.
 pub fn worker_resolved(cx: &mut State, ix: WorkerIx) {
-    let gone = cx.worker(ix).terminated;
-    let Some(survey) = &mut cx.recovery_scan else { return };
-    if survey.unanswered_open.remove(&ix) && gone {
-        survey.terminated.push(ix);
+    let terminated = cx.worker(ix).terminated;
+    let Some(scan) = &mut cx.recovery_scan else { return };
+    if scan.unanswered_open.remove(&ix) && terminated {
+        scan.terminated.push(ix);
     }
-    let held = survey.unanswered_closed.remove(&ix);
-    let is_narrowed = survey.unanswered_open.is_empty();
+    let held = scan.unanswered_closed.remove(&ix);
+    let open_workers_resolved = scan.unanswered_open.is_empty();
     if let Some(held) = held {
-        if gone {
+        if terminated {
             crashes::count_loss_of_holder(cx, ix, &held, true);
         }
-        if is_narrowed {
+        if open_workers_resolved {
             resolve_open_workers(cx);
         }
     }
     check_recovery_scan(cx);
 }
 
-/// Settles what is no longer in doubt, and ends the survey once every worker has answered or its leases
-/// are over.
+/// Resolves the tasks whose state has become known. Ends the recovery scan once every worker has
+/// answered or its leases are over.
 pub fn check_recovery_scan(cx: &mut State) {
-    let Some(survey) = &cx.recovery_scan else { return };
-    let late = cx.now >= survey.leases_over_at;
-    if !survey.unanswered_open.is_empty() && !late {
+    let Some(scan) = &cx.recovery_scan else { return };
+    let late = cx.now >= scan.leases_over_at;
+    if !scan.unanswered_open.is_empty() && !late {
         return;
     }
-    let (took, silent) = (cx.now.since(survey.began), survey.unanswered_open.len());
-    if survey.unanswered_closed.is_empty() || late {
+    let (took, silent) = (cx.now.since(scan.began), scan.unanswered_open.len());
+    if scan.unanswered_closed.is_empty() || late {
         end_recovery_scan(cx);
         trace::survey_ended(took, silent);
-    } else if !survey.open_workers_resolved {
-        trace::survey_narrowed(took, survey.unanswered_closed.len());
+    } else if !scan.open_workers_resolved {
+        trace::survey_narrowed(took, scan.unanswered_closed.len());
         resolve_open_workers(cx);
     }
 }
 
-/// Ends the survey: nothing is in doubt any more.
+/// Ends the recovery scan: the state of every task is known from now on.
 fn end_recovery_scan(cx: &mut State) {
-    let Some(mut survey) = cx.recovery_scan.take() else { return };
-    for ix in survey.unanswered_open {
+    let Some(mut scan) = cx.recovery_scan.take() else { return };
+    for ix in scan.unanswered_open {
         if cx.worker(ix).is_absent() {
             leases::mark_terminated(cx, ix);
-            survey.terminated.push(ix);
+            scan.terminated.push(ix);
         }
     }
-    for (ix, held) in survey.unanswered_closed {
-        let gone = cx.worker(ix).is_absent();
-        crashes::count_loss_of_holder(cx, ix, &held, gone);
-        if gone {
+    for (ix, held) in scan.unanswered_closed {
+        let terminated = cx.worker(ix).is_absent();
+        crashes::count_loss_of_holder(cx, ix, &held, terminated);
+        if terminated {
             leases::mark_terminated(cx, ix);
         }
     }
-    settle(cx, &FxHashSet::default(), &survey.terminated);
+    resolve_tasks(cx, &FxHashSet::default(), &scan.terminated);
 }
 
-/// Decides about the tasks that are no longer in doubt once the open workers are through.
+/// Once all open workers are resolved, resolves the tasks that no unanswered closed worker may
+/// hold.
 fn resolve_open_workers(cx: &mut State) {
-    let (held, lost) = held(cx);
-    settle(cx, &held, &lost);
+    let (held, terminated) = mark_open_workers_resolved(cx);
+    resolve_tasks(cx, &held, &terminated);
 }
 
-/// Decides about every task that was in doubt, but for those that a closed worker may hold which has
-/// not answered: none of the others runs anywhere, and some may have gone with the workers that are
-/// lost.
-fn settle(cx: &mut State, held: &FxHashSet<TaskKey>, lost: &[WorkerIx]) {
-    if !lost.is_empty() {
-        let unfound = tasks_not_found(cx, held);
-        crashes::count_losses_without_holder(cx, lost, &unfound);
-        lost.iter().for_each(|&ix| roster::forget(cx, ix));
+/// Resolves every task of unknown state, except the tasks in `held`: a closed worker that has not
+/// answered may hold them. All others run nowhere; some of them may have been running on the
+/// workers in `terminated` when these were lost.
+fn resolve_tasks(cx: &mut State, held: &FxHashSet<TaskKey>, terminated: &[WorkerIx]) {
+    if !terminated.is_empty() {
+        let not_found = tasks_not_found(cx, held);
+        crashes::count_losses_without_holder(cx, terminated, &not_found);
+        terminated.iter().for_each(|&ix| roster::forget(cx, ix));
     }
     let keys: Vec<JobKey> = cx.jobs.keys().copied().collect();
     for key in keys {
@@ -274,19 +283,20 @@
     }
 }
 
-/// Notes that the open workers are through, and returns the tasks that closed workers may hold and the
-/// open workers that are gone.
-fn held(cx: &mut State) -> (FxHashSet<TaskKey>, Vec<WorkerIx>) {
-    let Some(survey) = &mut cx.recovery_scan else { return Default::default() };
-    survey.open_workers_resolved = true;
-    let held = survey.unanswered_closed.values().flatten().copied().collect();
-    (held, mem::take(&mut survey.terminated))
+/// Records that all open workers are resolved. Returns the tasks that unanswered closed workers may
+/// hold, and the open workers that are terminated.
+fn mark_open_workers_resolved(cx: &mut State) -> (FxHashSet<TaskKey>, Vec<WorkerIx>) {
+    let Some(scan) = &mut cx.recovery_scan else { return Default::default() };
+    scan.open_workers_resolved = true;
+    let held = scan.unanswered_closed.values().flatten().copied().collect();
+    (held, mem::take(&mut scan.terminated))
 }
 
-/// Lists the tasks that may have run and were found nowhere.
+/// Returns the tasks that may have been running and were found on no worker.
 fn tasks_not_found(cx: &mut State, held: &FxHashSet<TaskKey>) -> FxHashSet<TaskKey> {
     let mut found = FxHashSet::default();
-    // What a former leader started last may not be stored as begun.
+    // Jobs that are stored as queued count, too: the store may not yet show that the tasks which
+    // the previous leader started last have begun.
     for entry in cx.jobs.values_mut().filter(|e| !e.state.is_final()) {
         let tasks = entry.keyed_tasks_mut().filter(|(_, t)| t.state == TaskState::Unknown);
         found.extend(tasks.map(|(key, _)| key).filter(|key| !held.contains(key)));
@@ -294,8 +304,8 @@
     found
 }
 
-/// Ends a job all of whose tasks turned out to be done, which [`lifecycle::finish_task`] does not
-/// see where the last end was stored without the job's.
+/// Ends a job whose tasks all turned out to be done. [`lifecycle::finish_task`] does not notice
+/// this if the last end was stored but the end of the job was not.
 fn finish_if_done(cx: &mut State, key: JobKey) {
     let Some(entry) = cx.jobs.get_mut(&key) else { return };
     let done: Vec<u32> = entry.rounds.iter().filter(|r| r.is_done()).map(|r| r.number).collect();
