--- a/crates/sched/src/changes/terminated.rs
+++ b/crates/sched/src/changes/terminated.rs
@@ -1,11 +1,12 @@
-//! Workers that are given up, and the survey that may have waited for them.
+//! Releases the runs of workers whose leases are over, and marks workers as terminated, also for a
+//! recovery scan that may be waiting for them.
 
 use crate::changes::{crashes, leases, roster, takeover, trace};
 use crate::interface::message::WorkerIx;
 use crate::state::State;
 
-/// Gives up the runs of workers that are silent or refuse stops once their leases are certainly
-/// over, and workers that are neither listed nor answering.
+/// Releases the runs of workers that are silent or refuse stops, once their leases are certainly
+/// over. Marks workers that are neither listed nor answering as terminated.
 pub fn check(cx: &mut State) {
     let now = cx.now;
     let (drift, lease) = (cx.settings.clock_drift_per_mille, cx.settings.lease());
@@ -13,12 +14,12 @@
         let worker = cx.worker_mut(ix);
         worker.refuses_stops = worker.has_refused_stop_for(now, lease);
         let worker = cx.worker(ix);
-        let ending = worker.unanswered_renewals > 0 || worker.lets_leases_expire();
-        if !ending || worker.leases_expired_at(drift).is_some_and(|at| at > now) {
+        let expiring = worker.unanswered_renewals > 0 || worker.lets_leases_expire();
+        if !expiring || worker.leases_expired_at(drift).is_some_and(|at| at > now) {
             continue;
         }
-        let unsurveyed = cx.recovery_scan.is_some() && worker.first_answered_at.is_none();
-        if unsurveyed {
+        let awaited_by_scan = cx.recovery_scan.is_some() && worker.first_answered_at.is_none();
+        if awaited_by_scan {
             continue;
         }
         let absent = worker.is_absent() && worker.unanswered_renewals > 0;
@@ -32,7 +33,8 @@
     }
 }
 
-/// Forgets a worker whose incarnation certainly runs nothing any more.
+/// Marks an incarnation of a worker as terminated, because it certainly no longer runs anything,
+/// and updates the recovery scan.
 pub fn mark_terminated(cx: &mut State, ix: WorkerIx) {
     if leases::mark_terminated(cx, ix) {
         takeover::worker_resolved(cx, ix);
