--- a/crates/sched/src/changes/worker_report.rs
+++ b/crates/sched/src/changes/worker_report.rs
@@ -1,4 +1,5 @@
-//! A worker's account of itself, held against what the leader believes to run there.
+//! Compares a worker's report with what the leader believes to run there, and applies the
+//! differences.
 
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::TaskKey;
@@ -12,16 +13,16 @@
 use crate::state::worker::{Phase, Slot, READY_PERCENT};
 use crate::state::State;
 
-/// Takes in the account that answers a renewal which was sent at `sent`.
-pub fn apply(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
-    ends::apply(cx, ix, &account.ends);
-    for row in &account.running {
+/// Applies the report that answers a renewal sent at `sent`.
+pub fn apply(cx: &mut State, ix: WorkerIx, sent: Instant, report: &WorkerReport) {
+    ends::apply(cx, ix, &report.ends);
+    for row in &report.running {
         apply_running(cx, ix, row);
     }
-    release_missing(cx, ix, sent, account);
+    release_missing(cx, ix, sent, report);
 }
 
-/// Takes in one line of a worker's list of running tasks.
+/// Applies one entry of a worker's list of running tasks.
 fn apply_running(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     let now = cx.now;
     let known = cx.worker(ix).slots.get(&row.task).map(|slot| slot.run);
@@ -45,39 +46,39 @@
     }
 }
 
-/// Stops a run whose job has ended, unless its stop is on its way. The members of a gang may end a little after the
-/// one whose end completed their job.
+/// Stops a run whose job has ended, unless its stop was already ordered. The members of a gang may
+/// end a little later than the member whose end completed the job.
 fn stop_after_end(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     let Some(entry) = cx.jobs.get(&row.task.job).filter(|entry| entry.state.is_final()) else {
         return;
     };
-    let is_mate =
+    let is_gang_member =
         entry.state == JobState::Completed && entry.step(row.task).is_some_and(|step| step.gang);
     let slot = cx.worker(ix).slots.get(&row.task);
     if slot.is_none_or(|slot| slot.phase == Phase::Stopping) {
         return;
     }
-    if !is_mate {
+    if !is_gang_member {
         cx.runs_after_end += 1;
         trace::run_after_end(row.task, row.run, &cx.worker(ix).info.id);
     }
     lifecycle::order_stop(cx, ix, row.task, row.run, "its job has ended");
 }
 
-/// Decides about a run that this leader did not start, or has given up: kept if the task is free,
-/// stopped otherwise.
+/// Decides about a run that this leader did not start or has released: it is kept if its task is
+/// free, and stopped otherwise.
 fn apply_unknown_run(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     let key = row.task;
     let Some(entry) = cx.jobs.get(&key.job) else {
         return stop_orphaned(cx, ix, row, "its job is not known");
     };
-    let live = !entry.state.is_final();
-    if live && entry.unreadable {
+    let is_live = !entry.state.is_final();
+    if is_live && entry.unreadable {
         return occupy_reported(cx, ix, row);
     }
     let state = entry.task(key).map(|t| t.state);
     match state {
-        Some(TaskState::Unknown | TaskState::Pending | TaskState::Waiting) if live => {
+        Some(TaskState::Unknown | TaskState::Pending | TaskState::Waiting) if is_live => {
             lifecycle::leave_pending(cx, key);
             adopt(cx, ix, row);
         }
@@ -88,7 +89,7 @@
     }
 }
 
-/// Keeps a run that a former leader started.
+/// Keeps a run that was found at its worker, such as one that a previous leader started.
 fn adopt(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     let key = row.task;
     occupy_reported(cx, ix, row);
@@ -98,7 +99,8 @@
     trace::run_adopted(key, row.run, &cx.worker(ix).info.id);
 }
 
-/// Puts a listed run on its worker in place of whatever run of the task was held to be there.
+/// Puts a reported run on its worker, in place of any other run of the task that the leader
+/// believed to be there.
 fn occupy_reported(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     if let Some(old) = cx.worker(ix).slots.get(&row.task).map(|slot| slot.run) {
         lifecycle::vacate(cx, ix, row.task, old);
@@ -108,13 +110,14 @@
     lifecycle::occupy(cx, ix, row.task, Occupant { run, resumes_from, phase, percent, reading });
 }
 
-/// Stops a run that must not go on; its room stays taken as long as its job is known.
+/// Stops an orphaned run. Its capacity stays reserved as long as its job is known.
 fn stop_orphaned(cx: &mut State, ix: WorkerIx, row: &RunningTask, why: &'static str) {
     let held = cx.worker(ix).slots.get(&row.task).map(|s| s.run);
     if held == Some(row.run) {
         return;
     }
-    // A slot of another run is never given up for this one: its own start may be under way.
+    // The slot of another run is never released for this run, because the start of that other run
+    // may be in flight.
     if held.is_some() || !cx.jobs.contains_key(&row.task.job) {
         trace::stop_ordered(row.task, row.run, &cx.worker(ix).info.id, why);
         cx.actions.push(Action::Stop { worker: ix, task: row.task, run: row.run });
@@ -124,28 +127,29 @@
     lifecycle::order_stop(cx, ix, row.task, row.run, why);
 }
 
-/// Gives up runs that the worker had confirmed before this renewal was sent, but neither lists as
-/// running nor as ended.
-fn release_missing(cx: &mut State, ix: WorkerIx, sent: Instant, account: &WorkerReport) {
-    if account.ends.len() >= MAX_ENDS_PER_REPORT {
+/// Releases the runs that the worker had confirmed before this renewal was sent and that it lists
+/// neither as running nor as ended.
+fn release_missing(cx: &mut State, ix: WorkerIx, sent: Instant, report: &WorkerReport) {
+    if report.ends.len() >= MAX_ENDS_PER_REPORT {
         return;
     }
     let listed = |key: &TaskKey, run: Run| {
-        account.running.iter().any(|row| row.task == *key && row.run == run)
+        report.running.iter().any(|row| row.task == *key && row.run == run)
     };
     let worker = cx.worker(ix);
-    let before = |at: Option<Instant>| at.is_some_and(|at| at < sent);
-    let settled = |slot: &Slot| match slot.phase {
-        Phase::Running => before(slot.confirmed),
+    let before_renewal = |at: Option<Instant>| at.is_some_and(|at| at < sent);
+    let must_be_listed = |slot: &Slot| match slot.phase {
+        Phase::Running => before_renewal(slot.confirmed),
         Phase::Stopping => {
-            (before(slot.confirmed) || before(slot.stop_confirmed)) && slot.ordered_at < sent
+            (before_renewal(slot.confirmed) || before_renewal(slot.stop_confirmed))
+                && slot.ordered_at < sent
         }
         Phase::Starting | Phase::Uncertain => false,
     };
     let missing: Vec<(TaskKey, Run)> = worker
         .slots
         .iter()
-        .filter(|(key, slot)| settled(slot) && !listed(key, slot.run))
+        .filter(|(key, slot)| must_be_listed(slot) && !listed(key, slot.run))
         .map(|(key, slot)| (*key, slot.run))
         .collect();
     for (key, run) in missing {
@@ -153,5 +157,6 @@
     }
 }
 
-/// A worker lists this many ends at once at most; more may follow.
+/// The most ends that a worker lists in one report. A report with that many may have left out
+/// further ends.
 const MAX_ENDS_PER_REPORT: usize = 500;
