--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -213,7 +213,7 @@
     /// Tells the leader of a stored job; answers whether the host called leads.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn job_stored(&self, addr: &str, job: &Job) -> Result<bool, PeerError> {
         self.call(addr, JOB_STORED, job).await
     }
@@ -221,7 +221,7 @@
     /// Tells the leader of a stored cancellation; answers whether the host called leads.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn cancel_stored(&self, addr: &str, key: JobKey) -> Result<bool, PeerError> {
         self.call(addr, CANCEL_STORED, &key).await
     }
@@ -229,7 +229,7 @@
     /// Asks the leader to store a job that we cannot store.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn store_job(&self, addr: &str, job: &Job) -> Result<StoreOutcome, PeerError> {
         self.call(addr, STORE_JOB, job).await
     }
@@ -237,7 +237,7 @@
     /// Asks the leader to store a cancellation that we cannot store.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn store_cancel(&self, addr: &str, key: JobKey) -> Result<StoreOutcome, PeerError> {
         self.call(addr, STORE_CANCEL, &key).await
     }
@@ -245,7 +245,7 @@
     /// Invites a follower to claim the leadership; answers whether it holds it now.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn invite(&self, addr: &str, invitation: Invitation) -> Result<bool, PeerError> {
         self.call_within(addr, INVITE, &invitation, INVITE_LIMIT).await
     }
@@ -265,7 +265,7 @@
     /// Asks for a job's state.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn status(&self, addr: &str, key: JobKey) -> Result<StatusAnswer, PeerError> {
         self.call(addr, STATUS, &key).await
     }
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -2,7 +2,7 @@
 //!
 //! An answer speaks of the try that it answers and of no other. A try without an answer is *open*:
 //! it may have been carried out, and may yet be, after later calls and after the refusal of a later
-//! try. Whoever repeats a call keeps its [`Tries`] and goes by [`Tries::settle`], never by the last
+//! try. Whoever repeats a call keeps its [`CallAttempts`] and goes by [`CallAttempts::record_outcome`], never by the last
 //! answer alone (`docs/PLATFORM.md`, section Repeated calls).
 
 /// What became of a call, or of one try of it.
--- a/crates/policy/src/interference.rs
+++ b/crates/policy/src/interference.rs
@@ -3,7 +3,7 @@
 //! The model of one service on one worker is `p99 = alone * (1 + sum over classes of coefficient *
 //! share of the processors that the class took)`. Coefficients belong to a pair and a load band.
 //! They are fitted by normalised least mean squares, which needs no stored samples. A measurement
-//! is matched to what ran when it was taken: [`Exposures`] keeps what ran, by the worker's clock.
+//! is matched to what ran when it was taken: [`ExposureHistory`] keeps what ran, by the worker's clock.
 
 use std::collections::VecDeque;
 
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A slot that has been handed out; give it back with [`Router::give_back`].
+/// A slot that has been handed out; give it back with [`Router::release_slot`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Slot {
     /// The worker.
@@ -39,7 +39,7 @@
 pub enum RouteDecision {
     /// Send it now.
     Slot(Slot),
-    /// It waits; [`Router::ready`] names it when its turn comes.
+    /// It waits; [`Router::take_ready`] names it when its turn comes.
     Wait(Ticket),
     /// It cannot end in time.
     Refuse {
--- a/crates/policy/src/store_outcome.rs
+++ b/crates/policy/src/store_outcome.rs
@@ -2,7 +2,7 @@
 //!
 //! A host writes it by its own connection to the store or asks the leader to, or both. Each of
 //! these is a try of one call, and what one of them proves says nothing of the other
-//! ([`crate::tries`]). A caller is refused only where it is certain that nothing is stored and
+//! ([`crate::attempts`]). A caller is refused only where it is certain that nothing is stored and
 //! nothing ever will be.
 
 /// What became of something handed in.
--- a/crates/policy/src/succession.rs
+++ b/crates/policy/src/succession.rs
@@ -97,7 +97,7 @@
     best.is_some_and(|c| has_much_less_capacity(own, c.leader_capacity))
 }
 
-/// The pause before a claim of a host that is weaker by a whole [`ENOUGH`] than the strongest one:
+/// The pause before a claim of a host that is weaker by a whole [`FULL_LEADER_CAPACITY`] than the strongest one:
 /// longer than the strongest needs for its claim, which is three calls, while the store answers sixty
 /// times slower than its usual 4 ms.
 const MAX_CLAIM_DELAY: Millis = Millis(1_000);
--- a/crates/sched/src/changes/directory.rs
+++ b/crates/sched/src/changes/directory.rs
@@ -127,7 +127,7 @@
 }
 
 /// Takes in that the directory no longer lists a worker. It may live on, so nothing of it is
-/// given up here; see [`crate::changes::gone::check`].
+/// given up here; see [`crate::changes::terminated::check`].
 pub fn unlisted(cx: &mut State, id: &ids::WorkerId) {
     cx.unknown_pool_workers.remove(id);
     let Some(&ix) = cx.by_id.get(id) else { return };
--- a/crates/sched/src/changes/evacuation.rs
+++ b/crates/sched/src/changes/evacuation.rs
@@ -5,7 +5,7 @@
 //! lies in the store, so it outlives every leader; a successor reads it before its first start.
 //!
 //! What else follows from a worker that gets nothing (room, largest worker, trials, permits) goes by
-//! [`crate::state::worker::Worker::takes_tasks`]; `docs/PLATFORM.md` (section Evacuations) has the rest.
+//! [`crate::state::worker::Worker::accepts_tasks`]; `docs/PLATFORM.md` (section Evacuations) has the rest.
 
 use gaplock_types::ids;
 
--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -33,7 +33,7 @@
 /// tells a crash at the start from a later one.
 pub const RENEWAL_WAIT: Millis = Millis(250);
 
-/// The part of a pool's workers, as a divisor, that trials may keep for longer than [`ALONE_FOR`]: the rest
+/// The part of a pool's workers, as a divisor, that trials may keep for longer than [`BASE_TRIAL_TIME`]: the rest
 /// is left to all other tasks. Suspects need not be culprits, and on a pool of two workers two innocent
 /// ones kept all others waiting for 9 s.
 const RESERVED_DIVISOR: usize = 2;
--- a/crates/sched/src/decisions/free_capacity.rs
+++ b/crates/sched/src/decisions/free_capacity.rs
@@ -5,14 +5,14 @@
 //! tasks leave a few cores on every worker, thousands in sum, and a large task fits on none. Three
 //! rules answer it:
 //!
-//! - What takes processors goes to the fullest worker that holds it ([`tightness`]), so that what
+//! - What takes processors goes to the fullest worker that holds it ([`best_fit_score`]), so that what
 //!   is free lies in whole pieces.
 //! - While short tasks have to wait, a new lasting task leaves the workers alone that they have just
-//!   used ([`is_kept`]): whatever it took there would be cut up for minutes, while a short task uses
+//!   used ([`is_reserved`]): whatever it took there would be cut up for minutes, while a short task uses
 //!   a piece for a second, and is worth some four times as much for each core and second.
 //!
-//! - A lasting task that was at work before and has waited for [`BACK_AFTER`] goes before every short one
-//!   ([`is_missed`]): in a full pool room comes free only in pieces, and an endless backlog of short tasks
+//! - A lasting task that was at work before and has waited for [`MAX_RESTART_WAIT`] goes before every short one
+//!   ([`has_restart_priority`]): in a full pool room comes free only in pieces, and an endless backlog of short tasks
 //!   would take each of them.
 //!
 //! `docs/DECISIONS.md` (section The room of a full pool) has what each rule is worth.
--- a/crates/sched/src/decisions/interference.rs
+++ b/crates/sched/src/decisions/interference.rs
@@ -3,7 +3,7 @@
 //! The pattern: a pool near its capacity in which some filling images press on most of what serves and
 //! others on little. Spread evenly, those that press on little take the workers that alone bear the others,
 //! which then wait for seconds beside room. So an image goes to the least open worker that bears it
-//! ([`OPEN_COST`]): to the one that the fewest images could use.
+//! ([`COMPATIBILITY_COST`]): to the one that the fewest images could use.
 
 use gaplock_jobs::Step;
 use gaplock_types::time::Millis;
@@ -51,7 +51,7 @@
 /// On full pools 1 is worth 0.027 and 3 is worth 0.018 (`docs/design/shifted-work.md`).
 const COMPATIBILITY_COST: f64 = 1.0;
 
-/// Cost of each whole share of a worker's processors that is filled beyond [`CROWDED_SHARE`], against one
+/// Cost of each whole share of a worker's processors that is filled beyond [`CONTENTION_SHARE`], against one
 /// worker of free room: as long as another worker is as good, none is crowded. Worth 0.009 on eight pairs of
 /// four deployments (`docs/design/shifted-work.md`).
 const CONTENTION_COST: f64 = 3.0;
--- a/crates/sched/src/decisions/losses.rs
+++ b/crates/sched/src/decisions/losses.rs
@@ -19,7 +19,7 @@
 /// crash them: at least so many, and this part of all workers as a divisor.
 const MIN_MASS_LOSS: usize = 4;
 
-/// See [`MANY_LEAST`].
+/// See [`MIN_MASS_LOSS`].
 const MASS_LOSS_DIVISOR: usize = 16;
 
 /// How far apart the news of workers may be that were lost at one time: one is known by its successor,
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -35,12 +35,12 @@
 }
 
 /// Worth of running in the rack that holds the data, in whole workers of free room: above any fit (1) and
-/// [`TOGETHER_COST`] in sum, so that the data decides among sound workers, and below [`SLOW_COST`] less a
+/// [`COLOCATION_COST`] in sum, so that the data decides among sound workers, and below [`SLOW_COST`] less a
 /// fit, so that no slow one is taken for it.
 const RACK_BONUS: f64 = 4.0;
 
 /// Cost of the worker on which the task failed last, in whole workers of free room: above
-/// [`RACK_WORTH`] and [`SLOW_COST`], since a start on any other worker tells more. That order gave the figure.
+/// [`RACK_BONUS`] and [`SLOW_COST`], since a start on any other worker tells more. That order gave the figure.
 const FAILED_HERE_COST: f64 = 8.0;
 
 /// Why a worker does not get a task.
@@ -250,7 +250,7 @@
 /// How long a task waits for a worker that is not slow: about what a short task loses on a slow one.
 const MAX_WAIT_WITHOUT_SLOW_WORKERS: Millis = Millis(1_000);
 
-/// Cost of a slow worker, in whole workers of free room: above [`RACK_WORTH`] and any fit (1) in sum, so that
+/// Cost of a slow worker, in whole workers of free room: above [`RACK_BONUS`] and any fit (1) in sum, so that
 /// neither makes up for it.
 const SLOW_COST: f64 = 6.0;
 
--- a/crates/sched/src/interface/commit_writer.rs
+++ b/crates/sched/src/interface/commit_writer.rs
@@ -5,7 +5,7 @@
 //! is neither given up nor replaced: the very same one is sent again until it is known what became
 //! of it. At most one try can be carried out, since the first one that is ends what the others
 //! expect, and nothing newer can be written in its place. Each transaction bears a mark of its own,
-//! so reading the last mark says which one is stored. A driver carries out what [`Writer`] asks for
+//! so reading the last mark says which one is stored. A driver carries out what [`CommitWriter`] asks for
 //! and hands the answers back.
 
 use gaplock_policy::attempts::{CallAttempts, Execution};
@@ -58,11 +58,11 @@
 /// What the driver does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Sends the transaction, and hands the answer to [`Writer::answered`].
+    /// Sends the transaction, and hands the answer to [`CommitWriter::answered`].
     Send,
-    /// Looks at the last commit and the claim, and hands both to [`Writer::looked`].
+    /// Looks at the last commit and the claim, and hands both to [`CommitWriter::store_read`].
     ReadStore,
-    /// Waits a while and calls [`Writer::waited`].
+    /// Waits a while and calls [`CommitWriter::waited`].
     Wait,
     /// Ends: the transaction is stored.
     Stored,
--- a/crates/sched/tests/fleet/evacuations.rs
+++ b/crates/sched/tests/fleet/evacuations.rs
@@ -1,7 +1,7 @@
 //! Evacuated failure domains: nothing new goes there, whatever else goes wrong, until they are taken back.
 //!
 //! Seen on a day of the users: nine thousand starts in evacuated domains, since nothing in the scheduler
-//! knew the operators' word. The tests failed while [`gaplock_sched::evacuation::mark`] marked no worker,
+//! knew the operators' word. The tests failed while [`gaplock_sched::evacuation::update_worker`] marked no worker,
 //! but for those of what runs on and of what is taken back.
 
 use std::env;
--- a/crates/types/src/config.rs
+++ b/crates/types/src/config.rs
@@ -1,6 +1,6 @@
 //! The operators' configuration: one value with one rising generation.
 //!
-//! `docs/OPERATORS.md` gives examples; [`Config::faults`] lists everything wrong with a value.
+//! `docs/OPERATORS.md` gives examples; [`Config::validation_errors`] lists everything wrong with a value.
 
 use std::collections::BTreeSet;
 
--- a/crates/types/src/wire.rs
+++ b/crates/types/src/wire.rs
@@ -236,5 +236,5 @@
 
 /// The header that carries the commanding epoch of a service request.
 pub const EPOCH_HEADER: &str = "x-gaplock-epoch";
-/// The header that carries a worker's refusal, a [`Verdict`] in JSON; such a request did not run.
+/// The header that carries a worker's refusal, a [`CommandOutcome`] in JSON; such a request did not run.
 pub const REFUSAL_HEADER: &str = "x-worker-refusal";
