--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -112,7 +112,7 @@
 }
 
 /// Holds a task back until what is known of it is stored, and lets it be tried alone.
-pub(super) fn hold_until_saved(cx: &mut State, key: TaskKey) {
+pub(super) fn hold_task_until_saved(cx: &mut State, key: TaskKey) {
     let now = cx.now;
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
     let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else { return };
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -5,7 +5,7 @@
 use gaplock_types::ids;
 use rustc_hash::FxHashSet;
 
-use super::evidence::{hold_until_saved, record_loss, record_possible_crash, Evidence};
+use super::evidence::{hold_task_until_saved, record_loss, record_possible_crash, Evidence};
 use crate::changes::commits;
 use crate::decisions::losses::{self, Loss, START_CRASH_WINDOW};
 use crate::interface::message::WorkerIx;
@@ -108,7 +108,7 @@
         }
         mark_not_started(cx, key);
         if few {
-            hold_until_saved(cx, key);
+            hold_task_until_saved(cx, key);
         } else {
             commits::mark_dirty(&mut cx.commits, cx.now, key.job);
         }
