--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -27,7 +27,7 @@
         if let TaskRole::Filling(column) = slot.role {
             used.push((column, reading / cores));
         }
-        if let Some(served) = best_effort::as_served(*key, slot).filter(|_| reading > 0.0) {
+        if let Some(served) = best_effort::as_serving_task(*key, slot).filter(|_| reading > 0.0) {
             tails.push((served, reading));
         }
     }
--- a/crates/sched/src/changes/pacing/spare_capacity.rs
+++ b/crates/sched/src/changes/pacing/spare_capacity.rs
@@ -27,7 +27,7 @@
     let tasks = best_effort::list_best_effort(worker, now);
     let mut spare: Vec<(Row, f64)> = Vec::new();
     for (key, slot) in &worker.slots {
-        let Some(served) = best_effort::as_served(*key, slot) else { continue };
+        let Some(served) = best_effort::as_serving_task(*key, slot) else { continue };
         let pressure = cx
             .interference
             .interference(served.row, tasks.iter().map(BestEffortTask::at_full_pace));
--- a/crates/sched/src/decisions/best_effort.rs
+++ b/crates/sched/src/decisions/best_effort.rs
@@ -13,7 +13,7 @@
 pub const READING_WINDOW: Millis = Millis(650);
 
 /// Returns what the model needs of a serving task, and nothing for any other.
-pub fn as_served(key: TaskKey, slot: &Slot) -> Option<ServingTask> {
+pub fn as_serving_task(key: TaskKey, slot: &Slot) -> Option<ServingTask> {
     match slot.role {
         TaskRole::Serving { row, target_ms } => {
             Some(ServingTask { job: key.job, row, target_ms: f64::from(target_ms.max(1)) })
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -27,7 +27,7 @@
         task.pace = FULL_PACE;
     }
     for (key, slot) in &worker.slots {
-        let Some(served) = best_effort::as_served(*key, slot) else { continue };
+        let Some(served) = best_effort::as_serving_task(*key, slot) else { continue };
         let bearable = cx.interference.tolerable_interference(
             &served,
             RUNNING_TAIL_SHARE,
