--- a/crates/sched/src/decisions/best_effort.rs
+++ b/crates/sched/src/decisions/best_effort.rs
@@ -48,7 +48,7 @@
 
     /// Returns its image and the share of the worker's processors that it uses at the worst of the
     /// paces that may be in force.
-    pub fn paced(&self) -> (Column, f64) {
+    pub fn at_worst_pace(&self) -> (Column, f64) {
         (self.column, self.share * f64::from(self.worst_pace()) / 100.0)
     }
 
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -46,7 +46,8 @@
 fn lower_paces(model: &InterferenceModel, row: Row, bearable: f64, filling: &mut [BestEffortTask]) {
     let push = |f: &BestEffortTask| model.factor(row, Some(f.column)) * f.share;
     filling.sort_by(|a, b| push(b).total_cmp(&push(a)));
-    let mut excess = model.interference(row, filling.iter().map(BestEffortTask::paced)) - bearable;
+    let mut excess =
+        model.interference(row, filling.iter().map(BestEffortTask::at_worst_pace)) - bearable;
     for task in filling {
         let full = push(task);
         if excess <= 0.0 || full < MIN_INTERFERENCE {
