--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -16,7 +16,7 @@
 
 /// Lowers the pace of what disturbs a serving task too much, and raises it again.
 pub fn order_paces(cx: &mut State, ix: WorkerIx) {
-    for task in paces::wanted(cx, cx.worker(ix)) {
+    for task in paces::target_paces(cx, cx.worker(ix)) {
         order_pace(cx, ix, &task);
     }
 }
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -17,7 +17,7 @@
 const RUNNING_LOOKAHEAD_S: f64 = 0.5;
 
 /// Lists the filling tasks on a worker with the pace that each should have.
-pub fn wanted(cx: &State, worker: &Worker) -> Vec<BestEffortTask> {
+pub fn target_paces(cx: &State, worker: &Worker) -> Vec<BestEffortTask> {
     let now = cx.now;
     let mut tasks = best_effort::list_best_effort(worker, now);
     if tasks.is_empty() {
