--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -34,7 +34,7 @@
 /// outlasted both stages of halting, its cause lies elsewhere and the time begins anew.
 pub(super) fn track_target_excess(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
-    let halt_over = paces::part_of(cx.settings.max_tail_excess, HALT_FAILED_FRACTION);
+    let halt_over = paces::fraction_of(cx.settings.max_tail_excess, HALT_FAILED_FRACTION);
     for slot in cx.worker_mut(ix).slots.values_mut() {
         let TaskRole::Serving { target_ms, .. } = slot.role else { continue };
         let Some(share) = slot.reading.map(|tail| f64::from(tail) / f64::from(target_ms.max(1)))
@@ -74,7 +74,7 @@
 /// since.
 fn order_pace(cx: &mut State, ix: WorkerIx, wanted: &BestEffortTask) {
     let now = cx.now;
-    let again_after = paces::part_of(cx.settings.max_tail_excess, PACE_REPEAT_FRACTION);
+    let again_after = paces::fraction_of(cx.settings.max_tail_excess, PACE_REPEAT_FRACTION);
     let surveying = cx
         .recovery_scan
         .as_ref()
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -75,8 +75,8 @@
 /// Halts fillers beside a serving task that stays over its target: first what may press on it by
 /// the model, then, whatever the model says, everything.
 fn halt(cx: &State, worker: &Worker, filling: &mut [BestEffortTask]) {
-    let suspected_after = part_of(cx.settings.max_tail_excess, HALT_SUSPECTED_FRACTION);
-    let all_after = part_of(cx.settings.max_tail_excess, HALT_ALL_FRACTION);
+    let suspected_after = fraction_of(cx.settings.max_tail_excess, HALT_SUSPECTED_FRACTION);
+    let all_after = fraction_of(cx.settings.max_tail_excess, HALT_ALL_FRACTION);
     for slot in worker.slots.values() {
         let (TaskRole::Serving { row, .. }, Some(since)) = (slot.role, slot.over_target_since)
         else {
@@ -94,6 +94,6 @@
 }
 
 /// Returns a part of a span of time.
-pub fn part_of(span: Millis, part: f64) -> Millis {
-    Millis((span.0 as f64 * part) as u64)
+pub fn fraction_of(span: Millis, fraction: f64) -> Millis {
+    Millis((span.0 as f64 * fraction) as u64)
 }
