--- a/crates/sched/src/changes/crashes/evidence.rs
+++ b/crates/sched/src/changes/crashes/evidence.rs
@@ -13,7 +13,7 @@
 
 /// A worker's loss, as it speaks against one of the tasks that ran there.
 #[derive(Debug, Clone)]
-pub(super) struct Evidence<'a> {
+pub(super) struct WorkerLoss<'a> {
     pub(super) worker: &'a ids::WorkerId,
     pub(super) loss: Loss,
     /// How long the run was known to have been at work.
@@ -50,7 +50,7 @@
         record_loss(
             cx,
             key,
-            &Evidence {
+            &WorkerLoss {
                 worker: &id,
                 loss,
                 known_runtime: lived,
@@ -63,8 +63,8 @@
 }
 
 /// Counts a lost worker against a task.
-pub(super) fn record_loss(cx: &mut State, key: TaskKey, evidence: &Evidence<'_>) {
-    let (now, worker, loss) = (cx.now, evidence.worker, evidence.loss);
+pub(super) fn record_loss(cx: &mut State, key: TaskKey, worker_loss: &WorkerLoss<'_>) {
+    let (now, worker, loss) = (cx.now, worker_loss.worker, worker_loss.loss);
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
     let live = cx.jobs.get(&key.job).is_some_and(|entry| !entry.state.is_final());
     let Some(task) = cx.task_mut(key).filter(|t| live && t.state != TaskState::Done) else {
@@ -83,17 +83,18 @@
         Loss::Silent => RecordedStart::At(worker.clone()),
     };
     let first = suspicion.crashed.len() + suspicion.silent.len() == 1;
-    let at_start = evidence.confirmed && evidence.known_runtime < START_CRASH_WINDOW;
+    let at_start = worker_loss.confirmed && worker_loss.known_runtime < START_CRASH_WINDOW;
     suspicion.all_at_start = at_start && (first || suspicion.all_at_start);
-    (suspicion.last_run_duration, suspicion.exempt_from_trial) = (evidence.known_runtime, is_gang);
-    suspicion.last_was_alone = evidence.only_its_job;
+    (suspicion.last_run_duration, suspicion.exempt_from_trial) =
+        (worker_loss.known_runtime, is_gang);
+    suspicion.last_was_alone = worker_loss.only_its_job;
     let crashes = suspicion.crashed.len();
     if loss == Loss::Crashed {
         suspicion.saved = Saved::No;
         commits::mark_dirty_urgent(&mut cx.commits, now, key.job);
     }
     cx.crashes.add(key, worker);
-    let (lived, together) = (evidence.known_runtime, evidence.lost_together);
+    let (lived, together) = (worker_loss.known_runtime, worker_loss.lost_together);
     trace::task_suspected(key, worker, loss, crashes, lived, together);
 }
 
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -5,7 +5,7 @@
 use gaplock_types::ids;
 use rustc_hash::FxHashSet;
 
-use super::evidence::{hold_task_until_saved, record_loss, record_possible_crash, Evidence};
+use super::evidence::{hold_task_until_saved, record_loss, record_possible_crash, WorkerLoss};
 use crate::changes::commits;
 use crate::decisions::losses::{self, Loss, START_CRASH_WINDOW};
 use crate::interface::message::WorkerIx;
@@ -59,18 +59,18 @@
     }
     let id = cx.worker(ix).info.id.clone();
     let loss = if gone { Loss::Crashed } else { Loss::Silent };
-    let evidence = Evidence { worker: &id, loss, ..crash_of_unknown_runtime(&id, held.len()) };
+    let worker_loss = WorkerLoss { worker: &id, loss, ..crash_of_unknown_runtime(&id, held.len()) };
     for &key in held {
         if cx.task(key).is_some_and(|t| t.state == TaskState::Unknown) {
-            record_loss(cx, key, &evidence);
+            record_loss(cx, key, &worker_loss);
         }
     }
 }
 
 /// Builds the evidence of a crash whose runs a former leader started: how long they lived is not known.
-fn crash_of_unknown_runtime(worker: &ids::WorkerId, together: usize) -> Evidence<'_> {
+fn crash_of_unknown_runtime(worker: &ids::WorkerId, together: usize) -> WorkerLoss<'_> {
     let (loss, lived, confirmed, alone) = (Loss::Crashed, START_CRASH_WINDOW, false, false);
-    Evidence {
+    WorkerLoss {
         worker,
         loss,
         known_runtime: lived,
@@ -99,8 +99,8 @@
     };
     let (twice, others): (Vec<TaskKey>, Vec<TaskKey>) =
         unfound.iter().partition(|key| doubted(key));
-    let evidence = crash_of_unknown_runtime(&id, unfound.len());
-    twice.into_iter().for_each(|key| record_loss(cx, key, &evidence));
+    let worker_loss = crash_of_unknown_runtime(&id, unfound.len());
+    twice.into_iter().for_each(|key| record_loss(cx, key, &worker_loss));
     let (few, too_many) = (others.len() <= MAX_HELD_BACK, others.len() > MAX_POSSIBLE_CRASHES);
     for key in others {
         if too_many || !record_possible_crash(cx, key, &id) {
