--- a/crates/sched/src/changes/crashes.rs
+++ b/crates/sched/src/changes/crashes.rs
@@ -1,16 +1,18 @@
-//! Tasks that crash the workers which run them.
+//! Handles tasks that crash the workers that run them.
 //!
-//! A run that goes with its worker leaves no listed end: only the loss of the worker tells of it. So
-//! each worker that is lost without having left counts against the tasks that ran there. From then
-//! on a task is a suspect. It starts again only once the count is stored, so that no successor forgets
-//! it, and alone on a worker where one is free (`trials.rs`), so that a further crash takes nothing else
-//! down and speaks against it alone. After three or four workers its job fails.
+//! A run that ends with its worker leaves no listed end; only the loss of the worker shows it. So
+//! the loss of each worker that was not leaving counts against the tasks that ran there. From then
+//! on such a task is a suspect. It starts again only after the count has been stored, so that no
+//! successor forgets it, and alone on a worker if one is free (`trials.rs`), so that a further
+//! crash takes down nothing else and counts against this task only. After three or four lost
+//! workers its job fails.
 //!
-//! What looks like a crash and is none is not counted, or taken back: a worker that leaves, leases that
-//! were left to end, a worker that answers again. Many workers lost at one time raise a doubt only
-//! (`docs/PLATFORM.md`, section Crashing tasks). `decisions/losses.rs` says against whom a loss speaks,
-//! `evidence` counts it, `state/suspicion.rs` keeps it, `verdict` ends it, `inherited` finds what
-//! predecessors saw, `recorded` stores where a suspect starts.
+//! Losses that are no crashes are not counted, or are taken back: a worker that leaves, leases that
+//! were left to expire on purpose, a worker that answers again. Many workers lost at one time leave
+//! only a possible crash for each task (`docs/PLATFORM.md`, section Crashing tasks).
+//! `decisions/losses.rs` decides against which tasks a loss counts, `evidence` counts it,
+//! `state/crash_evidence.rs` holds it, `resolution` resolves it, `inherited` finds losses under
+//! previous leaders, and `recorded_starts` stores where a suspect starts.
 
 mod evidence;
 mod inherited;
