--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -1,4 +1,4 @@
-//! What a successor finds out about crashes under its predecessors.
+//! Finds crashes that happened under previous leaders.
 
 use gaplock_jobs::progress::TaskRecord;
 use gaplock_jobs::{JobKey, TaskKey};
@@ -13,52 +13,53 @@
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
-/// How many tasks may be held back for the loss of a worker of which nobody knows what it ran. Where more
-/// could have been there, nothing waits for the doubt to be stored.
+/// How many tasks may be held back because of a lost worker of which it is not known what it ran.
+/// If more tasks could have been there, none of them waits until the possible crash is stored.
 const MAX_HELD_BACK: usize = 64;
 
-/// How many tasks may be doubted for such a loss: each changes its job's record. Where more could have
-/// been there, the loss says nothing of any of them.
+/// For how many tasks such a loss may be recorded as a possible crash: each of them changes the
+/// record of its job. If more tasks could have been there, the loss says nothing about any of them.
 const MAX_POSSIBLE_CRASHES: usize = 1_000;
 
-/// Puts what a former leader stored of a task's crashes back.
-pub fn restore_suspicion(note: &TaskRecord) -> Option<Box<CrashEvidence>> {
-    let (crashed, perhaps) = (note.crashed.clone(), note.perhaps_crashed.clone());
-    if crashed.is_empty() && perhaps.is_none() {
+/// Restores what a previous leader stored about a task's crashes.
+pub fn restore_suspicion(record: &TaskRecord) -> Option<Box<CrashEvidence>> {
+    let (crashed, possible_crash) = (record.crashed.clone(), record.perhaps_crashed.clone());
+    if crashed.is_empty() && possible_crash.is_none() {
         return None;
     }
-    let started = match &note.started {
+    let recorded_start = match &record.started {
         None => RecordedStart::Unrecorded,
         Some(workers) => workers.first().cloned().map_or(RecordedStart::Nowhere, RecordedStart::At),
     };
     Some(Box::new(CrashEvidence {
         crashed,
-        possible_crash: perhaps,
-        recorded_start: started,
+        possible_crash,
+        recorded_start,
         ..CrashEvidence::default()
     }))
 }
 
-/// Finds the suspects of a job that was restored.
+/// Registers the suspects of a restored job.
 pub fn register_suspects(cx: &mut State, job: JobKey) {
     let Some(entry) = cx.jobs.get_mut(&job) else { return };
     let gangs: Vec<bool> = entry.job.steps.iter().map(|step| step.gang).collect();
     for (key, task) in entry.keyed_tasks_mut() {
-        let Some(suspicion) = &mut task.crash_evidence else { continue };
-        suspicion.exempt_from_trial = gangs[usize::from(key.step)];
-        for worker in suspicion.crashed.iter().chain(&suspicion.possible_crash) {
+        let Some(evidence) = &mut task.crash_evidence else { continue };
+        evidence.exempt_from_trial = gangs[usize::from(key.step)];
+        for worker in evidence.crashed.iter().chain(&evidence.possible_crash) {
             cx.crashes.add(key, worker);
         }
     }
 }
 
-/// Counts a worker that a successor could not find against the tasks that it is known to have held.
-pub fn count_loss_of_holder(cx: &mut State, ix: WorkerIx, held: &[TaskKey], gone: bool) {
+/// Counts a worker that a new leader could not find against the tasks that it is known to have
+/// held.
+pub fn count_loss_of_holder(cx: &mut State, ix: WorkerIx, held: &[TaskKey], terminated: bool) {
     if losses::was_leaving(cx.worker(ix)) {
         return;
     }
     let id = cx.worker(ix).info.id.clone();
-    let loss = if gone { Loss::Crashed } else { Loss::Silent };
+    let loss = if terminated { Loss::Crashed } else { Loss::Silent };
     let worker_loss = WorkerLoss { worker: &id, loss, ..crash_of_unknown_runtime(&id, held.len()) };
     for &key in held {
         if cx.task(key).is_some_and(|t| t.state == TaskState::Unknown) {
@@ -67,42 +68,38 @@
     }
 }
 
-/// Builds the evidence of a crash whose runs a former leader started: how long they lived is not known.
-fn crash_of_unknown_runtime(worker: &ids::WorkerId, together: usize) -> WorkerLoss<'_> {
-    let (loss, lived, confirmed, alone) = (Loss::Crashed, START_CRASH_WINDOW, false, false);
-    WorkerLoss {
-        worker,
-        loss,
-        known_runtime: lived,
-        confirmed,
-        lost_together: together,
-        only_its_job: alone,
-    }
+/// Describes a crash of runs that a previous leader started: how long they ran is not known.
+fn crash_of_unknown_runtime(worker: &ids::WorkerId, lost_together: usize) -> WorkerLoss<'_> {
+    let (loss, known_runtime, confirmed, only_its_job) =
+        (Loss::Crashed, START_CRASH_WINDOW, false, false);
+    WorkerLoss { worker, loss, known_runtime, confirmed, lost_together, only_its_job }
 }
 
-/// Takes in that a successor has found workers gone that may have run any task, and these tasks at no
-/// other one: each of them may have been there, or may have waited. Of a suspect whose starts are stored it
-/// is known. Another one of which that has been supposed once is counted the second time, so that no more
-/// than one crash is forgotten.
+/// Handles that a new leader has found that workers have terminated which may have run any task.
+/// `unfound` are the tasks that it found on no other worker: each of them may have run on a lost
+/// worker, or may have been waiting. For a suspect whose starts are stored it is known which. Any
+/// other task gets a possible crash the first time and a counted crash the second time, so that at
+/// most one crash is forgotten.
 pub fn count_losses_without_holder(
     cx: &mut State,
     lost: &[WorkerIx],
-    unfound: &FxHashSet<TaskKey>,
+    not_found: &FxHashSet<TaskKey>,
 ) {
-    let unfound = count_recorded_starts(cx, lost, unfound);
+    let not_found = count_recorded_starts(cx, lost, not_found);
     let crashed = lost.iter().find(|&&ix| !losses::was_leaving(cx.worker(ix)));
     let Some(&ix) = crashed else { return };
     let id = cx.worker(ix).info.id.clone();
-    let doubted = |key: &TaskKey| {
-        let suspicion = cx.task(*key).and_then(|t| t.crash_evidence.as_ref());
-        suspicion.is_some_and(|s| s.possible_crash.is_some())
+    let has_possible_crash = |key: &TaskKey| {
+        let evidence = cx.task(*key).and_then(|t| t.crash_evidence.as_ref());
+        evidence.is_some_and(|s| s.possible_crash.is_some())
     };
-    let (twice, others): (Vec<TaskKey>, Vec<TaskKey>) =
-        unfound.iter().partition(|key| doubted(key));
-    let worker_loss = crash_of_unknown_runtime(&id, unfound.len());
-    twice.into_iter().for_each(|key| record_loss(cx, key, &worker_loss));
-    let (few, too_many) = (others.len() <= MAX_HELD_BACK, others.len() > MAX_POSSIBLE_CRASHES);
-    for key in others {
+    let (second_time, first_time): (Vec<TaskKey>, Vec<TaskKey>) =
+        not_found.iter().partition(|key| has_possible_crash(key));
+    let worker_loss = crash_of_unknown_runtime(&id, not_found.len());
+    second_time.into_iter().for_each(|key| record_loss(cx, key, &worker_loss));
+    let (few, too_many) =
+        (first_time.len() <= MAX_HELD_BACK, first_time.len() > MAX_POSSIBLE_CRASHES);
+    for key in first_time {
         if too_many || !record_possible_crash(cx, key, &id) {
             continue;
         }
@@ -115,21 +112,21 @@
     }
 }
 
-/// Counts workers that are gone against the suspects that are stored as started there, and returns the tasks of
-/// which nothing is stored.
+/// Counts terminated workers against the suspects that are stored as started there. Returns the
+/// tasks for which no start is stored.
 fn count_recorded_starts(
     cx: &mut State,
     lost: &[WorkerIx],
-    unfound: &FxHashSet<TaskKey>,
+    not_found: &FxHashSet<TaskKey>,
 ) -> FxHashSet<TaskKey> {
     let crashed = lost.iter().map(|&ix| cx.worker(ix)).filter(|w| !losses::was_leaving(w));
     let crashed: Vec<ids::WorkerId> = crashed.map(|w| w.info.id.clone()).collect();
-    let mut unknown = FxHashSet::default();
-    for &key in unfound {
-        let suspicion = cx.task(key).and_then(|t| t.crash_evidence.as_ref());
-        match suspicion.map(|s| s.recorded_start.clone()).unwrap_or_default() {
+    let mut unrecorded = FxHashSet::default();
+    for &key in not_found {
+        let evidence = cx.task(key).and_then(|t| t.crash_evidence.as_ref());
+        match evidence.map(|s| s.recorded_start.clone()).unwrap_or_default() {
             RecordedStart::Unrecorded => {
-                unknown.insert(key);
+                unrecorded.insert(key);
             }
             RecordedStart::At(id) if crashed.contains(&id) => {
                 record_loss(cx, key, &crash_of_unknown_runtime(&id, 1));
@@ -137,12 +134,12 @@
             RecordedStart::Nowhere | RecordedStart::At(_) => {}
         }
     }
-    unknown
+    unrecorded
 }
 
-/// Notes that a suspect waits, so that its next start is stored before it is sent.
+/// Records that a suspect has not been started, so that its next start is stored before it is sent.
 fn mark_not_started(cx: &mut State, key: TaskKey) {
-    if let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) {
-        suspicion.recorded_start = RecordedStart::Nowhere;
+    if let Some(evidence) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) {
+        evidence.recorded_start = RecordedStart::Nowhere;
     }
 }
