--- a/crates/sched/src/changes/crashes/recorded_starts.rs
+++ b/crates/sched/src/changes/crashes/recorded_starts.rs
@@ -1,8 +1,8 @@
-//! Starts of suspects, each of which is stored before it is sent.
+//! Stores each start of a suspect before it is sent.
 //!
-//! A successor that finds a worker gone cannot tell from its silence what ran there. What it supposes of all
-//! tasks that are nowhere would speak against one that only waited. So of a suspect it is stored where it may
-//! be at work; a worker that was lost elsewhere says nothing of it.
+//! A new leader that finds that a worker has terminated cannot tell what ran there. If it blamed
+//! all tasks that it finds nowhere, it would also blame a task that was only waiting. So the store
+//! says where a suspect may be running, and the loss of any other worker does not count against it.
 
 use std::mem;
 
@@ -16,27 +16,29 @@
 use crate::state::worker::Phase;
 use crate::state::State;
 
-/// Holds the start of a suspect back until it is stored; whether it has to wait for that. The members of a gang are
-/// sent together, since they wait for each other at their workers for a short time only.
+/// Holds back the start of a suspect until it is stored. Returns whether the start has to wait for
+/// that. The starts of a gang are sent together without waiting, since the members wait for each
+/// other on their workers for a short time only.
 pub fn hold_until_stored(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) -> bool {
     let id = cx.worker(ix).info.id.clone();
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
-    let Some(suspicion) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else {
+    let Some(evidence) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else {
         return false;
     };
     if is_gang {
-        suspicion.recorded_start = RecordedStart::Unrecorded;
+        evidence.recorded_start = RecordedStart::Unrecorded;
     }
-    if suspicion.recorded_start == RecordedStart::Unrecorded {
+    if evidence.recorded_start == RecordedStart::Unrecorded {
         return false;
     }
-    (suspicion.recorded_start, suspicion.saved) = (RecordedStart::At(id), Saved::No);
+    (evidence.recorded_start, evidence.saved) = (RecordedStart::At(id), Saved::No);
     cx.crashes.held_starts.push((ix, key, run));
     commits::mark_dirty_urgent(&mut cx.commits, cx.now, key.job);
     true
 }
 
-/// Sends the starts that are stored by now, unless the view of the directory is too old for any start.
+/// Sends the held starts that are stored by now, unless the view of the directory is too old for
+/// any start.
 pub fn send_stored_starts(cx: &mut State) {
     if cx.freshness.is_behind() {
         return;
@@ -48,8 +50,8 @@
         if !is_held {
             continue;
         }
-        let suspicion = cx.task(key).and_then(|t| t.crash_evidence.as_ref());
-        if suspicion.is_some_and(|s| s.saved != Saved::Yes) {
+        let evidence = cx.task(key).and_then(|t| t.crash_evidence.as_ref());
+        if evidence.is_some_and(|s| s.saved != Saved::Yes) {
             cx.crashes.held_starts.push((ix, key, run));
         } else if cx.worker(ix).accepts_tasks(cx.now) {
             if cx.worker(ix).trial.is_some_and(|trial| trial.task == key) {
