--- a/crates/sched/src/changes/crashes/reserved.rs
+++ b/crates/sched/src/changes/crashes/reserved.rs
@@ -1,4 +1,4 @@
-//! Workers that are kept for suspects.
+//! Reserves workers for suspects.
 
 use gaplock_jobs::TaskKey;
 use gaplock_types::time::Millis;
@@ -7,12 +7,13 @@
 use crate::state::trial::Trial;
 use crate::state::State;
 
-/// How long a suspect keeps a worker to itself, by the square of the workers lost under it: after one,
-/// which is most often chance, as long as a start takes to go wrong; after two, longer than what short
-/// tasks work.
+/// How long a suspect has a worker to itself, multiplied by the square of the number of workers
+/// lost under it. After one loss, which is mostly chance, this is as long as a start takes to fail;
+/// after two it is longer than short tasks run.
 pub const BASE_TRIAL_TIME: Millis = Millis(1_000);
 
-/// Keeps a worker for a suspect that starts there, unless it has a single loss and others run there.
+/// Reserves a worker for a suspect that was started there, unless the suspect has a single loss or
+/// the worker is reserved already.
 pub fn reserve_after_placement(cx: &mut State, ix: WorkerIx, key: TaskKey) {
     let now = cx.now;
     let is_free = cx.worker(ix).trial.is_none_or(|trial| trial.until <= now);
@@ -21,7 +22,7 @@
     }
 }
 
-/// Keeps a worker for a task for as long as its losses call for.
+/// Reserves a worker for a task for as long as the task's losses require.
 pub fn reserve(cx: &mut State, ix: WorkerIx, key: TaskKey) {
     let losses = losses(cx, key) as u64;
     let until = cx.now + Millis(BASE_TRIAL_TIME.0 * losses * losses);
@@ -29,5 +30,5 @@
 }
 
 fn losses(cx: &State, key: TaskKey) -> usize {
-    cx.task(key).and_then(|t| t.crash_evidence.as_ref()).map_or(0, |s| s.losses())
+    cx.task(key).and_then(|t| t.crash_evidence.as_ref()).map_or(0, |evidence| evidence.losses())
 }
