--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -1,4 +1,5 @@
-//! Starts what can start: steps in the order of priority and objective, tasks on the best worker.
+//! The dispatch pass, which starts all pending tasks that can start: steps in the order of priority
+//! and objective, each task on the best worker.
 
 use std::collections::BTreeSet;
 
@@ -14,55 +15,56 @@
 use crate::state::job_table::{self, ReadyStep};
 use crate::state::State;
 
-/// A demand for which no worker had room in this pass; a demand at least as large with the same
-/// restrictions need not be tried.
+/// A demand for which no worker had enough free capacity in this pass. A demand that is at least as
+/// large and has the same restrictions need not be tried.
 #[derive(Debug)]
 struct UnplacedDemand {
     service: ids::ServiceId,
     label: Option<String>,
-    takes: Resources,
-    /// For a filling task: how far it may disturb others.
+    reservation: Resources,
+    /// For a best-effort task: how far it may interfere with others.
     best_effort: Option<UnplacedBestEffort>,
-    /// For a lasting task: whether it has waited so long that it may take what is kept for short ones.
+    /// For a long-running task: whether it has waited so long that it may use capacity that is
+    /// reserved for short tasks.
     may_use_reserved: Option<bool>,
 }
 
-/// What decides, besides its room, whether a filling task finds a worker.
+/// What decides, besides free capacity, whether a best-effort task finds a worker.
 #[derive(Debug)]
 struct UnplacedBestEffort {
     image: Option<String>,
     demand: sizes::MilliCores,
-    /// Set once it has waited long enough to be placed wherever it disturbs least.
+    /// Set once it has waited long enough to be placed where it interferes least.
     may_interfere: bool,
 }
 
 impl UnplacedDemand {
-    /// Builds what is known once a task of a step has found no worker.
-    fn of(service: ids::ServiceId, step: &Step, first: WaitStatus) -> Self {
-        let filling = step.fills.then(|| UnplacedBestEffort {
+    /// Describes the demand of a step's task that finds no worker.
+    fn of(service: ids::ServiceId, step: &Step, wait: WaitStatus) -> Self {
+        let best_effort = step.fills.then(|| UnplacedBestEffort {
             image: step.image.clone(),
             demand: step.demand.cpu,
-            may_interfere: interference::may_interfere(first.waited),
+            may_interfere: interference::may_interfere(wait.waited),
         });
-        let lasting =
-            step.lasting.then(|| free_capacity::may_use_reserved(first.waited, first.may_have_run));
+        let may_use_reserved =
+            step.lasting.then(|| free_capacity::may_use_reserved(wait.waited, wait.may_have_run));
         Self {
             service,
             label: step.label.clone(),
-            takes: job_table::reservation(step),
-            best_effort: filling,
-            may_use_reserved: lasting,
+            reservation: job_table::reservation(step),
+            best_effort,
+            may_use_reserved,
         }
     }
 
-    /// Tells whether a task that is asked for now finds no worker either.
+    /// Returns whether a task with the demand `wanted` finds no worker either.
     fn covers(&self, wanted: &Self) -> bool {
-        let alike = self.service == wanted.service && self.label == wanted.label;
-        let lasts = self.may_use_reserved.is_some() == wanted.may_use_reserved.is_some();
-        alike
-            && lasts
+        let same_pool = self.service == wanted.service && self.label == wanted.label;
+        let same_kind = self.may_use_reserved.is_some() == wanted.may_use_reserved.is_some();
+        same_pool
+            && same_kind
             && self.may_use_reserved >= wanted.may_use_reserved
-            && wanted.takes.holds(&self.takes)
+            && wanted.reservation.holds(&self.reservation)
             && self.best_effort_covers(wanted)
     }
 
@@ -79,19 +81,19 @@
     }
 }
 
-/// What one pass knows, so that it need not go over all workers for each step.
+/// What one pass knows, so that it need not evaluate all workers for each step.
 #[derive(Debug)]
 struct Pass {
-    blocked: Vec<UnplacedDemand>,
-    /// The most free processors of any worker when the pass began; it only gets less.
+    unplaced: Vec<UnplacedDemand>,
+    /// The most free processors of any worker when the pass began; it only decreases.
     most_free: sizes::MilliCores,
     /// The most processors that any worker has.
     largest: sizes::MilliCores,
-    /// How many steps were held against all workers.
+    /// For how many steps all workers were evaluated.
     searches: usize,
 }
 
-/// Goes once over all ready steps.
+/// Tries all ready steps once.
 pub fn pass(cx: &mut State) {
     if cx.config.is_none() {
         return;
@@ -101,7 +103,7 @@
     let mut ready: Vec<ReadyStep> = cx.ready.iter().copied().collect();
     ready.sort_by_cached_key(|&step| !has_restart_priority(cx, step));
     let (most_free, largest) = most_processors(cx);
-    let mut pass = Pass { blocked: Vec::new(), most_free, largest, searches: 0 };
+    let mut pass = Pass { unplaced: Vec::new(), most_free, largest, searches: 0 };
     for step in ready {
         if cx.is_at_start_limit() {
             break;
@@ -111,7 +113,7 @@
     cx.pass_evaluations = pass.searches * cx.workers.len();
 }
 
-/// Tells whether a lasting step has tasks that go before all others; few steps do.
+/// Returns whether a long-running step has tasks that go before all others; few steps do.
 fn has_restart_priority(cx: &State, ready: ReadyStep) -> bool {
     let Some(entry) = cx.jobs.get(&ready.job) else { return false };
     let step = &entry.job.steps[usize::from(ready.step)];
@@ -123,7 +125,8 @@
     })
 }
 
-/// Returns the most free processors, and the most in all, of any worker that takes tasks.
+/// Returns the most free processors, and the most processors in total, of any worker that accepts
+/// tasks.
 fn most_processors(cx: &State) -> (sizes::MilliCores, sizes::MilliCores) {
     let taking = || cx.workers.iter().filter(|w| w.accepts_tasks(cx.now));
     let free = taking().map(|w| w.info.capacity.minus(&w.used).cpu).max();
@@ -131,7 +134,8 @@
     (free.unwrap_or_default(), largest.unwrap_or_default())
 }
 
-/// Starts what it can of one step, unless a demand like it found no room in this pass.
+/// Starts the tasks of one step that can start, unless a similar demand found no capacity in this
+/// pass.
 fn start_step(cx: &mut State, ready: ReadyStep, pass: &mut Pass) {
     let Some(entry) = cx.jobs.get(&ready.job) else { return };
     let job = entry.job.clone();
@@ -139,12 +143,12 @@
     let step = &job.steps[usize::from(ready.step)];
     let Some(round) = entry.round(ready.round) else { return };
     let pending = start_order(cx, ready, step, &round.steps[usize::from(ready.step)].pending);
-    let Some(first) = first_that_may_start(cx, ready, &pending) else { return };
-    let wanted = UnplacedDemand::of(service.clone(), step, first);
-    if pass.blocked.iter().any(|b| b.covers(&wanted)) {
+    let Some(wait) = first_that_may_start(cx, ready, &pending) else { return };
+    let wanted = UnplacedDemand::of(service.clone(), step, wait);
+    if pass.unplaced.iter().any(|b| b.covers(&wanted)) {
         return;
     }
-    if wanted.takes.cpu > pass.most_free && requests::advice_of(cx, &job).is_none() {
+    if wanted.reservation.cpu > pass.most_free && requests::advice_of(cx, &job).is_none() {
         note_scarcity(cx, &service, step, pass);
         return log_first_waiting(cx, &job, &service, ready, &pending);
     }
@@ -154,27 +158,27 @@
     }
     pass.searches += 1;
     let Some(unplaced) = start_tasks(cx, &job, &service, ready, &pending) else { return };
-    explain(cx, &job, &service, unplaced, pending.len());
+    log_waiting(cx, &job, &service, unplaced, pending.len());
     note_scarcity(cx, &service, step, pass);
     if requests::advice_of(cx, &job).is_some() {
         permits::request_permits(cx, ready, pending.len());
     } else if step.most_per_worker.is_none() {
-        let first = cx.task(unplaced).map_or(first, |t| requests::wait_status(cx, t));
-        pass.blocked.push(UnplacedDemand::of(service, step, first));
+        let wait = cx.task(unplaced).map_or(wait, |t| requests::wait_status(cx, t));
+        pass.unplaced.push(UnplacedDemand::of(service, step, wait));
     }
 }
 
-/// Takes in that a step found no room. A short one speaks for scarcity, unless no worker could ever
-/// hold it.
+/// Records that a step found too little free capacity. A short step is a sign of scarcity, unless
+/// no worker could ever hold its tasks.
 fn note_scarcity(cx: &mut State, pool: &ids::ServiceId, step: &Step, pass: &Pass) {
     if free_capacity::is_short(step) && step.demand.cpu <= pass.largest {
         scarcity::note_short_unplaced(cx, pool);
     }
 }
 
-/// Returns a step's pending tasks in the order in which they are tried. Of lasting ones those come
-/// first that were at work before, by their wait: they may take room that new ones may not, and a
-/// step is given up at the first task that finds none.
+/// Returns a step's pending tasks in the order in which they are tried. In a long-running step,
+/// tasks that may have run before come first, the longest wait first: they may use capacity that
+/// new ones may not, and the pass leaves a step at the first task that finds none.
 fn start_order(cx: &State, ready: ReadyStep, step: &Step, pending: &BTreeSet<u32>) -> Vec<u32> {
     let mut order: Vec<u32> = pending.iter().copied().collect();
     if step.lasting {
@@ -189,8 +193,8 @@
     TaskKey { job: ready.job, round: ready.round, step: ready.step, index }
 }
 
-/// Finds the first task of a step that may start, if there is one. Tasks of one step begin to wait
-/// together, but for those that start again.
+/// Returns the wait status of the first task of a step that may start, if there is one. The tasks
+/// of a step begin to wait together, except for those that start again.
 fn first_that_may_start(cx: &State, ready: ReadyStep, pending: &[u32]) -> Option<WaitStatus> {
     let mut tasks = pending.iter().map(|&index| task_key(ready, index));
     let task = tasks.find(|&task| requests::may_start(cx, task))?;
@@ -207,11 +211,11 @@
 ) {
     let mut tasks = pending.iter().map(|&index| task_key(ready, index));
     if let Some(task) = tasks.find(|&task| requests::may_start(cx, task)) {
-        explain(cx, job, service, task, pending.len());
+        log_waiting(cx, job, service, task, pending.len());
     }
 }
 
-/// Starts pending tasks of a step one by one; returns the first that finds no worker.
+/// Starts pending tasks of a step one by one. Returns the first one that finds no worker.
 fn start_tasks(
     cx: &mut State,
     job: &Job,
@@ -219,9 +223,10 @@
     ready: ReadyStep,
     pending: &[u32],
 ) -> Option<TaskKey> {
-    // An image counts as known from its first task on, so that all tasks of the step find the same.
+    // The image is known to the model from its first task on. It is added before the first task is
+    // placed, so that all tasks of the step are evaluated alike.
     pacing::role_of(cx, &job.steps[usize::from(ready.step)]);
-    let mut choices = RankedWorkers::default();
+    let mut ranking = RankedWorkers::default();
     for &index in pending {
         if cx.is_at_start_limit() {
             return None;
@@ -233,11 +238,11 @@
         let Some(wanted) = requests::placement_request(cx, job, service, task) else {
             return Some(task);
         };
-        let chosen = choices.take_best(cx, &wanted);
+        let chosen = ranking.take_best(cx, &wanted);
         debug_assert_eq!(
             chosen,
             placement::best_worker(cx, &wanted),
-            "the kept order is another one"
+            "the kept ranking yields the same worker as an evaluation of all workers"
         );
         let Some(ix) = chosen else { return Some(task) };
         starts::start_at(cx, ix, task);
@@ -249,7 +254,7 @@
 const WAIT_LOG_INTERVAL: Millis = Millis(2_000);
 
 /// Logs why a task finds no worker, once it has waited for a while.
-fn explain(cx: &mut State, job: &Job, service: &ids::ServiceId, task: TaskKey, pending: usize) {
+fn log_waiting(cx: &mut State, job: &Job, service: &ids::ServiceId, task: TaskKey, pending: usize) {
     let now = cx.now;
     let Some(waited) = cx.task(task).map(|t| now.since(t.since)) else { return };
     let round = cx.jobs.get_mut(&task.job).and_then(|e| e.round_mut(task.round));
