--- a/crates/sched/src/changes/evacuation.rs
+++ b/crates/sched/src/changes/evacuation.rs
@@ -1,11 +1,13 @@
 //! Failure domains that the operators have evacuated.
 //!
-//! Nothing new goes to the workers of such a domain until the operators take it back: no first start,
-//! no start again, no copy, no move, no member of a gang. What runs there runs on. The operators' word
-//! lies in the store, so it outlives every leader; a successor reads it before its first start.
+//! The workers of such a domain get nothing new until the operators take the domain back: no first
+//! start, no restart, no speculative copy, no move, no member of a gang. The runs that are there
+//! continue. The operators' instruction is in the store, so it outlives every leader, and a
+//! successor reads it before its first start.
 //!
-//! What else follows from a worker that gets nothing (room, largest worker, trials, permits) goes by
-//! [`crate::state::worker::Worker::accepts_tasks`]; `docs/PLATFORM.md` (section Evacuations) has the rest.
+//! Everything else that follows from a worker that gets no tasks (free capacity, largest worker,
+//! trials, permits) uses [`crate::state::worker::Worker::accepts_tasks`]; `docs/PLATFORM.md`
+//! (section Evacuations) describes the rest.
 
 use gaplock_types::ids;
 
@@ -15,7 +17,7 @@
 
 pub use crate::interface::message::Evacuated;
 
-/// Takes in what the store says; an older reading changes nothing.
+/// Applies the evacuated domains that the store holds. An older reading changes nothing.
 pub fn apply(cx: &mut State, evacuated: Evacuated) {
     if evacuated.revision < cx.evacuated.revision {
         return;
@@ -36,13 +38,13 @@
     cx.pass_wanted = true;
 }
 
-/// Marks a worker by the domain that it says it is in.
+/// Updates whether a worker is evacuated, by the domain that the worker reports.
 pub fn update_worker(cx: &mut State, ix: WorkerIx) {
     let evacuated = cx.evacuated.domains.contains(&cx.worker(ix).info.domain);
     cx.worker_mut(ix).evacuated = evacuated;
 }
 
-/// Counts the runs at the workers of a domain.
+/// Counts the runs on the workers of a domain.
 pub fn count_runs_in(cx: &State, domain: &ids::DomainId) -> usize {
     let there = cx.workers.iter().filter(|w| !w.terminated && w.info.domain == *domain);
     there.map(|w| w.slots.len()).sum()
