--- a/crates/sched/src/changes/maintenance.rs
+++ b/crates/sched/src/changes/maintenance.rs
@@ -1,14 +1,16 @@
-//! Waves of upkeep: the operators ask that every host of a list goes down once, in time, and never
-//! more than so many at once.
+//! Maintenance waves: the operators ask that every host of a list goes down once, within a given
+//! time, and that never more than a given number of hosts are down at once.
 //!
-//! A host is emptied first: it gets no new tasks, what lasts or can resume leaves it as fast as its
-//! callers allow, and short tasks may end. Only then is it ordered down. What has begun is stored
-//! before it counts, so that a successor neither repeats a host nor reports a wave too early.
+//! A host is emptied first: it gets no new tasks, long-running tasks and tasks that can resume
+//! leave it as fast as their callers allow, and short tasks may end. Only then is it ordered down.
+//! A host whose maintenance has begun counts only once that is stored, so that a successor neither
+//! repeats the host nor reports the wave as completed too early.
 //!
-//! An order without an answer may be carried out after the refusal of its repeat, and after the end
-//! of the leader that gave it. So what is to be ordered is stored first, and a host with an order
-//! whose fate is open counts as down until the platform says that its upkeep has begun. From then
-//! on no order takes it down once more: the platform answers one that is already done as done.
+//! An order without an answer may still be carried out after its repetition was refused, and after
+//! the end of the leader that sent it. So an order is stored before it is sent, and a host with an
+//! order of unknown outcome counts as down until the platform says that its maintenance has begun.
+//! From then on no order takes the host down again: the platform answers an order that is already
+//! done as done.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,28 +30,28 @@
 /// hosts together may ask 60 times a second.
 const HOST_LIST_INTERVAL: Millis = Millis(500);
 
-/// The pause before an order that was not carried out is given again.
+/// The pause before an order that was not carried out is sent again.
 const ORDER_RETRY_PAUSE: Millis = Millis(400);
 
-/// The pause before an order is given again that was refused for good while an earlier one may be
-/// carried out yet: long, since nothing but that one can change the answer.
+/// The pause before an order is sent again that was refused for good while an earlier one may still
+/// be carried out. It is long, since only that earlier order can change the answer.
 const REFUSED_ORDER_RETRY_PAUSE: Millis = Millis(2_000);
 
-/// Takes over what a former leader stored of waves.
+/// Restores what a previous leader stored about waves.
 pub fn restore(cx: &mut State, waves: Vec<WaveProgress>) {
     cx.maintenance.stored = waves.into_iter().map(|w| (w.number, w)).collect();
 }
 
-/// Tells whether the host of a worker that was just heard of may go down by an order of a former
-/// leader. Such a worker gets no tasks, also before the first list of the hosts and before the wave
-/// is heard of.
+/// Returns whether the host of a worker that has just become known may go down by an order of a
+/// previous leader. Such a worker gets no tasks, even before the first list of the hosts and before
+/// the wave is known again.
 pub fn is_expected_down(cx: &State, name: &ids::WorkerName) -> bool {
     let known = cx.maintenance.waves.values().map(|w| &w.progress);
-    let mut open = cx.maintenance.stored.values().chain(known).filter(|w| !w.completed);
-    open.any(|w| w.ordered.values().flatten().any(|worker| worker == name))
+    let mut unfinished = cx.maintenance.stored.values().chain(known).filter(|w| !w.completed);
+    unfinished.any(|w| w.ordered.values().flatten().any(|worker| worker == name))
 }
 
-/// Takes in a wave that the operators ask for; one that is known already changes nothing.
+/// Handles a wave that the operators ask for. A wave that is already known changes nothing.
 pub fn handle_wave_request(cx: &mut State, request: WaveRequest) {
     let number = request.number;
     if cx.maintenance.waves.contains_key(&number) {
@@ -82,18 +84,19 @@
     cx.maintenance.list_due = Some(now);
 }
 
-/// Takes in a list of all hosts that was asked for at `sent`, or that none came.
+/// Handles a list of all hosts that was requested at `sent`, or that none came.
 pub fn handle_host_list(cx: &mut State, sent: Instant, hosts: Option<Vec<HostInfo>>) {
     cx.maintenance.list_due = Some(cx.now + HOST_LIST_INTERVAL);
     let Some(hosts) = hosts else { return };
     cx.maintenance.hosts = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
     cx.maintenance.hosts_listed_at = Some(sent);
     let (mut returned, mut awaited) = (Vec::new(), Vec::new());
-    let upkeep = &mut cx.maintenance;
-    for wave in upkeep.waves.values_mut() {
-        let is_up = |h: &ids::HostId| upkeep.hosts.get(h).is_some_and(|h| h.state == HostState::Up);
-        // A list that was asked for before the answer may show the host as it was before its
-        // upkeep.
+    let maintenance = &mut cx.maintenance;
+    for wave in maintenance.waves.values_mut() {
+        let is_up =
+            |h: &ids::HostId| maintenance.hosts.get(h).is_some_and(|h| h.state == HostState::Up);
+        // A list that was requested before the answer may show the host as it was before its
+        // maintenance.
         let is_back =
             |h: &ids::HostId, d: &DownHost| is_up(h) && d.begun.is_some_and(|at| sent > at);
         let back = wave.down.iter().filter(|(h, d)| is_back(h, d)).map(|(h, _)| h.clone());
@@ -104,20 +107,20 @@
             let expected = wave.down.iter().filter(|(_, d)| d.begun.is_none()).map(|(h, _)| h);
             awaited.extend(expected.chain(wave.emptying.keys()).cloned());
         }
-        let gone = wave.request.hosts.iter().filter(|h| !upkeep.hosts.contains_key(*h));
-        wave.excluded.extend(gone.cloned());
+        let unlisted = wave.request.hosts.iter().filter(|h| !maintenance.hosts.contains_key(*h));
+        wave.excluded.extend(unlisted.cloned());
     }
     for host in returned {
         set_emptying(cx, &host, false);
     }
-    // A host that is yet to go down may have another worker meanwhile, which a late order would
-    // end.
+    // A host that has yet to go down may have another worker by now, which a late order would
+    // terminate.
     for host in awaited {
         set_emptying(cx, &host, true);
     }
 }
 
-/// Takes in what became of an order that a host goes down.
+/// Handles the answer to an order that a host goes down.
 pub fn handle_order_answer(
     cx: &mut State,
     number: WaveNumber,
@@ -150,7 +153,7 @@
     }
 }
 
-/// Notes that the upkeep of a host has begun.
+/// Records that the maintenance of a host has begun.
 fn record_begun(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
@@ -165,7 +168,7 @@
     }
 }
 
-/// Leaves a host out that is not of the wave and that no order can take down.
+/// Excludes a host that does not belong to the wave and that no order can take down.
 fn exclude_host(cx: &mut State, number: WaveNumber, host: &ids::HostId) {
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     wave.excluded.insert(host.clone());
@@ -176,7 +179,7 @@
     set_emptying(cx, host, false);
 }
 
-/// Brings every wave on.
+/// Advances every wave.
 pub fn advance_waves(cx: &mut State) {
     let active = |w: &&Wave| w.operators_notified && !w.progress.completed;
     let numbers: Vec<WaveNumber> =
@@ -199,7 +202,7 @@
     }
 }
 
-/// Gives orders again that were not carried out, or may not have been.
+/// Sends orders again that were not carried out, or may not have been.
 fn repeat_orders(cx: &mut State, number: WaveNumber) {
     let now = cx.now;
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
@@ -212,7 +215,7 @@
     }
 }
 
-/// Orders hosts down that are empty, or empty enough, once that is stored.
+/// Orders hosts down that are empty, or empty enough, once the order is stored.
 fn order_emptied(cx: &mut State, number: WaveNumber) {
     let emptied = waves::emptied_hosts(cx, number);
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
@@ -234,7 +237,7 @@
     }
 }
 
-/// Begins to empty as many hosts as may go down next, those with fewest tasks first.
+/// Begins to empty as many hosts as may go down next, those with the fewest tasks first.
 fn begin_emptying(cx: &mut State, number: WaveNumber) {
     for host in waves::next_hosts(cx, number) {
         let now = cx.now;
@@ -244,7 +247,7 @@
     }
 }
 
-/// Reports a wave as completed once the upkeep of every host that stays has begun.
+/// Reports a wave as completed once the maintenance of every host that is not excluded has begun.
 fn complete_if_done(cx: &mut State, number: WaveNumber) {
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
     if waves::remaining_hosts(wave).next().is_some() {
