--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -1,8 +1,9 @@
-//! How filling tasks disturb serving ones on the same worker, and what is done about it.
+//! Limits the interference of best-effort tasks with serving tasks on the same worker.
 //!
-//! The model (`state/model.rs`) says what pairs of images do to each other. Placement keeps apart what cannot live
-//! together (`decisions/disturbance.rs`), the pace of what presses is lowered only as far as the serving
-//! tasks need (`decisions/paces.rs`), and what stays slow for long is moved (`moving.rs`).
+//! The model (`state/interference_model.rs`) holds how much pairs of images interfere. Placement
+//! keeps incompatible images apart (`decisions/interference.rs`), the pace of interfering tasks is
+//! lowered only as far as the serving tasks need (`decisions/paces.rs`), and tasks that stay slowed
+//! down for long are moved (`moving.rs`).
 
 mod paces;
 mod readings;
@@ -22,7 +23,7 @@
 pub use roles::role_of;
 pub use spare_capacity::refresh_spare_capacity;
 
-/// Takes in a worker's fresh readings: learns from them, then sets the paces that they ask for.
+/// Handles a worker's new readings: learns from them, then orders the paces that they require.
 pub fn handle_readings(cx: &mut State, ix: WorkerIx) {
     readings::learn(cx, ix);
     refresh_spare_capacity(cx, ix);
