--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -1,5 +1,5 @@
-//! The pace of filling tasks: lowered as far as the serving tasks beside them need, and raised
-//! again.
+//! Orders the pace of best-effort tasks: lowers it as far as the serving tasks on the same worker
+//! need, and raises it again.
 
 use gaplock_jobs::TaskKey;
 use gaplock_policy::attempts::Execution;
@@ -14,27 +14,28 @@
 use crate::state::worker::{Phase, TaskRole};
 use crate::state::State;
 
-/// Lowers the pace of what disturbs a serving task too much, and raises it again.
+/// Lowers the pace of tasks that interfere too much with a serving task, and raises it again.
 pub fn order_paces(cx: &mut State, ix: WorkerIx) {
     for task in paces::target_paces(cx, cx.worker(ix)) {
         order_pace(cx, ix, &task);
     }
 }
 
-/// The share of its target from which a reading counts as over it; readings are rough.
+/// The share of its target from which on a reading counts as over the target; readings are rough.
 const EXCESS_BEGINS_SHARE: f64 = 0.97;
 
 /// The share of its target below which a reading ends an excess.
 const EXCESS_ENDS_SHARE: f64 = 0.9;
 
-/// The part of the allowed excess after which halting everything is held not to have helped.
+/// The fraction of the time that a serving task may exceed its target after which halting all
+/// best-effort tasks counts as having had no effect.
 const HALT_FAILED_FRACTION: f64 = 1.05;
 
-/// Notes since when each serving task's readings have been over its target. Where the excess has
-/// outlasted both stages of halting, its cause lies elsewhere and the time begins anew.
+/// Records since when each serving task's readings have been over its target. An excess that
+/// outlasts both stages of halting has another cause, and its time starts again from zero.
 pub(super) fn track_target_excess(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
-    let halt_over = paces::fraction_of(cx.settings.max_tail_excess, HALT_FAILED_FRACTION);
+    let halt_failed_after = paces::fraction_of(cx.settings.max_tail_excess, HALT_FAILED_FRACTION);
     for slot in cx.worker_mut(ix).slots.values_mut() {
         let TaskRole::Serving { target_ms, .. } = slot.role else { continue };
         let Some(share) = slot.reading.map(|tail| f64::from(tail) / f64::from(target_ms.max(1)))
@@ -46,48 +47,49 @@
         } else if share < EXCESS_ENDS_SHARE {
             slot.over_target_since = None;
         }
-        if slot.over_target_since.is_some_and(|since| now.since(since) >= halt_over) {
+        if slot.over_target_since.is_some_and(|since| now.since(since) >= halt_failed_after) {
             slot.over_target_since = Some(now);
         }
     }
 }
 
-/// The least change of pace, in percent, that is worth a call.
+/// The smallest change of pace, in percent, that is worth a call.
 const MIN_PACE_CHANGE_PERCENT: u32 = 15;
 
-/// Below this pace, in percent of full speed, a filling task is better off elsewhere.
+/// The pace, in percent of full speed, below which a best-effort task is better off elsewhere.
 const MOVE_BELOW_PERCENT: u32 = 35;
 
-/// The part of the allowed excess after which the pace of a run in doubt is put in force again. An
-/// order that is carried out late is then undone, also where two calls in a row are lost and with
-/// accounts a third of a second apart, before it breaks the target. It costs each such run, and no
-/// other, one call a second where 4 s are allowed.
+/// The fraction of the time that a serving task may exceed its target after which the pace of a run
+/// is ordered again if an earlier order is unanswered. If that order is carried out late, the new
+/// one undoes it before the target is missed for too long, even if two calls in a row are lost and
+/// worker reports are a third of a second apart. Where 4 s are allowed, it costs one call a second
+/// for each such run, and none for others.
 const PACE_REPEAT_FRACTION: f64 = 0.25;
 
-/// How long a survey keeps runs that it finds from being given their pace, unless that is lowered. Their paces are
-/// not known, so each of them needs an order; until then it is held to work at full pace. The survey's calls and
-/// the starts behind them go first.
+/// How long a recovery scan keeps runs that it finds from getting a pace order, unless their pace
+/// is lowered. Their paces are not known, so each of them needs an order; until then it is assumed
+/// to work at full pace. The calls of the scan and the starts that wait for it go first.
 const RECOVERY_SCAN_PACE_DELAY: Millis = Millis(2_000);
 
-/// Orders a task's pace, unless the change is not worth a call or an order is on its way. The pace
-/// of a run in doubt is ordered though it was confirmed before: an older order may have undone it
-/// since.
+/// Orders a task's pace, unless the change is not worth a call or an order is in flight. If earlier
+/// orders leave the pace uncertain, it is ordered even though it was confirmed: an older order may
+/// have undone it since.
 fn order_pace(cx: &mut State, ix: WorkerIx, wanted: &BestEffortTask) {
     let now = cx.now;
-    let again_after = paces::fraction_of(cx.settings.max_tail_excess, PACE_REPEAT_FRACTION);
-    let surveying = cx
+    let repeat_after = paces::fraction_of(cx.settings.max_tail_excess, PACE_REPEAT_FRACTION);
+    let scanning = cx
         .recovery_scan
         .as_ref()
-        .is_some_and(|survey| now.since(survey.began) < RECOVERY_SCAN_PACE_DELAY);
+        .is_some_and(|scan| now.since(scan.began) < RECOVERY_SCAN_PACE_DELAY);
     let worker = cx.worker_mut(ix);
     let Some(slot) = worker.slots.get_mut(&wanted.key) else { return };
-    let edge = wanted.pace == 0 || wanted.pace == FULL_PACE;
+    let at_limit = wanted.pace == 0 || wanted.pace == FULL_PACE;
     let change = wanted.pace.abs_diff(slot.pace);
-    let worth_a_call = change >= MIN_PACE_CHANGE_PERCENT || edge && change > 0;
+    let worth_a_call = change >= MIN_PACE_CHANGE_PERCENT || at_limit && change > 0;
     if slot.phase != Phase::Running || slot.pace_order_in_flight {
         return;
     }
-    if !worth_a_call && (surveying || !slot.pace_orders.must_resend(now, again_after)) {
+    if !worth_a_call && (scanning || !slot.pace_orders.must_resend(now, repeat_after)) {
         return;
     }
     if wanted.pace >= MOVE_BELOW_PERCENT {
@@ -102,14 +104,14 @@
     cx.actions.push(Action::Pace { worker: ix, task, run, percent });
 }
 
-/// Takes in what became of an order of pace.
+/// Handles the outcome of a pace order.
 pub fn handle_pace_outcome(
     cx: &mut State,
     ix: WorkerIx,
     key: TaskKey,
     run: Run,
     percent: u32,
-    fate: Execution,
+    execution: Execution,
 ) {
     let Some(slot) = cx.worker_mut(ix).slots.get_mut(&key).filter(|s| s.run == run) else {
         return;
@@ -118,7 +120,7 @@
         return;
     }
     slot.pace_order_in_flight = false;
-    if slot.pace_orders.record_outcome(fate) {
+    if slot.pace_orders.record_outcome(execution) {
         slot.pace = percent;
         slot.progress_sample = None;
     }
