--- a/crates/sched/src/changes/pacing/readings.rs
+++ b/crates/sched/src/changes/pacing/readings.rs
@@ -1,4 +1,4 @@
-//! What workers' readings teach, and how a successor comes to know it.
+//! Learns from workers' readings, and stores what was learned for the next leader.
 
 use gaplock_types::time::Millis;
 
@@ -10,9 +10,10 @@
 use crate::state::worker::TaskRole;
 use crate::state::State;
 
-/// Takes in readings. All tasks of a lasting job carry the same load, which swings within seconds,
-/// so how far readings lie above the model is remembered by job and not by task. On a slow worker
-/// tails are long whatever fills beside them, so nothing is learnt there.
+/// Learns from a worker's readings. All tasks of a long-running job carry the same load, which
+/// changes within seconds, so the deviation of readings from the model is remembered by job and not
+/// by task. On a slow worker tail latencies are long whatever runs beside the serving tasks, so
+/// nothing is learned there.
 pub(super) fn learn(cx: &mut State, ix: WorkerIx) {
     let now = cx.now;
     let worker = cx.worker(ix);
@@ -27,53 +28,54 @@
         if let TaskRole::Filling(column) = slot.role {
             used.push((column, reading / cores));
         }
-        if let Some(served) = best_effort::as_serving_task(*key, slot).filter(|_| reading > 0.0) {
-            tails.push((served, reading));
+        if let Some(serving) = best_effort::as_serving_task(*key, slot).filter(|_| reading > 0.0) {
+            tails.push((serving, reading));
         }
     }
     if used.is_empty() {
         estimate_speed(cx, ix, &tails);
     }
-    let crowded: f64 = used.iter().map(|(_, share)| share).sum();
-    if crowded > CONTENTION_SHARE || cx.worker(ix).speed.is_slow(now) {
+    let best_effort_share: f64 = used.iter().map(|(_, share)| share).sum();
+    if best_effort_share > CONTENTION_SHARE || cx.worker(ix).speed.is_slow(now) {
         return;
     }
-    for (served, tail_ms) in tails {
-        cx.interference.learn(&served, &used, tail_ms, now);
+    for (serving, tail_ms) in tails {
+        cx.interference.learn(&serving, &used, tail_ms, now);
     }
 }
 
-/// How much more utilisation than its job's load a serving task shows on a slow worker, where
-/// nothing fills beside it.
+/// How far the utilization of a serving task exceeds its job's load on a slow worker where no
+/// best-effort task runs.
 const MIN_SLOW_UTILIZATION_EXCESS: f64 = 0.5;
 
-/// The relative speed that such a task tells of: about that of the slow workers that were seen.
+/// The relative speed that is assumed of such a worker: about that of the slow workers that were
+/// seen.
 const SLOW_READING_SPEED: f64 = 0.15;
 
-/// Takes in what serving tasks that nothing fills beside tell of their worker: the tasks of one
-/// job carry one load, so one with a much longer tail is on a slow worker.
+/// Estimates the speed of a worker from serving tasks that run without best-effort tasks beside
+/// them. The tasks of one job carry the same load, so one with a much longer tail latency is on a
+/// slow worker.
 fn estimate_speed(cx: &mut State, ix: WorkerIx, tails: &[(ServingTask, f64)]) {
     let now = cx.now;
-    for (served, tail_ms) in tails {
-        let load = cx.interference.load(served.job, now, 0.0);
-        let surprise = cx.interference.utilization(served, *tail_ms) - load;
-        let relative =
-            if surprise > MIN_SLOW_UTILIZATION_EXCESS { SLOW_READING_SPEED } else { 1.0 };
+    for (serving, tail_ms) in tails {
+        let load = cx.interference.load(serving.job, now, 0.0);
+        let excess = cx.interference.utilization(serving, *tail_ms) - load;
+        let relative = if excess > MIN_SLOW_UTILIZATION_EXCESS { SLOW_READING_SPEED } else { 1.0 };
         cx.worker_mut(ix).speed.record(now, relative);
     }
 }
 
-/// How often what was learnt is stored for a successor.
+/// How often the learned model is stored for the next leader.
 const STORE_LEARNED_INTERVAL: Millis = Millis(4_000);
 
-/// Stores what was learnt now and then.
+/// Stores the learned model at intervals.
 pub fn store_learned(cx: &mut State) {
     if cx.now.since(cx.learned_stored_at) < STORE_LEARNED_INTERVAL {
         return;
     }
     cx.learned_stored_at = cx.now;
-    let learnt = cx.interference.learned();
-    if !learnt.images.is_empty() {
-        commits::add(cx, Record::Learned(learnt));
+    let learned = cx.interference.learned();
+    if !learned.images.is_empty() {
+        commits::add(cx, Record::Learned(learned));
     }
 }
