--- a/crates/sched/src/changes/pacing/roles.rs
+++ b/crates/sched/src/changes/pacing/roles.rs
@@ -1,11 +1,12 @@
-//! What tasks are to each other on a worker.
+//! Determines the role of tasks beside others on a worker.
 
 use gaplock_jobs::Step;
 
 use crate::state::worker::TaskRole;
 use crate::state::State;
 
-/// Returns what a step's tasks are to each other on a worker.
+/// Returns the role of a step's tasks beside others on a worker. Adds the step's image to the model
+/// if it is new.
 pub fn role_of(cx: &mut State, step: &Step) -> TaskRole {
     let image = step.image.as_deref().unwrap_or_default();
     if step.fills {
