--- a/crates/sched/src/changes/stragglers.rs
+++ b/crates/sched/src/changes/stragglers.rs
@@ -1,8 +1,8 @@
-//! Tasks on slow workers: started again elsewhere where they would be done sooner there, or would
-//! keep their tail's target.
+//! Restarts tasks of slow workers elsewhere, if they would be done sooner there or would keep their
+//! tail latency target.
 //!
-//! Where the step allows copies, the slow run goes on and whichever ends first counts. Elsewhere it
-//! is stopped first, since two runs of one task must never overlap.
+//! If the step allows speculative copies, the slow run continues, and the run that ends first
+//! counts. Otherwise the slow run is stopped first, since two runs of one task must never overlap.
 
 use gaplock_jobs::TaskKey;
 use gaplock_types::time::Millis;
@@ -14,10 +14,10 @@
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
-/// Starts tasks again elsewhere that would take much longer on their slow worker. Returns how many searches
-/// that took.
+/// Restarts tasks elsewhere that would take much longer on their slow worker. Returns how many
+/// searches over all workers that took.
 pub fn check(cx: &mut State) -> usize {
-    let mut searches = search_budget::open(cx.workers.len());
+    let mut budget = search_budget::open(cx.workers.len());
     for ix in search_budget::rotated_to(cx.worker_ixs(), cx.rebalance_cursors.1) {
         let worker = cx.worker(ix);
         if worker.unanswered_renewals > 0 || !worker.speed.is_slow(cx.now) {
@@ -27,23 +27,24 @@
             worker.slots.iter().filter(|(key, slot)| slowness::is_straggler(cx, ix, **key, slot));
         let slow: Vec<(TaskKey, Run)> = slow.map(|(key, slot)| (*key, slot.run)).collect();
         for (key, run) in slow {
-            if searches.is_exhausted() {
+            if budget.is_exhausted() {
                 cx.rebalance_cursors.1 = ix;
-                return searches.made();
+                return budget.made();
             }
-            searches.spend_one();
+            budget.spend_one();
             if placement::find_other_worker(cx, ix, key).is_some() {
                 restart_elsewhere(cx, ix, key, run);
             }
         }
     }
-    searches.made()
+    budget.made()
 }
 
-/// Starts a task again: beside its slow run where copies are allowed, after its stop elsewhere.
+/// Restarts a task elsewhere: beside its slow run if speculative copies are allowed, otherwise
+/// after the slow run has been stopped.
 fn restart_elsewhere(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) {
-    let copies = cx.step(key).is_some_and(|step| step.duplicates);
-    if !copies {
+    let may_copy = cx.step(key).is_some_and(|step| step.duplicates);
+    if !may_copy {
         return lifecycle::order_stop(cx, ix, key, run, "its worker is slow");
     }
     let Some(task) = cx.task_mut(key).filter(|t| t.slow_run.is_none()) else { return };
