--- a/crates/sched/src/decisions.rs
+++ b/crates/sched/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Functions that read the state and return an answer; they change nothing.
+//! Decision functions: they read the state and return an answer, and change nothing.
 
 pub mod availability;
 pub mod best_effort;
