--- a/crates/sched/src/decisions/availability.rs
+++ b/crates/sched/src/decisions/availability.rs
@@ -1,4 +1,5 @@
-//! How many tasks of a lasting step may be away at one time through the scheduler's own orders.
+//! Limits how many tasks of a long-running step may be unavailable at a time because the scheduler
+//! itself has stopped them.
 
 use gaplock_jobs::TaskKey;
 
@@ -6,19 +7,19 @@
 use crate::state::worker::{Phase, READY_PERCENT};
 use crate::state::State;
 
-/// Tells whether a task may be stopped without more of its step being away than its caller allows.
-/// A step that names no bound sets none.
+/// Returns whether a task may be stopped without making more tasks of its step unavailable than its
+/// caller allows. A step without such a limit is not restricted.
 pub fn may_stop(cx: &State, key: TaskKey) -> bool {
-    let Some(most) = cx.step(key).and_then(|step| step.may_miss) else { return true };
+    let Some(max_unavailable) = cx.step(key).and_then(|step| step.may_miss) else { return true };
     let Some(round) = cx.jobs.get(&key.job).and_then(|e| e.round(key.round)) else { return true };
     let Some(step) = round.steps.get(usize::from(key.step)) else { return true };
     let others = step.tasks.iter().enumerate().filter(|(index, _)| *index as u32 != key.index);
-    let away =
+    let unavailable =
         others.filter(|(index, task)| !is_ready(cx, TaskKey { index: *index as u32, ..key }, task));
-    (away.count() as u32) < most
+    (unavailable.count() as u32) < max_unavailable
 }
 
-/// Tells whether a task is known to be at work.
+/// Returns whether a task is known to be running and ready.
 fn is_ready(cx: &State, key: TaskKey, task: &Task) -> bool {
     let TaskState::Active { worker, run } = task.state else { return false };
     let slot = cx.worker(worker).slots.get(&key).filter(|slot| slot.run == run);
