--- a/crates/sched/src/decisions/interference.rs
+++ b/crates/sched/src/decisions/interference.rs
@@ -1,9 +1,10 @@
-//! What a placement would disturb: the cost that the choice of a worker counts.
+//! The cost of the interference that a placement would cause, for the choice of a worker.
 //!
-//! The pattern: a pool near its capacity in which some filling images press on most of what serves and
-//! others on little. Spread evenly, those that press on little take the workers that alone bear the others,
-//! which then wait for seconds beside room. So an image goes to the least open worker that bears it
-//! ([`COMPATIBILITY_COST`]): to the one that the fewest images could use.
+//! This handles the following situation: in a pool near its capacity some best-effort images
+//! interfere with most serving images, and others with few. Spread evenly, tasks of the images that
+//! interfere little occupy the only workers that tolerate the other images, whose tasks then wait
+//! for seconds beside free capacity. So a best-effort task goes to the worker that tolerates its
+//! image and the fewest others ([`COMPATIBILITY_COST`]).
 
 use gaplock_jobs::Step;
 use gaplock_types::time::Millis;
@@ -12,17 +13,19 @@
 use crate::state::worker::{TaskRole, Worker};
 use crate::state::State;
 
-/// The share of a worker's processors from which filling tasks of any image disturb what is served
-/// there, because the processors are used up; as measured. Readings beyond it teach nothing of pairs.
+/// The share of a worker's processors from which on best-effort tasks of any image interfere with
+/// the serving tasks there, because the processors are exhausted. Readings beyond it say nothing
+/// about pairs of images.
 pub const CONTENTION_SHARE: f64 = 0.6;
 
-/// The share of a worker's processors that filling tasks may use: a tenth is left for the swing of what
-/// serves within the half second that a reading is old. At 0.6, from where on the processors' use itself is
-/// felt, full pools serve 0.04 less; 0.75 is half way, 1.2 no better (`docs/design/shifted-work.md`).
+/// The share of a worker's processors that best-effort tasks may use. A tenth is left for changes
+/// of the serving load within the half second that a reading is old. At 0.6, from where on
+/// contention for the processors is felt, full pools serve 0.04 less; 0.75 closes half of that gap,
+/// and 1.2 is no better (`docs/design/shifted-work.md`).
 pub const MAX_BEST_EFFORT_SHARE: f64 = 0.9;
 
-/// Returns how much placing a step's task on a worker would disturb, against one worker of free
-/// room, or nothing where it must not be placed there yet.
+/// Returns the cost of the interference that placing a step's task on a worker would cause, in
+/// workers of free capacity, or `None` where the task must not be placed yet.
 pub fn placement_cost(cx: &State, worker: &Worker, step: &Step, waited: Millis) -> Option<f64> {
     if step.fills {
         return best_effort_cost(cx, worker, step, waited);
@@ -33,33 +36,35 @@
     Some(0.0)
 }
 
-/// How long a filling task waits for a worker where it disturbs nobody before it is placed where
-/// it disturbs least, slowed down as far as needed. One that is placed only to be halted takes the room
-/// of others, so this bound only keeps a task from waiting for ever: on full pools 20 s are worth 0.016 more
-/// than 8 s and 2.5 s 0.12 less (`docs/design/shifted-work.md`).
+/// How long a best-effort task waits for a worker where it interferes with no serving task. After
+/// that it is placed where it interferes least, and slowed down as far as needed. A task that is
+/// placed only to be halted takes capacity from others, so this limit only keeps a task from
+/// waiting forever: on full pools 20 s are worth 0.016 more than 8 s, and 2.5 s are worth 0.12 less
+/// (`docs/design/shifted-work.md`).
 const MAX_WAIT_WITHOUT_INTERFERENCE: Millis = Millis(30_000);
 
-/// Tells whether a filling task has waited so long that it may disturb.
+/// Returns whether a best-effort task has waited so long that it may interfere.
 pub fn may_interfere(waited: Millis) -> bool {
     waited >= MAX_WAIT_WITHOUT_INTERFERENCE
 }
 
-/// Cost of a unit of pressure beyond what is bearable, against one worker of free room.
+/// Cost of one unit of interference beyond what is tolerable, in workers of free capacity.
 const EXCESS_INTERFERENCE_COST: f64 = 20.0;
 
-/// Cost of a worker on which every known filling image would find a place, against one worker of free room.
-/// On full pools 1 is worth 0.027 and 3 is worth 0.018 (`docs/design/shifted-work.md`).
+/// Cost of a worker that could take a task of every known best-effort image, in workers of free
+/// capacity. On full pools 1 is worth 0.027 and 3 is worth 0.018 (`docs/design/shifted-work.md`).
 const COMPATIBILITY_COST: f64 = 1.0;
 
-/// Cost of each whole share of a worker's processors that is filled beyond [`CONTENTION_SHARE`], against one
-/// worker of free room: as long as another worker is as good, none is crowded. Worth 0.009 on eight pairs of
-/// four deployments (`docs/design/shifted-work.md`).
+/// Cost of each whole share of a worker's processors that best-effort tasks use beyond
+/// [`CONTENTION_SHARE`], in workers of free capacity. No worker gets contended as long as another
+/// one is as good. Worth 0.009 on eight pairs of four deployments (`docs/design/shifted-work.md`).
 const CONTENTION_COST: f64 = 3.0;
 
-/// Cost of a unit of bearable pressure, against one worker of free room.
+/// Cost of one unit of tolerable interference, in workers of free capacity.
 const INTERFERENCE_COST: f64 = 6.0;
 
-/// Returns what placing a filling task costs by its push on what serves there.
+/// Returns the cost of placing a best-effort task, due to its interference with serving tasks.
+/// Returns `None` where the task must not be placed yet.
 fn best_effort_cost(cx: &State, worker: &Worker, step: &Step, waited: Millis) -> Option<f64> {
     let image = step.image.as_deref().unwrap_or_default();
     let column = cx.interference.known_column(image);
@@ -73,47 +78,49 @@
         cost += (MAX_BEST_EFFORT_SHARE - CONTENTION_SHARE - left).max(0.0) * CONTENTION_COST;
     }
     for &(row, spare) in &worker.spare_interference {
-        let push = cx.interference.factor(row, column) * share;
-        if push < MIN_INTERFERENCE {
+        let interference = cx.interference.factor(row, column) * share;
+        if interference < MIN_INTERFERENCE {
             continue;
         }
-        let excess = push - spare;
+        let excess = interference - spare;
         if excess > 0.0 {
             if !may_interfere(waited) {
                 return None;
             }
             cost += excess * EXCESS_INTERFERENCE_COST;
         }
-        cost += push * INTERFERENCE_COST;
+        cost += interference * INTERFERENCE_COST;
     }
     Some(cost)
 }
 
-/// Worth of serving tasks of one image sharing a worker: fewer workers are then closed to the
-/// filling tasks that disturb the image. Against one worker of free room.
+/// Bonus for serving tasks of one image that share a worker, in workers of free capacity: fewer
+/// workers are then closed to the best-effort tasks that interfere with the image.
 const SAME_IMAGE_BONUS: f64 = 3.0;
 
-/// Returns what placing a serving task costs by the push of what fills there; negative beside
-/// tasks of its own image.
+/// Returns the cost of placing a serving task, due to interference from best-effort tasks. It is
+/// negative beside tasks of its own image.
 fn serving_cost(cx: &State, worker: &Worker, step: &Step) -> f64 {
     let image = step.image.as_deref().unwrap_or_default();
     let row = cx.interference.known_row(image);
     let cores = f64::from(worker.info.capacity.cpu.0.max(1));
-    let (mut all, mut same_image) = (0.0, 0.0);
-    let mut pressed = 0.0;
+    let (mut serving, mut same_image) = (0.0, 0.0);
+    let mut interference = 0.0;
     for slot in worker.slots.values() {
         match slot.role {
-            TaskRole::Serving { row: there, .. } => {
-                all += 1.0;
-                same_image += f64::from(u8::from(Some(there) == row));
+            TaskRole::Serving { row: other, .. } => {
+                serving += 1.0;
+                same_image += f64::from(u8::from(Some(other) == row));
             }
             TaskRole::Filling(column) => {
                 let share = f64::from(slot.best_effort_millicores) / cores;
-                pressed += row.map_or(0.0, |r| cx.interference.factor(r, Some(column))) * share;
+                interference +=
+                    row.map_or(0.0, |r| cx.interference.factor(r, Some(column))) * share;
             }
             TaskRole::Plain => {}
         }
     }
-    let alike = if all == 0.0 { 0.0 } else { (2.0 * same_image / all - 1.0) * SAME_IMAGE_BONUS };
-    pressed * INTERFERENCE_COST - alike
+    let same_image_bonus =
+        if serving == 0.0 { 0.0 } else { (2.0 * same_image / serving - 1.0) * SAME_IMAGE_BONUS };
+    interference * INTERFERENCE_COST - same_image_bonus
 }
