--- a/crates/sched/src/decisions/leaving.rs
+++ b/crates/sched/src/decisions/leaving.rs
@@ -1,4 +1,4 @@
-//! Whether and how a worker is leaving, and what must leave it now.
+//! Decides whether and how a worker is leaving, and which runs must leave it now.
 
 use gaplock_jobs::TaskKey;
 use gaplock_types::time::{Instant, Millis};
@@ -7,27 +7,30 @@
 use crate::state::worker::{Listing, Phase, Worker};
 use crate::state::State;
 
-/// How long before the least remaining time runs out the last stops go out, beyond the time that
-/// a stop takes: a round trip, the wait for a renewal and a margin.
+/// How long before the end of a worker's minimum remaining time the last stops are sent, in
+/// addition to the time that a stop takes. This covers a round trip, the wait for a renewal and a
+/// margin.
 const LAST_STOPS_MARGIN: Millis = Millis(400);
 
-/// How long after the store's return an entry that lapsed meanwhile may take to come back: the
-/// users name two seconds, and changes reach us within half a second more.
+/// How long a directory entry that lapsed during an outage of the store may take to come back after
+/// the outage. The users name two seconds, and a change reaches the scheduler within half a second
+/// more.
 const RELISTING_TIME: Millis = Millis(2_500);
 
-/// A worker's departure.
+/// How a worker is leaving.
 #[derive(Debug, Clone, Copy)]
 pub struct Departure {
-    /// When the last stops go out.
+    /// When the last stops are sent.
     pub last_stops_at: Instant,
-    /// Whether the worker itself said that it is leaving.
+    /// Whether the worker itself announced that it is leaving.
     pub announced: bool,
 }
 
-/// Tells whether and how a worker is leaving.
+/// Returns how a worker is leaving, or `None` if it is not leaving.
 pub fn departure(cx: &State, worker: &Worker) -> Option<Departure> {
-    let before = cx.settings.stop_limit.0 + LAST_STOPS_MARGIN.0;
-    let last_call = |from: Instant, stays: Millis| from + Millis(stays.0.saturating_sub(before));
+    let lead_time = cx.settings.stop_limit.0 + LAST_STOPS_MARGIN.0;
+    let last_stops_at =
+        |from: Instant, remaining: Millis| from + Millis(remaining.0.saturating_sub(lead_time));
     match worker.listing {
         Listing::Ready => {
             let leaving = Departure { last_stops_at: cx.now, announced: false };
@@ -35,26 +38,26 @@
         }
         Listing::Unreadable => None,
         Listing::Draining { since, remaining } => {
-            Some(Departure { last_stops_at: last_call(since, remaining), announced: true })
+            Some(Departure { last_stops_at: last_stops_at(since, remaining), announced: true })
         }
         Listing::Absent { since } => {
-            let back_until = cx.directory_recovered_at + RELISTING_TIME;
-            let from = since.max(back_until);
-            let last_call = last_call(from, cx.settings.min_drain);
-            (cx.now >= from).then_some(Departure { last_stops_at: last_call, announced: false })
+            let relisted_until = cx.directory_recovered_at + RELISTING_TIME;
+            let from = since.max(relisted_until);
+            let last_stops_at = last_stops_at(from, cx.settings.min_drain);
+            (cx.now >= from).then_some(Departure { last_stops_at, announced: false })
         }
     }
 }
 
-/// Lists the runs that must leave a departing worker now. A worker that said nothing may stay, so
-/// there only what loses little by it leaves early.
+/// Lists the runs that must be stopped on a departing worker now. A worker that has announced
+/// nothing may stay, so only the runs that lose little by it are stopped early there.
 pub fn runs_to_stop(cx: &State, ix: WorkerIx, departure: Departure) -> Vec<(TaskKey, Run)> {
     let worker = cx.worker(ix);
     let running = worker.slots.iter().filter(|(_, slot)| slot.phase == Phase::Running);
-    let last_call = cx.now >= departure.last_stops_at;
-    let leaves = |key: &TaskKey| {
-        let Some(step) = cx.step(*key) else { return last_call };
-        step.lasting || last_call && (departure.announced || step.checkpoints)
+    let last_stops_due = cx.now >= departure.last_stops_at;
+    let must_stop = |key: &TaskKey| {
+        let Some(step) = cx.step(*key) else { return last_stops_due };
+        step.lasting || last_stops_due && (departure.announced || step.checkpoints)
     };
-    running.filter(|(key, _)| leaves(key)).map(|(key, slot)| (*key, slot.run)).collect()
+    running.filter(|(key, _)| must_stop(key)).map(|(key, slot)| (*key, slot.run)).collect()
 }
