--- a/crates/sched/src/decisions/racks.rs
+++ b/crates/sched/src/decisions/racks.rs
@@ -1,4 +1,4 @@
-//! Racks in the order in which they suit a gang.
+//! Ranks racks for a gang.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,10 +7,11 @@
 
 use crate::state::State;
 
-/// How many racks are tried for a gang that is slowed down by several; those with most room first.
+/// How many racks are tried for a gang that would be slower across several racks. Those with the
+/// most free processors are tried first.
 const MAX_RACKS_TRIED: usize = 4;
 
-/// Lists the racks of a pool with most free processors.
+/// Lists the racks of a pool that have the most free processors, in descending order.
 pub fn by_free_cpu(cx: &State, service: &ids::ServiceId) -> Vec<String> {
     let mut racks: BTreeMap<&str, u64> = BTreeMap::new();
     let pool = cx.workers.iter().filter(|w| w.info.service == *service && w.accepts_tasks(cx.now));
