--- a/crates/sched/src/decisions/ranking.rs
+++ b/crates/sched/src/decisions/ranking.rs
@@ -1,8 +1,8 @@
-//! Workers in the order in which they suit the tasks of one step.
+//! Ranks workers by how well they suit the tasks of one step.
 //!
-//! Choosing goes over all workers. Between two tasks of a step only the worker that took the first
-//! one has changed, so the order is worked out once and kept, and a step of twenty tasks costs little
-//! more than a single task.
+//! To choose a worker, all workers have to be evaluated. Between two tasks of a step only the
+//! worker that took the first one has changed, so the ranking is computed once and kept. A step of
+//! twenty tasks then costs little more than a single task.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -13,7 +13,7 @@
 use crate::interface::message::WorkerIx;
 use crate::state::State;
 
-/// A worker and how good a place it is.
+/// A worker and its placement score.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     score: f64,
@@ -35,68 +35,70 @@
 }
 
 impl Ord for Candidate {
-    /// The better place is greater; of equal ones the worker that was known first.
+    /// The higher score is greater; of equal scores, the worker that was known first.
     fn cmp(&self, other: &Self) -> Ordering {
         self.score.total_cmp(&other.score).then_with(|| other.worker.cmp(&self.worker))
     }
 }
 
-/// What differs between tasks of one step and changes the order.
+/// The values of a request that differ between tasks of one step and affect the ranking.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct RankingKey {
     avoid: Option<WorkerIx>,
     waited: Millis,
-    again: bool,
+    may_have_run: bool,
 }
 
-/// Workers on which tasks of one step could start now, the best one first. The step's tasks must be
-/// all that changes workers while it is used.
+/// Workers on which tasks of one step could start now, the best one first. While it is in use, only
+/// starts of this step's tasks may change workers.
 #[derive(Debug, Default)]
 pub struct RankedWorkers {
-    asked: Option<RankingKey>,
-    order: BinaryHeap<Candidate>,
-    /// The worker that took the last task.
-    changed: Option<WorkerIx>,
+    key: Option<RankingKey>,
+    candidates: BinaryHeap<Candidate>,
+    /// The worker that took the last task and has to be evaluated again.
+    last_taken: Option<WorkerIx>,
 }
 
 impl RankedWorkers {
-    /// Finds the best worker for a task, and holds it to take the task.
-    pub fn take_best(&mut self, cx: &State, wanted: &PlacementRequest<'_>) -> Option<WorkerIx> {
-        self.refresh_ranking(cx, wanted);
-        let mut unfit: Vec<Candidate> = Vec::new();
-        let found = loop {
-            let Some(choice) = self.order.pop() else { break None };
-            if placement::check_fit(cx, choice.worker, wanted).is_ok() {
-                break Some(choice.worker);
+    /// Returns the best worker for a task, and assumes that the task is started there.
+    pub fn take_best(&mut self, cx: &State, request: &PlacementRequest<'_>) -> Option<WorkerIx> {
+        self.refresh_ranking(cx, request);
+        let mut rejected: Vec<Candidate> = Vec::new();
+        let best = loop {
+            let Some(candidate) = self.candidates.pop() else { break None };
+            if placement::check_fit(cx, candidate.worker, request).is_ok() {
+                break Some(candidate.worker);
             }
-            unfit.push(choice);
+            rejected.push(candidate);
         };
-        // A worker where another run of this very task is may do for the next task.
-        self.order.extend(unfit);
-        self.changed = found;
-        found
+        // A worker that holds another run of this task may still fit the next task.
+        self.candidates.extend(rejected);
+        self.last_taken = best;
+        best
     }
 
-    /// Works the order out anew, or only the place of the worker that took the last task.
-    fn refresh_ranking(&mut self, cx: &State, wanted: &PlacementRequest<'_>) {
-        let asked = Some(RankingKey {
-            avoid: wanted.avoid,
-            waited: wanted.waited,
-            again: wanted.may_have_run,
+    /// Computes the ranking again if the request differs from the last one. Otherwise evaluates
+    /// only the worker that took the last task.
+    fn refresh_ranking(&mut self, cx: &State, request: &PlacementRequest<'_>) {
+        let key = Some(RankingKey {
+            avoid: request.avoid,
+            waited: request.waited,
+            may_have_run: request.may_have_run,
         });
         let all = 0..cx.workers.len() as u32;
-        if self.asked != asked {
-            self.asked = asked;
-            self.changed = None;
-            self.order = all.map(WorkerIx).filter_map(|ix| evaluate(cx, ix, wanted)).collect();
+        if self.key != key {
+            self.key = key;
+            self.last_taken = None;
+            self.candidates =
+                all.map(WorkerIx).filter_map(|ix| evaluate(cx, ix, request)).collect();
         }
-        let changed = self.changed.take();
-        self.order.extend(changed.and_then(|ix| evaluate(cx, ix, wanted)));
+        let last_taken = self.last_taken.take();
+        self.candidates.extend(last_taken.and_then(|ix| evaluate(cx, ix, request)));
     }
 }
 
-/// Returns a worker as a choice, if the task could start there now.
-fn evaluate(cx: &State, worker: WorkerIx, wanted: &PlacementRequest<'_>) -> Option<Candidate> {
-    let score = placement::score_if_fit(cx, worker, wanted)?;
+/// Evaluates a worker as a candidate. Returns `None` if the task could not start there now.
+fn evaluate(cx: &State, worker: WorkerIx, request: &PlacementRequest<'_>) -> Option<Candidate> {
+    let score = placement::score_if_fit(cx, worker, request)?;
     Some(Candidate { score, worker })
 }
