--- a/crates/sched/src/decisions/slowness.rs
+++ b/crates/sched/src/decisions/slowness.rs
@@ -1,4 +1,4 @@
-//! Which runs on slow workers would be better off elsewhere.
+//! Decides which runs on slow workers would be better off elsewhere.
 
 use gaplock_jobs::{Step, TaskKey};
 use gaplock_types::time::Millis;
@@ -9,26 +9,29 @@
 use crate::state::worker::{Phase, Slot, TaskRole};
 use crate::state::State;
 
-/// What a copy costs in time besides its work: the order and the wait for its end to be seen.
+/// The time that a speculative copy costs in addition to its work: the start order, and the wait
+/// until its end is seen.
 const COPY_OVERHEAD: Millis = Millis(100);
 
-/// What a restart costs in time besides its work and the stop: orders, and loading a checkpoint.
+/// The time that a restart costs in addition to its work and the stop: orders, and loading a
+/// checkpoint.
 const RESTART_OVERHEAD: Millis = Millis(400);
 
-/// How much sooner a task must be done elsewhere, as a factor on the time that it takes there:
-/// readings are rough, and what was done here is thrown away.
+/// How much sooner a task must be done elsewhere, as a factor on the time that it takes there.
+/// Readings are rough, and the work that was done here is lost.
 const MIN_SPEEDUP: f64 = 1.3;
 
-/// The lowest relative speed that is reckoned with: a standstill counts as very slow, not as endless.
+/// The lowest relative speed for estimates: a run that makes no progress counts as very slow, not
+/// as endless.
 const MIN_RELATIVE_SPEED: f64 = 0.02;
 
-/// How long a serving task on a slow worker stays over its target before it moves: as long as its
-/// way to another worker takes.
+/// How long a serving task on a slow worker stays over its target before it is moved: as long as
+/// the move to another worker takes.
 const MOVE_AFTER_EXCESS: Millis = Millis(800);
 
-/// Tells whether a run is better off elsewhere.
+/// Returns whether a run is better off elsewhere.
 pub fn is_straggler(cx: &State, ix: WorkerIx, key: TaskKey, slot: &Slot) -> bool {
-    // A copy of a task that crashes its workers would take two of them down.
+    // A speculative copy of a task that crashes its workers would take two of them down.
     if cx.task(key).is_some_and(|task| task.crash_evidence.is_some()) {
         return false;
     }
@@ -41,26 +44,29 @@
                 slot.over_target_since.is_some_and(|at| cx.now.since(at) >= MOVE_AFTER_EXCESS);
             over && availability::may_stop(cx, key)
         }
-        TaskRole::Plain | TaskRole::Filling(_) => is_late(cx, ix, key, slot),
+        TaskRole::Plain | TaskRole::Filling(_) => is_faster_elsewhere(cx, ix, key, slot),
     }
 }
 
-/// Tells whether a run would be done much sooner elsewhere, its stop included.
-fn is_late(cx: &State, ix: WorkerIx, key: TaskKey, slot: &Slot) -> bool {
+/// Returns whether a run would be done much sooner elsewhere, including its stop here.
+fn is_faster_elsewhere(cx: &State, ix: WorkerIx, key: TaskKey, slot: &Slot) -> bool {
     let Some(step) = cx.step(key) else { return false };
-    let typical = cx.step_state(key).and_then(|state| state.rates.median());
-    let Some(typical) = typical.filter(|_| !step.gang && !step.lasting) else { return false };
-    let left = |percent: u32, rate: f64| f64::from(COMPLETE_PERCENT.saturating_sub(percent)) / rate;
-    let here = left(
+    let median_rate = cx.step_state(key).and_then(|state| state.rates.median());
+    let Some(median_rate) = median_rate.filter(|_| !step.gang && !step.lasting) else {
+        return false;
+    };
+    let time_left =
+        |percent: u32, rate: f64| f64::from(COMPLETE_PERCENT.saturating_sub(percent)) / rate;
+    let time_here = time_left(
         slot.progress_percent,
-        typical * cx.worker(ix).speed.relative(cx.now).max(MIN_RELATIVE_SPEED),
+        median_rate * cx.worker(ix).speed.relative(cx.now).max(MIN_RELATIVE_SPEED),
     );
-    let kept = if step.checkpoints { slot.progress_percent } else { 0 };
-    let there = left(kept, typical) + overhead(cx, step).0 as f64 / 1_000.0;
-    here > there * MIN_SPEEDUP
+    let kept_percent = if step.checkpoints { slot.progress_percent } else { 0 };
+    let time_there = time_left(kept_percent, median_rate) + overhead(cx, step).0 as f64 / 1_000.0;
+    time_here > time_there * MIN_SPEEDUP
 }
 
-/// Returns what a second start costs in time besides the task's work.
+/// Returns the time that a second start costs in addition to the task's work.
 fn overhead(cx: &State, step: &Step) -> Millis {
     if step.duplicates {
         return COPY_OVERHEAD;
