--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -57,24 +57,24 @@
         }
     }
 
-    /// Returns whether a task with the demand `wanted` finds no worker either.
-    fn covers(&self, wanted: &Self) -> bool {
-        let same_pool = self.service == wanted.service && self.label == wanted.label;
-        let same_kind = self.may_use_reserved.is_some() == wanted.may_use_reserved.is_some();
+    /// Returns whether a task with the demand `other` finds no worker either.
+    fn covers(&self, other: &Self) -> bool {
+        let same_pool = self.service == other.service && self.label == other.label;
+        let same_kind = self.may_use_reserved.is_some() == other.may_use_reserved.is_some();
         same_pool
             && same_kind
-            && self.may_use_reserved >= wanted.may_use_reserved
-            && wanted.reservation.holds(&self.reservation)
-            && self.best_effort_covers(wanted)
+            && self.may_use_reserved >= other.may_use_reserved
+            && other.reservation.holds(&self.reservation)
+            && self.best_effort_covers(other)
     }
 
-    fn best_effort_covers(&self, wanted: &Self) -> bool {
-        match (&self.best_effort, &wanted.best_effort) {
+    fn best_effort_covers(&self, other: &Self) -> bool {
+        match (&self.best_effort, &other.best_effort) {
             (None, None) => true,
-            (Some(known), Some(wanted)) => {
-                known.image == wanted.image
-                    && known.demand <= wanted.demand
-                    && known.may_interfere >= wanted.may_interfere
+            (Some(known), Some(other)) => {
+                known.image == other.image
+                    && known.demand <= other.demand
+                    && known.may_interfere >= other.may_interfere
             }
             _ => false,
         }
@@ -144,11 +144,11 @@
     let Some(round) = entry.round(ready.round) else { return };
     let pending = start_order(cx, ready, step, &round.steps[usize::from(ready.step)].pending);
     let Some(wait) = first_that_may_start(cx, ready, &pending) else { return };
-    let wanted = UnplacedDemand::of(service.clone(), step, wait);
-    if pass.unplaced.iter().any(|b| b.covers(&wanted)) {
+    let demand = UnplacedDemand::of(service.clone(), step, wait);
+    if pass.unplaced.iter().any(|known| known.covers(&demand)) {
         return;
     }
-    if wanted.reservation.cpu > pass.most_free && requests::advice_of(cx, &job).is_none() {
+    if demand.reservation.cpu > pass.most_free && requests::advice_of(cx, &job).is_none() {
         note_scarcity(cx, &service, step, pass);
         return log_first_waiting(cx, &job, &service, ready, &pending);
     }
@@ -235,13 +235,13 @@
         if !requests::may_start(cx, task) {
             continue;
         }
-        let Some(wanted) = requests::placement_request(cx, job, service, task) else {
+        let Some(request) = requests::placement_request(cx, job, service, task) else {
             return Some(task);
         };
-        let chosen = ranking.take_best(cx, &wanted);
+        let chosen = ranking.take_best(cx, &request);
         debug_assert_eq!(
             chosen,
-            placement::best_worker(cx, &wanted),
+            placement::best_worker(cx, &request),
             "the kept ranking yields the same worker as an evaluation of all workers"
         );
         let Some(ix) = chosen else { return Some(task) };
@@ -263,7 +263,7 @@
         return;
     }
     state.last_explained_at = now;
-    let Some(wanted) = requests::placement_request(cx, job, service, task) else { return };
-    let counts = placement::count_unfit(cx, &wanted);
-    trace::step_waits(task, pending, waited, &wanted.step.demand, &counts);
+    let Some(request) = requests::placement_request(cx, job, service, task) else { return };
+    let counts = placement::count_unfit(cx, &request);
+    trace::step_waits(task, pending, waited, &request.step.demand, &counts);
 }
