--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -74,7 +74,7 @@
 /// Orders a task's pace, unless the change is not worth a call or an order is in flight. If earlier
 /// orders leave the pace uncertain, it is ordered even though it was confirmed: an older order may
 /// have undone it since.
-fn order_pace(cx: &mut State, ix: WorkerIx, wanted: &BestEffortTask) {
+fn order_pace(cx: &mut State, ix: WorkerIx, target: &BestEffortTask) {
     let now = cx.now;
     let repeat_after = paces::fraction_of(cx.settings.max_tail_excess, PACE_REPEAT_FRACTION);
     let scanning = cx
@@ -82,9 +82,9 @@
         .as_ref()
         .is_some_and(|scan| now.since(scan.began) < RECOVERY_SCAN_PACE_DELAY);
     let worker = cx.worker_mut(ix);
-    let Some(slot) = worker.slots.get_mut(&wanted.key) else { return };
-    let at_limit = wanted.pace == 0 || wanted.pace == FULL_PACE;
-    let change = wanted.pace.abs_diff(slot.pace);
+    let Some(slot) = worker.slots.get_mut(&target.key) else { return };
+    let at_limit = target.pace == 0 || target.pace == FULL_PACE;
+    let change = target.pace.abs_diff(slot.pace);
     let worth_a_call = change >= MIN_PACE_CHANGE_PERCENT || at_limit && change > 0;
     if slot.phase != Phase::Running || slot.pace_order_in_flight {
         return;
@@ -92,15 +92,15 @@
     if !worth_a_call && (scanning || !slot.pace_orders.must_resend(now, repeat_after)) {
         return;
     }
-    if wanted.pace >= MOVE_BELOW_PERCENT {
+    if target.pace >= MOVE_BELOW_PERCENT {
         slot.slowed_since = None;
     } else {
         slot.slowed_since.get_or_insert(now);
     }
     slot.pace_order_in_flight = true;
-    slot.pace_orders.send(now, wanted.pace);
-    trace::pace_ordered(wanted.key, slot, &worker.info.id, wanted.pace);
-    let (task, run, percent) = (wanted.key, wanted.run, wanted.pace);
+    slot.pace_orders.send(now, target.pace);
+    trace::pace_ordered(target.key, slot, &worker.info.id, target.pace);
+    let (task, run, percent) = (target.key, target.run, target.pace);
     cx.actions.push(Action::Pace { worker: ix, task, run, percent });
 }
 
