--- a/crates/sched/src/changes/speed.rs
+++ b/crates/sched/src/changes/speed.rs
@@ -1,9 +1,10 @@
 //! Estimates how fast workers are from the progress of their tasks, compared with other tasks of
 //! the same step.
 //!
-//! Tasks of one step take about the same time, and callers' estimates are too rough to tell a slow
-//! worker from a long task. So each run's progress per second is compared with the median of its
-//! step. A worker whose runs fall far behind counts as slow for a while, whatever its health says.
+//! Tasks of one step take about the same time, and callers' estimates are too rough to distinguish
+//! a slow worker from a long task. So each run's progress per second is compared with the median of
+//! its step. A worker whose runs fall far behind counts as slow for a while, whatever its health
+//! says.
 
 use gaplock_jobs::TaskKey;
 use gaplock_types::time::{Instant, Millis};
