--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -3,8 +3,8 @@
 //! This handles the following situation: a task takes its worker down some milliseconds after its
 //! start, together with six to eighteen runs of other tasks, and all of them are released and
 //! started again together. A suspect that runs alone takes down nothing else, and the next crash
-//! tells it apart from its former neighbors. Of tasks that were lost together, the one that had run
-//! for the shortest time is tried first, since most crashes directly follow a start.
+//! distinguishes it from its former neighbors. Of tasks that were lost together, the one that had
+//! run for the shortest time is tried first, since most crashes directly follow a start.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -32,7 +32,7 @@
 const MAX_EMPTY_WORKER_WAIT: Millis = Millis(1_500);
 
 /// How long a renewal waits at a worker on which a trial runs. What the worker last reported as
-/// running tells a crash at the start from a later one.
+/// running distinguishes a crash at the start from a later one.
 pub const RENEWAL_WAIT: Millis = Millis(250);
 
 /// The part of a pool's workers, as a divisor, that trials may reserve for longer than
@@ -100,7 +100,8 @@
     }
 }
 
-/// Lists the suspects that may start and wait for an empty worker, in the order in which they are tried.
+/// Lists the suspects that may start and wait for an empty worker, in the order in which they are
+/// tried.
 fn list_waiting(cx: &mut State) -> Vec<WaitingSuspect> {
     let now = cx.now;
     let mut any = false;
