--- a/crates/sched/src/decisions/losses.rs
+++ b/crates/sched/src/decisions/losses.rs
@@ -11,9 +11,9 @@
 /// between two answers of a worker on which a trial runs (`changes/trials.rs`).
 pub const START_CRASH_WINDOW: Millis = Millis(400);
 
-/// How long a run must have been running to clear its task of suspicion: longer than anything takes
-/// that goes wrong at a start. A task that crashes its workers later than that takes down at most
-/// one in half a minute.
+/// How long a run must have been running to clear its task of suspicion: longer than any failure at
+/// a start takes to show. A task that crashes its workers later than that takes down at most one of
+/// them in half a minute.
 pub const CLEARED_AFTER: Millis = Millis(30_000);
 
 /// The least number of workers lost at about the same time that counts as a mass loss: one common
