--- a/crates/sched/src/changes/trials.rs
+++ b/crates/sched/src/changes/trials.rs
@@ -73,7 +73,7 @@
 
 /// Starts suspects alone on empty workers, those with the most losses first. The others may from
 /// now on start without a trial: those with a single loss at once, those with several after
-/// [`MAX_EMPTY_WORKER_WAIT`].
+/// `MAX_EMPTY_WORKER_WAIT`.
 pub fn start_trials(cx: &mut State) {
     if !cx.crashes.suspect_may_wait {
         return;
