--- a/crates/sched/src/decisions/free_capacity.rs
+++ b/crates/sched/src/decisions/free_capacity.rs
@@ -12,7 +12,7 @@
 //!   have just used ([`is_reserved`]). The processors that it took there would be fragmented for
 //!   minutes, while a short task uses them for a second and is worth about four times as much per
 //!   core and second.
-//! - A long-running task that may have run before and has waited for [`MAX_RESTART_WAIT`] goes
+//! - A long-running task that may have run before and has waited for `MAX_RESTART_WAIT` goes
 //!   before all short tasks ([`has_restart_priority`]). In a full pool, capacity becomes free only
 //!   in pieces, and an endless backlog of short tasks would take each of them.
 //!
