--- a/crates/sched/src/decisions/interference.rs
+++ b/crates/sched/src/decisions/interference.rs
@@ -4,7 +4,7 @@
 //! interfere with most serving images, and others with few. Spread evenly, tasks of the images that
 //! interfere little occupy the only workers that tolerate the other images, whose tasks then wait
 //! for seconds beside free capacity. So a best-effort task goes to the worker that tolerates its
-//! image and the fewest others ([`COMPATIBILITY_COST`]).
+//! image and the fewest others (`COMPATIBILITY_COST`).
 
 use gaplock_jobs::Step;
 use gaplock_types::time::Millis;
