--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -13,8 +13,8 @@
 use crate::state::job_table::TaskState;
 use crate::state::State;
 
-/// How many tasks may be held back because of a lost worker of which it is not known what it ran.
-/// If more tasks could have been there, none of them waits until the possible crash is stored.
+/// How many tasks may be held back because of the loss of a worker whose tasks are unknown. If more
+/// tasks could have been there, none of them waits until the possible crash is stored.
 const MAX_HELD_BACK: usize = 64;
 
 /// For how many tasks such a loss may be recorded as a possible crash: each of them changes the
@@ -75,11 +75,11 @@
     WorkerLoss { worker, loss, known_runtime, confirmed, lost_together, only_its_job }
 }
 
-/// Handles that a new leader has found that workers have terminated which may have run any task.
-/// `unfound` are the tasks that it found on no other worker: each of them may have run on a lost
-/// worker, or may have been waiting. For a suspect whose starts are stored it is known which. Any
-/// other task gets a possible crash the first time and a counted crash the second time, so that at
-/// most one crash is forgotten.
+/// Counts the loss of workers that may have run any task, as found by a new leader. `not_found` are
+/// the tasks that it found on no other worker: each of them may have run on a lost worker, or may
+/// have been waiting. For a suspect whose starts are stored it is known which. Any other task gets
+/// a possible crash the first time and a counted crash the second time, so that at most one crash
+/// is forgotten.
 pub fn count_losses_without_holder(
     cx: &mut State,
     lost: &[WorkerIx],
