--- a/crates/sched/src/changes/crashes/resolution.rs
+++ b/crates/sched/src/changes/crashes/resolution.rs
@@ -23,14 +23,14 @@
 /// would be started again without end.
 const SILENCE_EXPIRY: Millis = Millis(600_000);
 
-/// Handles that the incarnation of a worker is over of which only its silence was known.
+/// Handles the termination of a worker of which only its silence was known.
 pub fn worker_terminated(cx: &mut State, ix: WorkerIx) {
     if !losses::was_leaving(cx.worker(ix)) {
         resolve(cx, ix, true);
     }
 }
 
-/// Handles that a worker answers: it did not crash.
+/// Handles an answer of a worker: it did not crash.
 pub fn worker_answers(cx: &mut State, ix: WorkerIx) {
     resolve(cx, ix, false);
 }
