--- a/crates/sched/src/changes/crashes/saved.rs
+++ b/crates/sched/src/changes/crashes/saved.rs
@@ -7,7 +7,7 @@
 use crate::state::crash_evidence::Saved;
 use crate::state::State;
 
-/// Handles that a commit with the progress of these jobs is in flight.
+/// Marks the evidence against tasks of these jobs as being in the commit in flight.
 pub fn commit_began(cx: &mut State, jobs: &BTreeSet<JobKey>) {
     let of_jobs = |key: &TaskKey| jobs.contains(&key.job);
     change_saved(cx, of_jobs, Saved::No, Saved::InFlight);
