--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -60,10 +60,10 @@
 const MOVE_BELOW_PERCENT: u32 = 35;
 
 /// The fraction of the time that a serving task may exceed its target after which the pace of a run
-/// is ordered again if an earlier order is unanswered. If that order is carried out late, the new
-/// one undoes it before the target is missed for too long, even if two calls in a row are lost and
-/// worker reports are a third of a second apart. Where 4 s are allowed, it costs one call a second
-/// for each such run, and none for others.
+/// is ordered again if an earlier order is unanswered. If the earlier order is carried out late,
+/// the new one undoes it before the target is missed for too long, even if two calls in a row are
+/// lost and worker reports are a third of a second apart. Where 4 s are allowed, it costs one call
+/// a second for each such run, and none for others.
 const PACE_REPEAT_FRACTION: f64 = 0.25;
 
 /// How long a recovery scan keeps runs that it finds from getting a pace order, unless their pace
