--- a/crates/sched/src/changes/speed.rs
+++ b/crates/sched/src/changes/speed.rs
@@ -43,7 +43,7 @@
     record_rate(cx, ix, key, rate, median_rate);
 }
 
-/// Handles that a run has done its work.
+/// Handles the end of a run that has done its work.
 pub fn observe_end(cx: &mut State, ix: WorkerIx, key: TaskKey, slot: &Slot) {
     let Some(sample) = slot.progress_sample else { return };
     let span = cx.now.since(sample.at);
