--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,7 +1,8 @@
-//! Carries the scheduler's actions out, each in a task of its own that tells the engine what became
-//! of it.
+//! Carries out the scheduler's actions. Each one runs in a task of its own, which reports the
+//! outcome to the engine.
 //!
-//! While the leadership is in doubt nothing is sent; each action is then answered as not sent.
+//! While this host is not allowed to act as the leader, nothing is sent; each action is then
+//! answered as not sent.
 
 use std::sync::Arc;
 
@@ -31,7 +32,7 @@
     client: Arc<Worker>,
 }
 
-/// The clients of all workers, by their positions.
+/// The clients of all workers, by worker index.
 pub struct Clients {
     opened: Vec<OpenClient>,
     /// How many files and connections this process may have open.
@@ -39,13 +40,14 @@
 }
 
 impl Clients {
-    /// Builds the clients of a leader whose process may have so many files and connections open.
+    /// Builds the clients of a leader whose process may have this many files and connections open.
     pub fn open(descriptors: usize) -> Self {
         Self { opened: Vec::new(), descriptors }
     }
 
-    /// Returns a worker's client; a new one where the worker was first heard of by a wrong address.
-    fn of(&mut self, cx: &Context, ix: WorkerIx) -> Arc<Worker> {
+    /// Returns a worker's client. Opens a new one if the worker's address has changed, which
+    /// happens when it was first listed with a wrong address.
+    fn get_or_open(&mut self, cx: &Context, ix: WorkerIx) -> Arc<Worker> {
         let at = ix.0 as usize;
         while self.opened.len() <= at {
             let opened = self.open_client(cx, self.opened.len());
@@ -57,84 +59,78 @@
         Arc::clone(&self.opened[at].client)
     }
 
-    /// Opens a client of a worker; one that has started again at its address goes on with its former one, so that
-    /// connections do not add up over its starts.
+    /// Opens a client of a worker. A worker that has restarted at the same address keeps the client
+    /// of its previous incarnation, so that connections do not add up over restarts.
     fn open_client(&self, cx: &Context, at: usize) -> OpenClient {
         let info = &cx.workers[at].info;
-        let former =
+        let previous =
             cx.workers[at].previous_incarnation.and_then(|ix| self.opened.get(ix.0 as usize));
-        if let Some(former) = former.filter(|opened| opened.addr == info.addr) {
-            return OpenClient { addr: info.addr.clone(), client: Arc::clone(&former.client) };
+        if let Some(previous) = previous.filter(|opened| opened.addr == info.addr) {
+            return OpenClient { addr: info.addr.clone(), client: Arc::clone(&previous.client) };
         }
-        let kept = connections::idle_connections_per_worker(self.descriptors, cx.fleet_size());
-        let client = Arc::new(worker::open(&info.addr, info.id.name(), kept));
+        let idle = connections::idle_connections_per_worker(self.descriptors, cx.fleet_size());
+        let client = Arc::new(worker::open(&info.addr, info.id.name(), idle));
         OpenClient { addr: info.addr.clone(), client }
     }
 }
 
-/// What a call needs besides its arguments.
+/// The state that a call needs besides its arguments.
 pub struct CallContext {
-    /// What the process shares.
+    /// The state shared by the process.
     pub node: Arc<Node>,
-    /// The engine that is told what became of the call.
+    /// The engine that receives the outcome of the call.
     pub engine: Arc<Engine>,
-    /// The leadership's token.
+    /// The fencing token of the leadership.
     pub token: FencingToken,
 }
 
-/// Begins to carry an action out.
-pub fn carry_out(calls: CallContext, clients: &mut Clients, cx: &Context, action: Action) {
+/// Starts to carry out an action.
+pub fn carry_out(call: CallContext, clients: &mut Clients, cx: &Context, action: Action) {
     let sent = cx.now;
     match action {
         Action::Renew { worker, stored, until, wait } => {
-            let client = clients.of(cx, worker);
+            let client = clients.get_or_open(cx, worker);
             task::spawn(async move {
-                let outcome = calls.renew(&client, stored, until, wait).await;
-                calls.engine.send(Event::Renewed { worker, sent, outcome });
+                let outcome = call.renew(&client, stored, until, wait).await;
+                call.engine.send(Event::Renewed { worker, sent, outcome });
             });
         }
         Action::Start { worker, task: key, run, job, until, checkpoint, ticket } => {
-            let client = clients.of(cx, worker);
+            let client = clients.get_or_open(cx, worker);
             task::spawn(async move {
                 let (checkpoint, ticket) = (checkpoint.as_deref(), ticket.as_deref());
                 let spec = job.spec.as_str();
                 let start = Start { task: key, run, spec, until, checkpoint, ticket };
-                let outcome = calls.start(&client, &start).await;
-                calls.engine.send(Event::Started { worker, task: key, run, outcome });
+                let outcome = call.start(&client, &start).await;
+                call.engine.send(Event::Started { worker, task: key, run, outcome });
             });
         }
         Action::Stop { worker, task: key, run } => {
-            let client = clients.of(cx, worker);
+            let client = clients.get_or_open(cx, worker);
             task::spawn(async move {
-                let outcome = calls.stop(&client, key, run).await;
-                calls.engine.send(Event::Stopped { worker, task: key, run, outcome });
+                let outcome = call.stop(&client, key, run).await;
+                call.engine.send(Event::Stopped { worker, task: key, run, outcome });
             });
         }
         Action::Pace { worker, task: key, run, percent } => {
-            let client = clients.of(cx, worker);
+            let client = clients.get_or_open(cx, worker);
             task::spawn(async move {
-                let fate = calls.pace(&client, key, run, percent).await;
-                calls.engine.send(Event::Paced {
-                    worker,
-                    task: key,
-                    run,
-                    percent,
-                    execution: fate,
-                });
+                let execution = call.pace(&client, key, run, percent).await;
+                call.engine.send(Event::Paced { worker, task: key, run, percent, execution });
             });
         }
         Action::Advise { step, workers } => {
             let names = workers.iter().map(|&ix| cx.worker(ix).info.id.name()).collect();
-            task::spawn(advise(calls, sent, step, workers, names));
+            task::spawn(advise(call, sent, step, workers, names));
         }
         Action::ListHosts => {
-            task::spawn(list_hosts(calls, sent));
+            task::spawn(list_hosts(call, sent));
         }
         Action::Maintenance { wave, host } => {
-            task::spawn(upkeep(calls, wave, host));
+            task::spawn(order_maintenance(call, wave, host));
         }
         Action::ConfirmLeadership => {
-            task::spawn(confirm_leadership(calls));
+            task::spawn(confirm_leadership(call));
         }
     }
 }
@@ -167,42 +163,42 @@
         outcome
     }
 
-    /// Sets a pace; tells what became of the order.
+    /// Sets a run's pace; returns whether the order was carried out.
     async fn pace(&self, client: &Worker, key: TaskKey, run: Run, percent: u32) -> Execution {
         let outcome = client.pace(self.token, key, run, percent).await;
         self.count("pace", &outcome);
         outcome.execution()
     }
 
-    /// Counts a call to a worker for the metrics.
+    /// Counts a call to a worker in the metrics.
     fn count<T>(&self, kind: &'static str, outcome: &Outcome<T>) {
-        let word = match outcome {
+        let label = match outcome {
             Outcome::Done(_) => "done",
             Outcome::Refused(_) => "refused",
             Outcome::NotSent => "not_sent",
             Outcome::Unclear => "unclear",
         };
-        self.node.metrics.count_worker_call(kind, word);
+        self.node.metrics.count_worker_call(kind, label);
     }
 }
 
-/// Asks where a step may run.
+/// Asks the advisor on which workers a step may run.
 async fn advise(
-    calls: CallContext,
+    call: CallContext,
     sent: Instant,
     step: StepKey,
     asked: Vec<WorkerIx>,
     names: Vec<ids::WorkerName>,
 ) {
-    let answer = match &calls.node.advisor {
+    let answer = match &call.node.advisor {
         Some(advisor) => advisor.ask(step, &names).await,
         None => None,
     };
     let answer = answer.map(|a| (permits_of(&asked, &names, &a), a.valid));
-    calls.engine.send(Event::Advised { step, asked, sent, answer });
+    call.engine.send(Event::Advised { step, asked, sent, answer });
 }
 
-/// Turns the permitted workers' names back into positions.
+/// Turns the names of the permitted workers back into worker indices.
 fn permits_of(asked: &[WorkerIx], names: &[ids::WorkerName], answer: &Answer) -> Vec<Permit> {
     let position = |name: &ids::WorkerName| names.iter().position(|known| known == name);
     let permitted = answer.permitted.iter();
@@ -212,31 +208,31 @@
     permits.collect()
 }
 
-/// Lists all hosts.
-async fn list_hosts(calls: CallContext, sent: Instant) {
-    let hosts = match &calls.node.hosts {
+/// Lists all hosts of the workers.
+async fn list_hosts(call: CallContext, sent: Instant) {
+    let hosts = match &call.node.hosts {
         Some(hosts) => hosts.list().await,
         None => None,
     };
-    calls.engine.send(Event::Hosts { sent, hosts });
+    call.engine.send(Event::Hosts { sent, hosts });
 }
 
-/// Orders a host down for its upkeep.
-async fn upkeep(calls: CallContext, wave: WaveNumber, host: ids::HostId) {
-    let answer = match &calls.node.hosts {
-        Some(hosts) => hosts.upkeep(calls.token, wave, &host).await,
+/// Orders a host to be taken down for maintenance.
+async fn order_maintenance(call: CallContext, wave: WaveNumber, host: ids::HostId) {
+    let answer = match &call.node.hosts {
+        Some(hosts) => hosts.upkeep(call.token, wave, &host).await,
         None => MaintenanceAnswer::Busy,
     };
-    calls.engine.send(Event::Maintenance { wave, host, answer });
+    call.engine.send(Event::Maintenance { wave, host, answer });
 }
 
-/// Makes sure that this host still leads.
-async fn confirm_leadership(calls: CallContext) {
-    follower::confirm_leadership(&calls.node, &calls.engine.leadership, Revision(calls.token.0))
-        .await;
+/// Confirms with the store that this host still leads.
+async fn confirm_leadership(call: CallContext) {
+    follower::confirm_leadership(&call.node, &call.engine.leadership, Revision(call.token.0)).await;
 }
 
-/// Returns the event of an action that is not sent, because the leadership is in doubt.
+/// Returns the event that answers an action as not sent, while this host is not allowed to act as
+/// the leader.
 pub fn not_sent_event(sent: Instant, action: Action) -> Option<Event> {
     let event = match action {
         Action::Renew { worker, .. } => Event::Renewed { worker, sent, outcome: Outcome::NotSent },
