--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,4 +1,5 @@
-//! The callers' interface: hand in a job, ask for its state, cancel it, count a queue.
+//! The HTTP interface for callers: submits and cancels jobs, returns a job's state and the number
+//! of a queue's waiting jobs.
 
 use std::sync::Arc;
 
@@ -17,21 +18,22 @@
 use crate::peers::StatusAnswer;
 use crate::{inbox, keys, records};
 
-/// When a refused caller may come back, in seconds: about the length of a change of leader.
+/// How long a refused caller should wait before it tries again, in seconds: about as long as a
+/// change of leader takes.
 const RETRY_AFTER_S: &str = "1";
 
 const GONE: u16 = 410;
 const GATEWAY_TIMEOUT: u16 = 504;
 
-/// Answers one request.
-pub async fn handle(node: Arc<Node>, whole: Whole) -> Response {
-    let method = whole.req.method();
-    let path = whole.req.url().path().to_string();
+/// Handles one request.
+pub async fn handle(node: Arc<Node>, request: Whole) -> Response {
+    let method = request.req.method();
+    let path = request.req.url().path().to_string();
     let Some(config) = node.config() else {
         tracing::info!(event = "request_refused", path, why = "no configuration yet");
         return refuse(&node, Code::NotReady);
     };
-    let host = host_of(&whole);
+    let host = host_of(&request);
     let Some(queue) = config.route(&host, &path) else {
         let version = config.version;
         tracing::info!(event = "request_refused", path, version, why = "no such queue");
@@ -39,29 +41,29 @@
     };
     let rest = path.strip_prefix(&queue.prefix).unwrap_or_default();
     if rest.is_empty() && method == Method::Get {
-        return waiting(&node, &queue.name);
+        return queue_length(&node, &queue.name);
     }
     let Ok(key) = rest.parse::<JobKey>() else {
         return answer(&node, Code::NotFound, StatusCode::NotFound.into(), Vec::new());
     };
     match method {
-        Method::Post => submit(&node, key, &queue.name, whole).await,
+        Method::Post => submit(&node, key, &queue.name, request).await,
         Method::Get => status(&node, key).await,
         Method::Delete => cancel(&node, key).await,
         _ => answer(&node, Code::BadRequest, StatusCode::MethodNotAllowed.into(), Vec::new()),
     }
 }
 
-/// Returns the name by which the caller addressed us, without a port.
-fn host_of(whole: &Whole) -> String {
-    let header = whole.req.header("host").map(|v| v.last().as_str().to_string());
+/// Returns the host name in the request's `Host` header, without the port.
+fn host_of(request: &Whole) -> String {
+    let header = request.req.header("host").map(|v| v.last().as_str().to_string());
     let host = header.unwrap_or_default();
     host.split(':').next().unwrap_or_default().to_string()
 }
 
-async fn submit(node: &Arc<Node>, key: JobKey, queue: &str, whole: Whole) -> Response {
-    let most = node.config().map_or(0, |config| config.limits.body_bytes);
-    let Some(body) = whole.body.ok().filter(|body| body.len() <= most) else {
+async fn submit(node: &Arc<Node>, key: JobKey, queue: &str, request: Whole) -> Response {
+    let max_bytes = node.config().map_or(0, |config| config.limits.body_bytes);
+    let Some(body) = request.body.ok().filter(|body| body.len() <= max_bytes) else {
         return answer(node, Code::TooLarge, StatusCode::PayloadTooLarge.into(), Vec::new());
     };
     let decoded = callers::decode_job(key, queue, clock::unix_ms(), &body);
@@ -72,12 +74,12 @@
     if let Err(e) = job::validate(&job) {
         return bad_request(node, key, &e);
     }
-    let handed = inbox::store_job(node, job).await;
-    tracing::info!(event = "job_handed_in", job = %key, queue, outcome = ?handed);
-    match handed {
+    let outcome = inbox::store_job(node, job).await;
+    tracing::info!(event = "job_handed_in", job = %key, queue, outcome = ?outcome);
+    match outcome {
         StoreOutcome::Stored => answer(node, Code::Accepted, StatusCode::Ok.into(), b"{}".to_vec()),
         StoreOutcome::NotStored => refuse(node, Code::StoreDown),
-        // Nobody finds a job gone that is being handed in; what it would mean is not known.
+        // Storing a new job never reports `NoSuchJob`; if it did, the outcome would be unknown.
         StoreOutcome::Unclear | StoreOutcome::NoSuchJob => {
             answer(node, Code::OutcomeUnknown, GATEWAY_TIMEOUT, Vec::new())
         }
@@ -133,9 +135,9 @@
 }
 
 async fn cancel(node: &Arc<Node>, key: JobKey) -> Response {
-    let handed = inbox::store_cancel(node, key).await;
-    tracing::info!(event = "job_cancelled", job = %key, outcome = ?handed);
-    match handed {
+    let outcome = inbox::store_cancel(node, key).await;
+    tracing::info!(event = "job_cancelled", job = %key, outcome = ?outcome);
+    match outcome {
         StoreOutcome::Stored => answer(node, Code::Ok, StatusCode::Ok.into(), b"{}".to_vec()),
         StoreOutcome::NoSuchJob => answer(node, Code::NotFound, GONE, Vec::new()),
         StoreOutcome::NotStored => refuse(node, Code::StoreDown),
@@ -143,7 +145,7 @@
     }
 }
 
-fn waiting(node: &Node, queue: &str) -> Response {
+fn queue_length(node: &Node, queue: &str) -> Response {
     match node.waiting(queue) {
         Some(count) => {
             answer(node, Code::Ok, StatusCode::Ok.into(), callers::encode_waiting(count))
