--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -1,7 +1,9 @@
-//! Tells the engine of a leadership which workers come, change and go.
+//! Reports changes of the directory of workers to the engine: workers that appear, change and
+//! disappear.
 //!
-//! This runs on a thread of its own: where the one thread that carries all other tasks has thousands of calls under
-//! way, each part of a large answer waits its turn there, and the view of the directory grows old.
+//! This runs on a separate thread. The thread that runs all other tasks has thousands of calls
+//! under way; each part of a large answer would be queued behind them, and the view of the
+//! directory would become stale.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,21 +21,22 @@
 use crate::node::Node;
 use crate::{feeds, threads};
 
-/// How long a watch of the directory waits: one whose connection has fallen silent shows that only by its end, and
-/// what workers say meanwhile is not heard.
+/// How long a watch of the directory waits. A silent connection is noticed only when the watch
+/// ends, and what workers write until then is not read.
 const DIRECTORY_WAIT: Duration = Duration::from_millis(500);
 
-/// The pause after a watch of the directory has answered, so that one call brings many changes.
+/// The pause after a watch of the directory has answered, so that one call returns many changes.
 const DIRECTORY_PAUSE: Duration = Duration::from_millis(100);
 
-/// From how many changes in an answer on more are waiting: the store gives some 500 at a time. A pause then
-/// puts the feed behind for good where workers write faster than it reads.
+/// The number of changes in one answer from which more changes are assumed to be waiting: the store
+/// returns some 500 at a time. The feed does not pause after such an answer, since it would fall
+/// behind for good where workers write faster than it reads.
 const FULL_ANSWER_CHANGES: usize = 400;
 
 /// The thread's name.
 const THREAD: &str = "directory";
 
-/// Begins to feed the engine; ends by itself once the leadership is lost.
+/// Starts to feed the engine; ends when the leadership is lost.
 pub fn spawn(node: &Arc<Node>, engine: &Arc<Engine>, from: Revision, entries: Entries) {
     let feed = feed(Arc::clone(node), Arc::clone(engine), from, entries);
     if let Err(e) = threads::spawn(THREAD, feed) {
@@ -42,30 +45,30 @@
     }
 }
 
-/// Tells the engine which workers come, change and go.
+/// Reports workers that appear, change and disappear to the engine.
 async fn feed(node: Arc<Node>, engine: Arc<Engine>, from: Revision, mut entries: Entries) {
     let mut from = from;
-    let mut away = false;
+    let mut interrupted = false;
     while engine.leadership.authority(clock::now()) != Authority::Lost {
         let sent = clock::now();
         match node.store.watch(directory::PREFIX, from, DIRECTORY_WAIT).await {
             Ok(watched) => {
                 node.record_store_answer();
-                report_directory_back(&engine, &mut away);
+                report_directory_recovered(&engine, &mut interrupted);
                 from = watched.revision;
                 for change in &watched.changes {
                     entries.changed(change).into_iter().for_each(|event| engine.send(event));
                 }
-                let whole = watched.changes.len() < FULL_ANSWER_CHANGES;
-                let read = DirectoryRead { sent, revision: from.0, complete: whole };
+                let complete = watched.changes.len() < FULL_ANSWER_CHANGES;
+                let read = DirectoryRead { sent, revision: from.0, complete };
                 engine.send(Event::DirectoryRead(read));
-                if whole {
+                if complete {
                     task::sleep(DIRECTORY_PAUSE).await;
                 }
             }
             Err(StoreError::Gone) => match node.store.list(directory::PREFIX).await {
                 Ok(listed) => {
-                    report_directory_back(&engine, &mut away);
+                    report_directory_recovered(&engine, &mut interrupted);
                     from = listed.revision;
                     let events = entries.listed(&listed.items);
                     events.into_iter().for_each(|event| engine.send(event));
@@ -74,22 +77,22 @@
                 }
                 Err(e) => {
                     tracing::debug!(event = "store_silent", error = %e);
-                    away = true;
+                    interrupted = true;
                     task::sleep(feeds::STORE_RETRY_PAUSE).await;
                 }
             },
             Err(e) => {
                 tracing::debug!(event = "watch_cut", error = %e);
-                away = true;
+                interrupted = true;
                 task::sleep(feeds::STORE_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Tells the engine, once, that the directory can be read again.
-fn report_directory_back(engine: &Engine, away: &mut bool) {
-    if std::mem::take(away) {
+/// Reports once to the engine that the directory can be read again.
+fn report_directory_recovered(engine: &Engine, interrupted: &mut bool) {
+    if std::mem::take(interrupted) {
         engine.send(Event::DirectoryRecovered);
     }
 }
