--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -1,4 +1,5 @@
-//! Drives the scheduler's state with real time, sockets and the store while this host leads.
+//! Runs the scheduler while this host leads: passes messages to the scheduler's state machine,
+//! carries out the actions that it returns, and has its records stored.
 
 use std::collections::BTreeMap;
 use std::iter;
@@ -24,11 +25,11 @@
 use crate::peers::{QueueCount, StatusAnswer};
 use crate::store_writer::{CommitError, StoreWriter};
 
-/// What reaches the engine.
+/// A message to the engine.
 pub enum Message {
-    /// Something happened.
+    /// An event for the scheduler.
     Event(Event),
-    /// Somebody asks for a job's state.
+    /// A query for a job's state, with the channel for the answer.
     Status(JobKey, Sender<StatusAnswer>),
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl Engine {
-    /// Hands an event to the engine; after its end, events go nowhere.
+    /// Sends an event to the engine; events sent after the engine has ended are dropped.
     pub fn send(&self, event: Event) {
         if self.tx.try_send(Message::Event(event)).is_err() {
             tracing::debug!(event = "engine_ended");
@@ -69,7 +70,7 @@
     }
 }
 
-/// What the engine's task owns.
+/// The state that the engine's task owns.
 pub struct Driver {
     cx: Context,
     rx: Receiver<Message>,
@@ -80,36 +81,36 @@
     counted_at: Instant,
 }
 
-/// How often the counts of queues are renewed; callers may be shown counts 2 s old.
+/// How often the queue counts and the metrics are updated; callers accept counts up to 2 s old.
 const COUNT_EVERY_MS: u64 = 300;
 
-/// The most messages taken in before actions are carried out.
+/// The maximum number of messages handled before actions are carried out.
 const MAX_BATCH: usize = 64;
 
 /// Builds an engine around a restored state.
 pub fn open(
     node: &Arc<Node>,
     cx: Context,
-    standing: Arc<LeadershipStatus>,
-    ledger: StoreWriter,
+    leadership: Arc<LeadershipStatus>,
+    writer: StoreWriter,
 ) -> Driver {
     let (tx, rx) = async_channel::unbounded();
-    let engine = Arc::new(Engine { tx, leadership: standing, waiting: Mutex::default() });
-    let (to_ledger, records) = async_channel::bounded(1);
-    task::spawn(write_commits(Arc::clone(node), ledger, records, Arc::clone(&engine)));
+    let engine = Arc::new(Engine { tx, leadership, waiting: Mutex::default() });
+    let (to_store_writer, records) = async_channel::bounded(1);
+    task::spawn(write_commits(Arc::clone(node), writer, records, Arc::clone(&engine)));
     Driver {
         cx,
         rx,
         engine,
         node: Arc::clone(node),
         clients: Clients::open(node.installation.descriptors),
-        to_store_writer: to_ledger,
+        to_store_writer,
         counted_at: Instant(0),
     }
 }
 
 impl Driver {
-    /// Returns the handle.
+    /// Returns the handle of the engine.
     pub fn engine(&self) -> Arc<Engine> {
         Arc::clone(&self.engine)
     }
@@ -124,7 +125,7 @@
                 Authority::Wait => self.carry_out_actions(false),
             }
             self.commit(now);
-            self.count(now);
+            self.update_metrics(now);
             self.cx.freshness.answered(self.engine.leadership.confirmed());
             let wait = self.cx.next_wake().since(now).as_duration();
             match future::timeout(wait, self.rx.recv()).await {
@@ -140,7 +141,7 @@
         self.node.metrics.runs_after_end.set(0);
     }
 
-    /// Takes in a message and those that wait behind it, up to a batch.
+    /// Handles a message and those queued behind it, up to `MAX_BATCH`.
     fn handle_batch(&mut self, first: Message) {
         self.handle_message(first);
         for _ in 1..MAX_BATCH {
@@ -149,13 +150,13 @@
         }
     }
 
-    /// Takes in one message.
+    /// Handles one message.
     fn handle_message(&mut self, message: Message) {
         match message {
             Message::Event(event) => self.cx.handle(clock::now(), clock::unix_ms(), event),
             Message::Status(key, tx) => {
-                let known = |e: &&JobEntry| !e.unreadable || e.stored_state.is_final();
-                let entry = self.cx.jobs.get(&key).filter(known);
+                let is_readable = |e: &&JobEntry| !e.unreadable || e.stored_state.is_final();
+                let entry = self.cx.jobs.get(&key).filter(is_readable);
                 let answer = entry.map_or(StatusAnswer::Unknown, |entry| {
                     StatusAnswer::State(visible_state(entry.state, entry.stored_state))
                 });
@@ -166,20 +167,21 @@
         }
     }
 
-    /// Carries out what the scheduler asks for, or answers it as not sent.
-    fn carry_out_actions(&mut self, may: bool) {
+    /// Carries out the actions that the scheduler asks for. Without permission to send, answers
+    /// each of them as not sent.
+    fn carry_out_actions(&mut self, may_send: bool) {
         for action in self.cx.take_actions() {
-            if may {
+            if may_send {
                 let (node, engine) = (Arc::clone(&self.node), self.engine());
-                let calls = CallContext { node, engine, token: self.cx.term.token };
-                actions::carry_out(calls, &mut self.clients, &self.cx, action);
+                let call = CallContext { node, engine, token: self.cx.term.token };
+                actions::carry_out(call, &mut self.clients, &self.cx, action);
             } else if let Some(event) = actions::not_sent_event(self.cx.now, action) {
                 self.engine.send(event);
             }
         }
     }
 
-    /// Hands what is to be stored to the ledger, unless a commit is in flight.
+    /// Passes the records to be stored to the store writer, unless a commit is in flight.
     fn commit(&mut self, now: Instant) {
         if let Some(records) = commits::take(&mut self.cx, now) {
             if self.to_store_writer.try_send(records).is_err() {
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Counts now and then how many jobs of each queue have not begun.
-    fn count(&mut self, now: Instant) {
+    /// Updates the queue counts and the metrics, at most once per `COUNT_EVERY_MS`.
+    fn update_metrics(&mut self, now: Instant) {
         if now.since(self.counted_at).0 < COUNT_EVERY_MS {
             return;
         }
@@ -211,7 +213,7 @@
         self.show_free_capacity(free, self.cx.ready.len(), self.cx.crashes.suspects.len());
     }
 
-    /// Shows the pool's room in the metrics.
+    /// Sets the metrics of the workers' free capacity, of waiting steps and of suspect tasks.
     fn show_free_capacity(&self, free: FreeCpu, waiting_steps: usize, suspects: usize) {
         let metrics = &self.node.metrics;
         metrics.free_millicores.set(free.total as i64);
@@ -221,31 +223,32 @@
     }
 }
 
-/// Returns what a caller may be shown: a final state only once it is stored.
-fn visible_state(state: JobState, shown: JobState) -> JobState {
-    match (state.is_final(), shown.is_final()) {
-        (_, true) => shown,
+/// Returns the state that a caller may see: a final state only once it is stored.
+fn visible_state(state: JobState, stored: JobState) -> JobState {
+    match (state.is_final(), stored.is_final()) {
+        (_, true) => stored,
         (true, false) => JobState::Active,
         (false, false) => state,
     }
 }
 
-/// The pause before a commit is made again while the store is away.
+/// The pause before a commit is retried while the store is unavailable.
 const COMMIT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// From how long on a commit is logged as slow: ends wait for it before they are acknowledged.
+/// The duration from which a commit is logged as slow: ends of tasks are acknowledged only after
+/// it.
 const SLOW_COMMIT: Duration = Duration::from_millis(500);
 
-/// Writes commits one by one, and tells the engine what became of each.
+/// Writes commits one by one and reports the outcome of each to the engine.
 async fn write_commits(
     node: Arc<Node>,
-    mut ledger: StoreWriter,
+    mut writer: StoreWriter,
     records: Receiver<Vec<Record>>,
     engine: Arc<Engine>,
 ) {
     while let Ok(records) = records.recv().await {
         let began = StdInstant::now();
-        let written = ledger.write(&records).await;
+        let written = writer.write(&records).await;
         let took = began.elapsed();
         if took >= SLOW_COMMIT {
             tracing::warn!(
@@ -273,17 +276,18 @@
     }
 }
 
-/// Takes in that a commit ended with the leadership, be it by the commit's refusal or before it.
-fn record_leadership_lost(standing: &LeadershipStatus, records: usize) {
-    if standing.authority(clock::now()) == Authority::Lost {
+/// Ends the leadership after a commit that failed with [`CommitError::LeadershipLost`]: either the
+/// store refused the commit, or the leadership was already over.
+fn record_leadership_lost(leadership: &LeadershipStatus, records: usize) {
+    if leadership.authority(clock::now()) == Authority::Lost {
         tracing::info!(event = "commit_given_up", records, why = "the leadership is over");
     } else {
         tracing::warn!(event = "leadership_lost", why = "a commit was refused");
     }
-    standing.lose();
+    leadership.lose();
 }
 
-/// Builds the term of a claim.
+/// Builds the scheduler's term from a claim's number and revision.
 pub fn term(number: u64, revision: Revision) -> Term {
     Term { number, token: FencingToken(revision.0) }
 }
