--- a/crates/node/src/evacuations.rs
+++ b/crates/node/src/evacuations.rs
@@ -1,7 +1,7 @@
-//! Tells the engine which failure domains the operators have evacuated.
+//! Reports to the engine which failure domains the operators have evacuated.
 //!
-//! The word is read anew several times within the bound that the installation sets, in place of a watch: a
-//! watch whose connection has gone silent would be noticed only after the bound.
+//! The operators' entries are read several times within the bound that the installation sets. A
+//! watch is not used: a silent connection would be noticed only after the bound.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,13 +16,15 @@
 use crate::engine::Engine;
 use crate::node::Node;
 
-/// How many times the word is read within the bound: several readings in a row may fail or be lost.
+/// How many times the operators' entries are read within the bound: several reads in a row may fail
+/// or get lost.
 const READS_PER_BOUND: u64 = 10;
 
-/// The longest pause between two readings, whatever the bound.
+/// The longest pause between two reads, whatever the bound.
 const MAX_PAUSE: Millis = Millis(500);
 
-/// Feeds the engine of a leadership; `bound` is how soon an evacuation must be heeded.
+/// Feeds the engine during a leadership; `bound` is the time within which an evacuation must take
+/// effect.
 pub async fn feed(node: Arc<Node>, engine: Arc<Engine>, bound: Millis) {
     let pause = Millis(bound.0 / READS_PER_BOUND).min(MAX_PAUSE).as_duration();
     let mut refused = BTreeSet::new();
@@ -35,7 +37,8 @@
     }
 }
 
-/// Reads the operators' word. An entry that names no domain is logged once and kept in `refused`.
+/// Reads the operators' entries. An entry that names no domain is logged once and kept in
+/// `refused`.
 ///
 /// # Errors
 /// Returns the store's error.
