--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -1,9 +1,9 @@
-//! Feeds the engine with what changes in the store while this host leads: the inbox, the directory
-//! of workers, the operators' evacuations, and their waves of upkeep.
+//! Feeds the engine with changes in the store while this host leads: the inbox, the directory of
+//! workers, the operators' evacuations and their maintenance waves.
 //!
-//! Each feed is a task that watches a prefix; where a watch starts too late to be complete, the
-//! prefix is listed anew. Feeds live for one leadership and are ended by `leading`; that of the directory ends
-//! by itself.
+//! Each feed is a task that watches a prefix. If the store no longer has the history that a watch
+//! needs, the feed lists the prefix again. Feeds run for one leadership and are ended by `leader`,
+//! except that of the directory, which ends by itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,28 +22,28 @@
 /// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 
-/// The pause after a watch of the inbox has answered: followers announce what they store, so the
+/// The pause after a watch of the inbox has answered. Followers announce what they store, so the
 /// watch only has to find what was not announced.
 const INBOX_PAUSE: Duration = Duration::from_millis(250);
 
-/// The pause before a failed call to the store is made again.
+/// The pause before a failed call to the store is retried.
 pub const STORE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// What the restored state holds already: the feeds go on from there.
+/// The state from which the feeds start: what the restored state already contains.
 pub struct FeedStart {
     /// The revision at which the inbox was read.
     pub inbox: Revision,
     /// The revision at which the directory was read.
     pub directory: Revision,
-    /// What the directory listed.
+    /// The entries that the directory listed.
     pub entries: Entries,
 }
 
-/// Starts the feeds of a leadership. Evacuations are read only where the installation bounds them, waves
-/// where it has duties.
-pub fn open(node: &Arc<Node>, engine: &Arc<Engine>, seen: FeedStart) -> Vec<JoinHandle<()>> {
-    directory::spawn(node, engine, seen.directory, seen.entries);
-    let inbox = feed_inbox(Arc::clone(node), Arc::clone(engine), seen.inbox);
+/// Starts the feeds of a leadership. Evacuations are read only if the installation sets a bound for
+/// them, waves only if it has maintenance duties.
+pub fn open(node: &Arc<Node>, engine: &Arc<Engine>, start: FeedStart) -> Vec<JoinHandle<()>> {
+    directory::spawn(node, engine, start.directory, start.entries);
+    let inbox = feed_inbox(Arc::clone(node), Arc::clone(engine), start.inbox);
     let mut feeds = vec![task::spawn(inbox)];
     if let Some(bound) = node.installation.bounds.evacuate {
         let feed = evacuations::feed(Arc::clone(node), Arc::clone(engine), bound);
@@ -55,11 +55,11 @@
     feeds
 }
 
-/// What callers' hosts store for the leader.
+/// An item that a host has stored in the inbox for a caller.
 pub enum Handed {
     /// A job.
     Job(Arc<Job>),
-    /// The cancellation of one.
+    /// The cancellation of a job.
     Cancel(JobKey),
 }
 
@@ -71,7 +71,7 @@
     records::job(item).map(|job| Handed::Job(Arc::new(job)))
 }
 
-/// Hands in the jobs and cancellations that callers' hosts have stored.
+/// Passes the jobs and cancellations that are stored in the inbox to the engine.
 async fn feed_inbox(node: Arc<Node>, engine: Arc<Engine>, from: Revision) {
     let mut from = from;
     loop {
@@ -104,15 +104,15 @@
     }
 }
 
-/// Goes over listed items in the order in which they were written, as a watch tells of them. By their keys,
-/// cancellations come before the jobs that they cancel.
+/// Iterates over listed items in the order in which they were written, as a watch reports them. In
+/// key order, cancellations come before the jobs that they cancel.
 fn in_write_order(items: &[Item]) -> impl Iterator<Item = &Item> {
     let mut items: Vec<&Item> = items.iter().collect();
     items.sort_by_key(|item| item.revision);
     items.into_iter()
 }
 
-/// Hands a stored job or cancellation to the engine.
+/// Sends a stored job or cancellation to the engine.
 fn send_inbox_item(engine: &Engine, item: &Item) {
     match read_inbox(item) {
         Some(Handed::Job(job)) => engine.send(Event::Job(job)),
@@ -121,7 +121,7 @@
     }
 }
 
-/// Tells the engine of waves of upkeep: those that are there, then each that is asked for.
+/// Sends maintenance waves to the engine: first those already stored, then each new one.
 async fn feed_waves(node: Arc<Node>, engine: Arc<Engine>) {
     let mut from = None;
     loop {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Tells the engine of all waves that are there; returns where the watch goes on from.
+/// Sends all stored waves to the engine; returns the revision from which the watch continues.
 async fn list_waves(node: &Node, engine: &Engine) -> Option<Revision> {
     match node.store.list(waves::PREFIX).await {
         Ok(listed) => {
@@ -162,7 +162,7 @@
     }
 }
 
-/// Tells the engine of one wave.
+/// Sends one wave to the engine.
 fn send_wave(engine: &Engine, item: &Item) {
     match waves::decode(&item.value) {
         Ok(wave) => engine.send(Event::Wave(wave)),
