--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the leader, and claims the leadership where there is none.
+//! The main task of a host: follows the leader, and claims the leadership when there is no leader.
 
 use std::io::ErrorKind;
 use std::pin::pin;
@@ -24,31 +24,32 @@
 /// The pause before the store is asked again who leads.
 const LEADER_QUERY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How old the leader's last reading of the configuration may be before a follower reads it from
-/// the store itself; a change must be in force within 2 s.
+/// The age of the leader's last read of the configuration from which a follower reads it from the
+/// store itself; a change must be in force within 2 s.
 const CONFIG_MAX_AGE: Millis = Millis(900);
 
 /// The longest random pause before a claim, so that hosts do not all claim at once.
 const CLAIM_SPREAD_MS: u64 = 60;
 
-/// How long the other hosts leave the claim to the one that the leader named: the time of two
-/// attempts, each two calls to the store of 4 ms and a wait for a turn on a weak host.
+/// How long other hosts let the successor that the leader named claim first: enough for two
+/// attempts, each with two store calls of 4 ms and a scheduling delay on a slow host.
 const NAMED_SUCCESSOR_HEAD_START: Millis = Millis(60);
 
-/// How much later than others a host claims that could not read the state in time: longer than the
-/// weakest host waits.
+/// The pause before the claim of a host that could not read the stored state in time: longer than
+/// the pause of the least capable host.
 const DEFERRED_CLAIM_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// How often an invited host tries to claim; a last commit of the former leader may come between.
+/// How many times an invited host attempts to claim: a last commit of the previous leader may make
+/// an attempt fail.
 const INVITED_CLAIM_ATTEMPTS: u32 = 8;
 
-/// The pause between these tries, a little more than a commit takes.
+/// The pause between these attempts, a little longer than a commit takes.
 const INVITED_CLAIM_PAUSE: Duration = Duration::from_millis(15);
 
-/// How long a connection attempt that tells whether the leader's process lives may take.
+/// The time limit for the connection attempt that checks whether the leader's process is running.
 const PROBE_LIMIT: Duration = Duration::from_millis(200);
 
-/// Runs for the life of the process.
+/// Follows or leads until the process stops.
 pub async fn run(node: Arc<Node>) {
     let mut last = None;
     while !node.is_stopping() {
@@ -65,7 +66,8 @@
             Err(e) => {
                 tracing::debug!(event = "store_silent", error = %e);
                 node.record_store_failure();
-                // The store may turn just this host away, and the last leader may still lead.
+                // The store may be refusing only this host, and the last known leader may still
+                // lead.
                 let last = last.as_ref().filter(|(record, _)| !is_own_claim(&node, record));
                 if let Some((record, revision)) = last {
                     follow(&node, record, *revision).await;
@@ -77,7 +79,8 @@
     }
 }
 
-/// Builds the record with which this host claims the leadership.
+/// Builds the record with which this host claims the leadership; `leadership::claim` sets the term
+/// and the lease.
 fn own_leader_record(node: &Node) -> LeaderRecord {
     LeaderRecord {
         host: node.installation.host.clone(),
@@ -88,7 +91,7 @@
     }
 }
 
-/// Tells whether a claim is of this host.
+/// Returns whether a claim belongs to this host.
 fn is_own_claim(node: &Node, leader: &LeaderRecord) -> bool {
     leader.host == node.installation.host
 }
@@ -96,7 +99,8 @@
 /// Follows one leader for as long as it answers.
 async fn follow(node: &Arc<Node>, leader: &LeaderRecord, revision: Revision) {
     if is_own_claim(node, leader) {
-        // The claim is of a former process of this host, or of a leadership that it gave up.
+        // The claim belongs to a previous process of this host, or to a leadership that it has
+        // given up.
         return claim(node, revision).await;
     }
     node.set_role(Role::Follower(Some(leader.addr.clone())));
@@ -107,8 +111,8 @@
         match heartbeat(node, &leader.addr).await {
             Ok(true) => {
                 check_store(node).await;
-                if let Some(invited) = wait_for_heartbeat_due(node).await {
-                    return claim_by_invitation(node, invited).await;
+                if let Some(pending) = wait_for_heartbeat_due(node).await {
+                    return claim_by_invitation(node, pending).await;
                 }
             }
             Ok(false) => break,
@@ -123,67 +127,69 @@
         if node.is_stopping() {
             return;
         }
-        // Right before the heartbeat that tells the leader what came of it.
+        // Done right before the next heartbeat, which reports the result to the leader.
         if node.handover.take_check_wanted() {
             read_config(node).await;
         }
     }
-    // A leader that has just stopped answers that it leads no longer, and may be about to invite.
-    let invited = future::timeout(LEADER_QUERY_PAUSE, node.handover.next_invitation()).await;
-    if let Ok(Some(invited)) = invited {
-        claim_by_invitation(node, invited).await;
+    // A leader that has just stepped down answers that it no longer leads; it may be about to
+    // invite this host.
+    let pending = future::timeout(LEADER_QUERY_PAUSE, node.handover.next_invitation()).await;
+    if let Ok(Some(pending)) = pending {
+        claim_by_invitation(node, pending).await;
     }
 }
 
 /// Waits until the next heartbeat is due or the connection to the leader is lost; returns an
-/// invitation to lead if one came.
+/// invitation to lead if one arrived.
 async fn wait_for_heartbeat_due(node: &Node) -> Option<PendingInvitation> {
-    let invited = node.handover.next_invitation();
+    let pending = node.handover.next_invitation();
     let lost = node.leader.wait_until_lost();
-    let (invited, lost) = (pin!(invited), pin!(lost));
+    let (pending, lost) = (pin!(pending), pin!(lost));
     let pause = node.handover.beat_after().as_duration();
-    match future::timeout(pause, select(invited, lost)).await {
-        Ok(Either::Left((invited, _))) => invited,
+    match future::timeout(pause, select(pending, lost)).await {
+        Ok(Either::Left((pending, _))) => pending,
         _ => None,
     }
 }
 
-/// Claims the leadership that its holder gives up, and answers the holder.
-async fn claim_by_invitation(node: &Arc<Node>, invited: PendingInvitation) {
-    let mut seen = Revision(invited.invitation.claim);
+/// Claims the leadership that its holder is giving up, and answers the holder.
+async fn claim_by_invitation(node: &Arc<Node>, pending: PendingInvitation) {
+    let mut seen = Revision(pending.invitation.claim);
     let sent = clock::now();
     let me = own_leader_record(node);
     for _ in 0..INVITED_CLAIM_ATTEMPTS {
         match leadership::claim(&node.store, &me, seen).await {
             Ok(claim) => {
-                answer_invitation(&invited, true);
+                answer_invitation(&pending, true);
                 return lead(node, claim, sent).await;
             }
             Err(e) => tracing::info!(event = "claim_failed", error = %e),
         }
-        // The former claim may be gone by now, with its lease or because it was given back.
+        // The previous claim may no longer exist: its lease has expired, or its holder has removed
+        // it.
         match leadership::current(&node.store).await {
             Ok(Holder::Nobody(at)) => seen = at,
             Ok(Holder::Host(_, revision)) if revision == seen => {}
-            // An earlier try was carried out late, under a lease that nobody renews: it is
-            // replaced.
+            // An earlier attempt was carried out late, under a lease that nobody renews: the next
+            // attempt replaces it.
             Ok(Holder::Host(record, revision)) if record.is_same_process(&me) => seen = revision,
             Ok(Holder::Host(..)) => break,
             Err(e) => tracing::debug!(event = "store_silent", error = %e),
         }
         task::sleep(INVITED_CLAIM_PAUSE).await;
     }
-    answer_invitation(&invited, false);
+    answer_invitation(&pending, false);
 }
 
-/// Tells the host that invited this one whether this one leads now.
-fn answer_invitation(invited: &PendingInvitation, leads: bool) {
-    if invited.answer.try_send(leads).is_err() {
+/// Answers the host that invited this one: whether this one leads now.
+fn answer_invitation(pending: &PendingInvitation, leads: bool) {
+    if pending.answer.try_send(leads).is_err() {
         tracing::debug!(event = "invitation_not_wanted");
     }
 }
 
-/// Sends a heartbeat; tells whether the host called still leads.
+/// Sends a heartbeat; returns whether the called host still leads.
 async fn heartbeat(node: &Node, addr: &str) -> Result<bool, PeerError> {
     let sent = clock::now();
     let beat = Heartbeat {
@@ -219,15 +225,16 @@
     }
 }
 
-/// Tells whether the address refuses connections, which a living process does not.
+/// Returns whether the address refuses connections, which the port of a running process does not.
 async fn process_is_dead(addr: &str) -> bool {
     let probe = future::timeout(PROBE_LIMIT, net::TcpStream::connect(addr)).await;
     matches!(probe, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Reads the configuration from the store where what is known of it is old, or where the store has been away.
-/// That is also the check that the leader may have asked for: a silent store holds up one call for each
-/// heartbeat, so that the host stays in touch with the leader.
+/// Reads the configuration from the store if the known one is old or if the store has been
+/// unavailable. This read also serves as the check of the store that the leader may have requested:
+/// a store that does not answer then delays only one call per heartbeat, so that the host stays in
+/// contact with the leader.
 async fn check_store(node: &Node) {
     if node.is_store_unavailable() || node.config_age() >= CONFIG_MAX_AGE {
         node.handover.take_check_wanted();
@@ -257,14 +264,16 @@
     }
 }
 
-/// Claims the leadership in place of the claim at `seen`, after a pause unless this host was named.
+/// Claims the leadership in place of the claim at revision `seen`; pauses first unless the leader
+/// named this host as its successor.
 async fn claim(node: &Arc<Node>, seen: Revision) {
     if node.handover.stands_back(clock::now()) {
         task::sleep(DEFERRED_CLAIM_PAUSE).await;
     } else if !node.handover.is_named() {
         let spread = rand::random_range(0..CLAIM_SPREAD_MS);
-        let weaker = succession::claim_delay(node.leader_capacity, node.handover.strongest());
-        let pause = NAMED_SUCCESSOR_HEAD_START.0 + weaker.0 + spread;
+        let capacity_delay =
+            succession::claim_delay(node.leader_capacity, node.handover.strongest());
+        let pause = NAMED_SUCCESSOR_HEAD_START.0 + capacity_delay.0 + spread;
         task::sleep(Duration::from_millis(pause)).await;
     }
     if node.is_stopping() {
@@ -281,7 +290,7 @@
     }
 }
 
-/// Leads under a fresh claim until that is over.
+/// Leads under a new claim until the leadership is over.
 async fn lead(node: &Arc<Node>, claim: Claim, sent: Instant) {
     tracing::info!(
         event = "leadership_claimed",
@@ -295,22 +304,22 @@
     tracing::info!(event = "leadership_over", term = claim.term);
 }
 
-/// Asks the store whether the claim at `revision` still stands.
-pub async fn confirm_leadership(node: &Node, standing: &LeadershipStatus, revision: Revision) {
+/// Asks the store whether the claim at `revision` is still stored, and records the answer.
+pub async fn confirm_leadership(node: &Node, leadership: &LeadershipStatus, revision: Revision) {
     let sent = clock::now();
     match leadership::revisions(&node.store).await {
         Ok(Some((found, store))) if found == revision => {
             node.record_store_answer();
-            standing.confirm(sent);
+            leadership.confirm(sent);
             if let Some(store) = store {
                 node.report_store_revision(RevisionSample { sent, revision: store.0 });
             }
         }
-        // A leadership that was handed over meanwhile is not lost once more.
-        Ok(_) if standing.authority(sent) == Authority::Lost => {}
+        // The leadership was given up in the meantime; it is not logged as lost.
+        Ok(_) if leadership.authority(sent) == Authority::Lost => {}
         Ok(_) => {
             tracing::warn!(event = "leadership_lost", why = "the claim is gone");
-            standing.lose();
+            leadership.lose();
         }
         Err(e) => tracing::debug!(event = "store_silent", error = %e),
     }
