--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,8 +1,8 @@
-//! What this host knows of who leads next.
+//! What this host knows about the next leader.
 //!
-//! A leader keeps its followers by their heartbeats and names the best one; a follower remembers
-//! whether that was itself, and holds an invitation to lead until its main task takes it.
-//! `gaplock_policy::succession` and `gaplock_policy::followers` make the choice.
+//! A leader tracks its followers by their heartbeats and names the best one as its successor. A
+//! follower records whether it was named, and queues an invitation to lead until its main task
+//! handles it. `gaplock_policy::succession` and `gaplock_policy::followers` choose the successor.
 
 use std::sync::atomic::{AtomicBool, AtomicU16, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -14,36 +14,36 @@
 
 use crate::peers::{Heartbeat, Invitation};
 
-/// What this host knows of who leads next.
+/// What this host knows about the next leader.
 pub struct Handover {
-    /// While this host leads: the others, by their last heartbeats.
+    /// While this host leads: its followers, by their last heartbeats.
     followers: Mutex<Followers>,
     /// Whether the leader named this host to claim first if the leader is lost.
     named: AtomicBool,
-    /// The strength of the strongest host that this one has heard of; 0 for none.
-    strongest: AtomicU16,
-    /// The pause between heartbeats that the leader asked for last, in milliseconds; 0 for none.
+    /// The largest leader capacity of any host that the leader reported; 0 for none.
+    best_leader_capacity: AtomicU16,
+    /// The pause between heartbeats that the leader last asked for, in milliseconds; 0 for none.
     beat_after: AtomicU64,
     /// Whether the leader asked this host to check the store.
     check_wanted: AtomicBool,
-    /// The number of the leadership that this host followed last.
+    /// The term of the leadership that this host followed last.
     followed_term: AtomicU64,
-    /// Until when this host leaves claims to others, in milliseconds of its clock.
-    stands_back: AtomicU64,
-    /// Invitations to claim the leadership, each with the way to answer it.
+    /// Until when this host lets other hosts claim first, in milliseconds of its clock.
+    defer_claims_until_ms: AtomicU64,
+    /// The queue of invitations to claim the leadership.
     invitations: (Sender<PendingInvitation>, Receiver<PendingInvitation>),
 }
 
-/// An invitation that waits for its answer: whether this host leads now.
+/// An invitation to lead whose sender waits for an answer.
 pub struct PendingInvitation {
-    /// What the leader said.
+    /// The invitation that the leader sent.
     pub invitation: Invitation,
-    /// Takes the answer.
+    /// The channel for the answer: whether this host leads now.
     pub answer: Sender<bool>,
 }
 
-/// How many invitations may wait for the main task; there is one leader to invite, so more are
-/// declined at once.
+/// How many invitations may wait for the main task. Only one leader can invite at a time, so
+/// further invitations are declined at once.
 const MAX_PENDING_INVITATIONS: usize = 1;
 
 const LOCK: &str = "no holder of the lock panics";
@@ -53,51 +53,51 @@
         Self {
             followers: Mutex::default(),
             named: AtomicBool::new(false),
-            strongest: AtomicU16::new(0),
+            best_leader_capacity: AtomicU16::new(0),
             beat_after: AtomicU64::new(0),
             check_wanted: AtomicBool::new(false),
             followed_term: AtomicU64::new(0),
-            stands_back: AtomicU64::new(0),
+            defer_claims_until_ms: AtomicU64::new(0),
             invitations: async_channel::bounded(MAX_PENDING_INVITATIONS),
         }
     }
 }
 
 impl Handover {
-    /// Remembers whether the leader named this host to claim first.
+    /// Records whether the leader named this host to claim first.
     pub fn set_named(&self, named: bool) {
         self.named.store(named, Ordering::Relaxed);
     }
 
-    /// Tells whether the last leader named this host to claim first.
+    /// Returns whether the last leader named this host to claim first.
     pub fn is_named(&self) -> bool {
         self.named.load(Ordering::Relaxed)
     }
 
-    /// Remembers the strength of the strongest host that the leader knows.
-    pub fn set_best_leader_capacity(&self, strongest: LeaderCapacity) {
-        self.strongest.store(strongest.0, Ordering::Relaxed);
+    /// Records the largest leader capacity that the leader knows of.
+    pub fn set_best_leader_capacity(&self, capacity: LeaderCapacity) {
+        self.best_leader_capacity.store(capacity.0, Ordering::Relaxed);
     }
 
-    /// Returns the strength of the strongest host that this one has heard of.
+    /// Returns the largest leader capacity that a leader has reported, if any.
     pub fn strongest(&self) -> Option<LeaderCapacity> {
-        let strongest = self.strongest.load(Ordering::Relaxed);
-        (strongest > 0).then_some(LeaderCapacity(strongest))
+        let capacity = self.best_leader_capacity.load(Ordering::Relaxed);
+        (capacity > 0).then_some(LeaderCapacity(capacity))
     }
 
-    /// Takes in which leadership is followed; tells whether it is another one than before.
+    /// Records which leadership is followed; returns whether it differs from the previous one.
     pub fn set_followed_term(&self, term: u64) -> bool {
         self.followed_term.swap(term, Ordering::Relaxed) != term
     }
 
-    /// Leaves claims to other hosts until then.
+    /// Lets other hosts claim first until the given time.
     pub fn defer_claims(&self, until: Instant) {
-        self.stands_back.store(until.0, Ordering::Relaxed);
+        self.defer_claims_until_ms.store(until.0, Ordering::Relaxed);
     }
 
-    /// Tells whether this host leaves claims to others.
+    /// Returns whether this host lets other hosts claim first.
     pub fn stands_back(&self, now: Instant) -> bool {
-        now.0 < self.stands_back.load(Ordering::Relaxed)
+        now.0 < self.defer_claims_until_ms.load(Ordering::Relaxed)
     }
 
     /// Returns the followers that could lead now, the best one first.
@@ -115,23 +115,23 @@
         self.followers.lock().expect(LOCK).heartbeat_interval(now)
     }
 
-    /// Tells whether a follower should make sure now that the store answers it.
+    /// Returns whether a follower should check now whether the store answers it.
     pub fn should_check(&self, now: Instant, beat: &Heartbeat) -> bool {
         let mut followers = self.followers.lock().expect(LOCK);
         followers.should_check_store(now, beat.strength, beat.store_age)
     }
 
-    /// Remembers whether the leader asked this host to check the store.
+    /// Records whether the leader asked this host to check the store.
     pub fn set_check_wanted(&self, wanted: bool) {
         self.check_wanted.store(wanted, Ordering::Relaxed);
     }
 
-    /// Tells, once, whether the leader asked this host to check the store.
+    /// Returns whether the leader asked this host to check the store, and clears the request.
     pub fn take_check_wanted(&self) -> bool {
         self.check_wanted.swap(false, Ordering::Relaxed)
     }
 
-    /// Remembers the pause between heartbeats that the leader asked for.
+    /// Records the pause between heartbeats that the leader asked for.
     pub fn set_beat_after(&self, pause: Millis) {
         self.beat_after.store(pause.0, Ordering::Relaxed);
     }
@@ -146,7 +146,7 @@
         self.followers.lock().expect(LOCK).clear();
     }
 
-    /// Takes in a follower's heartbeat.
+    /// Records a follower's heartbeat.
     pub fn record_follower(&self, now: Instant, beat: &Heartbeat) {
         let candidate = Candidate {
             host: beat.host.clone(),
@@ -159,7 +159,7 @@
         self.followers.lock().expect(LOCK).record(candidate);
     }
 
-    /// Hands an invitation to this host's main task, and returns whether this host leads now.
+    /// Passes an invitation to this host's main task; returns whether this host leads now.
     pub async fn handle_invitation(&self, invitation: Invitation) -> bool {
         let (answer, rx) = async_channel::bounded(1);
         if self.invitations.0.try_send(PendingInvitation { invitation, answer }).is_err() {
@@ -168,7 +168,7 @@
         rx.recv().await.unwrap_or(false)
     }
 
-    /// Waits for an invitation.
+    /// Waits for the next invitation.
     pub async fn next_invitation(&self) -> Option<PendingInvitation> {
         self.invitations.1.recv().await.ok()
     }
