--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -1,4 +1,5 @@
-//! Stores what callers hand in, before they are told that it is accepted.
+//! Stores the jobs and cancellations of callers before the callers are notified that they are
+//! accepted.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,40 +15,41 @@
 use crate::peers::PeerError;
 use crate::store_writer;
 
-/// The pause before a write whose fate is unknown is made again.
+/// The pause before a write with an unknown outcome is retried.
 const UNCLEAR_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long a write whose fate is unknown is made again and again, about a quarter of a short job's
-/// objective; the caller may then send it again. It can be done only once, since each try expects
-/// the key not to be there.
+/// How long a write with an unknown outcome is retried, about a quarter of a short job's objective;
+/// the caller may then send it again. Retries cannot store it twice, since each attempt expects
+/// that the key does not exist.
 const UNCLEAR_RETRY_LIMIT: Duration = Duration::from_millis(350);
 
-/// Stores a job, by this host's own connection to the store or else through the leader.
+/// Stores a job over this host's own connection to the store, or else through the leader.
 pub async fn store_job(node: &Arc<Node>, job: Arc<Job>) -> StoreOutcome {
-    let here = store_job_directly(node, Arc::clone(&job)).await;
-    if needs_no_leader(here) {
-        return here;
+    let direct = store_job_directly(node, Arc::clone(&job)).await;
+    if needs_no_leader(direct) {
+        return direct;
     }
-    let Some(addr) = node.leader_addr() else { return here };
-    let asked = node.leader.store_job(&addr, &job).await;
-    store_outcome::combine(here, at_leader(asked))
+    let Some(addr) = node.leader_addr() else { return direct };
+    let reply = node.leader.store_job(&addr, &job).await;
+    store_outcome::combine(direct, leader_reply(reply))
 }
 
-/// Tells whether what became of it here needs no word of the leader.
-fn needs_no_leader(here: StoreOutcome) -> bool {
-    matches!(here, StoreOutcome::Stored | StoreOutcome::NoSuchJob)
+/// Returns whether the outcome of this host's own write is final, so that the leader need not be
+/// asked.
+fn needs_no_leader(direct: StoreOutcome) -> bool {
+    matches!(direct, StoreOutcome::Stored | StoreOutcome::NoSuchJob)
 }
 
-/// Tells what the leader's answer, or its silence, says of its part.
-fn at_leader(asked: Result<StoreOutcome, PeerError>) -> LeaderReply {
-    match asked {
-        Ok(there) => LeaderReply::Answered(there),
+/// Converts the leader's answer, or its absence, into the outcome of its part.
+fn leader_reply(reply: Result<StoreOutcome, PeerError>) -> LeaderReply {
+    match reply {
+        Ok(outcome) => LeaderReply::Answered(outcome),
         Err(PeerError::NotSent) => LeaderReply::NotAsked,
         Err(PeerError::Unclear) => LeaderReply::Silent,
     }
 }
 
-/// Stores a job by this host's own connection to the store.
+/// Stores a job over this host's own connection to the store.
 pub async fn store_job_directly(node: &Arc<Node>, job: Arc<Job>) -> StoreOutcome {
     let key = keys::job(job.key);
     let txn = Txn {
@@ -55,35 +57,36 @@
         set: vec![(key, store_writer::encode(&*job), None)],
         remove: Vec::new(),
     };
-    let handed = match write_once(node, &txn).await {
-        // The only thing that it expects is that the job is not there.
+    let outcome = match write_once(node, &txn).await {
+        // The write's only condition is that the job does not exist yet.
         WriteOutcome::Conflict => StoreOutcome::Stored,
-        WriteOutcome::Known(handed) => handed,
+        WriteOutcome::Known(outcome) => outcome,
     };
-    if handed == StoreOutcome::Stored {
+    if outcome == StoreOutcome::Stored {
         announce_job(node, job);
     }
-    handed
+    outcome
 }
 
-/// What became of a write that was tried for a while.
+/// The outcome of a write that was retried for a while.
 enum WriteOutcome {
-    /// This is known of it.
+    /// The outcome is known, or the retries have ended.
     Known(StoreOutcome),
-    /// Something that it expects is not so, be it by an earlier try of the same write or not.
+    /// A condition of the write does not hold. An earlier attempt of the same write may be the
+    /// reason.
     Conflict,
 }
 
-/// Makes a write that can be done only once; a try without an answer is followed by others for a
+/// Makes a write that can be carried out only once; an attempt without an answer is retried for a
 /// while.
 async fn write_once(node: &Node, txn: &Txn) -> WriteOutcome {
     if node.is_store_unavailable() {
         return WriteOutcome::Known(StoreOutcome::NotStored);
     }
     let began = Instant::now();
-    let mut tries = CallAttempts::default();
+    let mut attempts = CallAttempts::default();
     loop {
-        tries.record_send();
+        attempts.record_send();
         let last = match node.store.commit(txn).await {
             Ok(_) => {
                 node.record_store_answer();
@@ -97,7 +100,7 @@
             Err(StoreError::Unclear) => Execution::Unknown,
         };
         node.record_store_failure();
-        if tries.record_outcome(last) == Execution::NotDone {
+        if attempts.record_outcome(last) == Execution::NotDone {
             return WriteOutcome::Known(StoreOutcome::NotStored);
         }
         if began.elapsed() > UNCLEAR_RETRY_LIMIT {
@@ -107,7 +110,8 @@
     }
 }
 
-/// Tells the leader of a stored job, in the background: its watch would find the job too.
+/// Notifies the leader of a stored job, in the background. The leader's watch would find the job
+/// too, but later.
 fn announce_job(node: &Arc<Node>, job: Arc<Job>) {
     let node = Arc::clone(node);
     task::spawn(async move {
@@ -121,18 +125,18 @@
     });
 }
 
-/// Stores a cancellation, by this host's own connection to the store or else through the leader.
+/// Stores a cancellation over this host's own connection to the store, or else through the leader.
 pub async fn store_cancel(node: &Arc<Node>, key: JobKey) -> StoreOutcome {
-    let here = store_cancel_directly(node, key).await;
-    if needs_no_leader(here) {
-        return here;
+    let direct = store_cancel_directly(node, key).await;
+    if needs_no_leader(direct) {
+        return direct;
     }
-    let Some(addr) = node.leader_addr() else { return here };
-    let asked = node.leader.store_cancel(&addr, key).await;
-    store_outcome::combine(here, at_leader(asked))
+    let Some(addr) = node.leader_addr() else { return direct };
+    let reply = node.leader.store_cancel(&addr, key).await;
+    store_outcome::combine(direct, leader_reply(reply))
 }
 
-/// Stores a cancellation by this host's own connection to the store.
+/// Stores a cancellation over this host's own connection to the store.
 pub async fn store_cancel_directly(node: &Arc<Node>, key: JobKey) -> StoreOutcome {
     if node.is_store_unavailable() {
         return StoreOutcome::NotStored;
@@ -148,26 +152,27 @@
         set: vec![(cancel, b"{}".to_vec(), None)],
         remove: Vec::new(),
     };
-    let handed = match write_once(node, &txn).await {
-        WriteOutcome::Conflict => cancel_after_conflict(node, key, job.revision).await,
-        WriteOutcome::Known(handed) => handed,
+    let outcome = match write_once(node, &txn).await {
+        WriteOutcome::Conflict => read_cancel_outcome(node, key, job.revision).await,
+        WriteOutcome::Known(outcome) => outcome,
     };
-    if handed == StoreOutcome::Stored {
+    if outcome == StoreOutcome::Stored {
         announce_cancel(node, key);
     }
-    handed
+    outcome
 }
 
-/// Finds out what a cancellation met that expected the job at this revision.
-async fn cancel_after_conflict(node: &Node, key: JobKey, expected: Revision) -> StoreOutcome {
+/// Determines the outcome of a cancellation that met a conflict; `expected` is the revision at
+/// which it expected the job.
+async fn read_cancel_outcome(node: &Node, key: JobKey, expected: Revision) -> StoreOutcome {
     let read = async {
-        let cancelled = node.store.get(&keys::cancel(key)).await?.is_some();
+        let is_cancelled = node.store.get(&keys::cancel(key)).await?.is_some();
         let job = match node.store.get(&keys::job(key)).await? {
             None => StoredJob::Gone,
             Some(item) if item.revision == expected => StoredJob::AsExpected,
             Some(_) => StoredJob::Recreated,
         };
-        Ok::<_, StoreError>(store_outcome::cancel_outcome_after_conflict(cancelled, job))
+        Ok::<_, StoreError>(store_outcome::cancel_outcome_after_conflict(is_cancelled, job))
     };
     read.await.unwrap_or_else(|e| {
         tracing::info!(event = "state_unknown", job = %key, error = %e);
@@ -175,7 +180,8 @@
     })
 }
 
-/// Tells the leader of a stored cancellation, in the background: its watch would find it too.
+/// Notifies the leader of a stored cancellation, in the background. The leader's watch would find
+/// it too, but later.
 fn announce_cancel(node: &Arc<Node>, key: JobKey) {
     let node = Arc::clone(node);
     task::spawn(async move {
