--- a/crates/node/src/keys.rs
+++ b/crates/node/src/keys.rs
@@ -1,19 +1,19 @@
-//! Keys of the platform's store under which the installation's state lies.
+//! The keys under which the installation's state is stored in the platform's store.
 //!
-//! `docs/PLATFORM.md` has the table of what is stored before what.
+//! `docs/PLATFORM.md` has the table of which record is stored before which.
 
 use gaplock_jobs::JobKey;
 use gaplock_sched::message::WaveNumber;
 use gaplock_types::ids;
 
-/// Who leads; lives under the leader's lease.
+/// The claim of the leader; stored under the leader's lease.
 pub const LEADER: &str = "gaplock/leader";
 
-/// The number of the leadership and of its last commit. Every commit expects and rewrites it, so
-/// that a commit whose answer was lost can never be carried out after a later one.
+/// The number of the leadership and of its last commit. Every commit expects the last value and
+/// replaces it, so that a commit whose answer was lost can never be carried out after a later one.
 pub const COMMITS: &str = "gaplock/commits";
 
-/// What callers handed in; the leader watches it.
+/// Jobs and cancellations of callers; the leader watches them.
 pub const INBOX: &str = "gaplock/in/";
 
 /// Accepted jobs.
@@ -22,16 +22,17 @@
 /// Cancelled jobs.
 pub const CANCELS: &str = "gaplock/in/cancel/";
 
-/// How far jobs have come; written by the leader only.
+/// The progress of jobs; written by the leader only.
 pub const PROGRESS: &str = "gaplock/progress/";
 
-/// Workers that may run something; written by the leader only.
+/// Workers that may run tasks; written by the leader only.
 pub const ROSTER: &str = "gaplock/roster/";
 
-/// What was learnt of how images disturb each other; written by the leader only.
+/// The learned interference model: how images interfere with each other; written by the leader
+/// only.
 pub const LEARNED: &str = "gaplock/learnt";
 
-/// How far waves of upkeep have come; written by the leader only.
+/// The progress of maintenance waves; written by the leader only.
 pub const WAVES: &str = "gaplock/wave/";
 
 /// Returns the key of a wave's progress.
@@ -54,7 +55,7 @@
     format!("{PROGRESS}{key}")
 }
 
-/// Returns the job that a key of progress names, if it names one.
+/// Returns the job that a key of a progress record names, if it names one.
 pub fn job_of_progress(key: &str) -> Option<JobKey> {
     key.strip_prefix(PROGRESS)?.parse().ok()
 }
@@ -64,7 +65,7 @@
     key.strip_prefix(ROSTER)?.parse().ok()
 }
 
-/// Returns the key of a worker in the roster.
+/// Returns the key of a worker's record in the roster.
 pub fn roster(id: &ids::WorkerId) -> String {
     format!("{ROSTER}{id}")
 }
