--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -1,4 +1,5 @@
-//! One leadership from its claim to its end: restores the state, runs the engine, then hands over.
+//! Runs one leadership from its claim to its end: restores the state, runs the engine, then hands
+//! over.
 
 use std::sync::Arc;
 
@@ -15,22 +16,22 @@
 
 /// Leads until the leadership is over.
 pub async fn lead(node: &Arc<Node>, claim: Claim, sent: Instant) {
-    let standing = LeadershipStatus::open(sent);
+    let leadership = LeadershipStatus::open(sent);
     node.handover.forget_followers();
-    lease_renewal::spawn(node, &standing, claim, sent);
-    let state = state_reader::read_all(node, &standing).await;
+    lease_renewal::spawn(node, &leadership, claim, sent);
+    let state = state_reader::read_all(node, &leadership).await;
     if let Some(state) = state {
         node.metrics.terms.inc();
-        run(node, claim, &standing, state).await;
+        run(node, claim, &leadership, state).await;
     }
-    standing.lose();
+    leadership.lose();
     hand_over(node, claim).await;
 }
 
-/// How many followers are invited at most before the claim is simply given back.
+/// The maximum number of followers that are invited to lead before the claim is removed instead.
 const MAX_INVITED: usize = 3;
 
-/// Lets the best follower claim the leadership at once, or else gives the claim back.
+/// Invites the best followers to claim the leadership at once. If none does, removes the claim.
 async fn hand_over(node: &Arc<Node>, claim: Claim) {
     node.set_role(Role::Follower(None));
     for candidate in node.handover.successor_candidates(clock::now()).iter().take(MAX_INVITED) {
@@ -45,14 +46,14 @@
     resign(node, claim).await;
 }
 
-/// Builds the engine from what was read, and feeds it until the leadership is over.
+/// Builds the engine from the stored state and feeds it until the leadership is over.
 async fn run(
     node: &Arc<Node>,
     claim: Claim,
-    standing: &Arc<LeadershipStatus>,
+    leadership: &Arc<LeadershipStatus>,
     state: state_reader::LoadedState,
 ) {
-    let ledger = store_writer::open(Arc::clone(&node.store), Arc::clone(standing), &claim);
+    let writer = store_writer::open(Arc::clone(&node.store), Arc::clone(leadership), &claim);
     let term = engine::term(claim.term, claim.revision);
     let (now, unix_ms) = (clock::now(), clock::unix_ms());
     let mut cx = Context::open(node.settings(), term, now, unix_ms);
@@ -70,19 +71,19 @@
         complete: true,
     };
     cx.handle(now, unix_ms, Event::DirectoryRead(read));
-    let driver = engine::open(node, cx, Arc::clone(standing), ledger);
+    let driver = engine::open(node, cx, Arc::clone(leadership), writer);
     let engine = driver.engine();
     node.set_role(Role::Leader(Arc::clone(&engine)));
-    let seen =
+    let start =
         feeds::FeedStart { inbox: state.inbox, directory: state.directory.revision, entries };
-    let feeds = feeds::open(node, &engine, seen);
+    let feeds = feeds::open(node, &engine, start);
     driver.run().await;
     for feed in feeds {
         feed.cancel().await;
     }
 }
 
-/// Gives the claim back, so that another host need not wait for the lease's end.
+/// Removes the claim, so that other hosts need not wait until its lease expires.
 async fn resign(node: &Node, claim: Claim) {
     let txn = Txn {
         expected: vec![(keys::LEADER.to_string(), claim.revision)],
