--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -1,7 +1,7 @@
-//! Who leads: a key under a lease in the platform's store, taken by compare-and-swap.
+//! The leadership: a key under a lease in the platform's store, claimed by compare-and-swap.
 //!
-//! The lease only says when others may claim. What makes two leaders harmless is the fencing
-//! token, which is the revision of the claim, and the condition on every write.
+//! The lease only determines when other hosts may claim. Two leaders at one time do no harm because
+//! of the fencing token, which is the revision of the claim, and the conditions on every write.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -16,47 +16,50 @@
 use crate::keys;
 use crate::{records, store_writer};
 
-/// How long the store keeps a leader that does not renew. A shorter lease finds a dead host
-/// sooner; a store that answers a hundred times slower than usual must still fit in.
+/// How long the store keeps the claim of a leader that does not renew its lease. With a shorter
+/// lease a dead host is noticed sooner, but renewals must still succeed while the store answers a
+/// hundred times slower than usual.
 pub const LEASE: Millis = Millis(2_000);
 
-/// How often the leader renews its lease and makes sure of its key.
+/// How often the leader renews its lease and confirms its claim.
 pub const RENEW_EVERY: Duration = Duration::from_millis(500);
 
-/// How long before the lease could be over a leader without confirmation stops acting.
+/// How long before the possible end of its lease a leader without confirmation stops acting.
 const LEASE_MARGIN: Millis = Millis(300);
 
-/// How long the word of another host about the store counts.
+/// How long another host's report about the store counts.
 const PEER_REPORT_MAX_AGE: Millis = Millis(2_000);
 
-/// How much later than to us the store must have answered another host before that host's word
-/// ends our leadership: more than the time between two of our own confirmations.
+/// How long after the last confirmation of this leadership the store must have answered another
+/// host for that host's report to end the leadership: longer than the time between two
+/// confirmations.
 const CONFIRMATION_OVERDUE_AFTER: Millis = Millis(700);
 
 /// A leadership that this process holds.
 #[derive(Debug, Clone, Copy)]
 pub struct Claim {
-    /// Its number.
+    /// The number of the leadership.
     pub term: u64,
     /// The revision of the claim; also the fencing token.
     pub revision: Revision,
     /// The lease of the leader's key.
     pub lease: LeaseId,
-    /// The mark of the first commit.
+    /// The ID that the claim has stored as that of its first commit.
     pub mark: CommitId,
 }
 
 /// Who holds the leadership.
 #[derive(Debug)]
 pub enum Holder {
-    /// A host, by its claim at this revision.
+    /// A host holds it, by its claim at this revision.
     Host(LeaderRecord, Revision),
-    /// Nobody; it is claimed over what lies there at this revision.
+    /// Nobody holds it; a claim replaces the value at this revision.
     Nobody(Revision),
 }
 
-/// Reads who leads. What lies under no lease is no claim of ours and would never go away by itself; a claim
-/// under a lease that cannot be read may be of a newer version, and is waited for.
+/// Reads which host leads. A value without a lease was not written by a claim and would never expire,
+/// so it counts as no claim. A claim under a lease that cannot be decoded may come from a newer
+/// version; it counts as an error, so that hosts wait until it expires.
 ///
 /// # Errors
 /// Returns the store's error.
@@ -76,7 +79,8 @@
     Ok(Holder::Host(record, item.revision))
 }
 
-/// Reads the revision of the claim and, where it is named, the store's at that time.
+/// Reads the revision of the claim and, if the store reports it, the store's own revision at that
+/// time.
 ///
 /// # Errors
 /// Returns the store's error.
@@ -85,13 +89,18 @@
     Ok(found.map(|(item, at)| (item.revision, at)))
 }
 
-/// Claims the leadership over the claim at `seen`, or over none where it is the zero revision.
+/// Claims the leadership in place of the claim at `seen`; revision zero means that there is no
+/// claim.
 ///
 /// # Errors
-/// [`StoreError::Conflict`] where another host was faster, or an earlier try of this one; otherwise
-/// the store's error. After [`StoreError::Unclear`] the claim may be stored later, under a lease
-/// that nobody renews: it is then replaced, or gone with its lease.
-pub async fn claim(store: &Store, me: &LeaderRecord, seen: Revision) -> Result<Claim, StoreError> {
+/// [`StoreError::Conflict`] if another host, or an earlier attempt of this one, claimed first;
+/// otherwise the store's error. After [`StoreError::Unclear`] the claim may be stored later, under
+/// a lease that nobody renews: it is then replaced, or expires with its lease.
+pub async fn claim(
+    store: &Store,
+    own_record: &LeaderRecord,
+    seen: Revision,
+) -> Result<Claim, StoreError> {
     let (lease, last) = futures::join!(
         Box::pin(store.lease(LEASE.as_duration())),
         Box::pin(store.get(keys::COMMITS))
@@ -101,7 +110,7 @@
     let term =
         last.and_then(|item| store_writer::decode_mark(&item.value)).map_or(1, |m| m.term + 1);
     let mark = CommitId { term, number: 0 };
-    let record = LeaderRecord { term, lease: lease.0, ..me.clone() };
+    let record = LeaderRecord { term, lease: lease.0, ..own_record.clone() };
     let txn = Txn {
         expected: vec![(keys::LEADER.to_string(), seen), (keys::COMMITS.to_string(), commits)],
         set: vec![
@@ -113,7 +122,7 @@
     match store.commit(&txn).await {
         Ok(revision) => Ok(Claim { term, revision, lease, mark }),
         Err(StoreError::Unclear) => {
-            // No answer to the look leaves the try as open as it was.
+            // If this read gets no answer either, the outcome of the claim stays unknown.
             let found = current(store).await.map_err(|_| StoreError::Unclear)?;
             match found {
                 Holder::Host(stored, revision)
@@ -128,14 +137,14 @@
     }
 }
 
-/// What a leader knows of its own standing; shared by all its tasks.
+/// What a leader knows about its own leadership; shared by all its tasks.
 #[derive(Debug, Default)]
 pub struct LeadershipStatus {
-    /// When the last confirmation was asked for, in milliseconds of our clock.
-    confirmed: AtomicU64,
-    /// When another host last had an answer of the store.
+    /// When the last successful confirmation was sent, in milliseconds of this host's clock.
+    confirmed_at_ms: AtomicU64,
+    /// When the store last answered another host, in milliseconds of this host's clock.
     peer_store_answered_at_ms: AtomicU64,
-    /// When another host last called.
+    /// When another host last sent a heartbeat, in milliseconds of this host's clock.
     peer_heard_at_ms: AtomicU64,
     lost: AtomicBool,
 }
@@ -143,51 +152,52 @@
 /// Whether a leader may act now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Authority {
-    /// It may.
+    /// It may act.
     Act,
-    /// It may not, but may again once the store confirms it.
+    /// It may not act now, but may again once the store confirms its claim.
     Wait,
-    /// It never may again.
+    /// It may never act again.
     Lost,
 }
 
 impl LeadershipStatus {
-    /// Builds the standing of a claim that was sent at `sent`.
+    /// Builds the status of a claim that was sent at `sent`.
     pub fn open(sent: Instant) -> Arc<Self> {
-        let standing = Self::default();
-        standing.confirmed.store(sent.0, Ordering::SeqCst);
-        Arc::new(standing)
+        let status = Self::default();
+        status.confirmed_at_ms.store(sent.0, Ordering::SeqCst);
+        Arc::new(status)
     }
 
-    /// Takes in that the store confirmed the leadership when asked at `sent`.
+    /// Records that the store confirmed the leadership in answer to a call sent at `sent`.
     pub fn confirm(&self, sent: Instant) {
-        self.confirmed.fetch_max(sent.0, Ordering::SeqCst);
+        self.confirmed_at_ms.fetch_max(sent.0, Ordering::SeqCst);
     }
 
-    /// Returns when the last confirmation was asked for.
+    /// Returns when the last successful confirmation was sent.
     pub fn confirmed(&self) -> Instant {
-        Instant(self.confirmed.load(Ordering::SeqCst))
+        Instant(self.confirmed_at_ms.load(Ordering::SeqCst))
     }
 
-    /// Tells whether a confirmation is overdue, so that the word of other hosts about the store is needed.
+    /// Returns whether a confirmation is overdue, so that reports of other hosts about the store
+    /// are needed.
     pub fn is_confirmation_overdue(&self, now: Instant) -> bool {
         now.since(self.confirmed()) >= CONFIRMATION_OVERDUE_AFTER
     }
 
-    /// Takes in another host's word: how long ago the store last answered it.
+    /// Records another host's report of how long ago the store last answered it.
     pub fn record_peer_report(&self, now: Instant, store_age: Millis) {
         self.peer_heard_at_ms.fetch_max(now.0, Ordering::SeqCst);
         self.peer_store_answered_at_ms
             .fetch_max(now.0.saturating_sub(store_age.0), Ordering::SeqCst);
     }
 
-    /// Gives the leadership up.
+    /// Marks the leadership as lost, for good.
     pub fn lose(&self) {
         self.lost.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether the leader may act. Without a fresh confirmation it may go on only while
-    /// other hosts say that the store does not answer them either: nobody can claim then.
+    /// Returns whether the leader may act. Without a recent confirmation it may continue only while
+    /// other hosts report that the store does not answer them either: no host can claim then.
     pub fn authority(&self, now: Instant) -> Authority {
         if self.lost.load(Ordering::SeqCst) {
             return Authority::Lost;
@@ -197,12 +207,12 @@
         if unconfirmed.0 + LEASE_MARGIN.0 < LEASE.0 {
             return Authority::Act;
         }
-        let heard = Instant(self.peer_heard_at_ms.load(Ordering::SeqCst));
-        let peers_store = Instant(self.peer_store_answered_at_ms.load(Ordering::SeqCst));
-        if peers_store > confirmed + CONFIRMATION_OVERDUE_AFTER {
+        let peer_heard = Instant(self.peer_heard_at_ms.load(Ordering::SeqCst));
+        let store_answered_peer = Instant(self.peer_store_answered_at_ms.load(Ordering::SeqCst));
+        if store_answered_peer > confirmed + CONFIRMATION_OVERDUE_AFTER {
             return Authority::Lost;
         }
-        if now.since(heard) < PEER_REPORT_MAX_AGE {
+        if now.since(peer_heard) < PEER_REPORT_MAX_AGE {
             return Authority::Act;
         }
         Authority::Wait
