--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -75,7 +75,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let following = task::spawn(follower::run(node.clone()));
+    let follower = task::spawn(follower::run(node.clone()));
     task::spawn(reloading::run(node.clone(), PathBuf::from(path)));
     task::spawn(count_dropped_lines(node.clone(), logs.dropped()));
     if let Err(e) = wait_for_stop().await {
@@ -85,15 +85,15 @@
     tracing::info!(event = "stopping");
     node.stop();
     let cut_off = serving.stop(&node).await;
-    following.await;
+    follower.await;
     tracing::info!(event = "stopped", cut_off);
     ExitCode::SUCCESS
 }
 
-/// How often the count of dropped log lines is renewed.
+/// How often the metric of dropped log lines is updated.
 const COUNT_DROPPED_EVERY: Duration = Duration::from_secs(1);
 
-/// Keeps the count of dropped log lines for the metrics.
+/// Periodically copies the count of dropped log lines to the metrics.
 async fn count_dropped_lines(node: Arc<node::Node>, dropped: ErrorCounter) {
     loop {
         task::sleep(COUNT_DROPPED_EVERY).await;
@@ -101,8 +101,8 @@
     }
 }
 
-/// Waits for a signal to stop. A signal to reload needs no act of its own: the settings file is
-/// read every second.
+/// Waits for SIGTERM or SIGINT. SIGHUP is only logged: the settings file is read every second
+/// anyway.
 async fn wait_for_stop() -> std::io::Result<()> {
     let mut signals = signal_hook_async_std::Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     while let Some(signal) = signals.next().await {
