--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms by `prometheus-client`; label values are bounded.
+//! Metrics of a host, by `prometheus-client`; the number of label values is bounded.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// A label set with one bounded value.
+/// A label with a bounded set of values.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Label {
     kind: String,
@@ -26,10 +26,11 @@
 /// Upper bounds of the latency buckets, in seconds.
 const BUCKETS: [f64; 10] = [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 2.5];
 
-/// The most evacuated failure domains that are shown: above the users' 31, and a bound whatever is written.
+/// The maximum number of evacuated failure domains that are shown: above the users' 31, and a bound
+/// whatever operators write.
 const MAX_EVACUATED_SHOWN: usize = 64;
 
-/// Everything that a host counts.
+/// All metrics of a host.
 pub struct Metrics {
     registry: Registry,
     answers: Family<Label, Counter>,
@@ -37,31 +38,34 @@
     commits: Family<Label, Counter>,
     commit_time: Histogram,
     evacuated_runs: Family<DomainLabel, Gauge>,
-    /// Leaderships that this process has held.
+    /// The number of leaderships that this process has held.
     pub terms: Counter,
     /// The version of the configuration in force.
     pub config_version: Gauge,
-    /// What is free on the workers that take tasks, in thousandths of a core; 0 on a follower.
+    /// The free capacity of all workers that accept tasks, in thousandths of a core; 0 on a
+    /// follower.
     pub free_millicores: Gauge,
-    /// The most that is free on one such worker; far below the largest demand, the room lies in pieces.
+    /// The largest free capacity of one such worker. If it is far below the largest demand, the
+    /// free capacity is fragmented.
     pub largest_free_millicores: Gauge,
     /// Steps with tasks that wait for a worker; 0 on a follower.
     pub waiting_steps: Gauge,
-    /// Entries of the directory that are not what a worker writes, as the leader saw it last.
+    /// Directory entries that no worker would write, as last read by the leader.
     pub unreadable_entries: Gauge,
     /// Tasks that are suspected of crashing workers; 0 on a follower.
     pub suspect_tasks: Gauge,
-    /// Runs that the leader found of jobs that had ended before; 0 on a follower.
+    /// Runs that the leader found of jobs that had already ended; 0 on a follower.
     pub runs_after_end: Gauge,
-    /// How far the leader's view of the directory is behind, in milliseconds.
+    /// The age of the leader's view of the directory, in milliseconds.
     pub directory_lag_ms: Gauge,
-    /// Events that wait for the leader; it cannot keep up where they grow. 0 on a follower.
+    /// Events that wait for the leader. If their number keeps growing, the leader cannot keep up. 0
+    /// on a follower.
     pub waiting_events: Gauge,
     /// Log lines that were dropped because standard output was not read in time.
     pub log_lines_dropped: Gauge,
 }
 
-/// Builds the counters.
+/// Builds and registers the metrics.
 pub fn open() -> Metrics {
     let mut registry = Registry::with_prefix("gaplock");
     let answers = Family::<Label, Counter>::default();
@@ -73,8 +77,8 @@
     let commit_time = Histogram::new(BUCKETS);
     registry.register("commit_seconds", "Time of a commit", commit_time.clone());
     let evacuated_runs = Family::<DomainLabel, Gauge>::default();
-    let what = "Tasks that still run in an evacuated failure domain";
-    registry.register("evacuated_domain_runs", what, evacuated_runs.clone());
+    let help = "Tasks that still run in an evacuated failure domain";
+    registry.register("evacuated_domain_runs", help, evacuated_runs.clone());
     let terms = Counter::default();
     registry.register("terms", "Leaderships held by this process", terms.clone());
     let mut gauge = |name: &str, help: &str| {
@@ -83,8 +87,8 @@
         gauge
     };
     let config_version = gauge("config_version", "Configuration in force");
-    let what = "Log lines dropped because standard output was not read in time";
-    let log_lines_dropped = gauge("log_lines_dropped", what);
+    let help = "Log lines dropped because standard output was not read in time";
+    let log_lines_dropped = gauge("log_lines_dropped", help);
     let free_millicores = gauge("free_millicores", "Free processors of all workers together");
     let largest_free_millicores =
         gauge("largest_free_millicores", "The most free processors of one worker");
@@ -133,8 +137,8 @@
         self.commit_time.observe(took.as_secs_f64());
     }
 
-    /// Shows the evacuated failure domains, each with the tasks that still run there; the others are not
-    /// shown.
+    /// Shows the evacuated failure domains, each with the number of tasks that still run there.
+    /// Other domains are not shown.
     pub fn show_evacuated<'a>(&self, domains: impl Iterator<Item = (&'a ids::DomainId, usize)>) {
         self.evacuated_runs.clear();
         for (domain, runs) in domains.take(MAX_EVACUATED_SHOWN) {
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Renders the counters as text.
+    /// Renders the metrics as text.
     pub fn render(&self) -> String {
         let mut out = String::new();
         if let Err(e) = text::encode(&mut out, &self.registry) {
