--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,5 @@
-//! What all tasks of a host's process share.
+//! State shared by all tasks of a host's process: its role, the settings and configuration in
+//! force, and when the store and the leader last answered.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -23,62 +24,65 @@
 use crate::metrics::Metrics;
 use crate::peers::{self, Heartbeat, HeartbeatAnswer, Invitation, QueueCount, StatusAnswer};
 
-/// What this host does for the installation.
+/// The role of this host in the installation.
 #[derive(Clone)]
 pub enum Role {
-    /// It hands callers' requests on to the leader at this address, if one is known.
+    /// It follows the leader at this address; `None` while no leader is known.
     Follower(Option<String>),
-    /// It decides.
+    /// It leads, with this engine.
     Leader(Arc<Engine>),
 }
 
-/// What all tasks of a host's process share.
+/// State shared by all tasks of a host's process.
 pub struct Node {
-    /// What the installation says of this host.
+    /// The installation's settings for this host.
     pub installation: Installation,
-    /// This process.
+    /// Identifies this process among those that have run on this host.
     pub incarnation: ids::Incarnation,
-    /// Where this host answers other hosts.
+    /// The address at which this host accepts calls of other hosts.
     pub peer_addr: String,
     /// The platform's store.
     pub store: Arc<Store>,
-    /// The service that says where steps may run, if the installation has one.
+    /// The service that decides on which workers steps may run, if the installation has one.
     pub advisor: Option<Advisor>,
-    /// The service that knows the workers' hosts, if the installation has one.
+    /// The service that lists the workers' hosts and takes them down for maintenance, if the
+    /// installation has one.
     pub hosts: Option<Hosts>,
-    /// The connection to the leader.
+    /// The client for calls to other hosts, mostly to the leader.
     pub leader: peers::PeerClient,
-    /// Counters.
+    /// The metrics of this host.
     pub metrics: Metrics,
     settings: RwLock<Settings>,
     config: RwLock<Option<Arc<Config>>>,
     role: RwLock<Role>,
     stopping: AtomicBool,
-    store_answered: AtomicU64,
-    store_failed: AtomicU64,
+    store_answered_at_ms: AtomicU64,
+    store_failed_at_ms: AtomicU64,
     store_lost: AtomicBool,
-    leader_answered: AtomicU64,
-    config_read: AtomicU64,
-    waiting: Mutex<BTreeMap<String, u32>>,
+    leader_answered_at_ms: AtomicU64,
+    config_newest_at_ms: AtomicU64,
+    leader_queue_counts: Mutex<BTreeMap<String, u32>>,
     started_at: Instant,
-    /// What this host has for leading.
+    /// The capacity of this host as a leader.
     pub leader_capacity: LeaderCapacity,
-    /// Who leads next.
+    /// What this host knows about the next leader.
     pub handover: Handover,
 }
 
-/// How old the leader's counts of queues may be when they are shown; callers expect 2 s at most.
+/// The maximum age of the leader's queue counts that are shown to callers; callers expect 2 s at
+/// most.
 const QUEUE_COUNTS_MAX_AGE: Millis = Millis(1_500);
 
-/// How long a host without an answer of the leader or the store still takes connections.
+/// How long a host stays ready for callers after the last answer of the leader and of the store.
 const READY_WITHOUT_CONTACT_LIMIT: Millis = Millis(2_500);
 
-/// How long the store must have failed this host's calls before writes are not tried any more.
+/// How long the store must have failed this host's calls before writes are refused without an
+/// attempt.
 const STORE_UNAVAILABLE_AFTER: Millis = Millis(600);
 
 const LOCK: &str = "no holder of the lock panics";
 
-/// Builds the shared part of a process.
+/// Builds the shared state of a process.
 pub fn open(
     installation: Installation,
     settings: Settings,
@@ -86,12 +90,13 @@
     store: Store,
 ) -> Arc<Node> {
     let advisor = installation.advice_addr.as_deref().map(advice::open);
-    let holder = &installation.host;
+    let own_host = &installation.host;
     let hosts = installation.hosts_addr.as_deref();
-    let hosts = hosts.map(|addr| hosts::open(addr, holder.clone()));
-    let strength = succession::leader_capacity(installation.cpu_share, installation.link_mbps);
+    let hosts = hosts.map(|addr| hosts::open(addr, own_host.clone()));
+    let leader_capacity =
+        succession::leader_capacity(installation.cpu_share, installation.link_mbps);
     Arc::new(Node {
-        leader_capacity: strength,
+        leader_capacity,
         started_at: clock::now(),
         handover: Handover::default(),
         advisor,
@@ -106,22 +111,22 @@
         config: RwLock::new(None),
         role: RwLock::new(Role::Follower(None)),
         stopping: AtomicBool::new(false),
-        store_answered: AtomicU64::new(0),
-        store_failed: AtomicU64::new(0),
+        store_answered_at_ms: AtomicU64::new(0),
+        store_failed_at_ms: AtomicU64::new(0),
         store_lost: AtomicBool::new(false),
-        leader_answered: AtomicU64::new(0),
-        config_read: AtomicU64::new(0),
-        waiting: Mutex::default(),
+        leader_answered_at_ms: AtomicU64::new(0),
+        config_newest_at_ms: AtomicU64::new(0),
+        leader_queue_counts: Mutex::default(),
     })
 }
 
 impl Node {
-    /// Returns bounds and intervals for the scheduler.
+    /// Returns the scheduler's settings: its bounds and intervals.
     pub fn settings(&self) -> Settings {
         self.settings.read().expect(LOCK).clone()
     }
 
-    /// Changes bounds and intervals for the scheduler.
+    /// Replaces the scheduler's settings.
     pub fn set_settings(&self, settings: Settings) {
         *self.settings.write().expect(LOCK) = settings;
     }
@@ -136,7 +141,7 @@
         self.config().map_or(0, |c| c.version)
     }
 
-    /// Takes a newer configuration into force; an older one changes nothing.
+    /// Puts a configuration into force if it is newer than the present one.
     pub fn set_config(&self, config: Config) {
         let config = Arc::new(config);
         {
@@ -153,27 +158,27 @@
         }
     }
 
-    /// Takes in that the configuration in force was the newest one at `at`.
+    /// Records that the configuration in force was the newest one at `at`.
     pub fn confirm_config_newest_at(&self, at: Instant) {
-        self.config_read.fetch_max(at.0, Ordering::Relaxed);
+        self.config_newest_at_ms.fetch_max(at.0, Ordering::Relaxed);
     }
 
-    /// Returns how long ago the configuration in force was known to be the newest.
+    /// Returns how long ago the configuration in force was last known to be the newest.
     pub fn config_age(&self) -> Millis {
-        clock::now().since(Instant(self.config_read.load(Ordering::Relaxed)))
+        clock::now().since(Instant(self.config_newest_at_ms.load(Ordering::Relaxed)))
     }
 
-    /// Returns what this host does now.
+    /// Returns this host's present role.
     pub fn role(&self) -> Role {
         self.role.read().expect(LOCK).clone()
     }
 
-    /// Changes what this host does.
+    /// Changes this host's role.
     pub fn set_role(&self, role: Role) {
         *self.role.write().expect(LOCK) = role;
     }
 
-    /// Returns the address of another host that leads.
+    /// Returns the address of the leader, if another host leads.
     pub fn leader_addr(&self) -> Option<String> {
         match self.role() {
             Role::Follower(addr) => addr,
@@ -181,58 +186,60 @@
         }
     }
 
-    /// Takes in that the store has answered.
+    /// Records that the store has answered. After an outage, notifies the engine if this host
+    /// leads.
     pub fn record_store_answer(&self) {
         if self.store_lost.swap(false, Ordering::Relaxed) {
             tracing::info!(event = "store_back", silent_ms = self.store_age().0);
-            // Entries of workers that lapsed meanwhile need time to come back.
+            // Directory entries of workers that expired during the outage need time to reappear.
             if let Role::Leader(engine) = self.role() {
                 engine.send(Event::DirectoryRecovered);
             }
         }
-        self.store_answered.fetch_max(clock::now().0, Ordering::Relaxed);
+        self.store_answered_at_ms.fetch_max(clock::now().0, Ordering::Relaxed);
     }
 
-    /// Takes in which revision the store was at when it was asked.
-    pub fn report_store_revision(&self, mark: RevisionSample) {
+    /// Reports the store's revision at a given time to the engine, if this host leads.
+    pub fn report_store_revision(&self, sample: RevisionSample) {
         if let Role::Leader(engine) = self.role() {
-            engine.send(Event::StoreRevision(mark));
+            engine.send(Event::StoreRevision(sample));
         }
     }
 
-    /// Takes in that a call to the store failed.
+    /// Records that a call to the store failed.
     pub fn record_store_failure(&self) {
         if !self.store_lost.swap(true, Ordering::Relaxed) {
             tracing::warn!(event = "store_lost", silent_ms = self.store_age().0);
         }
-        self.store_failed.fetch_max(clock::now().0, Ordering::Relaxed);
+        self.store_failed_at_ms.fetch_max(clock::now().0, Ordering::Relaxed);
     }
 
-    /// Tells whether the store has failed this host's last calls for a while; writes are then not
-    /// even tried, so that a refusal is certainly true.
+    /// Returns whether the store has failed this host's calls for `STORE_UNAVAILABLE_AFTER`. Writes
+    /// are then not attempted, so that it is certain that a refused write is not stored.
     pub fn is_store_unavailable(&self) -> bool {
-        let answered = self.store_answered.load(Ordering::Relaxed);
-        let failed = self.store_failed.load(Ordering::Relaxed);
+        let answered = self.store_answered_at_ms.load(Ordering::Relaxed);
+        let failed = self.store_failed_at_ms.load(Ordering::Relaxed);
         failed > answered && self.store_age() >= STORE_UNAVAILABLE_AFTER
     }
 
     /// Returns how long ago the store last answered.
     pub fn store_age(&self) -> Millis {
-        clock::now().since(Instant(self.store_answered.load(Ordering::Relaxed)))
+        clock::now().since(Instant(self.store_answered_at_ms.load(Ordering::Relaxed)))
     }
 
-    /// Takes in that the leader has answered, with its counts of queues.
+    /// Records that the leader has answered, with its queue counts.
     pub fn record_leader_answer(&self, counts: Vec<QueueCount>) {
-        self.leader_answered.fetch_max(clock::now().0, Ordering::Relaxed);
+        self.leader_answered_at_ms.fetch_max(clock::now().0, Ordering::Relaxed);
         let counts = counts.into_iter().map(|c| (c.queue, c.waiting));
-        *self.waiting.lock().expect(LOCK) = counts.collect();
+        *self.leader_queue_counts.lock().expect(LOCK) = counts.collect();
     }
 
     fn leader_age(&self) -> Millis {
-        clock::now().since(Instant(self.leader_answered.load(Ordering::Relaxed)))
+        clock::now().since(Instant(self.leader_answered_at_ms.load(Ordering::Relaxed)))
     }
 
-    /// Returns how many jobs of a queue have not begun, if that is known well enough.
+    /// Returns how many jobs of a queue have not begun; `None` if the leader's last counts are too
+    /// old.
     pub fn waiting(&self, queue: &str) -> Option<u32> {
         if let Role::Leader(engine) = self.role() {
             return Some(engine.waiting_jobs_of(queue));
@@ -240,10 +247,10 @@
         if self.leader_age() > QUEUE_COUNTS_MAX_AGE {
             return None;
         }
-        Some(self.waiting.lock().expect(LOCK).get(queue).copied().unwrap_or(0))
+        Some(self.leader_queue_counts.lock().expect(LOCK).get(queue).copied().unwrap_or(0))
     }
 
-    /// Tells whether this host should be given callers' connections.
+    /// Returns whether this host should receive callers' connections.
     pub fn is_ready(&self) -> bool {
         let leads = matches!(self.role(), Role::Leader(_));
         let store = self.store_age() < READY_WITHOUT_CONTACT_LIMIT;
@@ -251,12 +258,12 @@
         !self.is_stopping() && self.config().is_some() && (leads || store || leader)
     }
 
-    /// Tells whether the process is to end.
+    /// Returns whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Begins the end of the process; a leader stops acting and hands over.
+    /// Starts the shutdown of the process. A leader stops acting and hands over.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
         if let Role::Leader(engine) = self.role() {
@@ -269,7 +276,8 @@
         clock::now().since(self.started_at)
     }
 
-    /// Answers an invitation to lead, once the claim was made or not.
+    /// Handles an invitation to lead; returns whether this host leads now, after its claim has
+    /// succeeded or failed.
     pub async fn handle_invitation(&self, invitation: Invitation) -> bool {
         !self.is_stopping() && self.handover.handle_invitation(invitation).await
     }
@@ -277,7 +285,8 @@
     /// Answers a follower's heartbeat.
     pub async fn answer_heartbeat(&self, beat: Heartbeat) -> HeartbeatAnswer {
         let now = clock::now();
-        // Noted before this host leads, too: a claim that is still reading the state makes way.
+        // Recorded even if this host does not lead yet: a new leader that is still reading the
+        // stored state may step down too.
         self.handover.record_follower(now, &beat);
         let Role::Leader(engine) = self.role() else { return HeartbeatAnswer::NotLeader };
         engine.leadership.record_peer_report(now, beat.store_age);
@@ -301,14 +310,14 @@
         }
     }
 
-    /// Takes in a stored job if this host leads; tells whether it does.
+    /// Passes a stored job to the engine if this host leads; returns whether it does.
     pub async fn apply_job_if_leader(&self, job: Arc<Job>) -> bool {
         let Role::Leader(engine) = self.role() else { return false };
         engine.send(Event::Job(job));
         true
     }
 
-    /// Takes in a stored cancellation if this host leads; tells whether it does.
+    /// Passes a stored cancellation to the engine if this host leads; returns whether it does.
     pub async fn apply_cancel_if_leader(&self, key: JobKey) -> bool {
         let Role::Leader(engine) = self.role() else { return false };
         engine.send(Event::Cancel(key));
