--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,9 +1,9 @@
-//! Calls between hosts: JSON-RPC over WebSocket by `jsonrpsee`.
+//! Calls between hosts, as JSON-RPC over WebSocket by `jsonrpsee`.
 //!
-//! Followers call the leader only: with a heartbeat, with what callers handed in, and with
-//! questions about jobs. Nothing depends on one of these calls for safety, and none is sent a
-//! second time by itself: the library neither reconnects nor repeats, and a connection that owes an
-//! answer is dropped.
+//! Followers call only the leader: they send heartbeats and the jobs and cancellations of callers,
+//! and query job states. The leader calls a follower only to invite it to lead. Safety depends on
+//! none of these calls, and none is sent again automatically: the library neither reconnects nor
+//! repeats calls, and a connection on which a call got no answer is dropped.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -25,31 +25,32 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// How long a call to the leader may take; a healthy one takes a millisecond or two.
+/// The time limit of a call to the leader; it normally takes a millisecond or two.
 const CALL_LIMIT: Duration = Duration::from_millis(700);
 
-/// How long an invitation may go unanswered: a claim is three calls to the store, each of which
-/// takes up to 0.4 s where it is slow.
+/// The time limit of an invitation: the claim takes three calls to the store, each of which takes
+/// up to 0.4 s where the store is slow.
 const INVITE_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// How long a connection may take to open.
+/// The time limit for opening a connection.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
 
-/// The largest message; a job is bounded by the callers' limits, far below this.
+/// The largest size of a message; the size of a job is limited by the limits for callers, far below
+/// this.
 const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
-/// How many other hosts may be connected: some times the hundreds that the users' sites grow to,
-/// and half of the descriptors of their smallest host. The library's own bound is 100.
+/// How many other hosts may be connected: several times the hundreds of hosts that the users' sites
+/// grow to, and half of the descriptors of their smallest host. The library's own limit is 100.
 const MAX_CONNECTIONS: u32 = 2_000;
 
-/// Why a call has no answer.
+/// Why a call got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub enum PeerError {
     /// There was no connection; the call was not sent.
-    #[display("the host cannot be reached")]
+    #[display("no connection to the host; the call was not sent")]
     NotSent,
-    /// The call may have been carried out.
-    #[display("no answer came from the host")]
+    /// The call was sent but not answered; it may have been carried out.
+    #[display("the host did not answer; the call may have been carried out")]
     Unclear,
 }
 
@@ -58,21 +59,21 @@
 /// A follower's heartbeat.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
-    /// The follower.
+    /// The follower's host.
     pub host: ids::EntryId,
-    /// How long ago the store last answered it.
+    /// How long ago the store last answered the follower.
     pub store_age: Millis,
-    /// The version of the configuration that it has; 0 for none.
+    /// The version of the follower's configuration; 0 for none.
     pub config_version: u64,
-    /// Where it answers other hosts.
+    /// The address at which the follower accepts calls of other hosts.
     pub addr: String,
-    /// What it has for leading.
+    /// The capacity of the follower's host as a leader.
     pub strength: succession::LeaderCapacity,
-    /// How long its process has run.
+    /// How long the follower's process has been running.
     pub running_for: Millis,
 }
 
-/// A leader's word to a follower that it may claim the leadership at once.
+/// A leader's invitation to a follower to claim the leadership at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Invitation {
     /// The store's revision of the claim that is to be replaced.
@@ -84,7 +85,7 @@
 pub struct QueueCount {
     /// The queue.
     pub queue: String,
-    /// Its jobs none of whose tasks has begun.
+    /// The number of its jobs none of whose tasks has begun.
     pub waiting: u32,
 }
 
@@ -97,33 +98,34 @@
     Leader {
         /// How long ago the leader last read the configuration from the store.
         config_age: Millis,
-        /// The configuration in force, where the follower's is older.
+        /// The configuration in force, if the follower's is older.
         config: Option<Config>,
         /// Queues with jobs that have not begun.
         waiting: Vec<QueueCount>,
-        /// The host that claims first if the leader is lost.
+        /// The host that should claim first if the leader is lost.
         successor: Option<ids::EntryId>,
-        /// The strength of the strongest host that the leader knows, itself included.
+        /// The largest leader capacity of all hosts that the leader knows, itself included.
         strongest: succession::LeaderCapacity,
-        /// The pause after which the follower is to send its next heartbeat.
+        /// The pause after which the follower should send its next heartbeat.
         #[serde(default)]
         beat_after: Millis,
-        /// Whether the follower should make sure that the store answers it. Its word ends the leadership where
-        /// the store no longer answers the leader.
-        #[serde(default = "wanted_by_default")]
+        /// Whether the follower should check whether the store answers it. Its report ends the
+        /// leadership if the store no longer answers the leader.
+        #[serde(default = "check_store_by_default")]
         check_store: bool,
     },
 }
 
-/// What holds for an answer of an earlier version, whose followers check the store by themselves.
-fn wanted_by_default() -> bool {
+/// The default for answers of an earlier version, whose followers check the store without being
+/// asked.
+fn check_store_by_default() -> bool {
     true
 }
 
-/// What a leader says of a job.
+/// A leader's answer to a query for a job's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum StatusAnswer {
-    /// This host does not lead, or does not know yet.
+    /// This host does not lead, or does not know the job yet.
     Unknown,
     /// The job's state.
     State(JobState),
@@ -137,7 +139,8 @@
 const STATUS: &str = "status";
 const INVITE: &str = "invite";
 
-/// The connection to the leader, opened on first use and again after a fault.
+/// The client for calls to other hosts. Its connection is opened on first use and again after a
+/// fault.
 #[derive(Default)]
 pub struct PeerClient {
     client: Mutex<Option<(String, Arc<WsClient>)>>,
@@ -190,7 +193,7 @@
         if let Ok(Ok(answer)) = answer {
             return Ok(answer);
         }
-        // A connection that owes an answer is not used again.
+        // A connection on which a call got no answer is not used again.
         let mut known = self.client.lock().expect("no holder of the lock panics");
         if known.as_ref().is_some_and(|(_, c)| Arc::ptr_eq(c, &client)) {
             *known = None;
@@ -201,7 +204,7 @@
     /// Sends a heartbeat.
     ///
     /// # Errors
-    /// [`PeerError`] where no answer came.
+    /// [`PeerError`] if no answer came.
     pub async fn heartbeat(
         &self,
         addr: &str,
@@ -210,47 +213,47 @@
         self.call(addr, HEARTBEAT, heartbeat).await
     }
 
-    /// Tells the leader of a stored job; answers whether the host called leads.
+    /// Notifies the leader of a stored job; returns whether the called host leads.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn job_stored(&self, addr: &str, job: &Job) -> Result<bool, PeerError> {
         self.call(addr, JOB_STORED, job).await
     }
 
-    /// Tells the leader of a stored cancellation; answers whether the host called leads.
+    /// Notifies the leader of a stored cancellation; returns whether the called host leads.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn cancel_stored(&self, addr: &str, key: JobKey) -> Result<bool, PeerError> {
         self.call(addr, CANCEL_STORED, &key).await
     }
 
-    /// Asks the leader to store a job that we cannot store.
+    /// Asks the leader to store a job that this host cannot store.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn store_job(&self, addr: &str, job: &Job) -> Result<StoreOutcome, PeerError> {
         self.call(addr, STORE_JOB, job).await
     }
 
-    /// Asks the leader to store a cancellation that we cannot store.
+    /// Asks the leader to store a cancellation that this host cannot store.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn store_cancel(&self, addr: &str, key: JobKey) -> Result<StoreOutcome, PeerError> {
         self.call(addr, STORE_CANCEL, &key).await
     }
 
-    /// Invites a follower to claim the leadership; answers whether it holds it now.
+    /// Invites a follower to claim the leadership; returns whether it now leads.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn invite(&self, addr: &str, invitation: Invitation) -> Result<bool, PeerError> {
         self.call_within(addr, INVITE, &invitation, INVITE_LIMIT).await
     }
 
-    /// Waits until the open connection is lost; for ever, if there is none.
+    /// Waits until the open connection is lost; forever if there is none.
     pub async fn wait_until_lost(&self) {
         let known = self.client.lock().expect("no holder of the lock panics").clone();
         match known {
@@ -262,21 +265,21 @@
         }
     }
 
-    /// Asks for a job's state.
+    /// Queries a job's state.
     ///
     /// # Errors
-    /// As [`Leader::heartbeat`].
+    /// As [`PeerClient::heartbeat`].
     pub async fn status(&self, addr: &str, key: JobKey) -> Result<StatusAnswer, PeerError> {
         self.call(addr, STATUS, &key).await
     }
 }
 
-/// A serving listener for other hosts.
+/// The running listener for other hosts.
 pub struct Server {
     handle: ServerHandle,
 }
 
-/// Binds the listener for other hosts and begins to serve.
+/// Binds the listener for other hosts and starts to serve.
 ///
 /// # Errors
 /// Returns the error of binding the address.
@@ -296,7 +299,7 @@
     /// Stops serving.
     pub fn stop(&self) {
         if self.handle.stop().is_err() {
-            tracing::debug!("the listener for other hosts had stopped by itself");
+            tracing::debug!("the listener for other hosts was already stopped");
         }
     }
 }
