--- a/crates/node/src/records.rs
+++ b/crates/node/src/records.rs
@@ -1,8 +1,8 @@
-//! Stored records, read back with the keys that they lie under.
+//! Decodes stored records and checks them against their keys.
 //!
-//! The store also takes entries of other writers. A record that cannot be understood, or that speaks of something
-//! else than its key, is logged and passed over: taken at its word it would give one job another one's progress,
-//! down to the checkpoints that its tasks are started with.
+//! Other writers also use the store. A record that cannot be decoded, or that names another item than
+//! its key does, is logged and skipped: if it were used, one job would get the progress of another
+//! job, including the checkpoints with which its tasks are started.
 
 use gaplock_jobs::progress::Progress;
 use gaplock_jobs::{Job, TaskKey};
@@ -24,13 +24,14 @@
     capacity: sizes::Resources,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     holds: Option<Vec<TaskKey>>,
-    /// Whether it was leaving when it was closed; what it ran is not suspected of its loss.
+    /// Whether the worker was leaving when the leader closed it; the tasks that it ran are then not
+    /// suspected of having crashed it.
     #[serde(default)]
     leaving: bool,
 }
 
 impl RosterRecord {
-    /// Builds the stored form.
+    /// Builds the stored form of a worker's entry.
     pub fn of(entry: &RosterEntry) -> Self {
         let info = &entry.info;
         Self {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns what the roster says of the worker.
+    /// Converts the stored form back into the worker's entry.
     fn entry(self) -> RosterEntry {
         let info = WorkerInfo {
             id: self.id,
@@ -61,30 +62,30 @@
     }
 }
 
-/// Reads a job's progress.
+/// Decodes a job's progress.
 pub fn progress(item: &Item) -> Option<Progress> {
     let progress: Progress = decode(item)?;
     has_key(item, &keys::progress(progress.key)).then_some(progress)
 }
 
-/// Reads an accepted job.
+/// Decodes an accepted job.
 pub fn job(item: &Item) -> Option<Job> {
     let job: Job = decode(item)?;
     has_key(item, &keys::job(job.key)).then_some(job)
 }
 
-/// Reads a worker of the roster. One whose record cannot be read may run anything, and is waited for until its
-/// leases are over.
+/// Decodes a worker of the roster. A worker whose record cannot be decoded may run any task, so its
+/// leases are waited out.
 pub fn roster_entry(item: &Item) -> Option<RosterEntry> {
     let record: Option<RosterRecord> = decode(item);
     let record = record.filter(|record| has_key(item, &keys::roster(&record.id)));
     let entry = record.map(RosterRecord::entry);
-    entry.or_else(|| keys::worker_of(&item.key).map(unknown))
+    entry.or_else(|| keys::worker_of(&item.key).map(undecodable_entry))
 }
 
-/// Returns what is known of a worker whose record cannot be read: that it may run anything. The directory
-/// tells its address, if anything does.
-fn unknown(id: ids::WorkerId) -> RosterEntry {
+/// Returns the entry of a worker whose record cannot be decoded: it may run any task. Its address
+/// is known only if the directory lists it.
+fn undecodable_entry(id: ids::WorkerId) -> RosterEntry {
     let info = WorkerInfo {
         id,
         addr: String::new(),
@@ -98,7 +99,7 @@
     RosterEntry { info, holds: None }
 }
 
-/// Tells whether a record lies under the key of what it speaks of.
+/// Returns whether a record lies under the key of the item that it names, and logs it if not.
 fn has_key(item: &Item, key: &str) -> bool {
     if item.key != key {
         tracing::warn!(event = "record_misplaced", key = item.key, speaks_of = key);
