--- a/crates/node/src/reloading.rs
+++ b/crates/node/src/reloading.rs
@@ -1,7 +1,7 @@
-//! Takes changes of the settings file into force while the process runs.
+//! Puts changes of the settings file into force while the process runs.
 //!
-//! The file may change with a signal or without one, so it is also read now and then. Addresses
-//! are used as they were at the start; the bounds of the scheduler follow the file.
+//! The file may change with or without a signal, so it is also read periodically. Addresses stay as
+//! they were at the start; the scheduler's settings follow the file.
 
 use std::fs;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 /// How often the file is read without a signal; a change must be in force within 2 s.
 const READ_EVERY: Duration = Duration::from_millis(1_000);
 
-/// Watches the settings file for the life of the process.
+/// Watches the settings file until the process stops.
 pub async fn run(node: Arc<Node>, path: PathBuf) {
     let mut known = fs::read(&path).unwrap_or_default();
     while !node.is_stopping() {
