--- a/crates/node/src/serving.rs
+++ b/crates/node/src/serving.rs
@@ -1,4 +1,4 @@
-//! The host's listeners: callers, readiness, metrics and other hosts.
+//! The host's listeners: for callers, readiness checks, metrics and other hosts.
 
 use std::io;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::{callers, peers};
 
-/// Running listeners.
+/// The running listeners.
 pub struct Serving {
     callers: Listener,
     readiness: Listener,
@@ -19,14 +19,16 @@
     peers: peers::Server,
 }
 
-/// How long the process takes to end after its last answer, beyond the listeners' stop.
+/// The part of the stop period that is reserved for the exit of the process, after the listeners have
+/// stopped and the last answer was sent.
 const EXIT_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// How long a stopping host goes on accepting connections: the balancer notices after two of its
-/// questions, one a second, and its callers' connections may be on their way.
+/// How long a stopping host still accepts connections: the load balancer notices after two of its
+/// checks, one a second, and connections of its callers may be on their way.
 const LEAVE_BALANCER_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// How long a caller may take to send a header; connections between requests are idle that long.
+/// How long a caller may take to send a header; connections may also be idle this long between
+/// requests.
 const IDLE_LIMIT: Duration = Duration::from_secs(60);
 
 /// Binds every listener.
@@ -37,8 +39,8 @@
     let installation = &node.installation;
     let limits = Limits { header: IDLE_LIMIT, ..Limits::default() };
     let shared = Arc::clone(node);
-    let callers = gaplock_serve::bind(&installation.callers_addr, limits, move |whole| {
-        callers::handle(Arc::clone(&shared), whole)
+    let callers = gaplock_serve::bind(&installation.callers_addr, limits, move |request| {
+        callers::handle(Arc::clone(&shared), request)
     })
     .await?;
     let shared = Arc::clone(node);
@@ -47,8 +49,8 @@
     })
     .await?;
     let shared = Arc::clone(node);
-    let metrics = gaplock_serve::bind(metrics_addr, limits, move |whole: Whole| {
-        metrics(Arc::clone(&shared), whole)
+    let metrics = gaplock_serve::bind(metrics_addr, limits, move |request: Whole| {
+        metrics(Arc::clone(&shared), request)
     })
     .await?;
     let peers = peers::bind(&node.peer_addr, Arc::clone(node)).await?;
@@ -60,8 +62,8 @@
     Response::new(if ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable })
 }
 
-async fn metrics(node: Arc<Node>, whole: Whole) -> Response {
-    if whole.req.url().path() != "/metrics" {
+async fn metrics(node: Arc<Node>, request: Whole) -> Response {
+    if request.req.url().path() != "/metrics" {
         return Response::new(StatusCode::NotFound);
     }
     let mut res = Response::new(StatusCode::Ok);
@@ -70,8 +72,8 @@
 }
 
 impl Serving {
-    /// Leaves the balancer, answers what is in flight, then closes. Returns how many requests were
-    /// cut off.
+    /// Leaves the load balancer, answers the requests in flight, then closes the listeners. Returns
+    /// how many requests were cut off.
     pub async fn stop(self, node: &Node) -> usize {
         let grace = node.installation.grace.as_duration();
         let leave = LEAVE_BALANCER_PAUSE.min(grace / 2);
