--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -50,24 +50,25 @@
     ),
 ];
 
-/// The time within which the answers to a burst of starts must be taken in, in seconds: well below
-/// the 0.4 s after which an order counts as unanswered.
+/// The time within which the answers to a burst of starts must be handled, in seconds: well below
+/// the 0.4 s after which a call to a worker counts as unanswered.
 const BURST_ANSWERS_WITHIN_S: f64 = 0.15;
 
 /// The processor time that a start and its answer take, in seconds (`docs/CAPACITY.md`).
 const START_CPU_S: f64 = 0.000_25;
 
-/// The bytes of a start and its answer: the most that callers' texts come to on the users' sites.
+/// The size of a start and its answer, in bytes: the largest that occurs with the texts of callers on
+/// the users' sites.
 const START_BYTES: f64 = 3_000.0;
 
-/// The fewest starts that may be under way, on the weakest host.
-const MIN_STARTS_UNDER_WAY: usize = 16;
+/// The smallest limit of starts in flight, which the least powerful host has.
+const MIN_STARTS_IN_FLIGHT: usize = 16;
 
-/// Returns how many starts a host with so much of a processor and such a link may have under way.
-pub fn starts_under_way_most(cpu_share: f64, link_mbps: f64) -> usize {
+/// Returns how many starts a host with this share of a processor and this link may have in flight.
+pub fn max_starts_in_flight(cpu_share: f64, link_mbps: f64) -> usize {
     let by_cpu = BURST_ANSWERS_WITHIN_S * cpu_share / START_CPU_S;
     let by_link = BURST_ANSWERS_WITHIN_S * link_mbps * 1_000_000.0 / 8.0 / START_BYTES;
-    (by_cpu.min(by_link) as usize).max(MIN_STARTS_UNDER_WAY)
+    (by_cpu.min(by_link) as usize).max(MIN_STARTS_IN_FLIGHT)
 }
 
 /// Builds the scheduler's settings.
@@ -75,7 +76,7 @@
     let mut cfg = Settings {
         renew_wait: Millis(values.number(RENEW_WAIT)),
         commit_delay: Millis(values.number(COMMIT_DELAY)),
-        max_starts_in_flight: starts_under_way_most(installation.cpu_share, installation.link_mbps),
+        max_starts_in_flight: max_starts_in_flight(installation.cpu_share, installation.link_mbps),
         ..Settings::default()
     };
     installation::apply(installation, &mut cfg);
