--- a/crates/node/src/state_reader.rs
+++ b/crates/node/src/state_reader.rs
@@ -1,7 +1,8 @@
-//! Reads the stored state at the beginning of a leadership.
+//! Reads the stored state at the start of a leadership.
 //!
-//! On a narrow link that takes seconds, so a reading that is cut goes on where it stopped, ends at once
-//! when the leadership is lost, and is given up when it takes too long for this host.
+//! On a slow link this takes seconds. A read that is interrupted therefore continues where it
+//! stopped, ends at once when the leadership is lost, and is abandoned when it takes too long on
+//! this host.
 
 use std::collections::BTreeSet;
 use std::pin::pin;
@@ -22,33 +23,34 @@
 use crate::node::Node;
 use crate::{evacuations, follower, keys, records};
 
-/// The stored state, from which the scheduler's state is restored and the feeds go on.
+/// The stored state: the scheduler's state is restored from it, and the feeds continue from its
+/// revisions.
 pub struct LoadedState {
-    /// What former leaders and callers' hosts have stored.
+    /// The records of previous leaders and of the hosts that serve callers.
     pub stored: StoredState,
     /// The revision from which the inbox is watched.
     pub inbox: Revision,
-    /// The directory of workers.
+    /// The entries of the directory of workers.
     pub directory: Listed,
-    /// When its reading began.
+    /// When the read of the directory began.
     pub directory_asked: Instant,
 }
 
-/// How long a claim may take to read the state before it is given back, so that another host may
-/// try: a state of 10 MB takes 8 s on the narrowest link of the users' sites, 10 Mbit/s.
+/// How long a new leader may take to read the state before it gives up its claim, so that another
+/// host may try: a state of 10 MB takes 8 s on the slowest link of the users' sites, 10 Mbit/s.
 const READ_LIMIT: Millis = Millis(12_000);
 
-/// How long a host that could not read the state in time stands behind the others.
+/// How long a host that could not read the state in time lets other hosts claim first.
 const DEFER_CLAIMS_FOR: Millis = Millis(10_000);
 
-/// What has been read so far of each part of the stored state; kept over failed calls.
+/// The parts of the stored state that have been read so far; kept when a call fails.
 #[derive(Default)]
 struct PartialState {
     inbox: Reading,
     progress: Reading,
     roster: Reading,
     directory: Reading,
-    learnt: Option<Item>,
+    learned: Option<Item>,
     waves: Vec<Item>,
     evacuated: Evacuated,
 }
@@ -63,18 +65,19 @@
     }
 }
 
-/// Reads everything; after a failed call it goes on where it stopped.
-pub async fn read_all(node: &Arc<Node>, standing: &LeadershipStatus) -> Option<LoadedState> {
+/// Reads the whole stored state. After a failed call it continues where it stopped. Returns `None`
+/// if the leadership is lost, the process stops or `READ_LIMIT` has passed.
+pub async fn read_all(node: &Arc<Node>, leadership: &LeadershipStatus) -> Option<LoadedState> {
     let began = clock::now();
-    let mut readings = PartialState::default();
-    while standing.authority(clock::now()) != Authority::Lost && !node.is_stopping() {
-        let read = read_while_leading(node, standing, &mut readings).await?;
+    let mut partial = PartialState::default();
+    while leadership.authority(clock::now()) != Authority::Lost && !node.is_stopping() {
+        let read = read_while_leading(node, leadership, &mut partial).await?;
         let took = clock::now().since(began);
-        let (pages, bytes) = (readings.pages(), readings.bytes());
+        let (pages, bytes) = (partial.pages(), partial.bytes());
         match read {
             Ok(()) => {
                 tracing::info!(event = "state_read", took_ms = took.0, pages, bytes);
-                return Some(decode_state(readings, began));
+                return Some(decode_state(partial, began));
             }
             Err(e) => {
                 tracing::info!(event = "restore_delayed", error = %e, pages, bytes);
@@ -90,35 +93,39 @@
     None
 }
 
-/// Reads on until a call fails or all is read; gives up where the leadership is lost.
+/// Continues the read until everything is read or a call fails; returns `None` as soon as the
+/// leadership is lost.
 async fn read_while_leading(
     node: &Arc<Node>,
-    standing: &LeadershipStatus,
-    readings: &mut PartialState,
+    leadership: &LeadershipStatus,
+    partial: &mut PartialState,
 ) -> Option<Result<(), StoreError>> {
-    match select(pin!(read_on(node, readings)), pin!(wait_until_lost(standing))).await {
+    match select(pin!(read_missing_parts(node, partial)), pin!(wait_until_lost(leadership))).await {
         Either::Left((read, _)) => Some(read),
         Either::Right(_) => None,
     }
 }
 
-/// How often a reading of the state looks whether the leadership still stands.
+/// How often a read of the state checks whether the leadership is lost.
 const LEADERSHIP_CHECK_EVERY: Duration = Duration::from_millis(50);
 
 /// Waits until the leadership is lost.
-async fn wait_until_lost(standing: &LeadershipStatus) {
-    while standing.authority(clock::now()) != Authority::Lost {
+async fn wait_until_lost(leadership: &LeadershipStatus) {
+    while leadership.authority(clock::now()) != Authority::Lost {
         task::sleep(LEADERSHIP_CHECK_EVERY).await;
     }
 }
 
-/// Reads what is still missing of everything, all parts beside each other: one after the other they
-/// take nine calls, 3.9 s where the store takes 0.4 s for each, and nothing is started meanwhile. The order
-/// does not matter, since only the holder of the claim writes progress and roster, and the inbox and the
-/// directory are watched from the revision at which they were read.
-async fn read_on(node: &Arc<Node>, readings: &mut PartialState) -> Result<(), StoreError> {
+/// Reads all parts that are still missing, concurrently: one after the other they take nine calls,
+/// 3.9 s where the store takes 0.4 s for each, and nothing is started during that time. The order
+/// does not matter, since only the holder of the claim writes progress and roster, and the inbox
+/// and the directory are watched from the revision at which they were read.
+async fn read_missing_parts(
+    node: &Arc<Node>,
+    partial: &mut PartialState,
+) -> Result<(), StoreError> {
     let (store, installation) = (&node.store, &node.installation);
-    let PartialState { inbox, progress, roster, directory, learnt, waves, evacuated } = readings;
+    let PartialState { inbox, progress, roster, directory, learned, waves, evacuated } = partial;
     let read_evacuated = async {
         if installation.bounds.evacuate.is_some() {
             *evacuated = evacuations::read(node, &mut BTreeSet::new()).await?;
@@ -131,8 +138,8 @@
         }
         Ok(())
     };
-    // Boxed: the states of so many calls are too large for a thread's stack.
-    let (_, roster, directory, progress, inbox, found, evacuated, waves) = futures::join!(
+    // Boxed: the futures of so many calls are too large for a thread's stack.
+    let (_, roster, directory, progress, inbox, read_learned, evacuated, waves) = futures::join!(
         Box::pin(follower::read_config(node)),
         Box::pin(store.read_on(keys::ROSTER, roster)),
         Box::pin(store.read_on(directory::PREFIX, directory)),
@@ -142,18 +149,18 @@
         Box::pin(read_evacuated),
         Box::pin(read_waves),
     );
-    // A part that was read whole is kept; the next reading goes on with the others.
+    // Parts that were read completely are kept; the next read continues with the others.
     roster.and(directory).and(progress).and(inbox).and(evacuated).and(waves)?;
-    *learnt = found?;
+    *learned = read_learned?;
     node.record_store_answer();
     Ok(())
 }
 
-/// Decodes what was read.
-fn decode_state(readings: PartialState, began: Instant) -> LoadedState {
-    let inbox = readings.inbox.listed();
-    let progress = readings.progress.listed();
-    let roster = readings.roster.listed();
+/// Decodes the parts that were read.
+fn decode_state(partial: PartialState, began: Instant) -> LoadedState {
+    let inbox = partial.inbox.listed();
+    let progress = partial.progress.listed();
+    let roster = partial.roster.listed();
     let mut stored = StoredState::default();
     sort_inbox(&inbox.items, &mut stored);
     for item in &progress.items {
@@ -165,14 +172,14 @@
         }
     }
     stored.roster = roster.items.iter().filter_map(records::roster_entry).collect();
-    stored.learned = readings.learnt.as_ref().and_then(records::decode).unwrap_or_default();
-    stored.waves = readings.waves.iter().filter_map(records::decode).collect();
-    stored.evacuated = readings.evacuated;
-    let directory = readings.directory.listed();
+    stored.learned = partial.learned.as_ref().and_then(records::decode).unwrap_or_default();
+    stored.waves = partial.waves.iter().filter_map(records::decode).collect();
+    stored.evacuated = partial.evacuated;
+    let directory = partial.directory.listed();
     LoadedState { stored, inbox: inbox.revision, directory, directory_asked: began }
 }
 
-/// Sorts what callers' hosts have stored into jobs and cancellations.
+/// Sorts the items of the inbox into jobs and cancellations.
 fn sort_inbox(items: &[Item], stored: &mut StoredState) {
     for item in items {
         match feeds::read_inbox(item) {
