--- a/crates/node/src/store_writer.rs
+++ b/crates/node/src/store_writer.rs
@@ -1,4 +1,6 @@
-//! The leader's writes: each holds only while the leadership and the last commit are as expected.
+//! Writes the leader's records to the store. Each transaction is conditional on the leader's claim
+//! and on its last commit, so that neither a previous leader nor an attempt that is carried out late
+//! can overwrite newer records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,36 +19,36 @@
 use crate::leadership::{Authority, Claim, LeadershipStatus};
 use crate::records::RosterRecord;
 
-/// Why a commit is not stored.
+/// Why a commit was not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitError {
     /// Another leader has taken over, or the leadership is over; the last commit may be stored.
     LeadershipLost,
-    /// The store is away; nothing was written and nothing will be.
+    /// The store is unavailable; nothing was written and nothing will be.
     NotWritten,
 }
 
-/// The right to write as the leader.
+/// Writes records to the store under the claim of one leadership.
 #[derive(Debug)]
 pub struct StoreWriter {
     store: Arc<Store>,
-    standing: Arc<LeadershipStatus>,
-    leader: Revision,
+    leadership: Arc<LeadershipStatus>,
+    claim: Revision,
     writer: CommitWriter,
 }
 
-/// Entries of a transaction that are left for records: two go to its conditions and one to the
-/// commit's mark.
+/// The number of entries of a transaction that are left for records: two are its conditions and one
+/// is the commit's ID.
 const RECORD_ENTRIES: usize = store::TXN_MOST_ENTRIES - 3;
 
-/// The pause before a commit whose fate is unknown is sent again: half of the one that the leader
-/// makes while the store is away, since ends wait for it.
+/// The pause before a commit with an unknown outcome is sent again: half of the pause that the
+/// leader makes while the store is unavailable, since ends of tasks wait for the commit.
 const UNCLEAR_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Builds the right to write from a fresh claim.
-pub fn open(store: Arc<Store>, standing: Arc<LeadershipStatus>, claim: &Claim) -> StoreWriter {
+/// Builds the writer of a new leadership from its claim.
+pub fn open(store: Arc<Store>, leadership: Arc<LeadershipStatus>, claim: &Claim) -> StoreWriter {
     let writer = commit_writer::open(claim.mark, CommitRevision(claim.revision.0));
-    StoreWriter { store, standing, leader: claim.revision, writer }
+    StoreWriter { store, leadership, claim: claim.revision, writer }
 }
 
 impl StoreWriter {
@@ -62,21 +64,22 @@
         let mut left = records;
         while !left.is_empty() {
             let (part, rest) = left.split_at(count_fitting_records(left));
-            self.write_part(part).await?;
+            self.write_txn(part).await?;
             left = rest;
         }
         Ok(())
     }
 
-    /// Writes one transaction; `writing` decides by the answers what follows.
-    async fn write_part(&mut self, records: &[Record]) -> Result<(), CommitError> {
-        let mark = self.writer.begin();
-        let txn = self.transaction(records, mark);
+    /// Writes one transaction. After each answer, the writer in `gaplock_sched` returns the next
+    /// step.
+    async fn write_txn(&mut self, records: &[Record]) -> Result<(), CommitError> {
+        let id = self.writer.begin();
+        let txn = self.transaction(records, id);
         let mut next = NextStep::Send;
         loop {
             next = match next {
-                NextStep::Send => self.send(&txn, mark, records.len()).await,
-                NextStep::ReadStore => self.look(mark, records.len()).await,
+                NextStep::Send => self.send(&txn, id, records.len()).await,
+                NextStep::ReadStore => self.read_store(id, records.len()).await,
                 NextStep::Wait => self.wait().await,
                 NextStep::Stored => return Ok(()),
                 NextStep::NotStored => return Err(CommitError::NotWritten),
@@ -85,65 +88,66 @@
         }
     }
 
-    /// Sends a try of a transaction.
-    async fn send(&mut self, txn: &Txn, mark: CommitId, records: usize) -> NextStep {
+    /// Sends a transaction once.
+    async fn send(&mut self, txn: &Txn, id: CommitId, records: usize) -> NextStep {
         self.writer.sent();
         let answer = match self.store.commit(txn).await {
             Ok(revision) => CommitAnswer::Stored(CommitRevision(revision.0)),
             Err(StoreError::Conflict) => CommitAnswer::Conflict,
-            // No key of a commit is under a lease, so none can be missing: nothing was done.
+            // No key of a commit has a lease that could be missing, so `Gone` too means that
+            // nothing was done.
             Err(StoreError::Away | StoreError::Gone) => CommitAnswer::Refused,
             Err(StoreError::Unclear) => CommitAnswer::Silent,
         };
         let next = self.writer.answered(answer);
         match answer {
-            CommitAnswer::Refused => log_commit_refused(mark, self.writer.attempts(), records),
-            CommitAnswer::Silent => log_commit_unclear(mark, self.writer.attempts(), records),
+            CommitAnswer::Refused => log_commit_refused(id, self.writer.attempts(), records),
+            CommitAnswer::Silent => log_commit_unclear(id, self.writer.attempts(), records),
             CommitAnswer::Stored(_) | CommitAnswer::Conflict => {}
         }
         next
     }
 
-    /// Looks which commit is the last one and whether the claim still stands.
-    async fn look(&mut self, mark: CommitId, records: usize) -> NextStep {
-        let sight = self.read_commit_state().await.unwrap_or_else(|e| {
+    /// Reads which commit is the last one and whether the claim is still stored.
+    async fn read_store(&mut self, id: CommitId, records: usize) -> NextStep {
+        let view = self.read_commit_state().await.unwrap_or_else(|e| {
             tracing::debug!(event = "store_silent", error = %e);
             StoreView::Nothing
         });
-        let next = self.writer.store_read(sight);
+        let next = self.writer.store_read(view);
         if next == NextStep::Stored {
-            log_commit_found(mark, self.writer.attempts(), records);
+            log_commit_found(id, self.writer.attempts(), records);
         }
         next
     }
 
     async fn read_commit_state(&self) -> Result<StoreView, StoreError> {
         let commits = self.store.get(keys::COMMITS).await?;
-        let mark = commits.as_ref().and_then(|item| decode_mark(&item.value));
+        let id = commits.as_ref().and_then(|item| decode_mark(&item.value));
         let revision = CommitRevision(commits.map_or(0, |item| item.revision.0));
-        // Where something newer is stored, that alone decides.
-        let leads = revision == self.writer.last() && self.leads().await?;
-        Ok(StoreView::Last { mark, revision, leads })
+        // If a newer commit is stored, that alone decides, and the claim is not read.
+        let leads = revision == self.writer.last() && self.is_claim_stored().await?;
+        Ok(StoreView::Last { mark: id, revision, leads })
     }
 
-    /// Tells whether the claim is still stored.
-    async fn leads(&self) -> Result<bool, StoreError> {
+    /// Returns whether the claim is still stored.
+    async fn is_claim_stored(&self) -> Result<bool, StoreError> {
         let leader = self.store.get(keys::LEADER).await?;
-        Ok(leader.is_some_and(|item| item.revision == self.leader))
+        Ok(leader.is_some_and(|item| item.revision == self.claim))
     }
 
     async fn wait(&self) -> NextStep {
         task::sleep(UNCLEAR_RETRY_PAUSE).await;
-        self.writer.waited(self.standing.authority(clock::now()) != Authority::Lost)
+        self.writer.waited(self.leadership.authority(clock::now()) != Authority::Lost)
     }
 
-    fn transaction(&self, records: &[Record], mark: CommitId) -> Txn {
+    fn transaction(&self, records: &[Record], id: CommitId) -> Txn {
         let mut txn = Txn {
             expected: vec![
-                (keys::LEADER.to_string(), self.leader),
+                (keys::LEADER.to_string(), self.claim),
                 (keys::COMMITS.to_string(), Revision(self.writer.last().0)),
             ],
-            set: vec![(keys::COMMITS.to_string(), encode(&mark), None)],
+            set: vec![(keys::COMMITS.to_string(), encode(&id), None)],
             remove: Vec::new(),
         };
         for record in records {
@@ -164,8 +168,8 @@
                     txn.set.push((keys::wave(progress.number), encode(progress), None));
                     txn.set.push((waves::status_key(progress.number), status, None));
                 }
-                Record::Learned(learnt) => {
-                    txn.set.push((keys::LEARNED.to_string(), encode(learnt), None));
+                Record::Learned(learned) => {
+                    txn.set.push((keys::LEARNED.to_string(), encode(learned), None));
                 }
             }
         }
@@ -173,24 +177,24 @@
     }
 }
 
-/// Logs that the last try of a commit was refused.
-fn log_commit_refused(mark: CommitId, tries: CallAttempts, records: usize) {
-    let CommitId { term, number } = mark;
-    let (attempt, open) = (tries.sent(), tries.unanswered());
+/// Logs that the last attempt of a commit was refused.
+fn log_commit_refused(id: CommitId, attempts: CallAttempts, records: usize) {
+    let CommitId { term, number } = id;
+    let (attempt, open) = (attempts.sent(), attempts.unanswered());
     tracing::info!(event = "commit_refused", term, number, attempt, open, records);
 }
 
-/// Logs that the last try of a commit got no answer.
-fn log_commit_unclear(mark: CommitId, tries: CallAttempts, records: usize) {
-    let CommitId { term, number } = mark;
-    let (attempt, open) = (tries.sent(), tries.unanswered());
+/// Logs that the last attempt of a commit got no answer.
+fn log_commit_unclear(id: CommitId, attempts: CallAttempts, records: usize) {
+    let CommitId { term, number } = id;
+    let (attempt, open) = (attempts.sent(), attempts.unanswered());
     tracing::info!(event = "commit_unclear", term, number, attempt, open, records);
 }
 
-/// Logs that a commit without an answer is stored, by the mark in the store.
-fn log_commit_found(mark: CommitId, tries: CallAttempts, records: usize) {
-    let CommitId { term, number } = mark;
-    let (attempt, open) = (tries.sent(), tries.unanswered());
+/// Logs that a commit without an answer is stored, as its ID in the store shows.
+fn log_commit_found(id: CommitId, attempts: CallAttempts, records: usize) {
+    let CommitId { term, number } = id;
+    let (attempt, open) = (attempts.sent(), attempts.unanswered());
     tracing::info!(event = "commit_found", term, number, attempt, open, records);
 }
 
@@ -213,12 +217,12 @@
     }
 }
 
-/// Encodes a stored value; our own types always can be.
+/// Encodes a value for the store; all of our stored types can be encoded.
 pub fn encode(value: &impl serde::Serialize) -> Vec<u8> {
-    serde_json::to_vec(value).expect("stored types have no keys that JSON cannot hold")
+    serde_json::to_vec(value).expect("stored types only have map keys that JSON supports")
 }
 
-/// Decodes the mark of the last commit.
+/// Decodes the ID of the last commit; `None` if it is malformed.
 pub fn decode_mark(value: &[u8]) -> Option<CommitId> {
     serde_json::from_slice(value).ok()
 }
