--- a/crates/node/tests/cancelled.rs
+++ b/crates/node/tests/cancelled.rs
@@ -1,7 +1,9 @@
-//! Cancelled jobs, with real daemons in processes: nothing of them is started again, and what runs of them ends.
+//! Cancelled jobs, tested with real daemon processes: none of their tasks is started again, and
+//! those that run are stopped.
 //!
-//! Users saw runs of cancelled jobs go on for good. Cause: a task that was suspected of crashing its worker was
-//! started after the cancellation of its job, and nothing stops a run of a job that has ended.
+//! Guards against runs of cancelled jobs that go on forever, which users saw. A task suspected of
+//! crashing its worker was started after the cancellation of its job, and nothing stopped a run of
+//! a job that had ended.
 
 mod support;
 
@@ -14,33 +16,33 @@
 use gaplock_platform_standin::trouble::{Lateness, Stops, WorkerTrouble};
 use support::{open_site, wait_for};
 
-/// What a task takes; none ends by itself in a test.
-const LONG: Duration = Duration::from_secs(60);
+/// How long a task takes; no task ends by itself in these tests.
+const TASK_DURATION: Duration = Duration::from_secs(60);
 
-/// A little more than what the judge lets pass.
+/// A little more than the checker tolerates.
 const MARGIN: Duration = Duration::from_millis(200);
 
-/// The longest that a late order is late, and a little more.
-const LATEST: Duration = Duration::from_millis(6_300);
+/// A little more than the longest delay of a late order.
+const LONGEST_ORDER_DELAY: Duration = Duration::from_millis(6_300);
 
-/// How many tasks a job of two steps has at work at first.
+/// How many tasks of a job of two steps run at first.
 const FIRST_TASKS: u64 = 6;
 
 /// Where accepted jobs are stored.
 const JOBS: &str = "gaplock/in/job/";
 
-/// What a caller is told whose outcome is not known.
-const UNKNOWN: u16 = 504;
+/// The status that a caller gets if the outcome is unknown.
+const OUTCOME_UNKNOWN_STATUS: u16 = 504;
 
-/// Opens a site whose workers are known to its leader, and returns that leader.
+/// Opens a site whose leader knows the workers; returns that leader too.
 fn open(hosts: usize, workers: usize) -> (Site, usize) {
-    let site = open_site(hosts, workers, LONG);
+    let site = open_site(hosts, workers, TASK_DURATION);
     wait_for("the workers to be known", || site.knows_workers());
     let leader = site.leader().expect("there is a leader");
     (site, leader)
 }
 
-/// Hands in jobs and waits until their first tasks run.
+/// Submits jobs and waits until their first tasks run.
 fn run_jobs(site: &Site, host: usize, keys: &[u64]) {
     for &key in keys {
         assert_eq!(site.hosts[host].submit(JobKey(key), &two_steps()), Some(200));
@@ -49,7 +51,7 @@
     wait_for("the first starts", || site.fleet.starts() >= wanted);
 }
 
-/// Cancels jobs at a host, and tells the judge once that is acknowledged.
+/// Cancels jobs at a host, and notifies the checker of each once its cancellation is acknowledged.
 fn cancel(site: &Site, host: usize, keys: &[u64]) {
     for &key in keys {
         let acknowledged = || site.hosts[host].cancel(JobKey(key)).is_some_and(acknowledges);
@@ -58,13 +60,14 @@
     }
 }
 
-/// Lets the judge look at a site that nothing harms, and checks that jobs are shown as cancelled and nothing runs.
-fn assert_gone(site: &Site, host: usize, keys: &[u64]) {
-    assert_gone_after(site, host, keys, Duration::ZERO);
+/// Runs the checker for a while without injected faults, and checks that the jobs are shown as
+/// cancelled and that nothing of them runs.
+fn assert_nothing_runs(site: &Site, host: usize, keys: &[u64]) {
+    assert_nothing_runs_after(site, host, keys, Duration::ZERO);
 }
 
-/// The same where starts may be carried out for a while.
-fn assert_gone_after(site: &Site, host: usize, keys: &[u64], late: Duration) {
+/// The same where starts may still be carried out during the time `late`.
+fn assert_nothing_runs_after(site: &Site, host: usize, keys: &[u64], late: Duration) {
     site.fleet.note_calm();
     let began = Instant::now();
     while began.elapsed() < late + OUTSTAY_LIMIT + MARGIN {
@@ -73,7 +76,7 @@
     }
     assert_eq!(site.fleet.cancelled_runs(), Vec::<String>::new());
     for &key in keys {
-        let state = site.hosts[host].state(JobKey(key)).map(|(_, word)| word);
+        let state = site.hosts[host].state(JobKey(key)).map(|(_, shown)| shown);
         assert_eq!(state.as_deref(), Some("canceled"), "job {key}");
     }
 }
@@ -82,11 +85,12 @@
     (0..site.fleet.len()).for_each(|worker| site.fleet.crash(worker));
 }
 
-fn trouble_all(site: &Site, trouble: WorkerTrouble) {
+fn set_trouble_on_all(site: &Site, trouble: WorkerTrouble) {
     (0..site.fleet.len()).for_each(|worker| site.fleet.set_trouble(worker, trouble));
 }
 
-/// Guards against suspects that are tried, and run for good, after the cancellation of their jobs.
+/// Guards against suspect tasks that are tried after the cancellation of their jobs and then run
+/// forever.
 #[test]
 fn suspects_of_cancelled_jobs_are_not_tried() {
     let (site, leader) = open(2, 3);
@@ -96,15 +100,16 @@
     wait_for("the next starts", || site.fleet.starts() >= 2 * 3 * FIRST_TASKS);
     let before = site.fleet.starts();
     crash_all(&site);
-    // With two losses each task is tried alone, and all others wait.
+    // After two losses of its worker each task is tried alone, and all others wait.
     wait_for("a trial", || site.fleet.starts() > before);
     cancel(&site, leader, &keys);
-    assert_gone(&site, leader, &keys);
+    assert_nothing_runs(&site, leader, &keys);
 }
 
-/// Guards against suspects that are started between the crash and the leader's next look at them.
+/// Guards against suspect tasks that are started between the crash and the leader's next check for
+/// suspects.
 #[test]
-fn jobs_cancelled_right_after_a_crash_of_their_workers_are_gone() {
+fn jobs_cancelled_right_after_a_crash_of_their_workers_are_stopped() {
     let (site, leader) = open(2, 2);
     let keys = [1, 2, 3, 4];
     run_jobs(&site, leader, &keys);
@@ -112,102 +117,105 @@
         site.fleet.crash(key as usize % 2);
         cancel(&site, leader, &[key]);
     }
-    assert_gone(&site, leader, &keys);
+    assert_nothing_runs(&site, leader, &keys);
 }
 
-/// Guards against tasks that are started again since their worker's next start knows nothing of them.
+/// Guards against tasks that are started again because the next incarnation of their worker does
+/// not know them.
 #[test]
-fn jobs_cancelled_while_their_workers_start_again_under_their_names_are_gone() {
+fn jobs_cancelled_while_their_workers_restart_under_their_names_are_stopped() {
     let (site, leader) = open(2, 2);
     let keys = [1, 2, 3];
     run_jobs(&site, leader, &keys);
     cancel(&site, leader, &keys[..1]);
     (0..site.fleet.len()).for_each(|worker| site.fleet.start_over(worker));
     cancel(&site, leader, &keys[1..2]);
-    wait_for("the restart to be heard", || site.fleet.starts() > 3 * FIRST_TASKS);
+    wait_for("the restart to be noticed", || site.fleet.starts() > 3 * FIRST_TASKS);
     cancel(&site, leader, &keys[2..]);
-    assert_gone(&site, leader, &keys);
+    assert_nothing_runs(&site, leader, &keys);
 }
 
 /// Guards against a successor that adopts the runs of a job cancelled while nobody led.
 #[test]
-fn a_job_cancelled_while_nobody_leads_is_gone_under_the_successor() {
+fn a_job_cancelled_while_nobody_leads_is_stopped_under_the_successor() {
     let (mut site, first) = open(3, 3);
     let other = (first + 1) % 3;
     run_jobs(&site, other, &[1, 2]);
-    site.hosts[first].kill().expect("it runs");
+    site.hosts[first].kill().expect("the process runs");
     cancel(&site, other, &[1, 2]);
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
-    assert_gone(&site, other, &[1, 2]);
+    assert_nothing_runs(&site, other, &[1, 2]);
 }
 
-/// Guards against a successor that adopts runs which the leader was killed before it could stop.
+/// Guards against a successor that adopts runs which the previous leader was killed before it could
+/// stop.
 #[test]
-fn a_job_whose_leader_is_killed_after_the_acknowledgement_is_gone_under_the_successor() {
+fn a_job_whose_leader_is_killed_after_the_acknowledgement_is_stopped_under_the_successor() {
     let (mut site, first) = open(3, 3);
     let other = (first + 1) % 3;
     run_jobs(&site, first, &[1, 2]);
-    trouble_all(&site, WorkerTrouble { stops: Stops::Lost, ..WorkerTrouble::default() });
+    set_trouble_on_all(&site, WorkerTrouble { stops: Stops::Lost, ..WorkerTrouble::default() });
     cancel(&site, first, &[1, 2]);
-    site.hosts[first].kill().expect("it runs");
-    trouble_all(&site, WorkerTrouble::default());
+    site.hosts[first].kill().expect("the process runs");
+    set_trouble_on_all(&site, WorkerTrouble::default());
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
-    assert_gone(&site, other, &[1, 2]);
+    assert_nothing_runs(&site, other, &[1, 2]);
 }
 
-/// Guards against a cancellation that is known to nobody but the host that acknowledged it.
+/// Guards against a cancellation that only the host that acknowledged it knows.
 #[test]
-fn a_job_is_gone_though_the_host_that_acknowledged_its_cancellation_is_removed() {
+fn a_job_is_stopped_although_the_host_that_acknowledged_its_cancellation_is_removed() {
     let (mut site, leader) = open(3, 3);
     let other = (leader + 1) % 3;
     run_jobs(&site, leader, &[1, 2]);
     cancel(&site, other, &[1, 2]);
-    site.hosts[other].kill().expect("it runs");
-    assert_gone(&site, leader, &[1, 2]);
+    site.hosts[other].kill().expect("the process runs");
+    assert_nothing_runs(&site, leader, &[1, 2]);
 }
 
-/// Guards against stops that are given up when a worker refuses them.
+/// Guards against stops that are not retried after a worker has refused them.
 #[test]
 fn refused_stops_are_sent_again() {
-    assert_stopped_in_spite_of(Stops::Refused);
+    assert_stopped_despite(Stops::Refused);
 }
 
-/// Guards against stops that are taken for done when no answer came.
+/// Guards against stops that are assumed to be carried out although no answer came.
 #[test]
 fn lost_stops_are_sent_again() {
-    assert_stopped_in_spite_of(Stops::Lost);
+    assert_stopped_despite(Stops::Lost);
 }
 
-fn assert_stopped_in_spite_of(stops: Stops) {
+fn assert_stopped_despite(stops: Stops) {
     let (site, leader) = open(2, 2);
     run_jobs(&site, leader, &[1, 2]);
-    trouble_all(&site, WorkerTrouble { stops, ..WorkerTrouble::default() });
+    set_trouble_on_all(&site, WorkerTrouble { stops, ..WorkerTrouble::default() });
     cancel(&site, leader, &[1, 2]);
     wait_for("a stop of each run", || site.fleet.stops_arrived() >= 2 * FIRST_TASKS);
     assert_eq!(site.fleet.cancelled_runs().len() as u64, 2 * FIRST_TASKS);
-    trouble_all(&site, WorkerTrouble::default());
-    assert_gone(&site, leader, &[1, 2]);
+    set_trouble_on_all(&site, WorkerTrouble::default());
+    assert_nothing_runs(&site, leader, &[1, 2]);
 }
 
-/// Guards against starts without an answer that are forgotten with their job and carried out seconds later.
+/// Guards against starts without an answer that are forgotten with their job and carried out
+/// seconds later.
 #[test]
 fn starts_that_are_carried_out_after_the_cancellation_are_stopped() {
     let (site, leader) = open(2, 2);
     let late = WorkerTrouble { late_starts: 100, ..WorkerTrouble::default() };
-    trouble_all(&site, late);
+    set_trouble_on_all(&site, late);
     (0..site.fleet.len()).for_each(|n| site.fleet.set_lateness(n, Lateness::ByLeases));
     for key in [1, 2] {
         assert_eq!(site.hosts[leader].submit(JobKey(key), &lasting()), Some(200));
     }
     wait_for("the starts to arrive", || site.fleet.arrived() >= 4);
     cancel(&site, leader, &[1, 2]);
-    trouble_all(&site, WorkerTrouble::default());
-    assert_gone_after(&site, leader, &[1, 2], LATEST);
+    set_trouble_on_all(&site, WorkerTrouble::default());
+    assert_nothing_runs_after(&site, leader, &[1, 2], LONGEST_ORDER_DELAY);
 }
 
 /// Guards against members of a gang that are started again with the others after the cancellation.
 #[test]
-fn gangs_cancelled_at_work_or_after_the_loss_of_a_member_are_gone() {
+fn gangs_cancelled_while_running_or_after_the_loss_of_a_member_are_stopped() {
     let (site, leader) = open(2, 4);
     for key in [1, 2, 3] {
         assert_eq!(site.hosts[leader].submit(JobKey(key), &gang()), Some(200));
@@ -218,12 +226,12 @@
     cancel(&site, leader, &[2]);
     wait_for("the next starts", || site.fleet.starts() > 9);
     cancel(&site, leader, &[3]);
-    assert_gone(&site, leader, &[1, 2, 3]);
+    assert_nothing_runs(&site, leader, &[1, 2, 3]);
 }
 
-/// Guards against cancellations that the leader hears of before the jobs, and forgets.
+/// Guards against cancellations that reach the leader before their jobs and are dropped.
 #[test]
-fn jobs_cancelled_at_another_host_right_after_their_hand_in_are_gone() {
+fn jobs_cancelled_at_another_host_right_after_their_submission_are_stopped() {
     let (site, leader) = open(3, 3);
     let (one, other) = ((leader + 1) % 3, (leader + 2) % 3);
     let keys: Vec<u64> = (1..=40).collect();
@@ -231,11 +239,11 @@
         assert_eq!(site.hosts[one].submit(JobKey(key), &lasting()), Some(200));
         cancel(&site, other, &[key]);
     }
-    assert_gone(&site, leader, &keys);
+    assert_nothing_runs(&site, leader, &keys);
 }
 
-/// Guards against a hand-in without an outcome that is stored, and runs for good, after its caller was told that
-/// there is no such job to cancel.
+/// Guards against a submission with an unknown outcome that is stored, and whose tasks run forever,
+/// after its caller was notified that there is no such job to cancel.
 #[test]
 fn a_hand_in_that_is_stored_after_its_cancellation_starts_nothing() {
     let (site, leader) = open(2, 2);
@@ -243,10 +251,10 @@
     let other = &site.hosts[1 - leader];
     site.store.hold_next(JOBS);
     let callers = other.callers.clone();
-    let asked = thread::spawn(move || site::submit(&callers, job, &lasting()));
-    wait_for("a hand-in without an answer", || site.store.holds_one());
+    let submission = thread::spawn(move || site::submit(&callers, job, &lasting()));
+    wait_for("a submission without an answer", || site.store.holds_one());
     site.store.set_writes_refused(true);
-    assert_eq!(asked.join().expect("the caller does not panic"), Some(UNKNOWN));
+    assert_eq!(submission.join().expect("the caller does not panic"), Some(OUTCOME_UNKNOWN_STATUS));
     site.store.set_writes_refused(false);
     cancel(&site, leader, &[1]);
     site.store.carry_out_held();
