--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -1,8 +1,8 @@
-//! What the scheduler hears of the workers' directory.
+//! Which changes of the workers' directory are passed to the scheduler.
 //!
-//! Seen on 3,000 workers: the directory was 7 s old after 24 s, and tasks went to workers that had said that
-//! they leave. Cause: each heartbeat, in which nothing but a counter changes, was handed on, and the feed paused
-//! behind answers that were full.
+//! Guards against a stale view of the directory. With 3,000 workers it was 7 s behind after 24 s,
+//! and tasks were sent to workers that had announced that they were leaving. Each heartbeat, in
+//! which only a counter changes, was passed on, and the feed paused after answers that were full.
 
 use gaplock_platform::store::{Change, Item, Revision};
 use gaplock_sched::Event;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_entry_that_says_the_same_as_before_is_no_change() {
+fn an_unchanged_entry_is_not_reported() {
     let mut entries = entries::open(Gauge::default());
     let first = entries.changed(&Change::Set(item(1, "ready", 8)));
     assert!(matches!(first.as_slice(), [Event::Listed(_)]));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn whatever_else_changes_is_heard_of() {
+fn every_other_change_is_reported() {
     let mut entries = entries::open(Gauge::default());
     entries.changed(&Change::Set(item(1, "ready", 8)));
     let smaller = entries.changed(&Change::Set(item(2, "ready", 4)));
@@ -46,23 +46,23 @@
     let back = entries.changed(&Change::Set(item(4, "draining", 4)));
     assert!(
         matches!(back.as_slice(), [Event::Listed(_)]),
-        "an entry that came back is the same as before"
+        "an entry that reappeared was not reported"
     );
 }
 
 #[test]
-fn an_entry_that_is_sound_again_is_heard_of_though_it_says_the_same() {
+fn an_entry_that_is_valid_again_is_reported_even_if_unchanged() {
     let mut entries = entries::open(Gauge::default());
     entries.changed(&Change::Set(item(1, "ready", 8)));
-    let spoilt = Item { value: b"{".to_vec(), ..item(2, "ready", 8) };
-    let spoilt = entries.changed(&Change::Set(spoilt));
-    assert!(matches!(spoilt.as_slice(), [Event::Unreadable(_)]));
-    let sound = entries.changed(&Change::Set(item(3, "ready", 8)));
-    assert!(matches!(sound.as_slice(), [Event::Listed(_)]));
+    let malformed = Item { value: b"{".to_vec(), ..item(2, "ready", 8) };
+    let malformed = entries.changed(&Change::Set(malformed));
+    assert!(matches!(malformed.as_slice(), [Event::Unreadable(_)]));
+    let valid = entries.changed(&Change::Set(item(3, "ready", 8)));
+    assert!(matches!(valid.as_slice(), [Event::Listed(_)]));
 }
 
 #[test]
-fn a_whole_listing_tells_of_what_changed_and_what_is_gone() {
+fn a_complete_listing_reports_changed_and_missing_entries() {
     let mut entries = entries::open(Gauge::default());
     assert_eq!(entries.listed(&[item(1, "ready", 8)]).len(), 1);
     assert_eq!(entries.listed(&[item(2, "ready", 8)]).len(), 0);
@@ -71,22 +71,22 @@
 }
 
 #[test]
-fn the_entry_of_a_worker_that_has_started_again_ends_that_of_its_former_start() {
+fn the_entry_of_a_restarted_worker_replaces_that_of_its_previous_incarnation() {
     let mut entries = entries::open(Gauge::default());
     let started = |sequence, ms: u64| {
         let item = item(sequence, "ready", 8);
         let mut value: serde_json::Value =
-            serde_json::from_slice(&item.value).expect("it is sound");
+            serde_json::from_slice(&item.value).expect("the entry is valid JSON");
         value["born"] = json!(ms);
         Change::Set(Item { value: value.to_string().into_bytes(), ..item })
     };
     entries.changed(&started(1, 500));
     assert!(entries.changed(&started(2, 500)).is_empty());
     let events = entries.changed(&started(3, 900));
-    let [Event::Unlisted(former), Event::Listed(info)] = events.as_slice() else {
+    let [Event::Unlisted(previous), Event::Listed(info)] = events.as_slice() else {
         panic!("{events:?}");
     };
-    assert_eq!((former.as_str(), info.id.as_str()), ("i-1@500", "i-1@900"));
+    assert_eq!((previous.as_str(), info.id.as_str()), ("i-1@500", "i-1@900"));
     assert!(
         matches!(entries.changed(&removed()).as_slice(), [Event::Unlisted(id)] if *id == info.id)
     );
