--- a/crates/node/tests/late_cancels.rs
+++ b/crates/node/tests/late_cancels.rs
@@ -1,9 +1,9 @@
-//! Cancellations that the store carries out late, after the leader's own try of them was refused.
+//! Cancellations that the store carries out late, after the leader's own attempt was refused.
 //!
-//! Found by reading and shown here first: a host whose write of a cancellation got no answer asked
-//! the leader, whose write was refused, and told the caller that nothing was stored; seconds later
-//! it was. Cause: the leader's answer was taken for the fate of both tries. The caller is now told
-//! that the outcome is not known.
+//! Guards against a caller that is notified that nothing is stored although the cancellation is
+//! stored seconds later. A host whose write got no answer asked the leader, whose write was
+//! refused, and the leader's answer was taken as the outcome of both attempts. The caller is now
+//! notified that the outcome is unknown.
 
 mod support;
 
@@ -17,8 +17,8 @@
 /// Where cancellations are stored.
 const CANCELS: &str = "gaplock/in/cancel/";
 
-/// What a caller is told whose outcome is not known.
-const UNKNOWN: u16 = 504;
+/// The status that a caller gets if the outcome is unknown.
+const OUTCOME_UNKNOWN_STATUS: u16 = 504;
 
 #[test]
 fn a_cancellation_that_may_be_stored_here_is_not_refused_because_the_leader_was() {
@@ -31,13 +31,17 @@
     wait_for("a start", || site.fleet.starts() > 0);
     site.store.hold_next(CANCELS);
     let callers = follower.callers.clone();
-    let asked = thread::spawn(move || site::cancel(&callers, job));
+    let cancellation = thread::spawn(move || site::cancel(&callers, job));
     wait_for("a cancellation without an answer", || site.store.holds_one());
     site.store.set_writes_refused(true);
-    let told = asked.join().expect("the caller does not panic");
+    let status = cancellation.join().expect("the caller does not panic");
     assert!(site.store.carry_out_held(), "the late cancellation's conditions no longer hold");
     site.store.set_writes_refused(false);
-    assert_eq!(told, Some(UNKNOWN), "the caller was told that nothing is stored");
-    let cancelled = || follower.state(job).is_some_and(|(_, word)| word == "canceled");
-    wait_for("the cancellation to count", cancelled);
+    assert_eq!(
+        status,
+        Some(OUTCOME_UNKNOWN_STATUS),
+        "the caller was notified that nothing is stored"
+    );
+    let cancelled = || follower.state(job).is_some_and(|(_, shown)| shown == "canceled");
+    wait_for("the cancellation to take effect", cancelled);
 }
