--- a/crates/node/tests/late_writes.rs
+++ b/crates/node/tests/late_writes.rs
@@ -1,12 +1,12 @@
-//! Commits that the store carries out late, after it has refused their repeat.
+//! Commits that the store carries out late, after it has refused a repeat of them.
 //!
-//! Seen: dozens of tasks that had ended as done ran again under the next leader. A commit without
-//! an answer had been sent again and refused, the next commit bore the same mark with other
-//! records, and when the late one was carried out, its mark was taken for that of the newer one:
-//! ends were acknowledged that were not stored. Cause: an answer to a repeated call says nothing of
-//! the earlier tries. Proved by the logs of fifteen days played again: in all seven in which a
-//! commit was found by its mark, an earlier one of the same number, with fewer records, was open
-//! (`docs/incidents/twice-after-late-call.md`).
+//! Guards against dozens of tasks that had ended as done running again under the next leader. A
+//! commit without an answer had been sent again and refused, and the next commit had the same ID
+//! with other records. When the first one was carried out late, its ID was taken for that of the
+//! newer commit, so that ends were acknowledged that were not stored. The answer to a repeated call
+//! proves nothing about its earlier attempts. The logs of fifteen simulated days that were run again
+//! showed this: in all seven in which a commit was found by its ID, an earlier commit of the same
+//! number, with fewer records, was unanswered (`docs/incidents/twice-after-late-call.md`).
 
 mod support;
 
@@ -17,7 +17,7 @@
 use gaplock_platform_standin::site::{self, two_steps};
 use support::wait_for;
 
-/// Where the leader stores how far jobs have come.
+/// Where the leader stores the progress of jobs.
 const PROGRESS: &str = "gaplock/progress/";
 
 /// How many tasks the job has.
@@ -39,11 +39,12 @@
     thread::sleep(Duration::from_millis(1_500));
     assert!(site.store.carry_out_held(), "the late commit's conditions no longer hold");
     site.store.set_writes_refused(false);
-    let completed = |host: &site::Host| host.state(job).is_some_and(|(_, s)| s == "completed");
+    let completed =
+        |host: &site::Host| host.state(job).is_some_and(|(_, shown)| shown == "completed");
     wait_for("completion", || completed(&site.hosts[first]));
     // Ends that are stored have been acknowledged by now.
     thread::sleep(Duration::from_millis(500));
-    site.hosts[first].kill().expect("it runs");
+    site.hosts[first].kill().expect("the process runs");
     wait_for("another leader", || site.leader() == Some(other));
     wait_for("completion under the next leader", || completed(&site.hosts[other]));
     assert_eq!(site.fleet.starts(), TASKS, "tasks that had ended were started again");
