--- a/crates/node/tests/misplaced_records.rs
+++ b/crates/node/tests/misplaced_records.rs
@@ -1,7 +1,7 @@
-//! Stored records that another writer may have put there.
+//! Stored records that another writer may have put under a wrong key.
 //!
-//! Found by reading: a record of progress was taken for that of the job which it names, wherever it lay, so that a
-//! copy under another key gave a job another time's progress and checkpoints.
+//! Guards against a progress record that is used for the job that it names, whatever its key is: a
+//! copy under another key gave a job the progress and the checkpoints of another time.
 
 use gaplock_jobs::progress::{JobState, Progress, RoundProgress, StepProgress, TaskRecord};
 use gaplock_jobs::{Job, JobKey, Step};
@@ -15,11 +15,11 @@
 mod records;
 
 fn item(key: &str, value: &impl serde::Serialize) -> Item {
-    let value = serde_json::to_vec(value).expect("it can be encoded");
+    let value = serde_json::to_vec(value).expect("the value can be encoded as JSON");
     Item { key: key.into(), value, revision: Revision(1), lease: None }
 }
 
-/// Builds the progress of a job one of whose tasks has a checkpoint.
+/// Builds the progress of a job, one of whose tasks has a checkpoint.
 fn progress(key: u64) -> Progress {
     let note = TaskRecord {
         index: 1,
@@ -48,37 +48,39 @@
 }
 
 #[test]
-fn progress_is_read_as_it_was_stored() {
+fn progress_is_decoded_as_it_was_stored() {
     let stored = progress(7);
     assert_eq!(records::progress(&item(&keys::progress(JobKey(7)), &stored)), Some(stored));
 }
 
 #[test]
-fn progress_under_the_key_of_another_job_is_nobodys() {
+fn progress_under_the_key_of_another_job_is_rejected() {
     let misplaced = item(&keys::progress(JobKey(8)), &progress(7));
     assert_eq!(records::progress(&misplaced), None);
 }
 
 #[test]
-fn a_job_under_the_key_of_another_one_is_none() {
+fn a_job_under_the_key_of_another_one_is_rejected() {
     assert_eq!(records::job(&item(&keys::job(JobKey(7)), &job(7))), Some(job(7)));
     assert_eq!(records::job(&item(&keys::job(JobKey(8)), &job(7))), None);
     assert_eq!(records::job(&item("gaplock/in/note/1", &job(7))), None);
 }
 
 #[test]
-fn a_record_of_progress_that_names_no_run_of_its_checkpoint_is_still_read() {
-    let mut value = serde_json::to_value(progress(7)).expect("it can be encoded");
+fn progress_without_the_run_of_its_checkpoint_is_still_decoded() {
+    let mut value = serde_json::to_value(progress(7)).expect("the value can be encoded as JSON");
     let note = &mut value["rounds"][0]["steps"][0]["notes"][0];
-    note.as_object_mut().expect("a note has fields").remove("checkpoint_run");
+    note.as_object_mut().expect("a note is an object").remove("checkpoint_run");
     let read = records::progress(&item(&keys::progress(JobKey(7)), &value));
-    let notes = read.expect("a former version's record is read").rounds[0].steps[0].notes.clone();
+    let notes = read.expect("a record of an earlier version can be decoded").rounds[0].steps[0]
+        .notes
+        .clone();
     assert_eq!(notes[0].checkpoint.as_deref(), Some("000003e812345678"));
     assert_eq!(notes[0].checkpoint_run, 0);
 }
 
 #[test]
-fn bytes_that_cannot_be_read_are_no_record() {
+fn malformed_bytes_are_rejected() {
     let key = keys::progress(JobKey(7));
     let unreadable = Item { key, value: b"\xff{".to_vec(), revision: Revision(1), lease: None };
     assert_eq!(records::progress(&unreadable), None);
