--- a/crates/node/tests/processes.rs
+++ b/crates/node/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The real daemon in several processes, against stand-ins of the platform.
+//! Tests of the real daemon in several processes, with stand-ins for the platform.
 
 mod support;
 
@@ -18,7 +18,7 @@
 use support::{open_site, open_site_with, wait_for};
 
 fn shows(site: &Site, host: usize, key: u64, state: &str) -> bool {
-    site.hosts[host].state(JobKey(key)).is_some_and(|(_, word)| word == state)
+    site.hosts[host].state(JobKey(key)).is_some_and(|(_, shown)| shown == state)
 }
 
 fn submit(site: &Site, host: usize, key: u64) -> Option<u16> {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_job_handed_to_any_host_completes_and_is_shown_by_all() {
+fn a_job_submitted_to_any_host_completes_and_is_shown_by_all() {
     let site = open_site(3, 4, Duration::from_millis(200));
     for host in 0..3 {
         let key = 10 + host as u64;
@@ -54,14 +54,15 @@
     let other = (first + 1) % 3;
     assert_eq!(submit(&site, other, 1), Some(200));
     wait_for("the first starts", || site.fleet.starts() == 6);
-    site.hosts[first].kill().expect("it runs");
+    site.hosts[first].kill().expect("the process runs");
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
     wait_for("completion", || shows(&site, other, 1, "completed"));
     assert_eq!(site.fleet.starts(), 10, "a task was started again");
     assert!(site.twice().is_empty());
 }
 
-/// The three tasks of the first step are at work for 6 s, and each loses its worker under the second leader.
+/// The three tasks of the first step run for 6 s, and each loses its worker under the second
+/// leader.
 #[test]
 fn saved_work_is_kept_over_a_change_of_leader_and_crashes_of_workers() {
     let mut site = open_site(3, 4, Duration::from_secs(2));
@@ -69,26 +70,27 @@
     let other = (first + 1) % 3;
     assert_eq!(site.hosts[other].submit(JobKey(1), &saving(0)), Some(200));
     wait_for("the first starts", || site.fleet.starts() == 3);
-    site.hosts[first].kill().expect("it runs");
+    site.hosts[first].kill().expect("the process runs");
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
     let next = site.leader().expect("there is a leader");
     wait_for("the runs to be found", || site.hosts[next].logged("run_adopted").len() == 3);
-    // Several checkpoints are made and listed meanwhile.
+    // Meanwhile several checkpoints are made and listed.
     std::thread::sleep(Duration::from_millis(1_500));
     (0..site.fleet.len()).for_each(|worker| site.fleet.crash(worker));
     wait_for("the next starts", || site.fleet.starts() == 6);
     assert_eq!(site.fleet.resumed(), 3);
     wait_for("completion", || shows(&site, other, 1, "completed"));
     assert!(site.fleet.violations().is_empty(), "{:#?}", site.fleet.violations());
-    let thrown: Vec<_> = site.fleet.thrown_away().into_iter().map(|(_, story)| story).collect();
-    assert!(thrown.is_empty(), "{thrown:#?}");
+    let discarded: Vec<_> =
+        site.fleet.thrown_away().into_iter().map(|(_, timeline)| timeline).collect();
+    assert!(discarded.is_empty(), "{discarded:#?}");
 }
 
-/// The members are on two workers or more, and what each of these has listed last was made at a time of its own.
-/// Workers of the users were told to start tasks with checkpoints that were not theirs: whatever a worker listed
-/// beside a task went out with its next start, also for tasks of steps that save nothing.
+/// Guards against starts with checkpoints of other tasks, which workers of the users received:
+/// whatever a worker listed beside a task was sent with the task's next start, also for tasks of
+/// steps that save nothing.
 #[test]
-fn a_text_beside_a_task_that_saves_nothing_is_not_brought() {
+fn a_checkpoint_listed_for_a_task_that_saves_nothing_is_not_sent() {
     let site = open_site(2, 3, Duration::from_secs(1));
     let lists_unsaved = WorkerTrouble { lists_unsaved: true, ..WorkerTrouble::default() };
     (0..site.fleet.len()).for_each(|worker| site.fleet.set_trouble(worker, lists_unsaved));
@@ -103,6 +105,8 @@
     assert!(site.fleet.violations().is_empty(), "{:#?}", site.fleet.violations());
 }
 
+/// The gang's members are on two workers or more, and the checkpoints that these list last were made
+/// at different times.
 #[test]
 fn a_gang_that_loses_a_worker_resumes_from_one_checkpoint() {
     let site = open_site(2, 4, Duration::from_secs(2));
@@ -121,53 +125,59 @@
     assert!(site.fleet.violations().is_empty(), "{:#?}", site.fleet.violations());
 }
 
-/// Tells whether a run was withdrawn since its worker had started again: the order named the former start, whose
-/// end the leader learnt of only then, and the later start was told to stop what it had carried out.
-fn was_withdrawn(site: &Site, former: &[ids::WorkerId], (task, run): (TaskKey, &SeenRun)) -> bool {
+/// Returns whether a run was withdrawn because its worker had restarted: the start order named the
+/// previous incarnation, whose end the leader learned of only later, and the next incarnation was
+/// ordered to stop the run.
+fn was_withdrawn(
+    site: &Site,
+    previous: &[ids::WorkerId],
+    (task, run): (TaskKey, &SeenRun),
+) -> bool {
     let lines = |event: &str| site.hosts.iter().flat_map(|h| h.logged(event)).collect::<Vec<_>>();
     let of_run = |line: &Value| line["task"] == task.to_string() && line["run"] == run.run;
     let ordered: Vec<Value> = lines("start_ordered").into_iter().filter(of_run).collect();
-    let names_former = |line: &Value| former.iter().any(|id| line["worker"] == id.to_string());
+    let names_previous = |line: &Value| previous.iter().any(|id| line["worker"] == id.to_string());
     let stopped = lines("stop_ordered").into_iter().filter(of_run);
     let mut why = stopped.filter(|line| line["why"] == "its worker has started again");
     run.ended.is_some_and(|(how, _)| how == "stopped")
-        && matches!(&ordered[..], [order] if names_former(order))
+        && matches!(&ordered[..], [order] if names_previous(order))
         && why.next().is_some()
 }
 
-/// Asserts that each of a job's tasks ran to its end once, and that whatever began of it before was withdrawn and
-/// over when the next run began.
-fn assert_ran_once(site: &Site, key: u64, former: &[ids::WorkerId]) {
+/// Asserts that each of a job's tasks ran to its end once, and that each earlier run was withdrawn
+/// and over before the next one began.
+fn assert_ran_once(site: &Site, key: u64, previous: &[ids::WorkerId]) {
     let tasks = site.fleet.runs_of(JobKey(key));
     assert_eq!(tasks.len(), 10, "tasks of job {key}");
     for (task, runs) in tasks {
-        let (last, earlier) = runs.split_last().expect("it began");
+        let (last, earlier) = runs.split_last().expect("each task has at least one run");
         let is_done = last.ended.is_some_and(|(how, _)| how == "done");
         assert!(is_done, "{task} did not end as done: {runs:#?}");
         for (run, next) in earlier.iter().zip(&runs[1..]) {
             let is_over = run.ended.is_some_and(|(_, at)| at <= next.began);
             assert!(is_over, "{task} ran twice at one time: {runs:#?}");
-            let withdrawn = was_withdrawn(site, former, (task, run));
+            let withdrawn = was_withdrawn(site, previous, (task, run));
             assert!(withdrawn, "{task} was started again: {runs:#?}");
         }
     }
 }
 
-/// The workers' next starts list their ends under numbers that the leader has taken in before. A start under way
-/// when the leader learns of the restart is withdrawn and may begin elsewhere.
+/// The workers' next incarnations list their ends under numbers that the leader has already
+/// handled. A start that is under way when the leader learns of the restart is withdrawn, and the
+/// task may be started elsewhere.
 #[test]
-fn tasks_at_workers_that_start_again_under_their_ids_run_once() {
+fn tasks_at_workers_that_restart_under_their_ids_run_once() {
     let site = open_site(3, 2, Duration::from_millis(300));
     let via = site.leader().expect("there is a leader");
     assert_eq!(submit(&site, via, 1), Some(200));
     wait_for("completion", || shows(&site, via, 1, "completed"));
     let workers = 0..site.fleet.len();
-    let former: Vec<_> = workers.clone().map(|worker| site.fleet.present_start(worker)).collect();
+    let previous: Vec<_> = workers.clone().map(|worker| site.fleet.present_start(worker)).collect();
     workers.for_each(|worker| site.fleet.start_over(worker));
     assert_eq!(submit(&site, via, 2), Some(200));
     wait_for("completion after the restart", || shows(&site, via, 2, "completed"));
     assert_ran_once(&site, 1, &[]);
-    assert_ran_once(&site, 2, &former);
+    assert_ran_once(&site, 2, &previous);
     assert!(site.fleet.violations().is_empty(), "{:#?}", site.fleet.violations());
 }
 
@@ -175,7 +185,7 @@
 fn a_leader_that_stops_hands_over_to_a_follower() {
     let mut site = open_site(3, 4, Duration::from_millis(300));
     let first = site.leader().expect("there is a leader");
-    // A follower is known to the leader from its first heartbeat on.
+    // The leader knows a follower from its first heartbeat on.
     std::thread::sleep(Duration::from_millis(1_000));
     site.hosts[first].signal(Signal::TERM);
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
@@ -187,37 +197,39 @@
 }
 
 #[test]
-fn a_wave_of_upkeep_is_carried_out_and_reported_over_a_change_of_leader() {
+fn a_maintenance_wave_is_carried_out_and_reported_over_a_change_of_leader() {
     let mut site = open_site(3, 4, Duration::from_millis(300));
     let first = site.leader().expect("there is a leader");
     let hosts: Vec<String> = (0..4).map(cloud::host_name).collect();
     let wave = json!({"Wave": 1, "Machines": hosts, "DurationS": 30, "Maximum": 1});
     site.store.put("op/wave/1", &wave);
     let state = |site: &Site| site.store.get("status/wave/1").map(|s| s["State"].clone());
-    wait_for("the first upkeep", || site.cloud.upkeeps() > 0);
+    wait_for("the first maintenance", || site.cloud.upkeeps() > 0);
     assert_eq!(state(&site), Some(json!("active")));
-    site.hosts[first].kill().expect("it runs");
+    site.hosts[first].kill().expect("the process runs");
     wait_for("the end of the wave", || state(&site) == Some(json!("completed")));
     assert_eq!((site.cloud.upkeeps(), site.cloud.most_away()), (4, 1));
 }
 
-/// How long a successor may read the state where each call to the store takes 300 ms, in milliseconds: its
-/// eight parts one after the other take 2,400 ms, and nothing starts meanwhile.
-const READ_MOST_MS: u64 = 1_200;
+/// How long a successor may take to read the state, in milliseconds, where each call to the store
+/// takes 300 ms: its eight parts take 2,400 ms one after the other, and nothing starts during that
+/// time.
+const MAX_READ_MS: u64 = 1_200;
 
 #[test]
-fn a_successor_reads_the_parts_of_the_state_beside_each_other() {
+fn a_successor_reads_the_parts_of_the_state_concurrently() {
     let mut site = open_site(2, 4, Duration::from_millis(300));
     let first = site.leader().expect("there is a leader");
     assert_eq!(submit(&site, first, 1), Some(200));
     for host in &site.hosts {
         host.store_link.set(Mode::Delay);
     }
-    site.hosts[first].kill().expect("it runs");
+    site.hosts[first].kill().expect("the process runs");
     let successor = &site.hosts[1 - first];
     wait_for("a successor", || !successor.logged("state_read").is_empty());
-    let took = successor.logged("state_read")[0]["took_ms"].as_u64().expect("it is a number");
-    assert!(took <= READ_MOST_MS, "the state was read in {took} ms");
+    let took =
+        successor.logged("state_read")[0]["took_ms"].as_u64().expect("`took_ms` is a number");
+    assert!(took <= MAX_READ_MS, "the state was read in {took} ms");
 }
 
 #[test]
@@ -229,9 +241,9 @@
     site.store.put("op/evacuate/", &json!({}));
     site.store.put("op/evacuate/nowhere", &json!([7]));
     site.store.put("op/evacuate/hall", &json!({}));
-    wait_for("the leader to hear of it", || site.hosts[first].metric(runs) == Some(0));
+    wait_for("the leader to read the evacuation", || site.hosts[first].metric(runs) == Some(0));
     assert_eq!(submit(&site, other, 1), Some(200));
-    site.hosts[first].kill().expect("it runs");
+    site.hosts[first].kill().expect("the process runs");
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
     std::thread::sleep(Duration::from_millis(1_500));
     assert_eq!(site.fleet.starts(), 0);
@@ -253,15 +265,15 @@
 }
 
 #[test]
-fn a_job_is_refused_at_once_while_the_store_is_away() {
+fn a_job_is_refused_at_once_while_the_store_is_unavailable() {
     let site = open_site(2, 2, Duration::from_millis(300));
-    // Hosts are ready before one of them leads; workers that no leader has stored get nothing.
+    // Hosts are ready before one of them leads; workers that no leader has stored get no tasks.
     wait_for("the workers to be known", || site.knows_workers());
     assert_eq!(submit(&site, 0, 1), Some(200));
     site.store.set_down(true);
     let began = Instant::now();
     assert_eq!(submit(&site, 0, 2), Some(503));
-    assert!(began.elapsed() < Duration::from_millis(1_000), "the refusal was held back");
+    assert!(began.elapsed() < Duration::from_millis(1_000), "the refusal was delayed");
     wait_for("what was accepted to run on", || site.fleet.starts() == 10);
     site.store.set_down(false);
     wait_for("completion", || shows(&site, 0, 1, "completed"));
@@ -283,9 +295,9 @@
     assert_eq!(site.fleet.starts(), 6);
 }
 
-/// Each job logs some 40 lines at its leader; a pipe that nobody reads holds 64 KiB.
+/// Each job logs some 40 lines at its leader; a pipe that is not read holds 64 KiB.
 #[test]
-fn a_standard_output_that_nobody_reads_stops_nothing() {
+fn an_unread_standard_output_stops_nothing() {
     let site = open_site_with(2, 4, Duration::from_millis(50), Output::BlockedPipe);
     wait_for("the workers to be known", || site.knows_workers());
     for key in 1..=60 {
@@ -303,7 +315,8 @@
     });
 }
 
-/// The sweep over 300 hosts: a leader took 100 connections of other hosts and turned the rest away.
+/// Guards against a leader that accepts only 100 connections of other hosts and refuses the rest,
+/// as was seen with 300 hosts.
 #[test]
 fn a_host_takes_the_connections_of_hundreds_of_others() {
     let site = open_site(1, 1, Duration::from_millis(100));
@@ -312,7 +325,7 @@
 }
 
 #[test]
-fn connections_that_fall_silent_without_a_reset_neither_end_a_leadership_nor_stop_work() {
+fn connections_that_become_silent_without_a_reset_neither_end_a_leadership_nor_stop_work() {
     let site = open_site(2, 2, Duration::from_millis(100));
     wait_for("the workers to be known", || site.knows_workers());
     let first = site.leader().expect("there is a leader");
