--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,11 +1,12 @@
-//! A short seeded run of the soak of processes; longer ones are run by hand with `scripts/soak`.
+//! Short seeded runs of the soak test with processes; longer ones are run by hand with
+//! `scripts/soak`.
 //!
-//! Seen by some of these seeds: tasks that ran twice at one time, or were started again after their
-//! end was acknowledged, by a start that was carried out late after the refusal of its repeat; and
-//! all tasks of many jobs started again under the next leader, after a commit that was carried out
-//! late had been taken for a newer one. Cause: an answer to a repeated call was taken for the fate
-//! of the earlier try. Proved by the judge of the stand-ins, which tells the worker, run, try and
-//! times of each such start.
+//! Guards against two faults that some of these seeds showed. Tasks ran twice at one time, or were
+//! started again after their end was acknowledged, because a start was carried out late after a
+//! repeat of it had been refused. All tasks of many jobs were started again under the next leader,
+//! because a commit that was carried out late had been taken for a newer one. In both cases the
+//! answer to a repeated call was taken as the outcome of an earlier attempt. The checker of the
+//! stand-ins reports the worker, run, attempt and times of each such start.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -21,7 +22,7 @@
     for &seed in seeds {
         let report = processes::run_with(program.clone(), seed, options);
         let report = report.expect("the seed can be run");
-        assert!(report.checks > 10, "seed {seed} checked next to nothing");
+        assert!(report.checks > 10, "seed {seed} made 10 checks or fewer");
         assert!(report.violations.is_empty(), "seed {seed}: {:#?}", report.violations);
     }
 }
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn late_orders_and_unwell_workers_break_no_promise() {
+fn late_orders_and_unhealthy_workers_break_no_promise() {
     soak(&[2, 22]);
 }
 
@@ -41,41 +42,44 @@
     soak(&[31, 135]);
 }
 
-/// A job one of whose tasks crashes its workers, beside lost leaders, late orders and late writes.
+/// A job one of whose tasks crashes its workers, combined with lost leaders, late orders and late
+/// writes.
 #[test]
 fn tasks_that_crash_their_workers_are_given_up_and_no_others() {
     soak(&[8_001]);
 }
 
-/// The same on a pool of two workers with a dozen such jobs, where no worker is ever empty for a trial.
+/// The same on two workers with a dozen such jobs, where no worker ever becomes empty for a trial.
 #[test]
 fn crashing_tasks_on_two_workers_take_no_other_job_down() {
     soak(&[8_004]);
 }
 
-/// Jobs that save their progress, beside lost leaders, cut workers, late orders and late writes.
+/// Jobs that save their progress, combined with lost leaders, partitioned workers, late orders and
+/// late writes.
 #[test]
 fn tasks_resume_from_nothing_but_what_they_saved() {
     soak(&[30_001, 30_004]);
 }
 
-/// Workers that start again under their names, one by one and together, beside lost leaders, late orders and late
-/// writes.
+/// Workers that restart under their names, one by one and together, combined with lost leaders,
+/// late orders and late writes.
 #[test]
-fn workers_that_start_again_break_no_promise() {
+fn workers_that_restart_break_no_promise() {
     soak(&[40_005, 40_004]);
 }
 
-/// Guards against suspects of cancelled jobs that are started, and then run for good: jobs cancelled soon after their
-/// hand-in, beside lost leaders, and at the end right after two crashes of all workers.
+/// Guards against suspect tasks of cancelled jobs that are started and then run forever. Jobs are
+/// cancelled soon after their submission, while leaders are lost, and at the end right after two
+/// crashes of all workers.
 #[test]
 fn nothing_of_cancelled_jobs_is_started_or_goes_on() {
     soak_with(&[50_001], Options { faulty: Duration::from_secs(4), ..Options::default() });
 }
 
-/// Entries of other writers, rooms that shrink and grow, and hosts suspended for longer than their leases, beside
-/// single faults and beside late orders and late writes.
+/// Entries of other writers, capacities that shrink and grow, and hosts suspended for longer than
+/// their leases, combined with single faults and with late orders and late writes.
 #[test]
-fn foreign_entries_small_rooms_and_suspended_hosts_break_no_promise() {
+fn foreign_entries_small_capacities_and_suspended_hosts_break_no_promise() {
     soak(&[7_001, 7_004]);
 }
