--- a/crates/node/tests/unwell_store.rs
+++ b/crates/node/tests/unwell_store.rs
@@ -1,4 +1,5 @@
-//! A store that forgets its history early, and one that refuses some hosts while it serves the others.
+//! A store that drops its history early, and one that refuses some hosts while it serves the
+//! others.
 
 mod support;
 
@@ -21,11 +22,11 @@
 const TASKS: u64 = 10;
 
 fn completed(host: &site::Host, job: JobKey) -> bool {
-    host.state(job).is_some_and(|(_, word)| word == "completed")
+    host.state(job).is_some_and(|(_, shown)| shown == "completed")
 }
 
-/// Starts a site of three hosts and returns it with its leader, once the others have heard of that one. A host that
-/// the store refuses before that knows no leader, and is not ready.
+/// Opens a site of three hosts and returns it with its leader, once the other hosts follow that
+/// leader. A host that the store refuses before that knows no leader and is not ready.
 fn open_site_with_leader() -> (site::Site, usize) {
     let site = support::open_site(3, 2, Duration::from_millis(200));
     wait_for("the workers to be known", || site.knows_workers());
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_leader_whose_watches_ask_for_forgotten_history_misses_no_job_and_no_worker() {
+fn a_leader_whose_watches_ask_for_dropped_history_misses_no_job_and_no_worker() {
     let site = support::open_site(2, 2, Duration::from_millis(200));
     wait_for("the workers to be known", || site.knows_workers());
     let other = 1 - site.leader().expect("there is a leader");
@@ -49,15 +50,15 @@
         site.store.forget_history();
         wait_for("completion", || completed(&site.hosts[other], job));
     }
-    assert!(site.store.watches_gone() > 0, "no watch asked for what was forgotten");
+    assert!(site.store.watches_gone() > 0, "no watch asked for dropped history");
     assert_eq!(site.fleet.starts(), 5 * TASKS);
     assert!(site.twice().is_empty());
 }
 
-/// Guards against a cancellation that is listed before its job, as keys are ordered, and is then forgotten: the job
-/// ran on though its caller had been told that it is cancelled.
+/// Guards against a cancellation that is listed before its job, in key order, and is then dropped:
+/// the job went on running although its caller was notified that it is cancelled.
 #[test]
-fn a_cancellation_counts_that_the_leader_lists_together_with_its_job() {
+fn a_cancellation_that_is_listed_together_with_its_job_takes_effect() {
     let site = support::open_site(1, 2, Duration::from_secs(60));
     wait_for("the workers to be known", || site.knows_workers());
     let host = &site.hosts[0];
@@ -68,43 +69,49 @@
         let record = site.store.get(&format!("{JOBS}{known}")).expect("the job is stored");
         let record = record.to_string().replace(&known.to_string(), &listed.to_string());
         assert!(record.contains(&listed.to_string()), "{record}");
-        // The leader has just had an answer to its watch and pauses before the next one.
+        // The leader's watch has just been answered, and the leader pauses before the next one.
         site.store.put_bytes(&format!("{JOBS}{listed}"), record.as_bytes());
         site.store.put_bytes(&format!("{CANCELS}{listed}"), b"{}");
         site.store.forget_history();
-        let word = || host.state(listed).map(|(_, word)| word);
+        let state = || host.state(listed).map(|(_, shown)| shown);
         let is_known = |line: &Value| line["job"] == listed.to_string();
         wait_for("the job to be known", || host.logged("job_known").iter().any(is_known));
-        wait_for("the cancellation to count", || word().is_some_and(|word| word == "canceled"));
+        wait_for("the cancellation to take effect", || {
+            state().is_some_and(|state| state == "canceled")
+        });
     }
-    assert!(site.store.watches_gone() > 0, "no watch asked for what was forgotten");
+    assert!(site.store.watches_gone() > 0, "no watch asked for dropped history");
 }
 
 #[test]
-fn a_host_that_the_store_refuses_takes_jobs_by_way_of_the_leader() {
+fn a_host_that_the_store_refuses_accepts_jobs_through_the_leader() {
     let (site, leader) = open_site_with_leader();
     let refused = (leader + 1) % 3;
     for (n, mode) in [(1, Mode::Reset), (2, Mode::Silent)] {
         let job = JobKey(n);
         site.hosts[refused].store_link.set(mode);
-        wait_for("the job to be taken", || {
+        wait_for("the job to be accepted", || {
             site.hosts[refused].submit(job, &two_steps()) == Some(ACCEPTED)
         });
         wait_for("completion", || completed(&site.hosts[refused], job));
         site.hosts[refused].store_link.set(Mode::Pass);
     }
-    assert_eq!(site.leader(), Some(leader), "the leader was given up though the store serves it");
+    assert_eq!(
+        site.leader(),
+        Some(leader),
+        "the leader lost its leadership although the store serves it"
+    );
     assert_eq!(site.fleet.starts(), 2 * TASKS);
 }
 
 #[test]
-fn a_host_that_the_store_is_silent_to_stays_ready_and_in_touch_with_the_leader() {
+fn a_host_that_the_store_does_not_answer_stays_ready_and_in_contact_with_the_leader() {
     let (site, leader) = open_site_with_leader();
     let cut = &site.hosts[(leader + 1) % 3];
     cut.store_link.set(Mode::Silent);
     let until = Instant::now() + Duration::from_secs(6);
     while Instant::now() < until {
-        assert!(cut.is_ready(), "it takes no callers though the leader answers it");
+        assert!(cut.is_ready(), "the host accepts no callers although the leader answers it");
         thread::sleep(Duration::from_millis(100));
     }
     assert_eq!(cut.submit(JobKey(1), &two_steps()), Some(ACCEPTED));
@@ -112,7 +119,7 @@
 }
 
 #[test]
-fn a_leader_that_the_store_refuses_makes_way_for_one_that_it_serves() {
+fn a_leader_that_the_store_refuses_steps_down_for_one_that_it_serves() {
     let (site, leader) = open_site_with_leader();
     let job = JobKey(1);
     site.hosts[leader].store_link.set(Mode::Silent);
