--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests with real processes share: a site that is ready, and waiting for a condition.
+//! Helpers shared by the tests with real processes: opening a site that is ready, and waiting for a
+//! condition.
 
 use std::path::PathBuf;
 use std::thread;
@@ -8,12 +9,12 @@
 
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Starts a site whose hosts are ready and write their output into a file.
+/// Opens a site whose hosts are ready and write their output to a file.
 pub fn open_site(hosts: usize, workers: usize, work: Duration) -> Site {
     open_site_with(hosts, workers, work, Output::File)
 }
 
-/// Starts a site whose hosts are ready.
+/// Opens a site whose hosts are ready.
 pub fn open_site_with(hosts: usize, workers: usize, work: Duration, output: Output) -> Site {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_gaplock-node"));
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
