--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -38,7 +38,7 @@
     tx: Sender<Message>,
     /// Whether this host may act as the leader.
     pub leadership: Arc<LeadershipStatus>,
-    waiting: Mutex<Vec<QueueCount>>,
+    queue_counts: Mutex<Vec<QueueCount>>,
 }
 
 impl Engine {
@@ -59,13 +59,13 @@
     }
 
     /// Returns how many jobs of each queue have not begun.
-    pub fn waiting(&self) -> Vec<QueueCount> {
-        self.waiting.lock().expect("no holder of the lock panics").clone()
+    pub fn queue_counts(&self) -> Vec<QueueCount> {
+        self.queue_counts.lock().expect("no holder of the lock panics").clone()
     }
 
     /// Returns how many jobs of a queue have not begun.
     pub fn waiting_jobs_of(&self, queue: &str) -> u32 {
-        let counts = self.waiting();
+        let counts = self.queue_counts();
         counts.iter().find(|c| c.queue == queue).map_or(0, |c| c.waiting)
     }
 }
@@ -95,7 +95,7 @@
     writer: StoreWriter,
 ) -> Driver {
     let (tx, rx) = async_channel::unbounded();
-    let engine = Arc::new(Engine { tx, leadership, waiting: Mutex::default() });
+    let engine = Arc::new(Engine { tx, leadership, queue_counts: Mutex::default() });
     let (to_store_writer, records) = async_channel::bounded(1);
     task::spawn(write_commits(Arc::clone(node), writer, records, Arc::clone(&engine)));
     Driver {
@@ -202,7 +202,7 @@
         }
         let counts = counts.into_iter();
         let counts = counts.map(|(queue, waiting)| QueueCount { queue: queue.into(), waiting });
-        *self.engine.waiting.lock().expect("no holder of the lock panics") = counts.collect();
+        *self.engine.queue_counts.lock().expect("no holder of the lock panics") = counts.collect();
         let evacuated = self.cx.evacuated.domains.iter();
         let shown = evacuated.map(|domain| (domain, evacuation::count_runs_in(&self.cx, domain)));
         self.node.metrics.show_evacuated(shown);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -301,7 +301,7 @@
         HeartbeatAnswer::Leader {
             config_age: self.config_age(),
             config: newer.map(|c| Config::clone(&c)),
-            waiting: engine.waiting(),
+            waiting: engine.queue_counts(),
             successor: best.map(|c| c.host),
             strongest,
             beat_after: self.handover.beat_every(now),
