--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -70,7 +70,7 @@
                 Ok(listed) => {
                     report_directory_recovered(&engine, &mut interrupted);
                     from = listed.revision;
-                    let events = entries.listed(&listed.items);
+                    let events = entries.apply_listing(&listed.items);
                     events.into_iter().for_each(|event| engine.send(event));
                     let read = DirectoryRead { sent, revision: from.0, complete: true };
                     engine.send(Event::DirectoryRead(read));
--- a/crates/node/src/entries.rs
+++ b/crates/node/src/entries.rs
@@ -80,7 +80,7 @@
 
     /// Turns a complete listing into events: for the entries listed, and for those that have
     /// disappeared.
-    pub fn listed(&mut self, items: &[Item]) -> Vec<Event> {
+    pub fn apply_listing(&mut self, items: &[Item]) -> Vec<Event> {
         let listed: BTreeSet<ids::WorkerName> =
             items.iter().filter_map(|item| directory::worker_of(&item.key)).collect();
         let known = self.last_readable.keys().chain(&self.unreadable);
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -62,7 +62,7 @@
     }
     takeover::restore(&mut cx, state.stored);
     let mut entries = entries::open(node.metrics.unreadable_entries.clone());
-    for event in entries.listed(&state.directory.items) {
+    for event in entries.apply_listing(&state.directory.items) {
         cx.handle(now, unix_ms, event);
     }
     let read = DirectoryRead {
--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -64,10 +64,10 @@
 #[test]
 fn a_complete_listing_reports_changed_and_missing_entries() {
     let mut entries = entries::open(Gauge::default());
-    assert_eq!(entries.listed(&[item(1, "ready", 8)]).len(), 1);
-    assert_eq!(entries.listed(&[item(2, "ready", 8)]).len(), 0);
-    assert!(matches!(entries.listed(&[]).as_slice(), [Event::Unlisted(_)]));
-    assert_eq!(entries.listed(&[]).len(), 0);
+    assert_eq!(entries.apply_listing(&[item(1, "ready", 8)]).len(), 1);
+    assert_eq!(entries.apply_listing(&[item(2, "ready", 8)]).len(), 0);
+    assert!(matches!(entries.apply_listing(&[]).as_slice(), [Event::Unlisted(_)]));
+    assert_eq!(entries.apply_listing(&[]).len(), 0);
 }
 
 #[test]
