--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -56,7 +56,7 @@
 }
 
 /// An item that a host has stored in the inbox for a caller.
-pub enum Handed {
+pub enum InboxItem {
     /// A job.
     Job(Arc<Job>),
     /// The cancellation of a job.
@@ -64,11 +64,11 @@
 }
 
 /// Decodes an item of the inbox.
-pub fn read_inbox(item: &Item) -> Option<Handed> {
+pub fn read_inbox(item: &Item) -> Option<InboxItem> {
     if let Some(key) = item.key.strip_prefix(keys::CANCELS) {
-        return key.parse().ok().map(Handed::Cancel);
+        return key.parse().ok().map(InboxItem::Cancel);
     }
-    records::job(item).map(|job| Handed::Job(Arc::new(job)))
+    records::job(item).map(|job| InboxItem::Job(Arc::new(job)))
 }
 
 /// Passes the jobs and cancellations that are stored in the inbox to the engine.
@@ -115,8 +115,8 @@
 /// Sends a stored job or cancellation to the engine.
 fn send_inbox_item(engine: &Engine, item: &Item) {
     match read_inbox(item) {
-        Some(Handed::Job(job)) => engine.send(Event::Job(job)),
-        Some(Handed::Cancel(key)) => engine.send(Event::Cancel(key)),
+        Some(InboxItem::Job(job)) => engine.send(Event::Job(job)),
+        Some(InboxItem::Cancel(key)) => engine.send(Event::Cancel(key)),
         None => tracing::warn!(event = "inbox_malformed", key = item.key),
     }
 }
--- a/crates/node/src/state_reader.rs
+++ b/crates/node/src/state_reader.rs
@@ -18,7 +18,7 @@
 use gaplock_sched::takeover::StoredState;
 use gaplock_types::time::{Instant, Millis};
 
-use crate::feeds::{self, Handed};
+use crate::feeds::{self, InboxItem};
 use crate::leadership::{Authority, LeadershipStatus};
 use crate::node::Node;
 use crate::{evacuations, follower, keys, records};
@@ -183,8 +183,8 @@
 fn sort_inbox(items: &[Item], stored: &mut StoredState) {
     for item in items {
         match feeds::read_inbox(item) {
-            Some(Handed::Job(job)) => stored.jobs.push(job),
-            Some(Handed::Cancel(key)) => stored.cancelled.push(key),
+            Some(InboxItem::Job(job)) => stored.jobs.push(job),
+            Some(InboxItem::Cancel(key)) => stored.cancelled.push(key),
             None => tracing::warn!(event = "inbox_malformed", key = item.key),
         }
     }
