--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -64,7 +64,7 @@
 }
 
 /// Decodes an item of the inbox.
-pub fn read_inbox(item: &Item) -> Option<InboxItem> {
+pub fn decode_inbox_item(item: &Item) -> Option<InboxItem> {
     if let Some(key) = item.key.strip_prefix(keys::CANCELS) {
         return key.parse().ok().map(InboxItem::Cancel);
     }
@@ -114,7 +114,7 @@
 
 /// Sends a stored job or cancellation to the engine.
 fn send_inbox_item(engine: &Engine, item: &Item) {
-    match read_inbox(item) {
+    match decode_inbox_item(item) {
         Some(InboxItem::Job(job)) => engine.send(Event::Job(job)),
         Some(InboxItem::Cancel(key)) => engine.send(Event::Cancel(key)),
         None => tracing::warn!(event = "inbox_malformed", key = item.key),
--- a/crates/node/src/state_reader.rs
+++ b/crates/node/src/state_reader.rs
@@ -182,7 +182,7 @@
 /// Sorts the items of the inbox into jobs and cancellations.
 fn sort_inbox(items: &[Item], stored: &mut StoredState) {
     for item in items {
-        match feeds::read_inbox(item) {
+        match feeds::decode_inbox_item(item) {
             Some(InboxItem::Job(job)) => stored.jobs.push(job),
             Some(InboxItem::Cancel(key)) => stored.cancelled.push(key),
             None => tracing::warn!(event = "inbox_malformed", key = item.key),
