--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -214,7 +214,7 @@
             node.handover.set_best_leader_capacity(strongest);
             node.handover.set_beat_after(beat_after);
             node.handover.set_check_wanted(check_store);
-            node.handover.set_named(successor.as_ref() == Some(&node.installation.host));
+            node.handover.set_named_successor(successor.as_ref() == Some(&node.installation.host));
             if let Some(config) = config {
                 node.set_config(config);
             }
@@ -298,7 +298,7 @@
         token = claim.revision.0,
         strength = node.leader_capacity.0
     );
-    node.handover.set_named(false);
+    node.handover.set_named_successor(false);
     leader::lead(node, claim, sent).await;
     node.set_role(Role::Follower(None));
     tracing::info!(event = "leadership_over", term = claim.term);
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -65,7 +65,7 @@
 
 impl Handover {
     /// Records whether the leader named this host to claim first.
-    pub fn set_named(&self, named: bool) {
+    pub fn set_named_successor(&self, named: bool) {
         self.named.store(named, Ordering::Relaxed);
     }
 
