--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -269,7 +269,7 @@
 async fn claim(node: &Arc<Node>, seen: Revision) {
     if node.handover.stands_back(clock::now()) {
         task::sleep(DEFERRED_CLAIM_PAUSE).await;
-    } else if !node.handover.is_named() {
+    } else if !node.handover.is_named_successor() {
         let spread = rand::random_range(0..CLAIM_SPREAD_MS);
         let capacity_delay =
             succession::claim_delay(node.leader_capacity, node.handover.strongest());
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns whether the last leader named this host to claim first.
-    pub fn is_named(&self) -> bool {
+    pub fn is_named_successor(&self) -> bool {
         self.named.load(Ordering::Relaxed)
     }
 
