--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -272,7 +272,7 @@
     } else if !node.handover.is_named_successor() {
         let spread = rand::random_range(0..CLAIM_SPREAD_MS);
         let capacity_delay =
-            succession::claim_delay(node.leader_capacity, node.handover.strongest());
+            succession::claim_delay(node.leader_capacity, node.handover.best_leader_capacity());
         let pause = NAMED_SUCCESSOR_HEAD_START.0 + capacity_delay.0 + spread;
         task::sleep(Duration::from_millis(pause)).await;
     }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the largest leader capacity that a leader has reported, if any.
-    pub fn strongest(&self) -> Option<LeaderCapacity> {
+    pub fn best_leader_capacity(&self) -> Option<LeaderCapacity> {
         let capacity = self.best_leader_capacity.load(Ordering::Relaxed);
         (capacity > 0).then_some(LeaderCapacity(capacity))
     }
