--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -267,7 +267,7 @@
 /// Claims the leadership in place of the claim at revision `seen`; pauses first unless the leader
 /// named this host as its successor.
 async fn claim(node: &Arc<Node>, seen: Revision) {
-    if node.handover.stands_back(clock::now()) {
+    if node.handover.defers_claims(clock::now()) {
         task::sleep(DEFERRED_CLAIM_PAUSE).await;
     } else if !node.handover.is_named_successor() {
         let spread = rand::random_range(0..CLAIM_SPREAD_MS);
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns whether this host lets other hosts claim first.
-    pub fn stands_back(&self, now: Instant) -> bool {
+    pub fn defers_claims(&self, now: Instant) -> bool {
         now.0 < self.defer_claims_until_ms.load(Ordering::Relaxed)
     }
 
