--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the pause after which followers are to send their next heartbeat.
-    pub fn beat_every(&self, now: Instant) -> Millis {
+    pub fn heartbeat_interval(&self, now: Instant) -> Millis {
         self.followers.lock().expect(LOCK).heartbeat_interval(now)
     }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -304,7 +304,7 @@
             waiting: engine.queue_counts(),
             successor: best.map(|c| c.host),
             strongest,
-            beat_after: self.handover.beat_every(now),
+            beat_after: self.handover.heartbeat_interval(now),
             check_store: engine.leadership.is_confirmation_overdue(now)
                 || self.handover.should_check(now, &beat),
         }
