--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -116,7 +116,7 @@
     }
 
     /// Returns whether a follower should check now whether the store answers it.
-    pub fn should_check(&self, now: Instant, beat: &Heartbeat) -> bool {
+    pub fn should_check_store(&self, now: Instant, beat: &Heartbeat) -> bool {
         let mut followers = self.followers.lock().expect(LOCK);
         followers.should_check_store(now, beat.strength, beat.store_age)
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -306,7 +306,7 @@
             strongest,
             beat_after: self.handover.heartbeat_interval(now),
             check_store: engine.leadership.is_confirmation_overdue(now)
-                || self.handover.should_check(now, &beat),
+                || self.handover.should_check_store(now, &beat),
         }
     }
 
