--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -212,7 +212,7 @@
             check_store,
         } => {
             node.handover.set_best_leader_capacity(strongest);
-            node.handover.set_beat_after(beat_after);
+            node.handover.set_heartbeat_pause(beat_after);
             node.handover.set_check_wanted(check_store);
             node.handover.set_named_successor(successor.as_ref() == Some(&node.installation.host));
             if let Some(config) = config {
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -132,7 +132,7 @@
     }
 
     /// Records the pause between heartbeats that the leader asked for.
-    pub fn set_beat_after(&self, pause: Millis) {
+    pub fn set_heartbeat_pause(&self, pause: Millis) {
         self.beat_after.store(pause.0, Ordering::Relaxed);
     }
 
