--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -23,7 +23,7 @@
     /// The largest leader capacity of any host that the leader reported; 0 for none.
     best_leader_capacity: AtomicU16,
     /// The pause between heartbeats that the leader last asked for, in milliseconds; 0 for none.
-    beat_after: AtomicU64,
+    heartbeat_pause_ms: AtomicU64,
     /// Whether the leader asked this host to check the store.
     check_wanted: AtomicBool,
     /// The term of the leadership that this host followed last.
@@ -54,7 +54,7 @@
             followers: Mutex::default(),
             named: AtomicBool::new(false),
             best_leader_capacity: AtomicU16::new(0),
-            beat_after: AtomicU64::new(0),
+            heartbeat_pause_ms: AtomicU64::new(0),
             check_wanted: AtomicBool::new(false),
             followed_term: AtomicU64::new(0),
             defer_claims_until_ms: AtomicU64::new(0),
@@ -133,12 +133,12 @@
 
     /// Records the pause between heartbeats that the leader asked for.
     pub fn set_heartbeat_pause(&self, pause: Millis) {
-        self.beat_after.store(pause.0, Ordering::Relaxed);
+        self.heartbeat_pause_ms.store(pause.0, Ordering::Relaxed);
     }
 
     /// Returns the pause until this host's next heartbeat.
     pub fn beat_after(&self) -> Millis {
-        Millis(self.beat_after.load(Ordering::Relaxed)).max(followers::HEARTBEAT_INTERVAL)
+        Millis(self.heartbeat_pause_ms.load(Ordering::Relaxed)).max(followers::HEARTBEAT_INTERVAL)
     }
 
     /// Forgets the followers of an earlier leadership.
