--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -45,7 +45,7 @@
     /// The lease of the leader's key.
     pub lease: LeaseId,
     /// The ID that the claim has stored as that of its first commit.
-    pub mark: CommitId,
+    pub commit_id: CommitId,
 }
 
 /// Who holds the leadership.
@@ -120,7 +120,7 @@
         remove: Vec::new(),
     };
     match store.commit(&txn).await {
-        Ok(revision) => Ok(Claim { term, revision, lease, mark }),
+        Ok(revision) => Ok(Claim { term, revision, lease, commit_id: mark }),
         Err(StoreError::Unclear) => {
             // If this read gets no answer either, the outcome of the claim stays unknown.
             let found = current(store).await.map_err(|_| StoreError::Unclear)?;
@@ -128,7 +128,7 @@
                 Holder::Host(stored, revision)
                     if claims::execution_of_unanswered(&record, &stored) == Execution::Done =>
                 {
-                    Ok(Claim { term, revision, lease, mark })
+                    Ok(Claim { term, revision, lease, commit_id: mark })
                 }
                 _ => Err(StoreError::Unclear),
             }
--- a/crates/node/src/store_writer.rs
+++ b/crates/node/src/store_writer.rs
@@ -47,7 +47,7 @@
 
 /// Builds the writer of a new leadership from its claim.
 pub fn open(store: Arc<Store>, leadership: Arc<LeadershipStatus>, claim: &Claim) -> StoreWriter {
-    let writer = commit_writer::open(claim.mark, CommitRevision(claim.revision.0));
+    let writer = commit_writer::open(claim.commit_id, CommitRevision(claim.revision.0));
     StoreWriter { store, leadership, claim: claim.revision, writer }
 }
 
