--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -53,7 +53,7 @@
 pub async fn run(node: Arc<Node>) {
     let mut last = None;
     while !node.is_stopping() {
-        match leadership::current(&node.store).await {
+        match leadership::current_holder(&node.store).await {
             Ok(Holder::Host(record, revision)) => {
                 node.record_store_answer();
                 follow(&node, &record, revision).await;
@@ -168,7 +168,7 @@
         }
         // The previous claim may no longer exist: its lease has expired, or its holder has removed
         // it.
-        match leadership::current(&node.store).await {
+        match leadership::current_holder(&node.store).await {
             Ok(Holder::Nobody(at)) => seen = at,
             Ok(Holder::Host(_, revision)) if revision == seen => {}
             // An earlier attempt was carried out late, under a lease that nobody renews: the next
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// Returns the store's error.
-pub async fn current(store: &Store) -> Result<Holder, StoreError> {
+pub async fn current_holder(store: &Store) -> Result<Holder, StoreError> {
     let Some(item) = store.get(keys::LEADER).await? else {
         return Ok(Holder::Nobody(Revision(0)));
     };
@@ -123,7 +123,7 @@
         Ok(revision) => Ok(Claim { term, revision, lease, commit_id: mark }),
         Err(StoreError::Unclear) => {
             // If this read gets no answer either, the outcome of the claim stays unknown.
-            let found = current(store).await.map_err(|_| StoreError::Unclear)?;
+            let found = current_holder(store).await.map_err(|_| StoreError::Unclear)?;
             match found {
                 Holder::Host(stored, revision)
                     if claims::execution_of_unanswered(&record, &stored) == Execution::Done =>
