--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -310,7 +310,7 @@
     match leadership::revisions(&node.store).await {
         Ok(Some((found, store))) if found == revision => {
             node.record_store_answer();
-            leadership.confirm(sent);
+            leadership.record_confirmation(sent);
             if let Some(store) = store {
                 node.report_store_revision(RevisionSample { sent, revision: store.0 });
             }
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -169,7 +169,7 @@
     }
 
     /// Records that the store confirmed the leadership in answer to a call sent at `sent`.
-    pub fn confirm(&self, sent: Instant) {
+    pub fn record_confirmation(&self, sent: Instant) {
         self.confirmed_at_ms.fetch_max(sent.0, Ordering::SeqCst);
     }
 
