--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -174,14 +174,14 @@
     }
 
     /// Returns when the last successful confirmation was sent.
-    pub fn confirmed(&self) -> Instant {
+    pub fn confirmed_at(&self) -> Instant {
         Instant(self.confirmed_at_ms.load(Ordering::SeqCst))
     }
 
     /// Returns whether a confirmation is overdue, so that reports of other hosts about the store
     /// are needed.
     pub fn is_confirmation_overdue(&self, now: Instant) -> bool {
-        now.since(self.confirmed()) >= CONFIRMATION_OVERDUE_AFTER
+        now.since(self.confirmed_at()) >= CONFIRMATION_OVERDUE_AFTER
     }
 
     /// Records another host's report of how long ago the store last answered it.
@@ -202,7 +202,7 @@
         if self.lost.load(Ordering::SeqCst) {
             return Authority::Lost;
         }
-        let confirmed = self.confirmed();
+        let confirmed = self.confirmed_at();
         let unconfirmed = now.since(confirmed);
         if unconfirmed.0 + LEASE_MARGIN.0 < LEASE.0 {
             return Authority::Act;
