--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -108,7 +108,7 @@
     let (lease, last) = (lease?, last?);
     let commits = last.as_ref().map_or(Revision(0), |item| item.revision);
     let term =
-        last.and_then(|item| store_writer::decode_mark(&item.value)).map_or(1, |m| m.term + 1);
+        last.and_then(|item| store_writer::decode_commit_id(&item.value)).map_or(1, |m| m.term + 1);
     let mark = CommitId { term, number: 0 };
     let record = LeaderRecord { term, lease: lease.0, ..own_record.clone() };
     let txn = Txn {
--- a/crates/node/src/store_writer.rs
+++ b/crates/node/src/store_writer.rs
@@ -123,7 +123,7 @@
 
     async fn read_commit_state(&self) -> Result<StoreView, StoreError> {
         let commits = self.store.get(keys::COMMITS).await?;
-        let id = commits.as_ref().and_then(|item| decode_mark(&item.value));
+        let id = commits.as_ref().and_then(|item| decode_commit_id(&item.value));
         let revision = CommitRevision(commits.map_or(0, |item| item.revision.0));
         // If a newer commit is stored, that alone decides, and the claim is not read.
         let leads = revision == self.writer.last() && self.is_claim_stored().await?;
@@ -223,6 +223,6 @@
 }
 
 /// Decodes the ID of the last commit; `None` if it is malformed.
-pub fn decode_mark(value: &[u8]) -> Option<CommitId> {
+pub fn decode_commit_id(value: &[u8]) -> Option<CommitId> {
     serde_json::from_slice(value).ok()
 }
