--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -66,7 +66,7 @@
         cx.handle(now, unix_ms, event);
     }
     let read = DirectoryRead {
-        sent: state.directory_asked,
+        sent: state.directory_read_started,
         revision: state.directory.revision.0,
         complete: true,
     };
--- a/crates/node/src/state_reader.rs
+++ b/crates/node/src/state_reader.rs
@@ -33,7 +33,7 @@
     /// The entries of the directory of workers.
     pub directory: Listed,
     /// When the read of the directory began.
-    pub directory_asked: Instant,
+    pub directory_read_started: Instant,
 }
 
 /// How long a new leader may take to read the state before it gives up its claim, so that another
@@ -176,7 +176,7 @@
     stored.waves = partial.waves.iter().filter_map(records::decode).collect();
     stored.evacuated = partial.evacuated;
     let directory = partial.directory.listed();
-    LoadedState { stored, inbox: inbox.revision, directory, directory_asked: began }
+    LoadedState { stored, inbox: inbox.revision, directory, directory_read_started: began }
 }
 
 /// Sorts the items of the inbox into jobs and cancellations.
