--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -114,7 +114,7 @@
         return Some(state);
     }
     let addr = node.leader_addr()?;
-    match node.leader.status(&addr, key).await {
+    match node.peer_client.status(&addr, key).await {
         Ok(StatusAnswer::State(state)) => Some(state),
         Ok(StatusAnswer::Unknown) => None,
         Err(e) => {
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -144,7 +144,7 @@
 /// invitation to lead if one arrived.
 async fn wait_for_heartbeat_due(node: &Node) -> Option<PendingInvitation> {
     let pending = node.handover.next_invitation();
-    let lost = node.leader.wait_until_lost();
+    let lost = node.peer_client.wait_until_lost();
     let (pending, lost) = (pin!(pending), pin!(lost));
     let pause = node.handover.beat_after().as_duration();
     match future::timeout(pause, select(pending, lost)).await {
@@ -200,7 +200,7 @@
         strength: node.leader_capacity,
         running_for: node.running_for(),
     };
-    match node.leader.heartbeat(addr, &beat).await? {
+    match node.peer_client.heartbeat(addr, &beat).await? {
         HeartbeatAnswer::NotLeader => Ok(false),
         HeartbeatAnswer::Leader {
             config_age,
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -30,7 +30,7 @@
         return direct;
     }
     let Some(addr) = node.leader_addr() else { return direct };
-    let reply = node.leader.store_job(&addr, &job).await;
+    let reply = node.peer_client.store_job(&addr, &job).await;
     store_outcome::combine(direct, leader_reply(reply))
 }
 
@@ -119,7 +119,7 @@
             return;
         }
         let Some(addr) = node.leader_addr() else { return };
-        if let Err(e) = node.leader.job_stored(&addr, &job).await {
+        if let Err(e) = node.peer_client.job_stored(&addr, &job).await {
             tracing::info!(event = "announce_failed", job = %job.key, error = %e);
         }
     });
@@ -132,7 +132,7 @@
         return direct;
     }
     let Some(addr) = node.leader_addr() else { return direct };
-    let reply = node.leader.store_cancel(&addr, key).await;
+    let reply = node.peer_client.store_cancel(&addr, key).await;
     store_outcome::combine(direct, leader_reply(reply))
 }
 
@@ -189,7 +189,7 @@
             return;
         }
         let Some(addr) = node.leader_addr() else { return };
-        if let Err(e) = node.leader.cancel_stored(&addr, key).await {
+        if let Err(e) = node.peer_client.cancel_stored(&addr, key).await {
             tracing::info!(event = "announce_failed", job = %key, error = %e);
         }
     });
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -36,7 +36,7 @@
     node.set_role(Role::Follower(None));
     for candidate in node.handover.successor_candidates(clock::now()).iter().take(MAX_INVITED) {
         let invitation = Invitation { claim: claim.revision.0 };
-        let answered = node.leader.invite(&candidate.addr, invitation).await;
+        let answered = node.peer_client.invite(&candidate.addr, invitation).await;
         tracing::info!(event = "successor_invited", host = %candidate.host, term = claim.term,
             leads = answered.as_ref().is_ok_and(|leads| *leads));
         if answered == Ok(true) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -49,7 +49,7 @@
     /// installation has one.
     pub hosts: Option<Hosts>,
     /// The client for calls to other hosts, mostly to the leader.
-    pub leader: peers::PeerClient,
+    pub peer_client: peers::PeerClient,
     /// The metrics of this host.
     pub metrics: Metrics,
     settings: RwLock<Settings>,
@@ -106,7 +106,7 @@
         incarnation: ids::Incarnation(rand::random()),
         peer_addr,
         store: Arc::new(store),
-        leader: peers::PeerClient::default(),
+        peer_client: peers::PeerClient::default(),
         metrics: crate::metrics::open(),
         config: RwLock::new(None),
         role: RwLock::new(Role::Follower(None)),
