--- a/crates/node/src/serving.rs
+++ b/crates/node/src/serving.rs
@@ -12,7 +12,7 @@
 use crate::{callers, peers};
 
 /// The running listeners.
-pub struct Serving {
+pub struct Listeners {
     callers: Listener,
     readiness: Listener,
     metrics: Listener,
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// Returns the error of binding an address.
-pub async fn bind(node: &Arc<Node>, metrics_addr: &str) -> io::Result<Serving> {
+pub async fn bind(node: &Arc<Node>, metrics_addr: &str) -> io::Result<Listeners> {
     let installation = &node.installation;
     let limits = Limits { header: IDLE_LIMIT, ..Limits::default() };
     let shared = Arc::clone(node);
@@ -54,7 +54,7 @@
     })
     .await?;
     let peers = peers::bind(&node.peer_addr, Arc::clone(node)).await?;
-    Ok(Serving { callers, readiness, metrics, peers })
+    Ok(Listeners { callers, readiness, metrics, peers })
 }
 
 async fn readiness(node: Arc<Node>) -> Response {
@@ -71,7 +71,7 @@
     res
 }
 
-impl Serving {
+impl Listeners {
     /// Leaves the load balancer, answers the requests in flight, then closes the listeners. Returns
     /// how many requests were cut off.
     pub async fn stop(self, node: &Node) -> usize {
