--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -14,12 +14,12 @@
 mod leader;
 mod leadership;
 mod lease_renewal;
+mod listeners;
 mod metrics;
 mod node;
 mod peers;
 mod records;
 mod reloading;
-mod serving;
 mod settings;
 mod state_reader;
 mod store_writer;
@@ -68,7 +68,7 @@
     tracing::info!(event = "started", host = %installation.host, domain = %installation.domain);
     let node = node::open(installation, cfg, peer_addr, store);
     let (ip, port) = (values.text(settings::METRICS_IP), values.number(settings::METRICS_PORT));
-    let serving = match serving::bind(&node, &format!("{ip}:{port}")).await {
+    let serving = match listeners::bind(&node, &format!("{ip}:{port}")).await {
         Ok(serving) => serving,
         Err(e) => {
             tracing::error!(event = "cannot_start", error = %e);
