--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -19,8 +19,8 @@
 mod node;
 mod peers;
 mod records;
-mod reloading;
 mod settings;
+mod settings_reload;
 mod state_reader;
 mod store_writer;
 mod threads;
@@ -76,7 +76,7 @@
         }
     };
     let follower = task::spawn(follower::run(node.clone()));
-    task::spawn(reloading::run(node.clone(), PathBuf::from(path)));
+    task::spawn(settings_reload::run(node.clone(), PathBuf::from(path)));
     task::spawn(count_dropped_lines(node.clone(), logs.dropped()));
     if let Err(e) = wait_for_stop().await {
         tracing::error!(event = "no_signals", error = %e);
