--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -57,7 +57,7 @@
                 report_directory_recovered(&engine, &mut interrupted);
                 from = watched.revision;
                 for change in &watched.changes {
-                    entries.changed(change).into_iter().for_each(|event| engine.send(event));
+                    entries.apply_change(change).into_iter().for_each(|event| engine.send(event));
                 }
                 let complete = watched.changes.len() < FULL_ANSWER_CHANGES;
                 let read = DirectoryRead { sent, revision: from.0, complete };
--- a/crates/node/src/entries.rs
+++ b/crates/node/src/entries.rs
@@ -36,7 +36,7 @@
 impl Entries {
     /// Turns one change into events. A key that belongs to no worker is ignored, and an entry with
     /// the same content as before is no change.
-    pub fn changed(&mut self, change: &Change) -> Vec<Event> {
+    pub fn apply_change(&mut self, change: &Change) -> Vec<Event> {
         let events = match change {
             Change::Removed(key) => directory::worker_of(key).map(|name| self.remove_entry(&name)),
             Change::Set(item) => {
@@ -86,7 +86,7 @@
         let known = self.last_readable.keys().chain(&self.unreadable);
         let removed: BTreeSet<ids::WorkerName> =
             known.filter(|name| !listed.contains(*name)).cloned().collect();
-        let set = |item: &Item| self.changed(&Change::Set(item.clone()));
+        let set = |item: &Item| self.apply_change(&Change::Set(item.clone()));
         let mut events: Vec<Event> = items.iter().flat_map(set).collect();
         events.extend(removed.iter().flat_map(|name| self.remove_entry(name)));
         self.unreadable_gauge.set(self.unreadable.len() as i64);
--- a/crates/node/tests/entries.rs
+++ b/crates/node/tests/entries.rs
@@ -27,23 +27,23 @@
 #[test]
 fn an_unchanged_entry_is_not_reported() {
     let mut entries = entries::open(Gauge::default());
-    let first = entries.changed(&Change::Set(item(1, "ready", 8)));
+    let first = entries.apply_change(&Change::Set(item(1, "ready", 8)));
     assert!(matches!(first.as_slice(), [Event::Listed(_)]));
     for sequence in 2..20 {
-        assert!(entries.changed(&Change::Set(item(sequence, "ready", 8))).is_empty());
+        assert!(entries.apply_change(&Change::Set(item(sequence, "ready", 8))).is_empty());
     }
 }
 
 #[test]
 fn every_other_change_is_reported() {
     let mut entries = entries::open(Gauge::default());
-    entries.changed(&Change::Set(item(1, "ready", 8)));
-    let smaller = entries.changed(&Change::Set(item(2, "ready", 4)));
+    entries.apply_change(&Change::Set(item(1, "ready", 8)));
+    let smaller = entries.apply_change(&Change::Set(item(2, "ready", 4)));
     assert!(matches!(smaller.as_slice(), [Event::Listed(info)] if info.capacity.cpu.0 == 4));
-    let leaving = entries.changed(&Change::Set(item(3, "draining", 4)));
+    let leaving = entries.apply_change(&Change::Set(item(3, "draining", 4)));
     assert!(matches!(leaving.as_slice(), [Event::Listed(info)] if info.draining));
-    assert!(matches!(entries.changed(&removed()).as_slice(), [Event::Unlisted(_)]));
-    let back = entries.changed(&Change::Set(item(4, "draining", 4)));
+    assert!(matches!(entries.apply_change(&removed()).as_slice(), [Event::Unlisted(_)]));
+    let back = entries.apply_change(&Change::Set(item(4, "draining", 4)));
     assert!(
         matches!(back.as_slice(), [Event::Listed(_)]),
         "an entry that reappeared was not reported"
@@ -53,11 +53,11 @@
 #[test]
 fn an_entry_that_is_valid_again_is_reported_even_if_unchanged() {
     let mut entries = entries::open(Gauge::default());
-    entries.changed(&Change::Set(item(1, "ready", 8)));
+    entries.apply_change(&Change::Set(item(1, "ready", 8)));
     let malformed = Item { value: b"{".to_vec(), ..item(2, "ready", 8) };
-    let malformed = entries.changed(&Change::Set(malformed));
+    let malformed = entries.apply_change(&Change::Set(malformed));
     assert!(matches!(malformed.as_slice(), [Event::Unreadable(_)]));
-    let valid = entries.changed(&Change::Set(item(3, "ready", 8)));
+    let valid = entries.apply_change(&Change::Set(item(3, "ready", 8)));
     assert!(matches!(valid.as_slice(), [Event::Listed(_)]));
 }
 
@@ -80,14 +80,14 @@
         value["born"] = json!(ms);
         Change::Set(Item { value: value.to_string().into_bytes(), ..item })
     };
-    entries.changed(&started(1, 500));
-    assert!(entries.changed(&started(2, 500)).is_empty());
-    let events = entries.changed(&started(3, 900));
+    entries.apply_change(&started(1, 500));
+    assert!(entries.apply_change(&started(2, 500)).is_empty());
+    let events = entries.apply_change(&started(3, 900));
     let [Event::Unlisted(previous), Event::Listed(info)] = events.as_slice() else {
         panic!("{events:?}");
     };
     assert_eq!((previous.as_str(), info.id.as_str()), ("i-1@500", "i-1@900"));
     assert!(
-        matches!(entries.changed(&removed()).as_slice(), [Event::Unlisted(id)] if *id == info.id)
+        matches!(entries.apply_change(&removed()).as_slice(), [Event::Unlisted(id)] if *id == info.id)
     );
 }
