--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -146,7 +146,7 @@
 }
 
 fn queue_length(node: &Node, queue: &str) -> Response {
-    match node.waiting(queue) {
+    match node.waiting_jobs(queue) {
         Some(count) => {
             answer(node, Code::Ok, StatusCode::Ok.into(), callers::encode_waiting(count))
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -240,7 +240,7 @@
 
     /// Returns how many jobs of a queue have not begun; `None` if the leader's last counts are too
     /// old.
-    pub fn waiting(&self, queue: &str) -> Option<u32> {
+    pub fn waiting_jobs(&self, queue: &str) -> Option<u32> {
         if let Role::Leader(engine) = self.role() {
             return Some(engine.waiting_jobs_of(queue));
         }
