--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -109,18 +109,18 @@
     let commits = last.as_ref().map_or(Revision(0), |item| item.revision);
     let term =
         last.and_then(|item| store_writer::decode_commit_id(&item.value)).map_or(1, |m| m.term + 1);
-    let mark = CommitId { term, number: 0 };
+    let commit_id = CommitId { term, number: 0 };
     let record = LeaderRecord { term, lease: lease.0, ..own_record.clone() };
     let txn = Txn {
         expected: vec![(keys::LEADER.to_string(), seen), (keys::COMMITS.to_string(), commits)],
         set: vec![
             (keys::LEADER.to_string(), store_writer::encode(&record), Some(lease)),
-            (keys::COMMITS.to_string(), store_writer::encode(&mark), None),
+            (keys::COMMITS.to_string(), store_writer::encode(&commit_id), None),
         ],
         remove: Vec::new(),
     };
     match store.commit(&txn).await {
-        Ok(revision) => Ok(Claim { term, revision, lease, commit_id: mark }),
+        Ok(revision) => Ok(Claim { term, revision, lease, commit_id }),
         Err(StoreError::Unclear) => {
             // If this read gets no answer either, the outcome of the claim stays unknown.
             let found = current_holder(store).await.map_err(|_| StoreError::Unclear)?;
@@ -128,7 +128,7 @@
                 Holder::Host(stored, revision)
                     if claims::execution_of_unanswered(&record, &stored) == Execution::Done =>
                 {
-                    Ok(Claim { term, revision, lease, commit_id: mark })
+                    Ok(Claim { term, revision, lease, commit_id })
                 }
                 _ => Err(StoreError::Unclear),
             }
