--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -146,7 +146,7 @@
     let pending = node.handover.next_invitation();
     let lost = node.peer_client.wait_until_lost();
     let (pending, lost) = (pin!(pending), pin!(lost));
-    let pause = node.handover.beat_after().as_duration();
+    let pause = node.handover.heartbeat_pause().as_duration();
     match future::timeout(pause, select(pending, lost)).await {
         Ok(Either::Left((pending, _))) => pending,
         _ => None,
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns the pause until this host's next heartbeat.
-    pub fn beat_after(&self) -> Millis {
+    pub fn heartbeat_pause(&self) -> Millis {
         Millis(self.heartbeat_pause_ms.load(Ordering::Relaxed)).max(followers::HEARTBEAT_INTERVAL)
     }
 
