--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -29,8 +29,8 @@
 const DIRECTORY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The number of changes in one answer from which more changes are assumed to be waiting: the store
-/// returns some 500 at a time. The feed does not pause after such an answer, since it would fall
-/// behind for good where workers write faster than it reads.
+/// returns some 500 at a time. The feed does not pause after such an answer: with a pause it would
+/// fall behind for good where workers write faster than it reads.
 const FULL_ANSWER_CHANGES: usize = 400;
 
 /// The thread's name.
