--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Carries out the actions that the scheduler asks for. Without permission to send, answers
-    /// each of them as not sent.
+    /// Carries out the actions that the scheduler asks for. If `may_send` is false, answers each of
+    /// them as not sent instead.
     fn carry_out_actions(&mut self, may_send: bool) {
         for action in self.cx.take_actions() {
             if may_send {
