--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -40,7 +40,7 @@
     matches!(direct, StoreOutcome::Stored | StoreOutcome::NoSuchJob)
 }
 
-/// Converts the leader's answer, or its absence, into the outcome of its part.
+/// Converts the result of the call to the leader into what is known of the leader's write.
 fn leader_reply(reply: Result<StoreOutcome, PeerError>) -> LeaderReply {
     match reply {
         Ok(outcome) => LeaderReply::Answered(outcome),
@@ -70,7 +70,7 @@
 
 /// The outcome of a write that was retried for a while.
 enum WriteOutcome {
-    /// The outcome is known, or the retries have ended.
+    /// The outcome of the write, as far as it is known.
     Known(StoreOutcome),
     /// A condition of the write does not hold. An earlier attempt of the same write may be the
     /// reason.
