--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -30,9 +30,9 @@
 /// How long another host's report about the store counts.
 const PEER_REPORT_MAX_AGE: Millis = Millis(2_000);
 
-/// How long after the last confirmation of this leadership the store must have answered another
-/// host for that host's report to end the leadership: longer than the time between two
-/// confirmations.
+/// How long after the last confirmation the next one is overdue: longer than the time between two
+/// confirmations. If the store has answered another host later than that, the report of that host
+/// ends the leadership.
 const CONFIRMATION_OVERDUE_AFTER: Millis = Millis(700);
 
 /// A leadership that this process holds.
@@ -57,9 +57,9 @@
     Nobody(Revision),
 }
 
-/// Reads which host leads. A value without a lease was not written by a claim and would never expire,
-/// so it counts as no claim. A claim under a lease that cannot be decoded may come from a newer
-/// version; it counts as an error, so that hosts wait until it expires.
+/// Reads which host leads. A value without a lease was not written by a claim and would never
+/// expire, so it counts as no claim. A claim under a lease that cannot be decoded may come from a
+/// newer version; it counts as an error, so that hosts wait until it expires.
 ///
 /// # Errors
 /// Returns the store's error.
