--- a/crates/node/src/listeners.rs
+++ b/crates/node/src/listeners.rs
@@ -19,8 +19,8 @@
     peers: peers::Server,
 }
 
-/// The part of the stop period that is reserved for the exit of the process, after the listeners have
-/// stopped and the last answer was sent.
+/// The part of the stop period that is reserved for the exit of the process, after the listeners
+/// have stopped and the last answer was sent.
 const EXIT_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// How long a stopping host still accepts connections: the load balancer notices after two of its
