--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -68,8 +68,8 @@
     tracing::info!(event = "started", host = %installation.host, domain = %installation.domain);
     let node = node::open(installation, cfg, peer_addr, store);
     let (ip, port) = (values.text(settings::METRICS_IP), values.number(settings::METRICS_PORT));
-    let serving = match listeners::bind(&node, &format!("{ip}:{port}")).await {
-        Ok(serving) => serving,
+    let listeners = match listeners::bind(&node, &format!("{ip}:{port}")).await {
+        Ok(listeners) => listeners,
         Err(e) => {
             tracing::error!(event = "cannot_start", error = %e);
             return ExitCode::FAILURE;
@@ -84,7 +84,7 @@
     }
     tracing::info!(event = "stopping");
     node.stop();
-    let cut_off = serving.stop(&node).await;
+    let cut_off = listeners.stop(&node).await;
     follower.await;
     tracing::info!(event = "stopped", cut_off);
     ExitCode::SUCCESS
