--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -26,7 +26,7 @@
 /// Upper bounds of the latency buckets, in seconds.
 const BUCKETS: [f64; 10] = [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 2.5];
 
-/// The maximum number of evacuated failure domains that are shown: above the users' 31, and a bound
+/// The maximum number of evacuated failure domains that are shown: above the users' 31, and a limit
 /// whatever operators write.
 const MAX_EVACUATED_SHOWN: usize = 64;
 
@@ -56,7 +56,7 @@
     pub suspect_tasks: Gauge,
     /// Runs that the leader found of jobs that had already ended; 0 on a follower.
     pub runs_after_end: Gauge,
-    /// The age of the leader's view of the directory, in milliseconds.
+    /// The lag of the leader's view of the directory, in milliseconds.
     pub directory_lag_ms: Gauge,
     /// Events that wait for the leader. If their number keeps growing, the leader cannot keep up. 0
     /// on a follower.
