--- a/crates/node/src/records.rs
+++ b/crates/node/src/records.rs
@@ -1,8 +1,8 @@
 //! Decodes stored records and checks them against their keys.
 //!
-//! Other writers also use the store. A record that cannot be decoded, or that names another item than
-//! its key does, is logged and skipped: if it were used, one job would get the progress of another
-//! job, including the checkpoints with which its tasks are started.
+//! Other writers also use the store. A record that cannot be decoded, or that names another item
+//! than its key does, is logged and skipped: if it were used, one job would get the progress of
+//! another job, including the checkpoints with which its tasks are started.
 
 use gaplock_jobs::progress::Progress;
 use gaplock_jobs::{Job, TaskKey};
@@ -74,8 +74,8 @@
     has_key(item, &keys::job(job.key)).then_some(job)
 }
 
-/// Decodes a worker of the roster. A worker whose record cannot be decoded may run any task, so its
-/// leases are waited out.
+/// Decodes a worker of the roster. A worker whose record cannot be decoded may run any task, so the
+/// scheduler waits until the worker's leases are over.
 pub fn roster_entry(item: &Item) -> Option<RosterEntry> {
     let record: Option<RosterRecord> = decode(item);
     let record = record.filter(|record| has_key(item, &keys::roster(&record.id)));
