--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -57,8 +57,8 @@
 /// The processor time that a start and its answer take, in seconds (`docs/CAPACITY.md`).
 const START_CPU_S: f64 = 0.000_25;
 
-/// The size of a start and its answer, in bytes: the largest that occurs with the texts of callers on
-/// the users' sites.
+/// The size of a start and its answer, in bytes: the largest that occurs with the texts of callers
+/// on the users' sites.
 const START_BYTES: f64 = 3_000.0;
 
 /// The smallest limit of starts in flight, which the least powerful host has.
