--- a/crates/node/src/store_writer.rs
+++ b/crates/node/src/store_writer.rs
@@ -1,6 +1,6 @@
 //! Writes the leader's records to the store. Each transaction is conditional on the leader's claim
-//! and on its last commit, so that neither a previous leader nor an attempt that is carried out late
-//! can overwrite newer records.
+//! and on its last commit, so that neither a previous leader nor an attempt that is carried out
+//! late can overwrite newer records.
 
 use std::sync::Arc;
 use std::time::Duration;
