--- a/crates/node/tests/late_writes.rs
+++ b/crates/node/tests/late_writes.rs
@@ -4,9 +4,9 @@
 //! commit without an answer had been sent again and refused, and the next commit had the same ID
 //! with other records. When the first one was carried out late, its ID was taken for that of the
 //! newer commit, so that ends were acknowledged that were not stored. The answer to a repeated call
-//! proves nothing about its earlier attempts. The logs of fifteen simulated days that were run again
-//! showed this: in all seven in which a commit was found by its ID, an earlier commit of the same
-//! number, with fewer records, was unanswered (`docs/incidents/twice-after-late-call.md`).
+//! proves nothing about its earlier attempts. The logs of fifteen simulated days that were run
+//! again showed this: in all seven in which a commit was found by its ID, an earlier commit of the
+//! same number, with fewer records, was unanswered (`docs/incidents/twice-after-late-call.md`).
 
 mod support;
 
