--- a/crates/node/tests/processes.rs
+++ b/crates/node/tests/processes.rs
@@ -105,8 +105,8 @@
     assert!(site.fleet.violations().is_empty(), "{:#?}", site.fleet.violations());
 }
 
-/// The gang's members are on two workers or more, and the checkpoints that these list last were made
-/// at different times.
+/// The gang's members are on two workers or more, and the checkpoints that these list last were
+/// made at different times.
 #[test]
 fn a_gang_that_loses_a_worker_resumes_from_one_checkpoint() {
     let site = open_site(2, 4, Duration::from_secs(2));
