--- a/crates/node/src/serving.rs
+++ b/crates/node/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The host's listeners: callers, readiness, metrics and other hosts.
+//! The host's listeners: for callers, readiness checks, metrics and other hosts.
 
 use std::io;
 use std::sync::Arc;
@@ -11,34 +11,36 @@
 use crate::node::Node;
 use crate::{callers, peers};
 
-/// Running listeners.
-pub struct Serving {
+/// The running listeners.
+pub struct Listeners {
     callers: Listener,
     readiness: Listener,
     metrics: Listener,
     peers: peers::Server,
 }
 
-/// How long the process takes to end after its last answer, beyond the listeners' stop.
+/// The part of the stop period that is reserved for the exit of the process, after the listeners
+/// have stopped and the last answer was sent.
 const EXIT_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// How long a stopping host goes on accepting connections: the balancer notices after two of its
-/// questions, one a second, and its callers' connections may be on their way.
+/// How long a stopping host still accepts connections: the load balancer notices after two of its
+/// checks, one a second, and connections of its callers may be on their way.
 const LEAVE_BALANCER_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// How long a caller may take to send a header; connections between requests are idle that long.
+/// How long a caller may take to send a header; connections may also be idle this long between
+/// requests.
 const IDLE_LIMIT: Duration = Duration::from_secs(60);
 
 /// Binds every listener.
 ///
 /// # Errors
 /// Returns the error of binding an address.
-pub async fn bind(node: &Arc<Node>, metrics_addr: &str) -> io::Result<Serving> {
+pub async fn bind(node: &Arc<Node>, metrics_addr: &str) -> io::Result<Listeners> {
     let installation = &node.installation;
     let limits = Limits { header: IDLE_LIMIT, ..Limits::default() };
     let shared = Arc::clone(node);
-    let callers = gaplock_serve::bind(&installation.callers_addr, limits, move |whole| {
-        callers::handle(Arc::clone(&shared), whole)
+    let callers = gaplock_serve::bind(&installation.callers_addr, limits, move |request| {
+        callers::handle(Arc::clone(&shared), request)
     })
     .await?;
     let shared = Arc::clone(node);
@@ -47,12 +49,12 @@
     })
     .await?;
     let shared = Arc::clone(node);
-    let metrics = gaplock_serve::bind(metrics_addr, limits, move |whole: Whole| {
-        metrics(Arc::clone(&shared), whole)
+    let metrics = gaplock_serve::bind(metrics_addr, limits, move |request: Whole| {
+        metrics(Arc::clone(&shared), request)
     })
     .await?;
     let peers = peers::bind(&node.peer_addr, Arc::clone(node)).await?;
-    Ok(Serving { callers, readiness, metrics, peers })
+    Ok(Listeners { callers, readiness, metrics, peers })
 }
 
 async fn readiness(node: Arc<Node>) -> Response {
@@ -60,8 +62,8 @@
     Response::new(if ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable })
 }
 
-async fn metrics(node: Arc<Node>, whole: Whole) -> Response {
-    if whole.req.url().path() != "/metrics" {
+async fn metrics(node: Arc<Node>, request: Whole) -> Response {
+    if request.req.url().path() != "/metrics" {
         return Response::new(StatusCode::NotFound);
     }
     let mut res = Response::new(StatusCode::Ok);
@@ -69,9 +71,9 @@
     res
 }
 
-impl Serving {
-    /// Leaves the balancer, answers what is in flight, then closes. Returns how many requests were
-    /// cut off.
+impl Listeners {
+    /// Leaves the load balancer, answers the requests in flight, then closes the listeners. Returns
+    /// how many requests were cut off.
     pub async fn stop(self, node: &Node) -> usize {
         let grace = node.installation.grace.as_duration();
         let leave = LEAVE_BALANCER_PAUSE.min(grace / 2);
