--- a/crates/sched/tests/fleet/bursts.rs
+++ b/crates/sched/tests/fleet/bursts.rs
@@ -7,13 +7,13 @@
 /// Tasks that fill every worker of eight cores.
 const TASKS: usize = WORKERS * 8;
 
-const MOST: usize = 32;
+const MAX_STARTS_IN_FLIGHT: usize = 32;
 
 #[test]
-fn a_burst_is_sent_in_turn_and_still_all_started() {
+fn starts_in_flight_stay_limited_in_a_burst_and_all_tasks_start() {
     let mut world = World::open(91, WORKERS);
     world.work_ms = 60_000;
-    world.settings.max_starts_in_flight = MOST;
+    world.settings.max_starts_in_flight = MAX_STARTS_IN_FLIGHT;
     world.take_over();
     world.run(1_000);
     for key in 0..12 {
@@ -24,17 +24,17 @@
         world.run(1);
         most = most.max(world.starts_under_way());
     }
-    assert!(most <= MOST, "{most} starts were under way at one time");
+    assert!(most <= MAX_STARTS_IN_FLIGHT, "{most} starts were under way at one time");
     let running: usize = (0..12).map(|key| world.running_of(key)).sum();
     assert_eq!(running, TASKS);
     assert_kept(&world);
 }
 
 #[test]
-fn silent_workers_do_not_take_up_all_the_starts_that_may_be_under_way() {
+fn silent_workers_do_not_use_up_the_limit_of_starts_in_flight() {
     let mut world = World::open(92, WORKERS);
     world.work_ms = 60_000;
-    world.settings.max_starts_in_flight = MOST;
+    world.settings.max_starts_in_flight = MAX_STARTS_IN_FLIGHT;
     world.take_over();
     world.run(1_000);
     for worker in 0..10 {
