--- a/crates/sched/tests/fleet/cancelled.rs
+++ b/crates/sched/tests/fleet/cancelled.rs
@@ -9,7 +9,7 @@
 
 /// How long after the first accounts a run of a cancelled job may be there: the time of a stop, and of the
 /// account that shows the run.
-const STOPPED_WITHIN: u64 = 2_000;
+const STOPPED_WITHIN_MS: u64 = 2_000;
 
 /// Builds a world whose leader has started tasks that work for long, and is lost before they are cancelled.
 fn cancelled_without_a_leader(seed: u64) -> World {
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn runs_whose_starter_was_removed_end_once_their_job_is_cancelled() {
+fn runs_started_by_a_removed_leader_end_when_their_job_is_cancelled() {
     let mut world = cancelled_without_a_leader(401);
     world.run(500);
     world.take_over();
-    world.run(STOPPED_WITHIN);
+    world.run(STOPPED_WITHIN_MS);
     for _ in 0..10 {
         assert_eq!(world.running_of(1), 0, "a run of a cancelled job goes on");
         world.run(1_000);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_start_that_its_worker_carries_out_late_ends_though_its_starter_was_removed() {
+fn a_late_start_of_a_removed_leader_ends_when_its_job_is_cancelled() {
     let mut world = World::open(402, 2);
     world.work_ms = 60_000;
     world.run(100);
@@ -50,7 +50,7 @@
     world.cancel(1);
     world.take_over();
     // The successor's token refuses a late start, or its accounts show the run.
-    world.run(3_000 + STOPPED_WITHIN);
+    world.run(3_000 + STOPPED_WITHIN_MS);
     for _ in 0..10 {
         assert_eq!(world.running_of(1), 0, "a run of a cancelled job goes on");
         world.run(1_000);
@@ -67,7 +67,7 @@
     let silent = Millis(world.settings.lease_max.0 / 2);
     world.run(silent.0);
     world.workers[cut].cut = false;
-    world.run(STOPPED_WITHIN);
+    world.run(STOPPED_WITHIN_MS);
     assert_eq!(world.running_of(1), 0, "a run of a cancelled job goes on at a worker that is back");
     assert_kept(&world);
 }
@@ -96,7 +96,7 @@
         let mut world = with_a_waiting_suspect(410, after);
         world.cancel(1);
         let before = world.starts;
-        world.run(STOPPED_WITHIN);
+        world.run(STOPPED_WITHIN_MS);
         if world.starts != before || world.running_of(1) > 0 {
             started.push(after);
         }
@@ -107,7 +107,7 @@
 
 /// Guards against a run that goes on because no stop was ordered when its job ended: its next listing orders one.
 #[test]
-fn a_listed_run_of_an_ended_job_is_stopped_whatever_left_it_there() {
+fn a_reported_run_of_an_ended_job_is_stopped() {
     let mut world = World::open(412, 2);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(4, &[])]));
@@ -117,7 +117,7 @@
     let entry = cx.jobs.get_mut(&JobKey(1)).expect("the job is known");
     entry.state = JobState::Cancelled;
     entry.rounds.clear();
-    world.run(STOPPED_WITHIN);
+    world.run(STOPPED_WITHIN_MS);
     assert_eq!(world.running_of(1), 0, "a run of an ended job goes on");
     assert_eq!(world.cx.map(|cx| cx.runs_after_end), Some(4), "counted for the operators");
 }
@@ -134,7 +134,7 @@
     world.run(3_000);
     assert_eq!(world.running_of(1), 2, "a member and the next step's task");
     world.cancel(1);
-    world.run(STOPPED_WITHIN);
+    world.run(STOPPED_WITHIN_MS);
     assert_eq!(world.running_of(1), 0, "a run of a cancelled job goes on");
     assert_eq!(world.cx.map(|cx| cx.runs_after_end), Some(0), "its stop was not ordered at once");
 }
