--- a/crates/sched/tests/fleet/cancelled_mix.rs
+++ b/crates/sched/tests/fleet/cancelled_mix.rs
@@ -19,7 +19,7 @@
 
 /// Worlds in which a suspect's trial (the first three) or a late start at the next start of its worker outlived the
 /// cancel, on a code that kept the tasks of cancelled jobs.
-const FOUND: [u64; 5] = [4_084, 4_370, 4_452, 4_080, 4_206];
+const REGRESSION_SEEDS: [u64; 5] = [4_084, 4_370, 4_452, 4_080, 4_206];
 
 /// How many workers a world has.
 const WORKERS: u64 = 10;
@@ -28,13 +28,13 @@
 const JOBS: u64 = 24;
 
 /// One job of so many crashes the workers that run its first task.
-const CULPRITS: usize = 6;
+const CRASHING_JOB_EVERY: usize = 6;
 
 /// How long after its start such a task crashes its worker, in milliseconds.
-const AT_ONCE_MS: u64 = 10;
+const CRASH_DELAY_MS: u64 = 10;
 
 /// Builds a job of one of the kinds that differ in what runs, and where.
-fn any_job(world: &mut World, key: u64) -> Job {
+fn random_job(world: &mut World, key: u64) -> Job {
     let copies = Step { duplicates: true, ..step(4, &[]) };
     let gang = Step { gang: true, ..step(4, &[]) };
     match world.draw(7) {
@@ -51,8 +51,8 @@
 }
 
 /// Hands a job in and cancels it, soon, later, or not at all.
-fn hand_in(world: &mut World, key: u64) {
-    let job = any_job(world, key);
+fn submit_random_job(world: &mut World, key: u64) {
+    let job = random_job(world, key);
     let pause = world.draw(500);
     match world.draw(8) {
         0..4 => {
@@ -69,7 +69,7 @@
 }
 
 /// Does one of the things that make a run hard to stop or to find.
-fn harm(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let at = world.draw(WORKERS) as usize;
     let (ms, gap) = (world.draw(4_000), world.draw(2_500));
     match world.draw(16) {
@@ -101,7 +101,7 @@
 }
 
 /// Plays jobs that are cancelled amid faults.
-fn play(world: &mut World, seed: u64, start_over: fn(&mut World, usize)) {
+fn run_jobs_amid_faults(world: &mut World, seed: u64, start_over: fn(&mut World, usize)) {
     world.work_ms = 1_500;
     world.crashes.same_names = seed.is_multiple_of(2);
     world.faults = Faults {
@@ -112,8 +112,8 @@
         unwell_per_mille: 30,
     };
     for key in 0..JOBS {
-        hand_in(world, key);
-        harm(world);
+        submit_random_job(world, key);
+        inject_fault(world);
         let pause = world.draw(500);
         world.run(pause);
         lose_workers(world, key, start_over);
@@ -129,10 +129,10 @@
 
 /// A run of a cancelled job goes on, or begins, after one of the many orders in which faults may come.
 #[test]
-fn no_run_of_a_cancelled_job_goes_on_whatever_goes_wrong() {
+fn no_run_of_a_cancelled_job_continues_under_any_fault() {
     for seed in seeds() {
         let mut world = World::open(seed, WORKERS as usize);
-        play(&mut world, seed, World::start_over);
+        run_jobs_amid_faults(&mut world, seed, World::start_over);
         assert_nothing_waits(&mut world);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
     }
@@ -142,12 +142,14 @@
 /// worker, which has forgotten what barred them. Such a start may double a task of a job that goes on, and such a
 /// task may take innocent jobs with it, so only cancellations are judged.
 #[test]
-fn no_run_of_a_cancelled_job_goes_on_at_the_next_start_of_its_worker() {
-    for seed in seeds().chain(FOUND) {
+fn no_run_of_a_cancelled_job_continues_in_the_next_incarnation_of_its_worker() {
+    for seed in seeds().chain(REGRESSION_SEEDS) {
         println!("seed {seed}");
         let mut world = World::open(seed, WORKERS as usize);
-        (0..JOBS).step_by(CULPRITS).for_each(|key| world.crash_under(key, 0, AT_ONCE_MS));
-        play(&mut world, seed, World::start_over_before_calls);
+        (0..JOBS)
+            .step_by(CRASHING_JOB_EVERY)
+            .for_each(|key| world.crash_under(key, 0, CRASH_DELAY_MS));
+        run_jobs_amid_faults(&mut world, seed, World::start_over_before_calls);
         assert_cancellations_kept(&mut world);
     }
 }
