--- a/crates/sched/tests/fleet/cancelled_runs.rs
+++ b/crates/sched/tests/fleet/cancelled_runs.rs
@@ -8,17 +8,17 @@
 use crate::world::{assert_kept, assert_nothing_waits, job, lasting, step, World};
 
 /// How long a run may be there once its job is cancelled and its worker answers, in milliseconds.
-const GONE_WITHIN: u64 = 2_000;
+const RUNS_END_WITHIN_MS: u64 = 2_000;
 
 /// How long no run may come back after that, in milliseconds: longer than all leases and late calls.
-const STAYS_GONE: u64 = 10_000;
+const NO_RUN_FOR_MS: u64 = 10_000;
 
 /// How long after its start a crashing task crashes its worker, in milliseconds.
-const AT_ONCE_MS: u64 = 10;
+const CRASH_DELAY_MS: u64 = 10;
 
 /// Fails the test if a run of job 1 is there from now on.
-fn assert_stays_gone(world: &mut World, case: &str) {
-    let until = world.now + STAYS_GONE;
+fn assert_no_run_reappears(world: &mut World, case: &str) {
+    let until = world.now + NO_RUN_FOR_MS;
     while world.now < until {
         assert_eq!(world.running_of(1), 0, "{case}: a run of a cancelled job at {}", world.now);
         world.run(100);
@@ -27,13 +27,13 @@
 }
 
 /// Fails the test if a run of job 1 is there once the time of a stop is over.
-fn assert_goes(world: &mut World, case: &str) {
-    world.run(GONE_WITHIN);
-    assert_stays_gone(world, case);
+fn assert_runs_end(world: &mut World, case: &str) {
+    world.run(RUNS_END_WITHIN_MS);
+    assert_no_run_reappears(world, case);
 }
 
 /// Builds a world of four workers whose work takes a minute, with job 1 of `steps` at work for a second.
-fn at_work(seed: u64, steps: Vec<Step>) -> World {
+fn with_running_tasks(seed: u64, steps: Vec<Step>) -> World {
     let mut world = World::open(seed, 4);
     world.work_ms = 60_000;
     world.submit(job(1, steps));
@@ -54,46 +54,46 @@
 
 /// A stop that never arrives was the only one.
 #[test]
-fn a_run_ends_whose_stop_was_lost() {
+fn a_run_whose_stop_was_lost_ends() {
     for lost_ms in [1, 100, 700] {
-        let mut world = at_work(410, vec![step(12, &[])]);
+        let mut world = with_running_tasks(410, vec![step(12, &[])]);
         world.faults.lost_per_mille = 1_000;
         world.cancel(1);
         world.run(lost_ms);
         world.faults.lost_per_mille = 0;
-        assert_goes(&mut world, &format!("lost for {lost_ms} ms"));
+        assert_runs_end(&mut world, &format!("lost for {lost_ms} ms"));
     }
 }
 
 /// A stop that is refused is given up.
 #[test]
-fn a_run_ends_whose_stop_was_refused_for_a_while() {
+fn a_run_whose_stop_was_refused_for_a_while_ends() {
     for refused_ms in [10, 400, 1_500, 4_000] {
-        let mut world = at_work(411, vec![step(12, &[]), lasting(4)]);
+        let mut world = with_running_tasks(411, vec![step(12, &[]), lasting(4)]);
         world.workers.iter_mut().for_each(|w| w.refuses_stops = true);
         world.cancel(1);
         world.run(refused_ms);
         world.workers.iter_mut().for_each(|w| w.refuses_stops = false);
-        assert_goes(&mut world, &format!("refused for {refused_ms} ms"));
+        assert_runs_end(&mut world, &format!("refused for {refused_ms} ms"));
     }
 }
 
 /// A start without an answer, or its repeat, begins the task after the cancellation.
 #[test]
-fn a_start_under_way_begins_nothing_that_stays() {
+fn a_start_in_flight_at_the_cancel_leaves_no_run() {
     for late_ms in [200, 600, 1_200, 3_000] {
         for after in [0, 1, 150, 399, 401, 450, 850, 1_300] {
             let mut world = with_late_starts(412, late_ms);
             world.run(after);
             world.cancel(1);
-            assert_goes(&mut world, &format!("{late_ms} ms late, cancelled after {after} ms"));
+            assert_runs_end(&mut world, &format!("{late_ms} ms late, cancelled after {after} ms"));
         }
     }
 }
 
 /// A start without an answer is carried out seconds late, after the account that did not list its run.
 #[test]
-fn a_start_carried_out_seconds_late_ends() {
+fn a_run_that_began_seconds_late_ends() {
     for own_lease in [false, true] {
         for late_ms in [2_000, 4_500, 5_900, 8_000] {
             let mut world = with_late_starts(413, late_ms);
@@ -105,16 +105,16 @@
             world.workers.iter_mut().for_each(|w| w.unwell = false);
             // Other work keeps leases at the workers.
             world.submit(job(2, vec![lasting(6)]));
-            assert_goes(&mut world, &format!("{late_ms} ms late, own lease: {own_lease}"));
+            assert_runs_end(&mut world, &format!("{late_ms} ms late, own lease: {own_lease}"));
         }
     }
 }
 
 /// A worker that starts again before, while and after the cancel.
 #[test]
-fn a_run_ends_whose_worker_starts_again() {
+fn a_run_whose_worker_restarts_ends() {
     for (restart, cancel) in [(0, 0), (0, 1), (0, 300), (0, 900), (1, 0), (300, 0), (900, 0)] {
-        let mut world = at_work(414, vec![step(6, &[]), lasting(6)]);
+        let mut world = with_running_tasks(414, vec![step(6, &[]), lasting(6)]);
         for at in 0..1_000 {
             if at == restart {
                 (0..3).for_each(|worker| world.start_over(worker));
@@ -125,13 +125,13 @@
             world.run(1);
         }
         let case = format!("restart after {restart} ms, cancel after {cancel} ms");
-        assert_goes(&mut world, &case);
+        assert_runs_end(&mut world, &case);
     }
 }
 
 /// A late start reaches the next start of its worker, which has forgotten the stop that barred it.
 #[test]
-fn a_start_that_reaches_the_next_start_of_its_worker_ends() {
+fn a_late_start_at_a_worker_restarted_after_the_cancel_leaves_no_run() {
     for late_ms in [700, 1_500, 3_000, 5_000] {
         for (cancel, restart) in [(0, 100), (50, 450), (450, 200), (900, 900), (900, 1_800)] {
             let mut world = with_late_starts(415, late_ms);
@@ -144,14 +144,14 @@
             // A worker that holds nothing is asked only so often what it runs.
             let idle = world.settings.idle_renew_every.0;
             world.run(idle);
-            assert_goes(&mut world, &case);
+            assert_runs_end(&mut world, &case);
         }
     }
 }
 
 /// A worker starts again with a late start on its way, and the job is cancelled after that.
 #[test]
-fn a_start_that_reaches_the_next_start_of_its_worker_before_the_cancel_ends() {
+fn a_late_start_at_a_worker_restarted_before_the_cancel_leaves_no_run() {
     for late_ms in [500, 1_500, 3_000] {
         for (restart, cancel) in [(50, 0), (50, 100), (450, 500), (450, 1_200), (900, 3_000)] {
             let mut world = with_late_starts(416, late_ms);
@@ -161,30 +161,30 @@
             world.cancel(1);
             world.run(late_ms);
             let case = format!("{late_ms} ms late, cancel {cancel} ms after {restart} ms");
-            assert_goes(&mut world, &case);
+            assert_runs_end(&mut world, &case);
         }
     }
 }
 
 /// A worker hears nothing of the cancellation while it is cut off, or its stop was its last call.
 #[test]
-fn a_run_ends_whose_worker_comes_back_from_a_cut() {
+fn a_run_whose_worker_was_partitioned_ends() {
     for before in [0, 500, 2_500] {
         for after in [1, 800, 3_000, 5_000, 9_000] {
-            let mut world = at_work(417, vec![step(8, &[]), lasting(4)]);
+            let mut world = with_running_tasks(417, vec![step(8, &[]), lasting(4)]);
             world.workers[..2].iter_mut().for_each(|w| w.cut = true);
             world.run(before);
             world.cancel(1);
             world.run(after);
             world.workers[..2].iter_mut().for_each(|w| w.cut = false);
-            assert_goes(&mut world, &format!("cut {before} ms before to {after} ms after"));
+            assert_runs_end(&mut world, &format!("cut {before} ms before to {after} ms after"));
         }
     }
 }
 
 /// A cut worker takes a start of a removed leader in once it is back.
 #[test]
-fn a_start_of_a_removed_leader_begins_nothing_that_stays() {
+fn a_late_start_of_a_removed_leader_leaves_no_run() {
     for late_ms in [300, 1_500, 5_000] {
         for gap in [0, 300, 2_000] {
             let mut world = with_late_starts(418, late_ms);
@@ -195,44 +195,44 @@
             world.run(gap / 2);
             world.take_over();
             world.run(late_ms);
-            assert_goes(&mut world, &format!("{late_ms} ms late, no leader for {gap} ms"));
+            assert_runs_end(&mut world, &format!("{late_ms} ms late, no leader for {gap} ms"));
         }
     }
 }
 
 /// A successor adopts a run in the very moment of the cancellation.
 #[test]
-fn a_run_ends_that_a_successor_adopts() {
+fn a_run_adopted_by_a_successor_ends() {
     for after in [0, 1, 2, 3, 5, 20, 300, 1_000] {
-        let mut world = at_work(419, vec![step(6, &[]), lasting(6)]);
+        let mut world = with_running_tasks(419, vec![step(6, &[]), lasting(6)]);
         world.workers[0].cut = true;
         world.change_leader(500);
         world.run(after);
         world.cancel(1);
         world.run(after);
         world.workers[0].cut = false;
-        assert_goes(&mut world, &format!("cancelled {after} ms after the takeover"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after the takeover"));
     }
 }
 
 /// A leader that is lost right after it took the cancellation in, before the last run is gone.
 #[test]
-fn a_run_ends_whose_leader_is_lost_after_the_cancel() {
+fn a_run_whose_leader_is_lost_after_the_cancel_ends() {
     for after in [0, 1, 2, 50, 500] {
-        let mut world = at_work(420, vec![step(6, &[]), lasting(6)]);
+        let mut world = with_running_tasks(420, vec![step(6, &[]), lasting(6)]);
         world.workers.iter_mut().for_each(|w| w.stop_ms = 800);
         world.workers[0].refuses_stops = true;
         world.cancel(1);
         world.run(after);
         world.change_leader(700);
         world.workers[0].refuses_stops = false;
-        assert_goes(&mut world, &format!("leader lost {after} ms after the cancel"));
+        assert_runs_end(&mut world, &format!("leader lost {after} ms after the cancel"));
     }
 }
 
 /// Members of a gang whose mates have failed, are starting, or went with their worker.
 #[test]
-fn mates_of_a_gang_end_together() {
+fn all_members_of_a_cancelled_gang_end() {
     for (case, late, failing, cut) in [
         ("all at work", None, false, false),
         ("one starts late", Some(1_500), false, false),
@@ -252,14 +252,14 @@
             world.cancel(1);
             world.run(if cut { 3_000 } else { 0 });
             world.workers[1].cut = false;
-            assert_goes(&mut world, &format!("{case}, cancelled after {after} ms"));
+            assert_runs_end(&mut world, &format!("{case}, cancelled after {after} ms"));
         }
     }
 }
 
 /// A failed task waits for its next try when its job is cancelled.
 #[test]
-fn a_failed_task_is_not_tried_again() {
+fn a_failed_task_of_a_cancelled_job_is_not_retried() {
     for after in [49, 51, 52, 53, 55, 100, 150, 160, 210, 400] {
         let mut world = World::open(422, 3);
         world.work_ms = 60_000;
@@ -269,13 +269,13 @@
         world.run(after);
         world.cancel(1);
         world.workers.iter_mut().for_each(|w| w.failing = false);
-        assert_goes(&mut world, &format!("cancelled {after} ms after the first start"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after the first start"));
     }
 }
 
 /// Builds a world of two workers, each of which was lost twice under the tasks of job 1: some of these are being
 /// tried, and the others wait for an empty worker.
-fn twice_lost(seed: u64) -> World {
+fn with_waiting_suspects(seed: u64) -> World {
     let mut world = World::open(seed, 2);
     world.submit(job(1, vec![lasting(12)]));
     world.run(2_000);
@@ -297,33 +297,33 @@
 /// Tasks that are suspected of having crashed their workers wait for trials of their own, beside the queue of all
 /// others.
 #[test]
-fn suspects_that_wait_for_a_trial_are_not_tried() {
+fn waiting_suspects_of_a_cancelled_job_get_no_trial() {
     for after in (0..1_500).step_by(100) {
-        let mut world = twice_lost(423);
+        let mut world = with_waiting_suspects(423);
         world.run(after);
         world.cancel(1);
         // The stops of those that are being tried leave empty workers, for which the others wait.
-        assert_goes(&mut world, &format!("cancelled {after} ms after the first trial"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after the first trial"));
     }
 }
 
 /// A suspect whose trial begins in the very moment of the cancellation.
 #[test]
-fn a_suspect_that_is_being_tried_ends() {
+fn a_suspect_in_its_trial_ends() {
     for after in (0..400).step_by(40) {
         let mut world = World::open(424, 6);
-        world.crash_under(1, 0, AT_ONCE_MS);
+        world.crash_under(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![step(4, &[])]));
         world.run_until_crashes(1, 1, 5_000);
         world.run(3_000 + 10 * after);
         world.cancel(1);
-        assert_goes(&mut world, &format!("cancelled {after} ms after the crash"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after the crash"));
     }
 }
 
 /// A task has two runs, the slow one and its copy, and one of them is forgotten.
 #[test]
-fn a_slow_run_and_its_copy_end() {
+fn a_slow_run_and_its_speculative_copy_end() {
     for after in (0..2_000).step_by(200) {
         for cut in [false, true] {
             let mut world = World::open(425, 4);
@@ -335,20 +335,23 @@
             world.cancel(1);
             world.run(1_000);
             world.workers[0].cut = false;
-            assert_goes(&mut world, &format!("cancelled after {after} ms, slow one cut: {cut}"));
+            assert_runs_end(
+                &mut world,
+                &format!("cancelled after {after} ms, slow one cut: {cut}"),
+            );
         }
     }
 }
 
 /// The leader hears of a cancellation first, which concerns a job that it does not know.
 #[test]
-fn a_job_that_comes_after_its_cancellation_begins_nothing() {
+fn a_job_received_after_its_cancellation_starts_nothing() {
     for gap in [0, 1, 100, 3_000] {
         let mut world = World::open(426, 3);
         world.work_ms = 60_000;
         world.run(100);
         world.cancel_ahead(job(1, vec![step(4, &[]), lasting(2)]), gap);
-        assert_stays_gone(&mut world, &format!("{gap} ms"));
+        assert_no_run_reappears(&mut world, &format!("{gap} ms"));
         assert_eq!(world.state(1), Some(JobState::Cancelled), "{gap} ms");
     }
 }
@@ -364,28 +367,28 @@
         world.run(1_000 + after);
         world.cancel(1);
         let starts = world.starts;
-        assert_goes(&mut world, &format!("cancelled after {after} ms"));
+        assert_runs_end(&mut world, &format!("cancelled after {after} ms"));
         assert_eq!(world.starts, starts, "{after} ms");
     }
 }
 
 /// A task that is being moved off a worker that leaves, or is told to stop for another reason.
 #[test]
-fn a_task_that_is_on_the_move_ends() {
+fn a_task_that_is_being_moved_ends() {
     for after in [0, 1, 3, 100, 900, 2_500] {
-        let mut world = at_work(428, vec![step(8, &[]), lasting(8)]);
+        let mut world = with_running_tasks(428, vec![step(8, &[]), lasting(8)]);
         world.workers.iter_mut().for_each(|w| w.stop_ms = 300);
         world.drain(0, 4_000);
         world.unlist(1);
         world.run(after);
         world.cancel(1);
-        assert_goes(&mut world, &format!("cancelled {after} ms after workers leave"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after workers leave"));
     }
 }
 
 /// A job is forgotten some time after its end, and a worker that was cut off for longer still runs its task.
 #[test]
-fn a_run_ends_whose_job_is_forgotten() {
+fn a_run_of_a_forgotten_job_ends() {
     let mut world = World::open(429, 3);
     world.settings.finished_job_retention = Millis(500);
     world.take_over();
@@ -397,12 +400,12 @@
     world.run(3_000);
     assert_eq!(world.state(1), None, "the job is not forgotten");
     world.workers[0].refuses_stops = false;
-    assert_goes(&mut world, "forgotten");
+    assert_runs_end(&mut world, "forgotten");
 }
 
 /// A job that fails leaves runs of its other tasks and steps.
 #[test]
-fn runs_of_a_job_that_failed_end() {
+fn runs_of_a_failed_job_end() {
     for cut in [false, true] {
         let mut world = World::open(430, 4);
         world.work_ms = 60_000;
