--- a/crates/sched/tests/fleet/capacity.rs
+++ b/crates/sched/tests/fleet/capacity.rs
@@ -6,7 +6,7 @@
 use crate::world::{assert_all_end, assert_kept, job, lasting, step, Faults, World};
 
 /// Builds a world whose workers take whatever they are told to start.
-fn unguarded(seed: u64, workers: usize) -> World {
+fn with_unguarded_workers(seed: u64, workers: usize) -> World {
     let mut world = World::open(seed, workers);
     for worker in &mut world.workers {
         worker.unguarded = true;
@@ -15,8 +15,8 @@
 }
 
 #[test]
-fn nothing_starts_beyond_a_room_that_has_shrunk() {
-    let mut world = unguarded(611, 3);
+fn nothing_starts_beyond_a_reduced_capacity() {
+    let mut world = with_unguarded_workers(611, 3);
     world.submit(job(1, vec![lasting(12)]));
     world.run(1_000);
     let before = world.running_at(0);
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn a_room_that_grows_again_is_used() {
-    let mut world = unguarded(612, 1);
+fn restored_capacity_is_used() {
+    let mut world = with_unguarded_workers(612, 1);
     world.resize(0, Resources::new(1_000, 16_000, 0));
     world.submit(job(1, vec![lasting(6)]));
     world.run(2_000);
@@ -44,8 +44,8 @@
 
 /// A successor goes by what the directory says now, not by the room that the roster was stored with.
 #[test]
-fn a_successor_knows_the_room_that_has_shrunk() {
-    let mut world = unguarded(613, 2);
+fn a_successor_uses_the_reduced_capacity() {
+    let mut world = with_unguarded_workers(613, 2);
     world.submit(job(1, vec![lasting(6)]));
     world.run(1_000);
     world.resize(0, Resources::new(1_000, 16_000, 0));
@@ -60,8 +60,8 @@
 
 /// What is being stopped takes room until it is seen to be over.
 #[test]
-fn room_that_is_being_freed_is_not_given_away() {
-    let mut world = unguarded(614, 1);
+fn capacity_of_stopping_runs_is_not_reused() {
+    let mut world = with_unguarded_workers(614, 1);
     world.workers[0].stop_ms = 900;
     world.submit(job(1, vec![lasting(8)]));
     world.run(1_000);
@@ -74,9 +74,9 @@
 
 /// Gangs and single tasks beside rooms that change all the time, lost answers and changes of leader.
 #[test]
-fn rooms_that_change_beside_other_faults() {
+fn changing_capacities_beside_other_faults() {
     for seed in 620..640 {
-        let mut world = unguarded(seed, 8);
+        let mut world = with_unguarded_workers(seed, 8);
         world.faults = Faults {
             lost_per_mille: 20,
             unanswered_per_mille: 40,
