--- a/crates/sched/tests/fleet/checkpoints.rs
+++ b/crates/sched/tests/fleet/checkpoints.rs
@@ -17,15 +17,15 @@
 const WORK_MS: u64 = 2_000;
 
 /// Builds a step of `count` tasks that save their progress.
-fn saving(count: u32, after: &[u16]) -> Step {
+fn checkpointing_step(count: u32, after: &[u16]) -> Step {
     Step { checkpoints: true, ..step(count, after) }
 }
 
 #[test]
-fn a_task_resumes_where_its_stopped_run_had_come() {
+fn a_task_resumes_from_the_checkpoint_of_its_stopped_run() {
     let mut world = World::open(901, 3);
     world.work_ms = WORK_MS;
-    world.submit(job(1, vec![saving(6, &[])]));
+    world.submit(job(1, vec![checkpointing_step(6, &[])]));
     world.run(1_000);
     world.drain(0, 2_000);
     world.run(3_500);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_step_that_saves_nothing_brings_nothing() {
+fn starts_of_a_step_without_checkpoints_carry_none() {
     let mut world = World::open(902, 3);
     world.work_ms = WORK_MS;
     world.checkpoints.lists_all = true;
@@ -50,10 +50,10 @@
 }
 
 #[test]
-fn all_members_of_a_gang_bring_the_same_checkpoint() {
+fn starts_of_all_members_of_a_gang_carry_the_same_checkpoint() {
     let mut world = World::open(903, 3);
     world.work_ms = WORK_MS;
-    world.submit(job(1, vec![Step { gang: true, ..saving(6, &[]) }]));
+    world.submit(job(1, vec![Step { gang: true, ..checkpointing_step(6, &[]) }]));
     world.run(1_100);
     let worker = world.busy_worker();
     world.crash(worker);
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn every_try_of_a_start_brings_the_same_checkpoint() {
+fn every_attempt_of_a_start_carries_the_same_checkpoint() {
     let mut world = World::open(910, 2);
     world.work_ms = 60_000;
-    world.submit(job(1, vec![saving(1, &[])]));
+    world.submit(job(1, vec![checkpointing_step(1, &[])]));
     world.run(1_000);
     let (first, second) = (world.busy_worker(), 1 - world.busy_worker());
     world.workers[first].cut = true;
@@ -84,10 +84,10 @@
 }
 
 #[test]
-fn a_start_that_is_refused_for_its_checkpoint_goes_without_it() {
+fn a_start_refused_for_its_checkpoint_is_sent_again_without_it() {
     let mut world = World::open(904, 3);
     world.work_ms = WORK_MS;
-    world.submit(job(1, vec![saving(6, &[])]));
+    world.submit(job(1, vec![checkpointing_step(6, &[])]));
     world.run(1_000);
     world.workers.iter_mut().for_each(|w| w.refuses_checkpoints = true);
     world.drain(0, 2_000);
@@ -98,10 +98,10 @@
 }
 
 #[test]
-fn a_late_end_of_an_older_run_does_not_take_a_newer_ones_place() {
+fn a_late_end_of_an_older_run_does_not_replace_a_newer_checkpoint() {
     let mut world = World::open(905, 2);
     world.work_ms = 60_000;
-    world.submit(job(1, vec![saving(1, &[])]));
+    world.submit(job(1, vec![checkpointing_step(1, &[])]));
     world.run(1_000);
     let (first, second) = (world.busy_worker(), 1 - world.busy_worker());
     world.workers[first].cut = true;
@@ -120,10 +120,10 @@
 }
 
 #[test]
-fn a_successor_knows_the_checkpoints_of_ends_that_the_workers_have_forgotten() {
+fn a_successor_knows_the_checkpoints_of_ends_that_workers_no_longer_list() {
     let mut world = World::open(906, 2);
     world.work_ms = 6_000;
-    world.submit(job(1, vec![saving(16, &[])]));
+    world.submit(job(1, vec![checkpointing_step(16, &[])]));
     world.run(1_000);
     world.drain(0, 1_500);
     world.run(1_600);
@@ -138,10 +138,10 @@
 }
 
 #[test]
-fn a_successor_knows_the_checkpoints_of_tasks_that_wait_since_their_worker_was_cut_off() {
+fn a_successor_knows_the_checkpoints_of_tasks_that_wait_after_a_partition() {
     let mut world = World::open(915, 2);
     world.work_ms = 20_000;
-    world.submit(job(1, vec![saving(16, &[])]));
+    world.submit(job(1, vec![checkpointing_step(16, &[])]));
     world.run(1_500);
     world.workers[0].cut = true;
     // The other worker is full, so that the tasks wait.
@@ -157,11 +157,14 @@
 }
 
 #[test]
-fn rounds_of_a_repeating_job_keep_their_checkpoints_apart() {
+fn rounds_of_a_repeating_job_have_separate_checkpoints() {
     let mut world = World::open(907, 3);
     world.work_ms = WORK_MS;
     let repeat = Some(Repeat { times: 4, first_unix_ms: 0, every: Millis(300) });
-    world.submit(Job { repeat, ..job(1, vec![saving(3, &[]), saving(2, &[0])]) });
+    world.submit(Job {
+        repeat,
+        ..job(1, vec![checkpointing_step(3, &[]), checkpointing_step(2, &[0])])
+    });
     world.run(1_000);
     world.drain(0, 2_000);
     world.run(1_500);
@@ -174,12 +177,12 @@
 }
 
 #[test]
-fn the_end_of_a_copy_says_nothing_of_a_task_that_is_done() {
+fn the_end_of_a_speculative_copy_leaves_no_checkpoint_of_a_done_task() {
     let mut world = World::open(908, 4);
     world.work_ms = WORK_MS;
     world.workers[0].slowness = 8;
     let after = Step { lasting: true, ..step(1, &[0]) };
-    world.submit(job(1, vec![Step { duplicates: true, ..saving(24, &[]) }, after]));
+    world.submit(job(1, vec![Step { duplicates: true, ..checkpointing_step(24, &[]) }, after]));
     world.run(20_000);
     assert!(world.starts > 25, "no copy was started");
     assert_eq!(world.checkpoints_known(1), 0, "a task that is done has a checkpoint");
@@ -193,7 +196,7 @@
 fn a_successor_knows_the_checkpoint_of_an_older_run_that_was_listed_late() {
     let mut world = World::open(911, 2);
     world.work_ms = 60_000;
-    world.submit(job(1, vec![saving(1, &[])]));
+    world.submit(job(1, vec![checkpointing_step(1, &[])]));
     world.run(150);
     let (first, second) = (world.busy_worker(), 1 - world.busy_worker());
     world.workers[first].cut = true;
@@ -222,7 +225,7 @@
 const SEEDS: u64 = 12;
 
 /// Does one of the things that make runs end before their work is done.
-fn harm(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let worker = world.draw(6) as usize;
     match world.draw(8) {
         0 => world.workers[worker].cut = true,
@@ -244,7 +247,7 @@
 }
 
 #[test]
-fn whatever_goes_wrong_a_start_brings_its_own_checkpoint() {
+fn a_start_carries_only_its_own_checkpoint_under_any_fault() {
     let seeds = env::var("CHECKPOINT_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(SEEDS);
     let mut brought = 0;
     for seed in 930..930 + seeds {
@@ -259,13 +262,13 @@
             unwell_per_mille: 20,
         };
         for key in 20..30 {
-            let gang = Step { gang: true, ..saving(3, &[]) };
-            let copies = Step { duplicates: true, ..saving(3, &[]) };
-            world.submit(job(key, vec![saving(6, &[]), step(2, &[0]), gang, copies]));
+            let gang = Step { gang: true, ..checkpointing_step(3, &[]) };
+            let copies = Step { duplicates: true, ..checkpointing_step(3, &[]) };
+            world.submit(job(key, vec![checkpointing_step(6, &[]), step(2, &[0]), gang, copies]));
             world.run(400);
-            harm(&mut world);
+            inject_fault(&mut world);
             world.run(400);
-            harm(&mut world);
+            inject_fault(&mut world);
         }
         world.workers.iter_mut().for_each(|w| w.cut = false);
         for n in 0..4 {
