--- a/crates/sched/tests/fleet/crashes.rs
+++ b/crates/sched/tests/fleet/crashes.rs
@@ -13,12 +13,12 @@
 use crate::world::{assert_all_end, assert_kept, job, lasting, step, Faults, World};
 
 /// How long after its start a task crashes its worker, in milliseconds: as seen.
-const AT_ONCE_MS: u64 = 10;
+const CRASH_DELAY_MS: u64 = 10;
 
 #[test]
-fn a_task_that_crashes_its_workers_is_given_up() {
+fn a_job_whose_task_crashes_its_workers_fails() {
     let mut world = World::open(301, 12);
-    world.crash_under(1, 0, AT_ONCE_MS);
+    world.crash_under(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run(60_000);
     assert_eq!(world.state(1), Some(JobState::Failed), "{} workers crashed", world.crashes.of(1));
@@ -28,10 +28,10 @@
 
 /// Jobs whose tasks start beside the crashing one complete, and few of their runs go down with it.
 #[test]
-fn neighbours_of_a_crashing_task_are_spared() {
+fn jobs_beside_a_crashing_task_complete() {
     let mut world = World::open(302, 12);
     world.work_ms = 2_000;
-    world.crash_under(1, 0, AT_ONCE_MS);
+    world.crash_under(1, 0, CRASH_DELAY_MS);
     for key in 1..=6 {
         world.submit(job(key, vec![step(4, &[])]));
     }
@@ -46,9 +46,9 @@
 
 /// What is known of a task's crashes outlives the leader that saw them.
 #[test]
-fn crashes_are_counted_over_changes_of_leader() {
+fn crashes_are_counted_across_leader_changes() {
     let mut world = World::open(303, 16);
-    world.crash_under(1, 0, AT_ONCE_MS);
+    world.crash_under(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     for _ in 0..20 {
         world.run(3_000);
@@ -60,7 +60,7 @@
 }
 
 /// Lets 40 s pass and checks that job 1 was given up without a start too many.
-fn assert_given_up(mut world: World) {
+fn assert_job_fails(mut world: World) {
     world.run(40_000);
     assert_eq!(world.state(1), Some(JobState::Failed), "{} workers crashed", world.crashes.of(1));
     assert_kept(&world);
@@ -68,27 +68,27 @@
 
 /// A leader that is lost right after a crash takes the news of it along, each time.
 #[test]
-fn crashes_count_whose_leader_is_lost_before_the_news() {
+fn crashes_count_though_the_leader_is_lost_soon_after() {
     for after in [0, 5, 50, 300, 900, 2_500] {
         let mut world = World::open(304, 16);
-        world.crash_under(1, 0, AT_ONCE_MS);
+        world.crash_under(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![step(1, &[])]));
         for crashes in 1..=6 {
             world.run_until_crashes(1, crashes, 15_000);
             world.run(after);
             world.change_leader(700);
         }
-        assert_given_up(world);
+        assert_job_fails(world);
     }
 }
 
 /// The same beside other work, of which a successor cannot tell what ran where.
 #[test]
-fn crashes_beside_other_work_count_over_leaders_that_are_lost_at_once() {
+fn crashes_beside_other_work_count_though_the_leader_is_lost_soon_after() {
     for after in [0, 50, 900] {
         let mut world = World::open(305, 16);
         world.work_ms = 3_000;
-        world.crash_under(1, 0, AT_ONCE_MS);
+        world.crash_under(1, 0, CRASH_DELAY_MS);
         world.submit(job(2, vec![lasting(12)]));
         world.submit(job(1, vec![step(6, &[])]));
         for crashes in 1..=6 {
@@ -98,15 +98,15 @@
         }
         world.run(20_000);
         assert_ne!(world.state(2), Some(JobState::Failed));
-        assert_given_up(world);
+        assert_job_fails(world);
     }
 }
 
 /// A store that is away keeps the count in the leader, and a successor has what was stored.
 #[test]
-fn crashes_count_while_the_store_is_away() {
+fn crashes_count_while_the_store_is_unavailable() {
     let mut world = World::open(306, 16);
-    world.crash_under(1, 0, AT_ONCE_MS);
+    world.crash_under(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run_until_crashes(1, 1, 5_000);
     world.store_down = true;
@@ -115,15 +115,15 @@
     assert!(crashes <= 3, "{crashes} workers crashed while the store was away");
     world.take_over();
     world.store_down = false;
-    assert_given_up(world);
+    assert_job_fails(world);
 }
 
 /// The directory goes on listing workers that have crashed, and nobody answers in their place.
 #[test]
-fn crashes_count_of_which_no_news_ever_comes() {
+fn crashes_count_though_the_directory_never_shows_them() {
     let mut world = World::open(307, 16);
     world.crashes.silent = true;
-    world.crash_under(1, 0, AT_ONCE_MS);
+    world.crash_under(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run(90_000);
     assert!(world.crashes.of(1) <= 5, "{} workers crashed", world.crashes.of(1));
@@ -132,23 +132,23 @@
 
 /// Crashes come together with starts and renewals whose answers are lost or that are carried out late.
 #[test]
-fn crashes_count_whose_starts_got_no_answer() {
+fn crashes_count_though_starts_got_no_answer() {
     for seed in 310..330 {
         let mut world = World::open(seed, 16);
         world.faults =
             Faults { unanswered_per_mille: 300, late_per_mille: 50, ..Faults::default() };
-        world.crash_under(1, 0, AT_ONCE_MS);
+        world.crash_under(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![step(1, &[])]));
         world.submit(job(2, vec![step(4, &[])]));
         world.run(60_000);
         world.faults = Faults::default();
-        assert_given_up(world);
+        assert_job_fails(world);
     }
 }
 
 /// Tasks that last, members of a gang and tasks of which copies may run are counted like others.
 #[test]
-fn crashes_count_of_every_kind_of_task() {
+fn crashes_count_for_every_kind_of_task() {
     let kinds = [
         lasting(4),
         Step { gang: true, ..step(4, &[]) },
@@ -158,32 +158,32 @@
     for (seed, kind) in (330..).zip(kinds) {
         let mut world = World::open(seed, 16);
         world.work_ms = 1_500;
-        world.crash_under(1, 0, AT_ONCE_MS);
+        world.crash_under(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![kind]));
-        assert_given_up(world);
+        assert_job_fails(world);
     }
 }
 
 /// A task that crashes its worker some time after its start is given up too.
 #[test]
-fn crashes_count_that_come_a_while_after_the_start() {
+fn crashes_long_after_the_start_count() {
     for after in [400, 2_000, 8_000] {
         let mut world = World::open(340, 16);
         world.crash_under(1, 0, after);
         world.submit(job(1, vec![lasting(3)]));
         world.run(40_000);
-        assert_given_up(world);
+        assert_job_fails(world);
     }
 }
 
 /// Several tasks crash workers at one time, beside jobs that must complete.
 #[test]
-fn several_crashing_tasks_are_told_from_their_neighbours() {
+fn several_crashing_tasks_are_distinguished_from_others() {
     for seed in 350..370 {
         let mut world = World::open(seed, 24);
         world.work_ms = 1_000;
         for key in 1..=4 {
-            world.crash_under(key, 0, AT_ONCE_MS);
+            world.crash_under(key, 0, CRASH_DELAY_MS);
         }
         for key in 1..=12 {
             world.submit(job(key, vec![step(6, &[])]));
@@ -202,7 +202,7 @@
 
 /// A worker that is cut off and comes back did not crash, however often it is.
 #[test]
-fn a_cut_that_heals_speaks_against_nobody() {
+fn a_partition_that_heals_makes_no_task_a_suspect() {
     let mut world = World::open(370, 6);
     world.submit(job(1, vec![lasting(6)]));
     world.run(1_000);
@@ -224,7 +224,7 @@
 /// Workers that say that they leave, or that just leave the directory and serve on for a while, crash
 /// under nobody.
 #[test]
-fn workers_that_leave_speak_against_nobody() {
+fn leaving_workers_make_no_task_a_suspect() {
     for announced in [true, false] {
         let mut world = World::open(371, 8);
         world.work_ms = 20_000;
@@ -249,7 +249,7 @@
 
 /// Workers that crash by themselves, many of them and again and again, fail no job.
 #[test]
-fn crashes_by_chance_fail_no_job() {
+fn unrelated_worker_crashes_fail_no_job() {
     for seed in 380..400 {
         let mut world = World::open(seed, 16);
         world.work_ms = 2_500;
@@ -275,7 +275,7 @@
 /// A third of all workers goes down at one time and comes back: nobody is given up, and everything
 /// is at work again soon.
 #[test]
-fn the_loss_of_a_third_of_the_workers_speaks_against_nobody() {
+fn losing_a_third_of_the_workers_fails_no_job() {
     let mut world = World::open(401, 48);
     world.work_ms = 2_000;
     world.submit(job(1, vec![lasting(96)]));
@@ -295,7 +295,7 @@
 
 /// The leader stands still for longer than its leases at workers last: that is no worker's crash.
 #[test]
-fn a_leader_that_stood_still_suspects_nobody() {
+fn a_leader_that_was_paused_suspects_no_task() {
     let mut world = World::open(402, 8);
     world.submit(job(1, vec![lasting(8)]));
     world.run(2_000);
@@ -323,7 +323,7 @@
             unwell_per_mille: 20,
             ..Faults::default()
         };
-        world.crash_under(3, 0, AT_ONCE_MS);
+        world.crash_under(3, 0, CRASH_DELAY_MS);
         world.crash_under(9, 1, 300);
         for key in 0..20 {
             world.submit(job(key, vec![step(5, &[]), step(3, &[0])]));
@@ -355,7 +355,7 @@
 
 /// A worker that is cut off from the leader says that it leaves, and leaves: that is no crash.
 #[test]
-fn a_silent_worker_that_leaves_speaks_against_nobody() {
+fn a_silent_worker_that_leaves_counts_as_no_crash() {
     let mut world = World::open(403, 6);
     world.submit(job(1, vec![lasting(6)]));
     world.run(1_000);
@@ -381,12 +381,12 @@
         world.workers[at].cut = true;
     }
     world.run(30_000);
-    world.crash_under(1, 0, AT_ONCE_MS);
+    world.crash_under(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
-    assert_given_up_after(world, 3);
+    assert_job_fails_after(world, 3);
 }
 
-fn assert_given_up_after(mut world: World, crashes: usize) {
+fn assert_job_fails_after(mut world: World, crashes: usize) {
     world.run(40_000);
     assert_eq!(world.state(1), Some(JobState::Failed));
     assert_eq!(world.crashes.of(1), crashes);
@@ -397,7 +397,7 @@
 /// changes of leader, at each of which a worker was gone that might have run them. Such a loss is supposed
 /// once, and counted from the second time on.
 #[test]
-fn a_task_that_only_waits_is_not_given_up_for_three_lost_leaders() {
+fn three_lost_leaders_do_not_fail_a_waiting_task() {
     let mut world = World::open(406, 8);
     world.submit(job(1, vec![lasting(1)]));
     world.run(1_000);
