--- a/crates/sched/tests/fleet/evacuations.rs
+++ b/crates/sched/tests/fleet/evacuations.rs
@@ -13,45 +13,45 @@
 /// A fleet of three failure domains; workers 0 to 7 lie in the first.
 const WORKERS: usize = 24;
 
-const FIRST: usize = 0;
-const SECOND: usize = 8;
-const THIRD: usize = 16;
+const FIRST_DOMAIN: usize = 0;
+const SECOND_DOMAIN: usize = 8;
+const THIRD_DOMAIN: usize = 16;
 
 /// A job whose tasks want to be in one rack of the first domain.
-fn near_the_first(key: u64) -> Job {
+fn job_in_first_rack(key: u64) -> Job {
     job(key, vec![Step { rack: Some("r0".into()), ..step(4, &[]) }])
 }
 
 /// Returns how many tasks run in the domain that begins with a worker.
 fn running_in(world: &World, first: usize) -> usize {
-    (first..first + SECOND).map(|at| world.running_at(at)).sum()
+    (first..first + SECOND_DOMAIN).map(|at| world.running_at(at)).sum()
 }
 
 #[test]
-fn nothing_new_goes_to_an_evacuated_domain_and_what_runs_there_runs_on() {
+fn an_evacuated_domain_gets_no_new_tasks_and_keeps_its_running_ones() {
     let mut world = World::open(701, WORKERS);
     world.work_ms = 20_000;
     world.submit(job(1, vec![step(30, &[])]));
     world.submit(job(2, vec![lasting(30)]));
     world.run(1_000);
-    let before = running_in(&world, FIRST);
+    let before = running_in(&world, FIRST_DOMAIN);
     assert!(before > 0);
-    world.evacuate(FIRST);
+    world.evacuate(FIRST_DOMAIN);
     world.run(600);
     for key in 10..20 {
         world.submit(job(key, vec![step(6, &[])]));
-        world.submit(near_the_first(100 + key));
+        world.submit(job_in_first_rack(100 + key));
         world.run(300);
     }
-    assert_eq!(running_in(&world, FIRST), before);
+    assert_eq!(running_in(&world, FIRST_DOMAIN), before);
     assert_eq!(world.running_of(2), 30);
     assert_kept(&world);
 }
 
 #[test]
-fn all_domains_at_once_hold_everything_back_until_one_is_taken_back() {
+fn nothing_starts_while_all_domains_are_evacuated() {
     let mut world = World::open(702, WORKERS);
-    for first in [FIRST, SECOND, THIRD] {
+    for first in [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN] {
         world.evacuate(first);
     }
     world.run(600);
@@ -59,61 +59,61 @@
     world.run(10_000);
     assert!(!world.is_completed(1));
     assert_eq!(world.starts, 0);
-    world.take_back(SECOND);
+    world.take_back(SECOND_DOMAIN);
     world.run(3_000);
     assert!(world.is_completed(1));
     assert_kept(&world);
 }
 
 #[test]
-fn a_successor_knows_the_word_before_its_first_start() {
+fn a_successor_knows_the_evacuations_before_its_first_start() {
     let mut world = World::open(703, WORKERS);
-    world.evacuate(FIRST);
+    world.evacuate(FIRST_DOMAIN);
     for key in 0..8 {
         world.lose_leader();
-        world.submit(near_the_first(key));
+        world.submit(job_in_first_rack(key));
         world.run(50);
         world.take_over();
         world.run(300);
-        assert_eq!(running_in(&world, FIRST), 0, "after takeover {key}");
+        assert_eq!(running_in(&world, FIRST_DOMAIN), 0, "after takeover {key}");
     }
     assert_kept(&world);
 }
 
 #[test]
-fn an_older_reading_does_not_undo_a_newer_one() {
+fn an_older_read_of_the_evacuations_does_not_undo_a_newer_one() {
     let mut world = World::open(704, WORKERS);
     let none = world.evacuated();
-    world.evacuate(FIRST);
+    world.evacuate(FIRST_DOMAIN);
     let first = world.evacuated();
     world.run(600);
     world.hear_evacuated(none);
-    world.submit(near_the_first(1));
+    world.submit(job_in_first_rack(1));
     world.run(100);
-    assert_eq!(running_in(&world, FIRST), 0);
-    world.take_back(FIRST);
+    assert_eq!(running_in(&world, FIRST_DOMAIN), 0);
+    world.take_back(FIRST_DOMAIN);
     world.run(600);
     world.hear_evacuated(first);
     world.work_ms = 5_000;
-    world.submit(near_the_first(2));
+    world.submit(job_in_first_rack(2));
     world.run(100);
-    assert!(running_in(&world, FIRST) > 0);
+    assert!(running_in(&world, FIRST_DOMAIN) > 0);
     assert_kept(&world);
 }
 
 #[test]
-fn a_start_whose_fate_is_unknown_is_not_sent_again() {
+fn a_start_with_unknown_outcome_is_not_resent_to_an_evacuated_domain() {
     let mut world = World::open(705, WORKERS);
     world.run(100);
-    for at in SECOND..WORKERS {
+    for at in SECOND_DOMAIN..WORKERS {
         world.workers[at].unwell = true;
     }
-    for at in FIRST..SECOND {
+    for at in FIRST_DOMAIN..SECOND_DOMAIN {
         world.workers[at].cut = true;
     }
     world.submit(job(1, vec![step(4, &[])]));
     world.run(50);
-    world.evacuate(FIRST);
+    world.evacuate(FIRST_DOMAIN);
     let evacuated = world.evacuated();
     world.hear_evacuated(evacuated);
     world.run(4_000);
@@ -126,34 +126,34 @@
 }
 
 #[test]
-fn a_worker_that_is_born_in_an_evacuated_domain_gets_nothing() {
+fn a_new_worker_in_an_evacuated_domain_gets_no_tasks() {
     let mut world = World::open(706, WORKERS);
-    world.evacuate(FIRST);
+    world.evacuate(FIRST_DOMAIN);
     world.run(600);
-    world.crash_and_return(FIRST);
+    world.crash_and_return(FIRST_DOMAIN);
     world.run(5_000);
-    world.submit(near_the_first(1));
+    world.submit(job_in_first_rack(1));
     world.run(200);
-    assert_eq!(running_in(&world, FIRST), 0);
+    assert_eq!(running_in(&world, FIRST_DOMAIN), 0);
     assert_kept(&world);
 }
 
 #[test]
-fn room_that_is_taken_back_is_used_at_once() {
-    let mut world = World::open(707, SECOND);
-    world.evacuate(FIRST);
+fn capacity_is_used_at_once_after_an_evacuation_is_lifted() {
+    let mut world = World::open(707, SECOND_DOMAIN);
+    world.evacuate(FIRST_DOMAIN);
     world.run(600);
     world.submit(job(1, vec![step(40, &[])]));
     world.run(2_000);
     assert_eq!(world.starts, 0);
-    world.take_back(FIRST);
+    world.take_back(FIRST_DOMAIN);
     world.run(600);
     assert_eq!(world.starts, 40);
     assert_kept(&world);
 }
 
 /// Plays evacuations beside changes of leader, an absent store, lost and late orders, and crashes.
-fn play_evacuations(seed: u64) {
+fn run_evacuations(seed: u64) {
     let mut world = World::open(seed, WORKERS);
     world.faults = Faults {
         lost_per_mille: 20,
@@ -165,9 +165,9 @@
     for key in 0..40 {
         let steps = vec![step(5, &[]), Step { duplicates: true, ..step(3, &[0]) }];
         let near = world.draw(3) == 0;
-        world.submit(if near { near_the_first(key) } else { job(key, steps) });
+        world.submit(if near { job_in_first_rack(key) } else { job(key, steps) });
         world.submit(job(1_000 + key, vec![lasting(2)]));
-        let first = [FIRST, SECOND, THIRD][world.draw(3) as usize];
+        let first = [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN][world.draw(3) as usize];
         match world.draw(8) {
             0..=1 if !world.store_down => world.evacuate(first),
             2..=3 if !world.store_down => world.take_back(first),
@@ -189,7 +189,7 @@
     }
     world.store_down = false;
     world.faults = Faults::default();
-    for first in [FIRST, SECOND, THIRD] {
+    for first in [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN] {
         world.take_back(first);
     }
     world.run(40_000);
@@ -202,9 +202,9 @@
 const SEEDS: u64 = 6;
 
 #[test]
-fn evacuations_hold_beside_everything_else() {
+fn evacuations_hold_under_other_faults() {
     let seeds = env::var("EVACUATION_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(SEEDS);
     for seed in 0..seeds {
-        play_evacuations(710_000 + seed);
+        run_evacuations(710_000 + seed);
     }
 }
