--- a/crates/sched/tests/fleet/gangs.rs
+++ b/crates/sched/tests/fleet/gangs.rs
@@ -5,7 +5,7 @@
 use crate::world::{assert_kept, job, step, World};
 
 #[test]
-fn a_gang_that_several_racks_slow_down_runs_in_one() {
+fn a_same_rack_gang_runs_in_one_rack() {
     // Four workers of eight cores share a rack.
     let mut world = World::open(51, 12);
     world.work_ms = 3_000;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_gang_that_fits_into_no_rack_runs_in_several() {
+fn a_same_rack_gang_that_fits_into_no_rack_runs_in_several() {
     let mut world = World::open(52, 12);
     world.work_ms = 3_000;
     let gang = Step { gang: true, same_rack: true, ..step(40, &[]) };
