--- a/crates/sched/tests/fleet/innocents.rs
+++ b/crates/sched/tests/fleet/crash_attribution.rs
@@ -5,18 +5,20 @@
 use crate::world::{assert_kept, job, step, World};
 
 /// How long after its start a crashing task crashes its worker, in milliseconds.
-const AT_ONCE_MS: u64 = 10;
+const CRASH_DELAY_MS: u64 = 10;
 
 /// Seen in the soak of processes: on two workers, beside a dozen crashing tasks and lost leaders, a job of which no
 /// task crashes anything is given up. Here its task runs once, at 10.0 s, and is lost with its neighbours. It is then
 /// counted twice more though it waits all the while: each of two successors finds a worker gone and 125 and 243
 /// tasks nowhere, and counts a doubt that there was before. The next loss beside others is the fourth.
 #[test]
-fn a_task_that_waits_is_not_counted_for_workers_that_are_lost() {
+fn lost_workers_are_not_counted_against_a_waiting_task() {
     let mut world = World::open(20_002, 2);
     world.work_ms = 700;
     let is_culprit = |key: u64| key % 3 == 1;
-    (0..36).filter(|key| is_culprit(*key)).for_each(|key| world.crash_under(key, 0, AT_ONCE_MS));
+    (0..36)
+        .filter(|key| is_culprit(*key))
+        .for_each(|key| world.crash_under(key, 0, CRASH_DELAY_MS));
     for key in 0..36 {
         let innocent = vec![step(6, &[]), step(4, &[0])];
         let steps = if is_culprit(key) { vec![step(3, &[])] } else { innocent };
@@ -39,9 +41,9 @@
 /// A successor that finds a worker gone goes by what is stored: a crash at a start that it cannot know of would be
 /// forgotten, each time. The leader is lost before it hears of the second crash, with nothing else to tell of it.
 #[test]
-fn the_start_of_a_suspect_is_stored_before_its_worker_gets_it() {
+fn the_start_of_a_suspect_is_stored_before_it_is_sent() {
     let mut world = World::open(20_301, 16);
-    world.crash_under(1, 0, AT_ONCE_MS);
+    world.crash_under(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run_until_crashes(1, 2, 15_000);
     assert_eq!(world.stored_crashes(1), 1, "the second crash is known");
