--- a/crates/sched/tests/fleet/foreign.rs
+++ b/crates/sched/tests/fleet/foreign_entries.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_worker_whose_entry_is_sound_again_gets_tasks() {
+fn a_worker_whose_entry_is_readable_again_gets_tasks() {
     let mut world = World::open(602, 1);
     world.run(500);
     world.spoil_entry(0);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_entry_of_an_unknown_pool_is_not_asked_for_anything() {
+fn a_worker_of_an_unknown_pool_is_sent_no_renewals() {
     let mut world = World::open(603, 2);
     world.add_worker_of("x1", "another-pool");
     world.run(20_000);
@@ -63,7 +63,7 @@
 
 /// A crashed worker whose entry cannot be read still counts, once the entry has lapsed.
 #[test]
-fn a_worker_that_crashes_behind_an_unreadable_entry_is_given_up() {
+fn tasks_of_a_crashed_worker_with_an_unreadable_entry_run_again() {
     let mut world = World::open(605, 3);
     world.submit(job(1, vec![lasting(6)]));
     world.run(1_000);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_worker_that_runs_something_is_not_listed_at_another_address() {
+fn a_busy_worker_listed_at_another_address_gets_no_tasks() {
     let mut world = World::open(606, 2);
     world.submit(job(1, vec![lasting(4)]));
     world.run(1_000);
--- a/crates/sched/tests/fleet/main.rs
+++ b/crates/sched/tests/fleet/main.rs
@@ -11,7 +11,7 @@
 mod crashes;
 mod directory_age;
 mod evacuations;
-mod foreign;
+mod foreign_entries;
 mod gangs;
 mod late_accounts;
 mod late_paces;
