--- a/crates/sched/tests/fleet/backlogs.rs
+++ b/crates/sched/tests/fleet/backlogs.rs
@@ -1,4 +1,6 @@
-//! What a backlog of waiting steps costs the leader, on virtual time.
+//! The work that a backlog of waiting steps causes at the leader, on virtual time.
+//!
+//! A leader that evaluates all workers for each of many identical steps has no time left for anything else.
 
 use gaplock_jobs::{Job, JobKey, Step};
 use gaplock_types::time::Millis;
@@ -7,13 +9,14 @@
 
 const WORKERS: usize = 20;
 
-/// Jobs that wait; more than any pass may hold against all workers one by one.
+/// How many jobs wait: more than a dispatch pass may evaluate on all workers one by one.
 const WAITING_JOBS: u64 = 200;
 
-/// How many workers a pass may look at where all waiting steps ask for the same: a search or two.
+/// How many candidate evaluations a dispatch pass may make where all waiting steps ask for the same: one or two
+/// searches over all workers.
 const MAX_EVALUATIONS: usize = 2 * WORKERS;
 
-/// A job of one task that serves until it is cancelled.
+/// Builds a job of `count` serving tasks that run until it is cancelled.
 fn serving_job(key: u64, count: u32) -> Job {
     let (tail_target, image) = (Some(Millis(50)), Some("serving".to_string()));
     job(key, vec![Step { lasting: true, tail_target, image, ..step(count, &[]) }])
@@ -23,14 +26,18 @@
 fn long_running_steps_that_do_not_fit_are_not_each_evaluated_on_all_workers() {
     let mut world = World::open(111, WORKERS);
     world.work_ms = 60_000;
-    // Seven of eight cores are taken; the last one is kept for short tasks for a while.
+    // Seven of eight cores are in use; the last one is reserved for short tasks for a while.
     world.submit(job(1, vec![step(7 * WORKERS as u32, &[])]));
     world.run(1_000);
     for key in 0..WAITING_JOBS {
         world.submit(serving_job(10 + key, 1));
     }
     world.run(1_000);
-    assert!(world.looks() <= MAX_EVALUATIONS, "{} looks in one pass", world.looks());
+    assert!(
+        world.looks() <= MAX_EVALUATIONS,
+        "{} candidate evaluations in one dispatch pass, expected at most {MAX_EVALUATIONS}",
+        world.looks()
+    );
     assert_kept(&world);
 }
 
@@ -46,16 +53,21 @@
         world.submit(job(10 + key, vec![Step { fills: true, image, ..step(6, &[]) }]));
     }
     world.run(1_000);
-    assert!(world.looks() <= MAX_EVALUATIONS, "{} looks in one pass", world.looks());
+    assert!(
+        world.looks() <= MAX_EVALUATIONS,
+        "{} candidate evaluations in one dispatch pass, expected at most {MAX_EVALUATIONS}",
+        world.looks()
+    );
     assert_kept(&world);
 }
 
-/// How many searches for a better place a check may make where all that is stuck is alike: one that finds
-/// the free worker, one that finds it taken.
+/// How many searches for another worker a rebalancing check may make where all paused tasks are identical: one
+/// that finds the free worker, one that finds it taken.
 const MAX_SEARCHES: usize = 2;
 
-/// The pattern: what fills is halted everywhere at one time, and few workers could take it. Each of those tasks
-/// was held against all workers, five times a second; on 3,000 workers the leader did nothing else.
+/// Guards against a leader that is busy with rebalancing only. Best-effort tasks are paused everywhere at one time,
+/// and few workers could take them. Each of those tasks was evaluated on all workers five times a second, which
+/// took all of the leader's time on 3,000 workers.
 #[test]
 fn identical_paused_tasks_are_not_each_evaluated_on_all_workers() {
     let mut world = World::open(113, WORKERS);
@@ -64,19 +76,23 @@
     world.readings.insert(JobKey(1), 10);
     world.run(3_000);
     let image = Some("filling".to_string());
-    let filling = Step { fills: true, checkpoints: true, image, ..step(4 * WORKERS as u32, &[]) };
+    let best_effort =
+        Step { fills: true, checkpoints: true, image, ..step(4 * WORKERS as u32, &[]) };
     world.readings.insert(JobKey(2), 1_000);
-    world.submit(job(2, vec![filling]));
+    world.submit(job(2, vec![best_effort]));
     world.run(1_000);
     world.readings.insert(JobKey(1), 200);
     world.run(3_000);
     world.add_worker("free");
-    let mut most = 0;
+    let mut max_searches = 0;
     for _ in 0..40 {
         world.run(50);
-        most = most.max(world.places_searched());
+        max_searches = max_searches.max(world.places_searched());
     }
-    assert!(most > 0, "nothing was stuck");
-    assert!(most <= MAX_SEARCHES, "{most} searches in one check");
+    assert!(max_searches > 0, "no check searched for another worker: no task was paused");
+    assert!(
+        max_searches <= MAX_SEARCHES,
+        "{max_searches} searches in one rebalancing check, expected at most {MAX_SEARCHES}"
+    );
     assert_kept(&world);
 }
