--- a/crates/sched/tests/fleet/bursts.rs
+++ b/crates/sched/tests/fleet/bursts.rs
@@ -1,12 +1,13 @@
-//! Bursts of starts, on virtual time: a leader sends no more at one time than it can hear of.
+//! Bursts of starts, on virtual time: a leader has no more starts in flight than it can handle the answers of.
 
 use crate::world::{assert_kept, job, step, World};
 
 const WORKERS: usize = 60;
 
-/// Tasks that fill every worker of eight cores.
+/// How many tasks fill all workers, which have eight cores each.
 const TASKS: usize = WORKERS * 8;
 
+/// How many starts the leader may have in flight.
 const MAX_STARTS_IN_FLIGHT: usize = 32;
 
 #[test]
@@ -19,12 +20,15 @@
     for key in 0..12 {
         world.submit(job(key, vec![step(TASKS as u32 / 12, &[])]));
     }
-    let mut most = 0;
+    let mut max_in_flight = 0;
     for _ in 0..500 {
         world.run(1);
-        most = most.max(world.starts_under_way());
+        max_in_flight = max_in_flight.max(world.starts_under_way());
     }
-    assert!(most <= MAX_STARTS_IN_FLIGHT, "{most} starts were under way at one time");
+    assert!(
+        max_in_flight <= MAX_STARTS_IN_FLIGHT,
+        "{max_in_flight} starts in flight at one time, expected at most {MAX_STARTS_IN_FLIGHT}"
+    );
     let running: usize = (0..12).map(|key| world.running_of(key)).sum();
     assert_eq!(running, TASKS);
     assert_kept(&world);
@@ -43,6 +47,9 @@
     world.submit(job(1, vec![step(200, &[])]));
     world.run(1_500);
     let running = world.running_of(1);
-    assert!(running >= 160, "only {running} of 200 tasks run beside silent workers");
+    assert!(
+        running >= 160,
+        "only {running} of 200 tasks run while 10 workers are silent, expected at least 160"
+    );
     assert_kept(&world);
 }
