--- a/crates/sched/tests/fleet/cancelled.rs
+++ b/crates/sched/tests/fleet/cancelled.rs
@@ -1,5 +1,5 @@
-//! Runs of jobs that were cancelled: none goes on or begins, whoever started it and however late its worker
-//! carried the start out.
+//! Runs of cancelled jobs: none continues or begins, whichever leader started it and however late its worker
+//! carried out the start.
 
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::{JobKey, Step};
@@ -7,11 +7,12 @@
 
 use crate::world::{assert_kept, job, step, World};
 
-/// How long after the first accounts a run of a cancelled job may be there: the time of a stop, and of the
-/// account that shows the run.
+/// How long after the first worker reports a run of a cancelled job may continue, in milliseconds: the time of a
+/// stop, and of the report that lists the run.
 const STOPPED_WITHIN_MS: u64 = 2_000;
 
-/// Builds a world whose leader has started tasks that work for long, and is lost before they are cancelled.
+/// Builds a simulation whose leader has started tasks that run for a minute, and is lost before their job is
+/// cancelled.
 fn cancelled_without_a_leader(seed: u64) -> World {
     let mut world = World::open(seed, 4);
     world.work_ms = 60_000;
@@ -30,7 +31,7 @@
     world.take_over();
     world.run(STOPPED_WITHIN_MS);
     for _ in 0..10 {
-        assert_eq!(world.running_of(1), 0, "a run of a cancelled job goes on");
+        assert_eq!(world.running_of(1), 0, "a run of a cancelled job continues");
         world.run(1_000);
     }
     assert_kept(&world);
@@ -49,10 +50,11 @@
     world.lose_leader();
     world.cancel(1);
     world.take_over();
-    // The successor's token refuses a late start, or its accounts show the run.
+    // Either the worker refuses the late start because of the successor's token, or its report to the successor
+    // lists the run.
     world.run(3_000 + STOPPED_WITHIN_MS);
     for _ in 0..10 {
-        assert_eq!(world.running_of(1), 0, "a run of a cancelled job goes on");
+        assert_eq!(world.running_of(1), 0, "a run of a cancelled job continues");
         world.run(1_000);
     }
     assert_kept(&world);
@@ -61,19 +63,24 @@
 #[test]
 fn a_worker_that_was_silent_when_the_job_was_cancelled_stops_its_runs_once_it_answers() {
     let mut world = cancelled_without_a_leader(403);
-    let cut = (0..4).find(|&at| world.running_at(at) > 0).expect("tasks run");
-    world.workers[cut].cut = true;
+    let partitioned =
+        (0..4).find(|&at| world.running_at(at) > 0).expect("twelve tasks run on four workers");
+    world.workers[partitioned].cut = true;
     world.take_over();
     let silent = Millis(world.settings.lease_max.0 / 2);
     world.run(silent.0);
-    world.workers[cut].cut = false;
+    world.workers[partitioned].cut = false;
     world.run(STOPPED_WITHIN_MS);
-    assert_eq!(world.running_of(1), 0, "a run of a cancelled job goes on at a worker that is back");
+    assert_eq!(
+        world.running_of(1),
+        0,
+        "a run of a cancelled job continues at a worker that answers again"
+    );
     assert_kept(&world);
 }
 
-/// Builds a world of eight workers with a lasting task of job 1 each, one of which has started again twice,
-/// the last time `after` milliseconds ago: its task waits for an empty worker.
+/// Builds a simulation of eight workers, each with a long-running task of job 1. One worker has restarted twice, the
+/// last time `after` milliseconds ago: its task is a suspect and waits for an empty worker.
 fn with_a_waiting_suspect(seed: u64, after: u64) -> World {
     let mut world = World::open(seed, 8);
     world.crashes.same_names = true;
@@ -88,7 +95,7 @@
     world
 }
 
-/// Guards against a suspect of crashes that is started for its trial although its job was cancelled before.
+/// Guards against the start of a suspect for its trial after its job was cancelled.
 #[test]
 fn a_suspect_that_waits_for_its_trial_is_not_started_once_its_job_is_cancelled() {
     let mut started = Vec::new();
@@ -102,10 +109,14 @@
         }
         assert_kept(&world);
     }
-    assert!(started.is_empty(), "started after the cancellation at {started:?} ms");
+    assert!(
+        started.is_empty(),
+        "started after a cancellation {started:?} ms after the second restart"
+    );
 }
 
-/// Guards against a run that goes on because no stop was ordered when its job ended: its next listing orders one.
+/// Guards against a run that continues because no stop was sent when its job ended: the next worker report that lists
+/// it must cause one.
 #[test]
 fn a_reported_run_of_an_ended_job_is_stopped() {
     let mut world = World::open(412, 2);
@@ -113,17 +124,21 @@
     world.submit(job(1, vec![step(4, &[])]));
     world.run(1_000);
     assert_eq!(world.running_of(1), 4);
-    let cx = world.cx.as_mut().expect("there is a leader");
-    let entry = cx.jobs.get_mut(&JobKey(1)).expect("the job is known");
+    let cx = world.cx.as_mut().expect("the simulation has a leader");
+    let entry = cx.jobs.get_mut(&JobKey(1)).expect("the leader knows job 1");
     entry.state = JobState::Cancelled;
     entry.rounds.clear();
     world.run(STOPPED_WITHIN_MS);
-    assert_eq!(world.running_of(1), 0, "a run of an ended job goes on");
-    assert_eq!(world.cx.map(|cx| cx.runs_after_end), Some(4), "counted for the operators");
+    assert_eq!(world.running_of(1), 0, "a run of an ended job continues");
+    assert_eq!(
+        world.cx.map(|cx| cx.runs_after_end),
+        Some(4),
+        "runs after the end of their job, as counted for the operators"
+    );
 }
 
-/// Guards against a member of a gang that goes on after its step is done, and for which the cancellation of its job
-/// orders no stop.
+/// Guards against a member of a gang that continues after its step is done, and for which the cancellation of its
+/// job sends no stop.
 #[test]
 fn a_member_of_a_gang_that_outlives_its_step_is_stopped_by_the_cancellation() {
     let mut world = World::open(413, 4);
@@ -132,9 +147,9 @@
     let gang = Step { gang: true, most_per_worker: Some(1), ..step(4, &[]) };
     world.submit(job(1, vec![gang, Step { lasting: true, ..step(1, &[0]) }]));
     world.run(3_000);
-    assert_eq!(world.running_of(1), 2, "a member and the next step's task");
+    assert_eq!(world.running_of(1), 2, "expected one member of the gang and the next step's task");
     world.cancel(1);
     world.run(STOPPED_WITHIN_MS);
-    assert_eq!(world.running_of(1), 0, "a run of a cancelled job goes on");
-    assert_eq!(world.cx.map(|cx| cx.runs_after_end), Some(0), "its stop was not ordered at once");
+    assert_eq!(world.running_of(1), 0, "a run of a cancelled job continues");
+    assert_eq!(world.cx.map(|cx| cx.runs_after_end), Some(0), "the cancellation sent it no stop");
 }
