--- a/crates/sched/tests/fleet/cancelled_mix.rs
+++ b/crates/sched/tests/fleet/cancelled_mix.rs
@@ -1,4 +1,4 @@
-//! Jobs of every kind that are cancelled amid every fault, in random worlds.
+//! Jobs of every kind that are cancelled while all kinds of faults occur, in random simulations.
 
 use std::env;
 use std::ops::Range;
@@ -11,36 +11,36 @@
     assert_cancellations_kept, assert_nothing_waits, job, lasting, step, Faults, World,
 };
 
-/// How many random worlds are played unless `CANCEL_SEEDS` says.
+/// How many seeds are run unless `CANCEL_SEEDS` gives another number.
 const SEEDS: u64 = 12;
 
-/// The first of them unless `CANCEL_FROM` says.
+/// The first seed unless `CANCEL_FROM` gives another one.
 const FIRST_SEED: u64 = 4_000;
 
-/// Worlds in which a suspect's trial (the first three) or a late start at the next start of its worker outlived the
-/// cancel, on a code that kept the tasks of cancelled jobs.
+/// Seeds that once failed, when the scheduler kept the tasks of cancelled jobs: a suspect's trial (the first three)
+/// or a late start at the next incarnation of its worker outlived the cancellation.
 const REGRESSION_SEEDS: [u64; 5] = [4_084, 4_370, 4_452, 4_080, 4_206];
 
-/// How many workers a world has.
+/// How many workers a simulation has.
 const WORKERS: u64 = 10;
 
-/// How many jobs are handed in.
+/// How many jobs are submitted.
 const JOBS: u64 = 24;
 
-/// One job of so many crashes the workers that run its first task.
+/// One job of this many crashes the workers that run its first task.
 const CRASHING_JOB_EVERY: usize = 6;
 
-/// How long after its start such a task crashes its worker, in milliseconds.
+/// How long after its start a crashing task crashes its worker, in milliseconds.
 const CRASH_DELAY_MS: u64 = 10;
 
-/// Builds a job of one of the kinds that differ in what runs, and where.
+/// Builds a job of a random kind; the kinds differ in which tasks run, and where.
 fn random_job(world: &mut World, key: u64) -> Job {
-    let copies = Step { duplicates: true, ..step(4, &[]) };
+    let speculative = Step { duplicates: true, ..step(4, &[]) };
     let gang = Step { gang: true, ..step(4, &[]) };
     match world.draw(7) {
         0 => job(key, vec![lasting(4)]),
         1 => job(key, vec![gang]),
-        2 => job(key, vec![copies, step(2, &[0])]),
+        2 => job(key, vec![speculative, step(2, &[0])]),
         3 => {
             let repeat = Some(Repeat { times: 6, first_unix_ms: 0, every: Millis(400) });
             Job { repeat, ..job(key, vec![step(3, &[]), step(2, &[0])]) }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Hands a job in and cancels it, soon, later, or not at all.
+/// Submits a random job and cancels it soon or not at all; may also cancel an earlier one.
 fn submit_random_job(world: &mut World, key: u64) {
     let job = random_job(world, key);
     let pause = world.draw(500);
@@ -68,7 +68,7 @@
     }
 }
 
-/// Does one of the things that make a run hard to stop or to find.
+/// Injects a random fault that makes runs hard to stop or to find, or none.
 fn inject_fault(world: &mut World) {
     let at = world.draw(WORKERS) as usize;
     let (ms, gap) = (world.draw(4_000), world.draw(2_500));
@@ -84,7 +84,8 @@
     }
 }
 
-/// Loses workers that are up, now and then: no more than two under one task, which is given up after three.
+/// Loses workers that are up after certain jobs were submitted: no more than two under one task, since its job fails
+/// after three.
 fn lose_workers(world: &mut World, key: u64, start_over: fn(&mut World, usize)) {
     let one = world.draw(WORKERS) as usize;
     let (lost, lose): (Vec<usize>, fn(&mut World, usize)) = match key {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Plays jobs that are cancelled amid faults.
+/// Runs jobs that are cancelled while faults occur.
 fn run_jobs_amid_faults(world: &mut World, seed: u64, start_over: fn(&mut World, usize)) {
     world.work_ms = 1_500;
     world.crashes.same_names = seed.is_multiple_of(2);
@@ -120,14 +121,14 @@
     }
 }
 
-/// Returns the seeds that are played.
+/// Returns the seeds to run.
 fn seeds() -> Range<u64> {
     let number = |name: &str| env::var(name).ok().and_then(|n| n.parse().ok());
     let from = number("CANCEL_FROM").unwrap_or(FIRST_SEED);
     from..from + number("CANCEL_SEEDS").unwrap_or(SEEDS)
 }
 
-/// A run of a cancelled job goes on, or begins, after one of the many orders in which faults may come.
+/// Guards against a run of a cancelled job that continues or begins after some sequence of faults.
 #[test]
 fn no_run_of_a_cancelled_job_continues_under_any_fault() {
     for seed in seeds() {
@@ -138,9 +139,9 @@
     }
 }
 
-/// The same beside tasks that crash their workers, and where starts that come late reach the next start of their
-/// worker, which has forgotten what barred them. Such a start may double a task of a job that goes on, and such a
-/// task may take innocent jobs with it, so only cancellations are judged.
+/// The same beside tasks that crash their workers, and where late starts reach the next incarnation of their worker,
+/// which no longer has the stops that would make it refuse them. Such a start may run a task of another job twice,
+/// and a crashing task may make other jobs fail, so only cancellations are checked.
 #[test]
 fn no_run_of_a_cancelled_job_continues_in_the_next_incarnation_of_its_worker() {
     for seed in seeds().chain(REGRESSION_SEEDS) {
