--- a/crates/sched/tests/fleet/cancelled_runs.rs
+++ b/crates/sched/tests/fleet/cancelled_runs.rs
@@ -1,4 +1,4 @@
-//! The ways in which a task of a cancelled job could run on or begin, one test for each.
+//! One test for each way in which a task of a cancelled job could continue or begin.
 
 use gaplock_jobs::job::Repeat;
 use gaplock_jobs::progress::JobState;
@@ -7,42 +7,47 @@
 
 use crate::world::{assert_kept, assert_nothing_waits, job, lasting, step, World};
 
-/// How long a run may be there once its job is cancelled and its worker answers, in milliseconds.
+/// How long a run may continue once its job is cancelled and its worker answers, in milliseconds.
 const RUNS_END_WITHIN_MS: u64 = 2_000;
 
-/// How long no run may come back after that, in milliseconds: longer than all leases and late calls.
+/// How long after that no run may appear, in milliseconds: longer than all leases and late calls last.
 const NO_RUN_FOR_MS: u64 = 10_000;
 
 /// How long after its start a crashing task crashes its worker, in milliseconds.
 const CRASH_DELAY_MS: u64 = 10;
 
-/// Fails the test if a run of job 1 is there from now on.
+/// Fails the test if job 1 has a run within the next [`NO_RUN_FOR_MS`].
 fn assert_no_run_reappears(world: &mut World, case: &str) {
     let until = world.now + NO_RUN_FOR_MS;
     while world.now < until {
-        assert_eq!(world.running_of(1), 0, "{case}: a run of a cancelled job at {}", world.now);
+        assert_eq!(
+            world.running_of(1),
+            0,
+            "{case}: the cancelled job has a run at {} ms",
+            world.now
+        );
         world.run(100);
     }
     assert!(world.violations.is_empty(), "{case}: {:#?}", world.violations);
 }
 
-/// Fails the test if a run of job 1 is there once the time of a stop is over.
+/// Fails the test if job 1 still has a run, or has one again, after [`RUNS_END_WITHIN_MS`].
 fn assert_runs_end(world: &mut World, case: &str) {
     world.run(RUNS_END_WITHIN_MS);
     assert_no_run_reappears(world, case);
 }
 
-/// Builds a world of four workers whose work takes a minute, with job 1 of `steps` at work for a second.
+/// Builds a simulation of four workers whose tasks take a minute, where job 1 of `steps` has run for a second.
 fn with_running_tasks(seed: u64, steps: Vec<Step>) -> World {
     let mut world = World::open(seed, 4);
     world.work_ms = 60_000;
     world.submit(job(1, steps));
     world.run(1_000);
-    assert!(world.running_of(1) > 0);
+    assert!(world.running_of(1) > 0, "no task of job 1 runs after 1 s");
     world
 }
 
-/// Builds a world of which each worker carries out its next start so many milliseconds late, and hands in job 1.
+/// Builds a simulation where each worker carries out its next start `late_ms` milliseconds late, and submits job 1.
 fn with_late_starts(seed: u64, late_ms: u64) -> World {
     let mut world = World::open(seed, 3);
     world.work_ms = 60_000;
@@ -52,7 +57,7 @@
     world
 }
 
-/// A stop that never arrives was the only one.
+/// Guards against a stop that is sent only once and lost.
 #[test]
 fn a_run_whose_stop_was_lost_ends() {
     for lost_ms in [1, 100, 700] {
@@ -65,7 +70,7 @@
     }
 }
 
-/// A stop that is refused is given up.
+/// Guards against a leader that does not send a refused stop again.
 #[test]
 fn a_run_whose_stop_was_refused_for_a_while_ends() {
     for refused_ms in [10, 400, 1_500, 4_000] {
@@ -78,7 +83,7 @@
     }
 }
 
-/// A start without an answer, or its repeat, begins the task after the cancellation.
+/// Guards against a start without an answer, or the next attempt of it, that begins the task after the cancellation.
 #[test]
 fn a_start_in_flight_at_the_cancel_leaves_no_run() {
     for late_ms in [200, 600, 1_200, 3_000] {
@@ -91,7 +96,8 @@
     }
 }
 
-/// A start without an answer is carried out seconds late, after the account that did not list its run.
+/// Guards against a start without an answer that its worker carries out seconds late, after a worker report that did
+/// not list the run.
 #[test]
 fn a_run_that_began_seconds_late_ends() {
     for own_lease in [false, true] {
@@ -103,14 +109,14 @@
             world.cancel(1);
             world.run(300);
             world.workers.iter_mut().for_each(|w| w.unwell = false);
-            // Other work keeps leases at the workers.
+            // Another job makes the leader renew the workers' leases, so that a late start may still begin.
             world.submit(job(2, vec![lasting(6)]));
             assert_runs_end(&mut world, &format!("{late_ms} ms late, own lease: {own_lease}"));
         }
     }
 }
 
-/// A worker that starts again before, while and after the cancel.
+/// The workers restart before, during and after the cancellation.
 #[test]
 fn a_run_whose_worker_restarts_ends() {
     for (restart, cancel) in [(0, 0), (0, 1), (0, 300), (0, 900), (1, 0), (300, 0), (900, 0)] {
@@ -129,7 +135,8 @@
     }
 }
 
-/// A late start reaches the next start of its worker, which has forgotten the stop that barred it.
+/// Guards against a late start that reaches the next incarnation of its worker, which no longer has the stop that would
+/// make it refuse the start.
 #[test]
 fn a_late_start_at_a_worker_restarted_after_the_cancel_leaves_no_run() {
     for late_ms in [700, 1_500, 3_000, 5_000] {
@@ -141,7 +148,7 @@
             (0..3).for_each(|worker| world.start_over_before_calls(worker));
             world.run(late_ms);
             let case = format!("{late_ms} ms late, restart {restart} ms after {cancel} ms");
-            // A worker that holds nothing is asked only so often what it runs.
+            // A worker without tasks is sent renewals only this often.
             let idle = world.settings.idle_renew_every.0;
             world.run(idle);
             assert_runs_end(&mut world, &case);
@@ -149,7 +156,7 @@
     }
 }
 
-/// A worker starts again with a late start on its way, and the job is cancelled after that.
+/// A worker restarts while a late start is in flight to it, and the job is cancelled after that.
 #[test]
 fn a_late_start_at_a_worker_restarted_before_the_cancel_leaves_no_run() {
     for late_ms in [500, 1_500, 3_000] {
@@ -166,7 +173,8 @@
     }
 }
 
-/// A worker hears nothing of the cancellation while it is cut off, or its stop was its last call.
+/// A worker is partitioned when the job is cancelled and gets no stop. Guards against a leader that sends it none once
+/// the partition heals.
 #[test]
 fn a_run_whose_worker_was_partitioned_ends() {
     for before in [0, 500, 2_500] {
@@ -182,7 +190,7 @@
     }
 }
 
-/// A cut worker takes a start of a removed leader in once it is back.
+/// Guards against a start of a removed leader that its worker carries out late, after the job was cancelled.
 #[test]
 fn a_late_start_of_a_removed_leader_leaves_no_run() {
     for late_ms in [300, 1_500, 5_000] {
@@ -200,7 +208,7 @@
     }
 }
 
-/// A successor adopts a run in the very moment of the cancellation.
+/// The job is cancelled at the moment when a new leader adopts its runs.
 #[test]
 fn a_run_adopted_by_a_successor_ends() {
     for after in [0, 1, 2, 3, 5, 20, 300, 1_000] {
@@ -215,7 +223,7 @@
     }
 }
 
-/// A leader that is lost right after it took the cancellation in, before the last run is gone.
+/// The leader is lost right after it handled the cancellation, before the last run has ended.
 #[test]
 fn a_run_whose_leader_is_lost_after_the_cancel_ends() {
     for after in [0, 1, 2, 50, 500] {
@@ -230,14 +238,14 @@
     }
 }
 
-/// Members of a gang whose mates have failed, are starting, or went with their worker.
+/// A gang is cancelled while another member starts late, has failed, or is at a partitioned worker.
 #[test]
 fn all_members_of_a_cancelled_gang_end() {
     for (case, late, failing, cut) in [
-        ("all at work", None, false, false),
+        ("all running", None, false, false),
         ("one starts late", Some(1_500), false, false),
         ("one fails", None, true, false),
-        ("one is cut off", None, false, true),
+        ("one is partitioned", None, false, true),
     ] {
         for after in [0, 20, 60, 300, 1_000] {
             let mut world = World::open(421, 4);
@@ -257,7 +265,7 @@
     }
 }
 
-/// A failed task waits for its next try when its job is cancelled.
+/// A failed task waits for its next attempt when its job is cancelled.
 #[test]
 fn a_failed_task_of_a_cancelled_job_is_not_retried() {
     for after in [49, 51, 52, 53, 55, 100, 150, 160, 210, 400] {
@@ -273,8 +281,8 @@
     }
 }
 
-/// Builds a world of two workers, each of which was lost twice under the tasks of job 1: some of these are being
-/// tried, and the others wait for an empty worker.
+/// Builds a simulation of two workers, each of which was lost twice under the tasks of job 1: some tasks run their
+/// trials, and the others wait for an empty worker.
 fn with_waiting_suspects(seed: u64) -> World {
     let mut world = World::open(seed, 2);
     world.submit(job(1, vec![lasting(12)]));
@@ -290,24 +298,24 @@
     while world.running_of(1) == 0 {
         world.run(1);
     }
-    assert!(world.suspects() > world.running_of(1), "no suspect waits");
+    assert!(world.suspects() > world.running_of(1), "all suspects run, expected some to wait");
     world
 }
 
-/// Tasks that are suspected of having crashed their workers wait for trials of their own, beside the queue of all
-/// others.
+/// Guards against a cancellation that leaves out suspects: they wait for trials of their own, not in the queue of the
+/// other tasks.
 #[test]
 fn waiting_suspects_of_a_cancelled_job_get_no_trial() {
     for after in (0..1_500).step_by(100) {
         let mut world = with_waiting_suspects(423);
         world.run(after);
         world.cancel(1);
-        // The stops of those that are being tried leave empty workers, for which the others wait.
+        // The stops of the suspects in their trials leave empty workers, for which the others wait.
         assert_runs_end(&mut world, &format!("cancelled {after} ms after the first trial"));
     }
 }
 
-/// A suspect whose trial begins in the very moment of the cancellation.
+/// The job is cancelled around the moment when a suspect's trial begins.
 #[test]
 fn a_suspect_in_its_trial_ends() {
     for after in (0..400).step_by(40) {
@@ -321,7 +329,7 @@
     }
 }
 
-/// A task has two runs, the slow one and its copy, and one of them is forgotten.
+/// Guards against a leader that stops only one of a task's two runs, the slow one and its speculative copy.
 #[test]
 fn a_slow_run_and_its_speculative_copy_end() {
     for after in (0..2_000).step_by(200) {
@@ -343,7 +351,7 @@
     }
 }
 
-/// The leader hears of a cancellation first, which concerns a job that it does not know.
+/// The leader handles the cancellation of a job before it knows the job.
 #[test]
 fn a_job_received_after_its_cancellation_starts_nothing() {
     for gap in [0, 1, 100, 3_000] {
@@ -356,7 +364,7 @@
     }
 }
 
-/// A round that falls due after the cancellation, and one that is under way.
+/// One round is due after the cancellation, and one is running.
 #[test]
 fn no_round_of_a_cancelled_job_begins() {
     for after in [0, 100, 299, 300, 301, 500, 850] {
@@ -372,7 +380,7 @@
     }
 }
 
-/// A task that is being moved off a worker that leaves, or is told to stop for another reason.
+/// The job is cancelled while its tasks are moved off workers that leave: one is draining, one is no longer listed.
 #[test]
 fn a_task_that_is_being_moved_ends() {
     for after in [0, 1, 3, 100, 900, 2_500] {
@@ -386,7 +394,7 @@
     }
 }
 
-/// A job is forgotten some time after its end, and a worker that was cut off for longer still runs its task.
+/// The leader forgets a job some time after its end, while a worker that refused all stops still runs its tasks.
 #[test]
 fn a_run_of_a_forgotten_job_ends() {
     let mut world = World::open(429, 3);
@@ -398,12 +406,12 @@
     world.workers[0].refuses_stops = true;
     world.cancel(1);
     world.run(3_000);
-    assert_eq!(world.state(1), None, "the job is not forgotten");
+    assert_eq!(world.state(1), None, "job 1 is still stored 3 s after its cancellation");
     world.workers[0].refuses_stops = false;
     assert_runs_end(&mut world, "forgotten");
 }
 
-/// A job that fails leaves runs of its other tasks and steps.
+/// Guards against a failed job that leaves runs of its other tasks and steps.
 #[test]
 fn runs_of_a_failed_job_end() {
     for cut in [false, true] {
