--- a/crates/sched/tests/fleet/capacity.rs
+++ b/crates/sched/tests/fleet/capacity.rs
@@ -1,11 +1,11 @@
-//! Workers whose room shrinks and grows while they run, and which do not guard it themselves.
+//! Workers whose capacity shrinks and grows while they run, and which do not enforce it themselves.
 
 use gaplock_jobs::Step;
 use gaplock_types::sizes::Resources;
 
 use crate::world::{assert_all_end, assert_kept, job, lasting, step, Faults, World};
 
-/// Builds a world whose workers take whatever they are told to start.
+/// Builds a simulation whose workers carry out every start, even beyond their capacity.
 fn with_unguarded_workers(seed: u64, workers: usize) -> World {
     let mut world = World::open(seed, workers);
     for worker in &mut world.workers {
@@ -25,7 +25,11 @@
     world.run(8_000);
     world.submit(job(3, vec![step(4, &[])]));
     world.run(2_000);
-    assert_eq!(world.running_at(0), before, "runs were started or stopped there");
+    assert_eq!(
+        world.running_at(0),
+        before,
+        "runs were started or stopped at the worker of reduced capacity"
+    );
     assert_kept(&world);
 }
 
@@ -42,7 +46,8 @@
     assert_kept(&world);
 }
 
-/// A successor goes by what the directory says now, not by the room that the roster was stored with.
+/// Guards against a successor that uses the capacity stored in the roster instead of the one that the directory shows
+/// now.
 #[test]
 fn a_successor_uses_the_reduced_capacity() {
     let mut world = with_unguarded_workers(613, 2);
@@ -54,11 +59,11 @@
     world.change_leader(500);
     world.submit(job(2, vec![step(8, &[])]));
     world.run(4_000);
-    assert!(!world.is_completed(2));
+    assert!(!world.is_completed(2), "job 2 ran on workers whose capacity is in use");
     assert_kept(&world);
 }
 
-/// What is being stopped takes room until it is seen to be over.
+/// A run that is being stopped uses capacity until a worker report shows that it is over.
 #[test]
 fn capacity_of_stopping_runs_is_not_reused() {
     let mut world = with_unguarded_workers(614, 1);
@@ -68,11 +73,11 @@
     world.cancel(1);
     world.submit(job(2, vec![step(8, &[])]));
     world.run(4_000);
-    assert!(world.is_completed(2));
+    assert!(world.is_completed(2), "job 2 has not completed 4 s after job 1 was cancelled");
     assert_kept(&world);
 }
 
-/// Gangs and single tasks beside rooms that change all the time, lost answers and changes of leader.
+/// Gangs and single tasks run while capacities change all the time, answers are lost and the leader changes.
 #[test]
 fn changing_capacities_beside_other_faults() {
     for seed in 620..640 {
