--- a/crates/sched/tests/fleet/checkpoints.rs
+++ b/crates/sched/tests/fleet/checkpoints.rs
@@ -1,9 +1,9 @@
-//! Checkpoints on virtual time: whatever goes wrong, a start brings nothing or what its own task saved.
+//! Checkpoints on virtual time: whatever goes wrong, a start carries no checkpoint or one that its own task saved.
 //!
-//! Workers of the users were told to start tasks with checkpoints that were not theirs. Nothing stood
-//! between a worker's list and the next start: any text beside a task was taken for its checkpoint, each
-//! member of a gang and each try of a start brought the text known at that moment, and a start that was
-//! refused for its checkpoint was repeated with it without end.
+//! Guards against starts that carry checkpoints of other tasks; users' workers once got such starts. Checkpoints that
+//! workers listed were not checked: any text listed with a task was used as its checkpoint, each member of a gang and
+//! each attempt of a start carried the text known at that moment, and a start that was refused for its checkpoint was
+//! sent again with it without end.
 
 use std::env;
 
@@ -13,10 +13,10 @@
 
 use crate::world::{assert_kept, job, play, step, Faults, World};
 
-/// Long enough for several checkpoints.
+/// How long a task runs, in milliseconds: long enough for several checkpoints.
 const WORK_MS: u64 = 2_000;
 
-/// Builds a step of `count` tasks that save their progress.
+/// Builds a step of `count` tasks that save checkpoints.
 fn checkpointing_step(count: u32, after: &[u16]) -> Step {
     Step { checkpoints: true, ..step(count, after) }
 }
@@ -30,7 +30,7 @@
     world.drain(0, 2_000);
     world.run(3_500);
     assert!(world.is_completed(1));
-    assert!(world.checkpoints.brought > 0, "no start brought a checkpoint");
+    assert!(world.checkpoints.brought > 0, "no start carried a checkpoint");
     assert_eq!(world.checkpoints.thrown_away_ms, 0);
     assert_kept(&world);
 }
@@ -60,7 +60,7 @@
     world.run(3_000);
     world.unlist(worker);
     world.run(12_000);
-    assert!(world.checkpoints.brought > 0, "no start brought a checkpoint");
+    assert!(world.checkpoints.brought > 0, "no start carried a checkpoint");
     assert_kept(&world);
 }
 
@@ -72,14 +72,18 @@
     world.run(1_000);
     let (first, second) = (world.busy_worker(), 1 - world.busy_worker());
     world.workers[first].cut = true;
-    // The end of the first run is heard of between two tries of the second one's start.
+    // The leader gets the end of the first run between two attempts of the second run's start.
     world.workers[second].delays_start = Some(2_500);
     while world.starts_under_way() == 0 {
         world.run(1);
     }
     world.workers[first].cut = false;
     world.run(10_000);
-    assert!(world.checkpoints.brought >= 2, "the start was not sent again");
+    assert!(
+        world.checkpoints.brought >= 2,
+        "{} starts carried a checkpoint, expected at least 2 attempts",
+        world.checkpoints.brought
+    );
     assert_kept(&world);
 }
 
@@ -92,8 +96,15 @@
     world.workers.iter_mut().for_each(|w| w.refuses_checkpoints = true);
     world.drain(0, 2_000);
     world.run(8_000);
-    assert!(world.is_completed(1), "a task waits for ever with a checkpoint that nobody takes");
-    assert!(world.checkpoints.brought < 30, "{} starts brought it", world.checkpoints.brought);
+    assert!(
+        world.is_completed(1),
+        "job 1 has not completed: starts carry a checkpoint that all workers refuse"
+    );
+    assert!(
+        world.checkpoints.brought < 30,
+        "{} starts carried the refused checkpoint, expected fewer than 30",
+        world.checkpoints.brought
+    );
     assert_kept(&world);
 }
 
@@ -133,7 +144,11 @@
     world.change_leader(100);
     world.run(10_000);
     assert!(world.is_completed(1));
-    assert_eq!(world.checkpoints.thrown_away_ms, 0, "saved work was done again");
+    assert_eq!(
+        world.checkpoints.thrown_away_ms, 0,
+        "{} ms of saved work were done again",
+        world.checkpoints.thrown_away_ms
+    );
     assert_kept(&world);
 }
 
@@ -144,15 +159,19 @@
     world.submit(job(1, vec![checkpointing_step(16, &[])]));
     world.run(1_500);
     world.workers[0].cut = true;
-    // The other worker is full, so that the tasks wait.
+    // The other worker has no free capacity, so the tasks wait.
     world.run(9_000);
     world.crash(0);
     world.unlist(0);
     world.change_leader(100);
     world.run(50_000);
     assert!(world.is_completed(1));
-    assert!(world.checkpoints.brought > 0, "no start brought a checkpoint");
-    assert_eq!(world.checkpoints.thrown_away_ms, 0, "saved work was done again");
+    assert!(world.checkpoints.brought > 0, "no start carried a checkpoint");
+    assert_eq!(
+        world.checkpoints.thrown_away_ms, 0,
+        "{} ms of saved work were done again",
+        world.checkpoints.thrown_away_ms
+    );
     assert_kept(&world);
 }
 
@@ -171,7 +190,7 @@
     world.change_leader(200);
     world.run(12_000);
     assert!(world.is_completed(1));
-    assert!(world.checkpoints.brought > 0, "no start brought a checkpoint");
+    assert!(world.checkpoints.brought > 0, "no start carried a checkpoint");
     assert_eq!(world.checkpoints.thrown_away_ms, 0);
     assert_kept(&world);
 }
@@ -184,14 +203,15 @@
     let after = Step { lasting: true, ..step(1, &[0]) };
     world.submit(job(1, vec![Step { duplicates: true, ..checkpointing_step(24, &[]) }, after]));
     world.run(20_000);
-    assert!(world.starts > 25, "no copy was started");
-    assert_eq!(world.checkpoints_known(1), 0, "a task that is done has a checkpoint");
+    assert!(world.starts > 25, "no speculative copy was started: {} starts", world.starts);
+    assert_eq!(world.checkpoints_known(1), 0, "the leader knows a checkpoint of a done task");
     assert_kept(&world);
 }
 
-/// A run was cut off and a newer one had begun, but saved nothing yet, when the worker was back and listed the
-/// end of the first. Its checkpoint was taken in and its end acknowledged, but its job was not stored, since the
-/// newer run's task did not change; a successor began the task from its start.
+/// Guards against a checkpoint that is lost with the leader. The worker of a run is partitioned, and a newer run of the
+/// task has begun but saved nothing yet when the first worker answers again and lists the end of the first run. The
+/// leader used that run's checkpoint and acknowledged the end, but did not store the job, since the task's newer run
+/// did not change; a successor began the task from its start.
 #[test]
 fn a_successor_knows_the_checkpoint_of_an_older_run_that_was_listed_late() {
     let mut world = World::open(911, 2);
@@ -200,7 +220,7 @@
     world.run(150);
     let (first, second) = (world.busy_worker(), 1 - world.busy_worker());
     world.workers[first].cut = true;
-    // The second run saves nothing for a while.
+    // Slow work: the second run saves nothing for a while.
     world.workers[second].slowness = 100;
     while world.running_at(second) == 0 {
         world.run(1);
@@ -217,14 +237,18 @@
     world.change_leader(100);
     world.run(20_000);
     assert_eq!(world.running_of(1), 1);
-    assert_eq!(world.checkpoints.thrown_away_ms, 0, "saved work was done again");
+    assert_eq!(
+        world.checkpoints.thrown_away_ms, 0,
+        "{} ms of saved work were done again",
+        world.checkpoints.thrown_away_ms
+    );
     assert_kept(&world);
 }
 
-/// How many random worlds are played unless `CHECKPOINT_SEEDS` says.
+/// How many seeds are run unless `CHECKPOINT_SEEDS` gives another number.
 const SEEDS: u64 = 12;
 
-/// Does one of the things that make runs end before their work is done.
+/// Injects a random fault that makes runs end before their work is done.
 fn inject_fault(world: &mut World) {
     let worker = world.draw(6) as usize;
     match world.draw(8) {
@@ -249,7 +273,7 @@
 #[test]
 fn a_start_carries_only_its_own_checkpoint_under_any_fault() {
     let seeds = env::var("CHECKPOINT_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(SEEDS);
-    let mut brought = 0;
+    let mut carried = 0;
     for seed in 930..930 + seeds {
         let mut world = World::open(seed, 6);
         world.work_ms = 2 * WORK_MS;
@@ -263,8 +287,11 @@
         };
         for key in 20..30 {
             let gang = Step { gang: true, ..checkpointing_step(3, &[]) };
-            let copies = Step { duplicates: true, ..checkpointing_step(3, &[]) };
-            world.submit(job(key, vec![checkpointing_step(6, &[]), step(2, &[0]), gang, copies]));
+            let speculative = Step { duplicates: true, ..checkpointing_step(3, &[]) };
+            world.submit(job(
+                key,
+                vec![checkpointing_step(6, &[]), step(2, &[0]), gang, speculative],
+            ));
             world.run(400);
             inject_fault(&mut world);
             world.run(400);
@@ -275,7 +302,7 @@
             world.add_worker(&format!("sound-{n}"));
         }
         play(&mut world, seed);
-        brought += world.checkpoints.brought;
+        carried += world.checkpoints.brought;
     }
-    assert!(brought > 5 * seeds, "{brought} starts brought a checkpoint in {seeds} worlds");
+    assert!(carried > 5 * seeds, "only {carried} starts carried a checkpoint with {seeds} seeds");
 }
