--- a/crates/sched/tests/fleet/crashes.rs
+++ b/crates/sched/tests/fleet/crashes.rs
@@ -1,10 +1,10 @@
 //! Tasks that crash the workers which run them.
 //!
-//! Seen: a task took down one worker after the other, every 3.6 s for two minutes and under three
-//! leaders, with 6 to 18 runs of other jobs each time. How it came about: a run that goes with its
-//! worker leaves no listed end; it is released by a proof that it is over, and its task was ready
-//! again at once, beside the same neighbours. Cause: only listed failures were counted, so a lost
-//! worker said nothing about what ran there. Proved by these tests, which failed on that code.
+//! Guards against a task that crashes one worker after the other: every 3.6 s for two minutes and under
+//! three leaders, with 6 to 18 runs of other jobs lost each time. A run that is lost with its worker leaves
+//! no listed end. It is released once it is proven to be over, and its task was ready to start again at
+//! once, beside the same other tasks. Only listed failures were counted, so the loss of a worker was not
+//! counted against the tasks that ran there. These tests failed on that code.
 
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::Step;
@@ -12,7 +12,8 @@
 
 use crate::world::{assert_all_end, assert_kept, job, lasting, step, Faults, World};
 
-/// How long after its start a task crashes its worker, in milliseconds: as seen.
+/// How long after its start a crashing task crashes its worker, in milliseconds, as in the failure that these tests
+/// guard against.
 const CRASH_DELAY_MS: u64 = 10;
 
 #[test]
@@ -21,12 +22,12 @@
     world.crash_under(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run(60_000);
-    assert_eq!(world.state(1), Some(JobState::Failed), "{} workers crashed", world.crashes.of(1));
-    assert!(world.crashes.of(1) <= 3, "{} workers crashed", world.crashes.of(1));
+    assert_eq!(world.state(1), Some(JobState::Failed), "after {} crashes", world.crashes.of(1));
+    assert!(world.crashes.of(1) <= 3, "{} workers crashed, not 3 at most", world.crashes.of(1));
     assert_kept(&world);
 }
 
-/// Jobs whose tasks start beside the crashing one complete, and few of their runs go down with it.
+/// Jobs whose tasks start beside the crashing one complete, and few of their runs are lost with its workers.
 #[test]
 fn jobs_beside_a_crashing_task_complete() {
     let mut world = World::open(302, 12);
@@ -36,15 +37,15 @@
         world.submit(job(key, vec![step(4, &[])]));
     }
     world.run(40_000);
-    let left: Vec<u64> = (2..=6).filter(|&key| !world.is_completed(key)).collect();
-    assert!(left.is_empty(), "not completed: {left:?}");
+    let unfinished: Vec<u64> = (2..=6).filter(|&key| !world.is_completed(key)).collect();
+    assert!(unfinished.is_empty(), "jobs not completed: {unfinished:?}");
     let lost = world.crashes.innocent_runs;
-    assert!(lost <= 12, "{lost} runs of other tasks lost");
+    assert!(lost <= 12, "{lost} runs of other tasks were lost, expected at most 12");
     assert_eq!(world.state(1), Some(JobState::Failed));
     assert_kept(&world);
 }
 
-/// What is known of a task's crashes outlives the leader that saw them.
+/// Crashes that one leader counted still count under its successors.
 #[test]
 fn crashes_are_counted_across_leader_changes() {
     let mut world = World::open(303, 16);
@@ -55,18 +56,18 @@
         world.change_leader(500);
     }
     world.run(20_000);
-    assert_eq!(world.state(1), Some(JobState::Failed), "{} workers crashed", world.crashes.of(1));
+    assert_eq!(world.state(1), Some(JobState::Failed), "after {} crashes", world.crashes.of(1));
     assert_kept(&world);
 }
 
-/// Lets 40 s pass and checks that job 1 was given up without a start too many.
+/// Runs for 40 s and checks that job 1 has failed and that its task was not started too often.
 fn assert_job_fails(mut world: World) {
     world.run(40_000);
-    assert_eq!(world.state(1), Some(JobState::Failed), "{} workers crashed", world.crashes.of(1));
+    assert_eq!(world.state(1), Some(JobState::Failed), "after {} crashes", world.crashes.of(1));
     assert_kept(&world);
 }
 
-/// A leader that is lost right after a crash takes the news of it along, each time.
+/// The leader is lost soon after each crash, in some cases before it knows of the crash.
 #[test]
 fn crashes_count_though_the_leader_is_lost_soon_after() {
     for after in [0, 5, 50, 300, 900, 2_500] {
@@ -82,7 +83,7 @@
     }
 }
 
-/// The same beside other work, of which a successor cannot tell what ran where.
+/// The same beside another job, where a successor cannot know which tasks ran at which worker.
 #[test]
 fn crashes_beside_other_work_count_though_the_leader_is_lost_soon_after() {
     for after in [0, 50, 900] {
@@ -102,7 +103,7 @@
     }
 }
 
-/// A store that is away keeps the count in the leader, and a successor has what was stored.
+/// While the store is unavailable, the leader keeps the count in memory; a successor has only what was stored.
 #[test]
 fn crashes_count_while_the_store_is_unavailable() {
     let mut world = World::open(306, 16);
@@ -112,13 +113,16 @@
     world.store_down = true;
     world.run(30_000);
     let crashes = world.crashes.of(1);
-    assert!(crashes <= 3, "{crashes} workers crashed while the store was away");
+    assert!(
+        crashes <= 3,
+        "{crashes} workers crashed while the store was unavailable, expected at most 3"
+    );
     world.take_over();
     world.store_down = false;
     assert_job_fails(world);
 }
 
-/// The directory goes on listing workers that have crashed, and nobody answers in their place.
+/// The directory still lists workers that have crashed, and no worker takes over their addresses.
 #[test]
 fn crashes_count_though_the_directory_never_shows_them() {
     let mut world = World::open(307, 16);
@@ -126,11 +130,11 @@
     world.crash_under(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run(90_000);
-    assert!(world.crashes.of(1) <= 5, "{} workers crashed", world.crashes.of(1));
+    assert!(world.crashes.of(1) <= 5, "{} workers crashed, not 5 at most", world.crashes.of(1));
     assert_kept(&world);
 }
 
-/// Crashes come together with starts and renewals whose answers are lost or that are carried out late.
+/// Tasks crash their workers while answers to starts and renewals are lost, or these calls are carried out late.
 #[test]
 fn crashes_count_though_starts_got_no_answer() {
     for seed in 310..330 {
@@ -146,7 +150,7 @@
     }
 }
 
-/// Tasks that last, members of a gang and tasks of which copies may run are counted like others.
+/// Crashes count for long-running tasks, members of a gang and tasks with speculative copies as for other tasks.
 #[test]
 fn crashes_count_for_every_kind_of_task() {
     let kinds = [
@@ -164,7 +168,7 @@
     }
 }
 
-/// A task that crashes its worker some time after its start is given up too.
+/// The job of a task that crashes its workers only some time after each start fails too.
 #[test]
 fn crashes_long_after_the_start_count() {
     for after in [400, 2_000, 8_000] {
@@ -176,7 +180,7 @@
     }
 }
 
-/// Several tasks crash workers at one time, beside jobs that must complete.
+/// Several tasks crash workers at the same time, beside jobs that must complete.
 #[test]
 fn several_crashing_tasks_are_distinguished_from_others() {
     for seed in 350..370 {
@@ -190,17 +194,21 @@
             world.run(100);
         }
         world.run(60_000);
-        let left: Vec<u64> = (5..=12).filter(|&key| !world.is_completed(key)).collect();
-        assert!(left.is_empty(), "seed {seed}: not completed: {left:?}");
+        let unfinished: Vec<u64> = (5..=12).filter(|&key| !world.is_completed(key)).collect();
+        assert!(unfinished.is_empty(), "seed {seed}: jobs not completed: {unfinished:?}");
         for key in 1..=4 {
             assert_eq!(world.state(key), Some(JobState::Failed), "seed {seed}, job {key}");
-            assert!(world.crashes.of(key) <= 5, "seed {seed}: {}", world.crashes.of(key));
+            assert!(
+                world.crashes.of(key) <= 5,
+                "seed {seed}: {} workers crashed under job {key}",
+                world.crashes.of(key)
+            );
         }
         assert_kept(&world);
     }
 }
 
-/// A worker that is cut off and comes back did not crash, however often it is.
+/// A worker that is partitioned and answers again did not crash, however often that happens.
 #[test]
 fn a_partition_that_heals_makes_no_task_a_suspect() {
     let mut world = World::open(370, 6);
@@ -215,14 +223,14 @@
             worker.cut = false;
         }
         world.run(3_000);
-        assert_eq!(world.suspects(), 0, "round {round}");
+        assert_eq!(world.suspects(), 0, "suspects after partition {round}");
     }
     assert_ne!(world.state(1), Some(JobState::Failed));
     assert_kept(&world);
 }
 
-/// Workers that say that they leave, or that just leave the directory and serve on for a while, crash
-/// under nobody.
+/// The loss of a worker counts against no task if the worker was draining, or had left the directory and
+/// still served for a while.
 #[test]
 fn leaving_workers_make_no_task_a_suspect() {
     for announced in [true, false] {
@@ -231,7 +239,9 @@
         world.submit(job(1, vec![step(8, &[])]));
         for _ in 0..6 {
             world.run(1_000);
-            let at = (0..world.workers.len()).find(|&at| world.running_at(at) > 0).expect("busy");
+            let at = (0..world.workers.len())
+                .find(|&at| world.running_at(at) > 0)
+                .expect("tasks of job 1 run for 20 s");
             if announced {
                 world.drain(at, 2_000);
             } else {
@@ -240,14 +250,14 @@
             world.run(2_000);
             world.crash_and_return(at);
             world.run(6_000);
-            assert_eq!(world.suspects(), 0, "announced: {announced}");
+            assert_eq!(world.suspects(), 0, "suspects after a worker left, announced: {announced}");
         }
         assert_ne!(world.state(1), Some(JobState::Failed));
         assert_kept(&world);
     }
 }
 
-/// Workers that crash by themselves, many of them and again and again, fail no job.
+/// No job fails because many workers crash repeatedly for reasons of their own.
 #[test]
 fn unrelated_worker_crashes_fail_no_job() {
     for seed in 380..400 {
@@ -267,13 +277,13 @@
         world.run(30_000);
         let failed: Vec<u64> =
             (1..30).filter(|&key| world.state(key) == Some(JobState::Failed)).collect();
-        assert!(failed.is_empty(), "seed {seed}: {failed:?} failed");
+        assert!(failed.is_empty(), "seed {seed}: jobs {failed:?} failed");
         assert_kept(&world);
     }
 }
 
-/// A third of all workers goes down at one time and comes back: nobody is given up, and everything
-/// is at work again soon.
+/// A third of all workers crashes at one time and is replaced: no job fails, and all tasks run again
+/// soon.
 #[test]
 fn losing_a_third_of_the_workers_fails_no_job() {
     let mut world = World::open(401, 48);
@@ -287,13 +297,17 @@
             }
         }
         world.run(12_000);
-        assert_eq!(world.running_of(1), 96, "tasks are away 12 s after the crash");
+        assert_eq!(
+            world.running_of(1),
+            96,
+            "tasks that run 12 s after the crash of a third of the workers"
+        );
     }
     assert_ne!(world.state(1), Some(JobState::Failed));
     assert_kept(&world);
 }
 
-/// The leader stands still for longer than its leases at workers last: that is no worker's crash.
+/// The leader is paused for longer than its leases at workers last: that counts as no worker's crash.
 #[test]
 fn a_leader_that_was_paused_suspects_no_task() {
     let mut world = World::open(402, 8);
@@ -310,7 +324,7 @@
     assert_kept(&world);
 }
 
-/// Everything at once, with what a judge sees at the workers.
+/// Crashing tasks together with all other faults; the simulation checks what happens at the workers.
 #[test]
 fn crashing_tasks_beside_every_other_fault() {
     let seeds = std::env::var("CRASH_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(12);
@@ -353,7 +367,7 @@
     }
 }
 
-/// A worker that is cut off from the leader says that it leaves, and leaves: that is no crash.
+/// A partitioned worker is listed as draining and then leaves: that is no crash.
 #[test]
 fn a_silent_worker_that_leaves_counts_as_no_crash() {
     let mut world = World::open(403, 6);
@@ -371,8 +385,8 @@
     assert_kept(&world);
 }
 
-/// Workers that have been silent for long do not turn every later crash into one of many: a task that
-/// crashes its worker is counted from its first crash on.
+/// Guards against crashes that are not counted while other workers have long been silent: these must not make each
+/// later crash look like a loss of many workers at one time. A task's crashes count from the first one on.
 #[test]
 fn workers_that_are_long_silent_hide_no_crash() {
     let mut world = World::open(404, 24);
@@ -386,6 +400,7 @@
     assert_job_fails_after(world, 3);
 }
 
+/// Runs for 40 s and checks that job 1 has failed after exactly `crashes` crashed workers.
 fn assert_job_fails_after(mut world: World, crashes: usize) {
     world.run(40_000);
     assert_eq!(world.state(1), Some(JobState::Failed));
@@ -393,9 +408,9 @@
     assert_kept(&world);
 }
 
-/// Seen in processes: jobs that had lost one or two workers and then only waited were given up after some
-/// changes of leader, at each of which a worker was gone that might have run them. Such a loss is supposed
-/// once, and counted from the second time on.
+/// Guards against the failure of jobs that had lost one or two workers and then only waited, as happened with real
+/// processes: at each of several changes of leader a worker was gone that might have run their tasks. The first
+/// such loss is only a possible crash; from the second one on they are counted.
 #[test]
 fn three_lost_leaders_do_not_fail_a_waiting_task() {
     let mut world = World::open(406, 8);
@@ -410,7 +425,8 @@
     world.run(8_000);
     assert_eq!(world.crashes_counted(1), 1);
     for _ in 0..3 {
-        let at = (0..8).find(|&at| world.workers[at].up).expect("one is up");
+        let at =
+            (0..8).find(|&at| world.workers[at].up).expect("at least five of eight workers are up");
         world.lose_leader();
         world.crash(at);
         world.run(500);
