--- a/crates/sched/tests/fleet/directory_age.rs
+++ b/crates/sched/tests/fleet/directory_age.rs
@@ -1,18 +1,18 @@
-//! A leader whose reading of the directory is behind, on virtual time.
+//! A leader whose reads of the directory are stale, on virtual time.
 //!
-//! Seen on 3,000 workers: the leader heard after 7 s of workers that had said that they leave, and went on to
-//! start tasks there, while each of its other calls to the store was answered at once. The tests of a late and of
-//! a silent reading failed while a pass looked at no age.
+//! Guards against starts at workers that are leaving. On 3,000 workers the leader learned only after 7 s that workers
+//! were leaving, and still started tasks there, while the store answered each of its other calls at once. The tests
+//! of late and of unanswered reads failed when a dispatch pass did not check the age of the directory.
 
 use crate::world::{assert_kept, job, step, Reading, World};
 
-/// The workers of a world.
+/// How many workers a simulation has.
 const WORKERS: usize = 12;
 
-/// How many of them leave.
+/// How many of the workers leave.
 const LEAVING: usize = 6;
 
-/// Builds a world whose directory is read in this way from the start.
+/// Builds a simulation whose directory is read without delay for 1 s, and then as `reading` says.
 fn open_with_reading(seed: u64, reading: Reading) -> World {
     let mut world = World::open(seed, WORKERS);
     world.directory.reading = Some(Reading::Late(0));
@@ -21,7 +21,7 @@
     world
 }
 
-/// Hands in a job of short tasks every now and then, for so many milliseconds.
+/// Submits a job of short tasks every 200 ms for `ms` milliseconds, with keys from `first` on. Returns the next key.
 fn submit_jobs_for(world: &mut World, first: u64, ms: u64) -> u64 {
     let jobs = ms / 200;
     for key in first..first + jobs {
@@ -31,13 +31,13 @@
     first + jobs
 }
 
-/// Counts the jobs that are completed.
+/// Counts the completed jobs with keys below `jobs`.
 fn completed(world: &World, jobs: u64) -> usize {
     (0..jobs).filter(|&key| world.is_completed(key)).count()
 }
 
-/// Lets half of the workers say that they leave while the directory is read in this way, and checks that nothing
-/// starts there and all jobs end once the reading has caught up.
+/// Lets half of the workers announce that they leave while the directory is read as `reading` says. Checks that
+/// nothing starts there, and that all jobs complete once the reads are up to date.
 fn check_leaving_workers(seed: u64, reading: Reading) {
     let mut world = open_with_reading(seed, reading);
     (0..LEAVING).for_each(|at| world.says_it_leaves(at, 20_000));
