--- a/crates/sched/tests/fleet/evacuations.rs
+++ b/crates/sched/tests/fleet/evacuations.rs
@@ -1,8 +1,8 @@
-//! Evacuated failure domains: nothing new goes there, whatever else goes wrong, until they are taken back.
+//! Evacuated failure domains: no new task starts there, whatever else goes wrong, until the evacuation is lifted.
 //!
-//! Seen on a day of the users: nine thousand starts in evacuated domains, since nothing in the scheduler
-//! knew the operators' word. The tests failed while [`gaplock_sched::evacuation::mark`] marked no worker,
-//! but for those of what runs on and of what is taken back.
+//! Guards against starts in evacuated domains: users once had nine thousand, since the scheduler did not know
+//! the operators' instruction. The tests failed while [`gaplock_sched::evacuation::update_worker`] marked no worker
+//! as evacuated, except those of tasks that continue to run and of lifted evacuations.
 
 use std::env;
 
@@ -10,19 +10,22 @@
 
 use crate::world::{assert_kept, job, lasting, step, Faults, World};
 
-/// A fleet of three failure domains; workers 0 to 7 lie in the first.
+/// How many workers there are in three failure domains; workers 0 to 7 are in the first.
 const WORKERS: usize = 24;
 
+/// The first worker of the first failure domain.
 const FIRST_DOMAIN: usize = 0;
+/// The first worker of the second failure domain; also the number of workers in a domain.
 const SECOND_DOMAIN: usize = 8;
+/// The first worker of the third failure domain.
 const THIRD_DOMAIN: usize = 16;
 
-/// A job whose tasks want to be in one rack of the first domain.
-fn job_in_first_rack(key: u64) -> Job {
+/// Builds a job whose tasks prefer rack `r0`, which is in the first domain.
+fn job_preferring_first_rack(key: u64) -> Job {
     job(key, vec![Step { rack: Some("r0".into()), ..step(4, &[]) }])
 }
 
-/// Returns how many tasks run in the domain that begins with a worker.
+/// Returns how many tasks run in the domain whose first worker is `first`.
 fn running_in(world: &World, first: usize) -> usize {
     (first..first + SECOND_DOMAIN).map(|at| world.running_at(at)).sum()
 }
@@ -40,7 +43,7 @@
     world.run(600);
     for key in 10..20 {
         world.submit(job(key, vec![step(6, &[])]));
-        world.submit(job_in_first_rack(100 + key));
+        world.submit(job_preferring_first_rack(100 + key));
         world.run(300);
     }
     assert_eq!(running_in(&world, FIRST_DOMAIN), before);
@@ -71,11 +74,15 @@
     world.evacuate(FIRST_DOMAIN);
     for key in 0..8 {
         world.lose_leader();
-        world.submit(job_in_first_rack(key));
+        world.submit(job_preferring_first_rack(key));
         world.run(50);
         world.take_over();
         world.run(300);
-        assert_eq!(running_in(&world, FIRST_DOMAIN), 0, "after takeover {key}");
+        assert_eq!(
+            running_in(&world, FIRST_DOMAIN),
+            0,
+            "tasks that run in the evacuated domain after takeover {key}"
+        );
     }
     assert_kept(&world);
 }
@@ -88,14 +95,14 @@
     let first = world.evacuated();
     world.run(600);
     world.hear_evacuated(none);
-    world.submit(job_in_first_rack(1));
+    world.submit(job_preferring_first_rack(1));
     world.run(100);
     assert_eq!(running_in(&world, FIRST_DOMAIN), 0);
     world.take_back(FIRST_DOMAIN);
     world.run(600);
     world.hear_evacuated(first);
     world.work_ms = 5_000;
-    world.submit(job_in_first_rack(2));
+    world.submit(job_preferring_first_rack(2));
     world.run(100);
     assert!(running_in(&world, FIRST_DOMAIN) > 0);
     assert_kept(&world);
@@ -132,7 +139,7 @@
     world.run(600);
     world.crash_and_return(FIRST_DOMAIN);
     world.run(5_000);
-    world.submit(job_in_first_rack(1));
+    world.submit(job_preferring_first_rack(1));
     world.run(200);
     assert_eq!(running_in(&world, FIRST_DOMAIN), 0);
     assert_kept(&world);
@@ -152,7 +159,7 @@
     assert_kept(&world);
 }
 
-/// Plays evacuations beside changes of leader, an absent store, lost and late orders, and crashes.
+/// Runs evacuations beside changes of leader, an unavailable store, lost and late orders, and crashes.
 fn run_evacuations(seed: u64) {
     let mut world = World::open(seed, WORKERS);
     world.faults = Faults {
@@ -164,8 +171,8 @@
     };
     for key in 0..40 {
         let steps = vec![step(5, &[]), Step { duplicates: true, ..step(3, &[0]) }];
-        let near = world.draw(3) == 0;
-        world.submit(if near { job_in_first_rack(key) } else { job(key, steps) });
+        let in_first_rack = world.draw(3) == 0;
+        world.submit(if in_first_rack { job_preferring_first_rack(key) } else { job(key, steps) });
         world.submit(job(1_000 + key, vec![lasting(2)]));
         let first = [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN][world.draw(3) as usize];
         match world.draw(8) {
@@ -194,11 +201,11 @@
     }
     world.run(40_000);
     assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-    let left = (0..40).filter(|&key| world.state(key).is_none_or(|s| !s.is_final())).count();
-    assert_eq!(left, 0, "seed {seed}: jobs never ended");
+    let unfinished = (0..40).filter(|&key| world.state(key).is_none_or(|s| !s.is_final())).count();
+    assert_eq!(unfinished, 0, "seed {seed}: jobs that have not ended 40 s after all faults ended");
 }
 
-/// The seeds that are played in CI; `EVACUATION_SEEDS` asks for more.
+/// How many seeds are run in CI; `EVACUATION_SEEDS` gives another number.
 const SEEDS: u64 = 6;
 
 #[test]
