--- a/crates/sched/tests/fleet/foreign_entries.rs
+++ b/crates/sched/tests/fleet/foreign_entries.rs
@@ -1,8 +1,8 @@
-//! Entries of the directory that another writer has put there, and workers of pools that nobody uses.
+//! Directory entries that another writer has written, and workers of pools that the configuration does not name.
 //!
-//! Seen by reading: an entry that could not be read left the former one in force, so a worker went on
-//! getting tasks that the directory no longer named; and each entry was asked for an account, whatever
-//! pool it named. These tests failed on that code.
+//! Guards against two faults. After an entry that could not be read, the previous one stayed in force, so a
+//! worker that the directory no longer named still got tasks. And the worker of each entry was sent renewals,
+//! whatever pool the entry named. These tests failed on that code.
 
 use crate::world::{assert_kept, job, lasting, step, World};
 
@@ -15,7 +15,7 @@
     world.spoil_entry(0);
     world.submit(job(2, vec![lasting(24)]));
     world.run(5_000);
-    assert_eq!(world.running_at(0), before, "tasks were started or stopped there");
+    assert_eq!(world.running_at(0), before, "tasks were started or stopped at worker 0");
     assert_eq!(world.running_of(1), 8);
     assert_kept(&world);
 }
@@ -61,7 +61,7 @@
     assert!(world.renewals_to(1) > 0);
 }
 
-/// A crashed worker whose entry cannot be read still counts, once the entry has lapsed.
+/// The crash of a worker whose entry cannot be read is still handled once the entry has lapsed.
 #[test]
 fn tasks_of_a_crashed_worker_with_an_unreadable_entry_run_again() {
     let mut world = World::open(605, 3);
@@ -83,7 +83,7 @@
     world.list_at(0, "10.0.0.99:80");
     world.submit(job(2, vec![lasting(12)]));
     world.run(3_000);
-    assert_eq!(world.running_at(0), before, "tasks were started or stopped there");
+    assert_eq!(world.running_at(0), before, "tasks were started or stopped at worker 0");
     world.list_again(0);
     world.run(3_000);
     assert_eq!(world.running_of(2), 12);
