--- a/crates/sched/tests/fleet/gangs.rs
+++ b/crates/sched/tests/fleet/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs and the racks that they run in, on virtual time.
+//! The racks in which gangs run, on virtual time.
 
 use gaplock_jobs::Step;
 
@@ -15,7 +15,7 @@
     world.submit(job(2, vec![gang]));
     world.run(300);
     let racks = world.racks_of(2);
-    assert_eq!(racks.len(), 1, "{racks:?}");
+    assert_eq!(racks.len(), 1, "the gang runs in racks {racks:?}, expected one");
     assert_eq!(world.running_of(2), 10);
     assert_kept(&world);
 }
