--- a/crates/sched/tests/fleet/cancelled_runs.rs
+++ b/crates/sched/tests/fleet/cancelled_runs.rs
@@ -1,4 +1,4 @@
-//! The ways in which a task of a cancelled job could run on or begin, one test for each.
+//! One test for each way in which a task of a cancelled job could continue or begin.
 
 use gaplock_jobs::job::Repeat;
 use gaplock_jobs::progress::JobState;
@@ -7,42 +7,47 @@
 
 use crate::world::{assert_kept, assert_nothing_waits, job, lasting, step, World};
 
-/// How long a run may be there once its job is cancelled and its worker answers, in milliseconds.
-const GONE_WITHIN: u64 = 2_000;
+/// How long a run may continue once its job is cancelled and its worker answers, in milliseconds.
+const RUNS_END_WITHIN_MS: u64 = 2_000;
 
-/// How long no run may come back after that, in milliseconds: longer than all leases and late calls.
-const STAYS_GONE: u64 = 10_000;
+/// How long after that no run may appear, in milliseconds: longer than all leases and late calls last.
+const NO_RUN_FOR_MS: u64 = 10_000;
 
 /// How long after its start a crashing task crashes its worker, in milliseconds.
-const AT_ONCE_MS: u64 = 10;
+const CRASH_DELAY_MS: u64 = 10;
 
-/// Fails the test if a run of job 1 is there from now on.
-fn assert_stays_gone(world: &mut World, case: &str) {
-    let until = world.now + STAYS_GONE;
+/// Fails the test if job 1 has a run within the next [`NO_RUN_FOR_MS`].
+fn assert_no_run_reappears(world: &mut World, case: &str) {
+    let until = world.now + NO_RUN_FOR_MS;
     while world.now < until {
-        assert_eq!(world.running_of(1), 0, "{case}: a run of a cancelled job at {}", world.now);
+        assert_eq!(
+            world.running_of(1),
+            0,
+            "{case}: the cancelled job has a run at {} ms",
+            world.now
+        );
         world.run(100);
     }
     assert!(world.violations.is_empty(), "{case}: {:#?}", world.violations);
 }
 
-/// Fails the test if a run of job 1 is there once the time of a stop is over.
-fn assert_goes(world: &mut World, case: &str) {
-    world.run(GONE_WITHIN);
-    assert_stays_gone(world, case);
+/// Fails the test if job 1 still has a run, or has one again, after [`RUNS_END_WITHIN_MS`].
+fn assert_runs_end(world: &mut World, case: &str) {
+    world.run(RUNS_END_WITHIN_MS);
+    assert_no_run_reappears(world, case);
 }
 
-/// Builds a world of four workers whose work takes a minute, with job 1 of `steps` at work for a second.
-fn at_work(seed: u64, steps: Vec<Step>) -> World {
+/// Builds a simulation of four workers whose tasks take a minute, where job 1 of `steps` has run for a second.
+fn with_running_tasks(seed: u64, steps: Vec<Step>) -> World {
     let mut world = World::open(seed, 4);
     world.work_ms = 60_000;
     world.submit(job(1, steps));
     world.run(1_000);
-    assert!(world.running_of(1) > 0);
+    assert!(world.running_of(1) > 0, "no task of job 1 runs after 1 s");
     world
 }
 
-/// Builds a world of which each worker carries out its next start so many milliseconds late, and hands in job 1.
+/// Builds a simulation where each worker carries out its next start `late_ms` milliseconds late, and submits job 1.
 fn with_late_starts(seed: u64, late_ms: u64) -> World {
     let mut world = World::open(seed, 3);
     world.work_ms = 60_000;
@@ -52,48 +57,49 @@
     world
 }
 
-/// A stop that never arrives was the only one.
+/// Guards against a stop that is sent only once and lost.
 #[test]
-fn a_run_ends_whose_stop_was_lost() {
+fn a_run_whose_stop_was_lost_ends() {
     for lost_ms in [1, 100, 700] {
-        let mut world = at_work(410, vec![step(12, &[])]);
+        let mut world = with_running_tasks(410, vec![step(12, &[])]);
         world.faults.lost_per_mille = 1_000;
         world.cancel(1);
         world.run(lost_ms);
         world.faults.lost_per_mille = 0;
-        assert_goes(&mut world, &format!("lost for {lost_ms} ms"));
+        assert_runs_end(&mut world, &format!("lost for {lost_ms} ms"));
     }
 }
 
-/// A stop that is refused is given up.
+/// Guards against a leader that does not send a refused stop again.
 #[test]
-fn a_run_ends_whose_stop_was_refused_for_a_while() {
+fn a_run_whose_stop_was_refused_for_a_while_ends() {
     for refused_ms in [10, 400, 1_500, 4_000] {
-        let mut world = at_work(411, vec![step(12, &[]), lasting(4)]);
+        let mut world = with_running_tasks(411, vec![step(12, &[]), lasting(4)]);
         world.workers.iter_mut().for_each(|w| w.refuses_stops = true);
         world.cancel(1);
         world.run(refused_ms);
         world.workers.iter_mut().for_each(|w| w.refuses_stops = false);
-        assert_goes(&mut world, &format!("refused for {refused_ms} ms"));
+        assert_runs_end(&mut world, &format!("refused for {refused_ms} ms"));
     }
 }
 
-/// A start without an answer, or its repeat, begins the task after the cancellation.
+/// Guards against a start without an answer, or the next attempt of it, that begins the task after the cancellation.
 #[test]
-fn a_start_under_way_begins_nothing_that_stays() {
+fn a_start_in_flight_at_the_cancel_leaves_no_run() {
     for late_ms in [200, 600, 1_200, 3_000] {
         for after in [0, 1, 150, 399, 401, 450, 850, 1_300] {
             let mut world = with_late_starts(412, late_ms);
             world.run(after);
             world.cancel(1);
-            assert_goes(&mut world, &format!("{late_ms} ms late, cancelled after {after} ms"));
+            assert_runs_end(&mut world, &format!("{late_ms} ms late, cancelled after {after} ms"));
         }
     }
 }
 
-/// A start without an answer is carried out seconds late, after the account that did not list its run.
+/// Guards against a start without an answer that its worker carries out seconds late, after a worker report that did
+/// not list the run.
 #[test]
-fn a_start_carried_out_seconds_late_ends() {
+fn a_run_that_began_seconds_late_ends() {
     for own_lease in [false, true] {
         for late_ms in [2_000, 4_500, 5_900, 8_000] {
             let mut world = with_late_starts(413, late_ms);
@@ -103,18 +109,18 @@
             world.cancel(1);
             world.run(300);
             world.workers.iter_mut().for_each(|w| w.unwell = false);
-            // Other work keeps leases at the workers.
+            // Another job makes the leader renew the workers' leases, so that a late start may still begin.
             world.submit(job(2, vec![lasting(6)]));
-            assert_goes(&mut world, &format!("{late_ms} ms late, own lease: {own_lease}"));
+            assert_runs_end(&mut world, &format!("{late_ms} ms late, own lease: {own_lease}"));
         }
     }
 }
 
-/// A worker that starts again before, while and after the cancel.
+/// The workers restart before, during and after the cancellation.
 #[test]
-fn a_run_ends_whose_worker_starts_again() {
+fn a_run_whose_worker_restarts_ends() {
     for (restart, cancel) in [(0, 0), (0, 1), (0, 300), (0, 900), (1, 0), (300, 0), (900, 0)] {
-        let mut world = at_work(414, vec![step(6, &[]), lasting(6)]);
+        let mut world = with_running_tasks(414, vec![step(6, &[]), lasting(6)]);
         for at in 0..1_000 {
             if at == restart {
                 (0..3).for_each(|worker| world.start_over(worker));
@@ -125,13 +131,14 @@
             world.run(1);
         }
         let case = format!("restart after {restart} ms, cancel after {cancel} ms");
-        assert_goes(&mut world, &case);
+        assert_runs_end(&mut world, &case);
     }
 }
 
-/// A late start reaches the next start of its worker, which has forgotten the stop that barred it.
+/// Guards against a late start that reaches the next incarnation of its worker, which no longer has the stop that would
+/// make it refuse the start.
 #[test]
-fn a_start_that_reaches_the_next_start_of_its_worker_ends() {
+fn a_late_start_at_a_worker_restarted_after_the_cancel_leaves_no_run() {
     for late_ms in [700, 1_500, 3_000, 5_000] {
         for (cancel, restart) in [(0, 100), (50, 450), (450, 200), (900, 900), (900, 1_800)] {
             let mut world = with_late_starts(415, late_ms);
@@ -141,17 +148,17 @@
             (0..3).for_each(|worker| world.start_over_before_calls(worker));
             world.run(late_ms);
             let case = format!("{late_ms} ms late, restart {restart} ms after {cancel} ms");
-            // A worker that holds nothing is asked only so often what it runs.
+            // A worker without tasks is sent renewals only this often.
             let idle = world.settings.idle_renew_every.0;
             world.run(idle);
-            assert_goes(&mut world, &case);
+            assert_runs_end(&mut world, &case);
         }
     }
 }
 
-/// A worker starts again with a late start on its way, and the job is cancelled after that.
+/// A worker restarts while a late start is in flight to it, and the job is cancelled after that.
 #[test]
-fn a_start_that_reaches_the_next_start_of_its_worker_before_the_cancel_ends() {
+fn a_late_start_at_a_worker_restarted_before_the_cancel_leaves_no_run() {
     for late_ms in [500, 1_500, 3_000] {
         for (restart, cancel) in [(50, 0), (50, 100), (450, 500), (450, 1_200), (900, 3_000)] {
             let mut world = with_late_starts(416, late_ms);
@@ -161,30 +168,31 @@
             world.cancel(1);
             world.run(late_ms);
             let case = format!("{late_ms} ms late, cancel {cancel} ms after {restart} ms");
-            assert_goes(&mut world, &case);
+            assert_runs_end(&mut world, &case);
         }
     }
 }
 
-/// A worker hears nothing of the cancellation while it is cut off, or its stop was its last call.
+/// A worker is partitioned when the job is cancelled and gets no stop. Guards against a leader that sends it none once
+/// the partition heals.
 #[test]
-fn a_run_ends_whose_worker_comes_back_from_a_cut() {
+fn a_run_whose_worker_was_partitioned_ends() {
     for before in [0, 500, 2_500] {
         for after in [1, 800, 3_000, 5_000, 9_000] {
-            let mut world = at_work(417, vec![step(8, &[]), lasting(4)]);
+            let mut world = with_running_tasks(417, vec![step(8, &[]), lasting(4)]);
             world.workers[..2].iter_mut().for_each(|w| w.cut = true);
             world.run(before);
             world.cancel(1);
             world.run(after);
             world.workers[..2].iter_mut().for_each(|w| w.cut = false);
-            assert_goes(&mut world, &format!("cut {before} ms before to {after} ms after"));
+            assert_runs_end(&mut world, &format!("cut {before} ms before to {after} ms after"));
         }
     }
 }
 
-/// A cut worker takes a start of a removed leader in once it is back.
+/// Guards against a start of a removed leader that its worker carries out late, after the job was cancelled.
 #[test]
-fn a_start_of_a_removed_leader_begins_nothing_that_stays() {
+fn a_late_start_of_a_removed_leader_leaves_no_run() {
     for late_ms in [300, 1_500, 5_000] {
         for gap in [0, 300, 2_000] {
             let mut world = with_late_starts(418, late_ms);
@@ -195,49 +203,49 @@
             world.run(gap / 2);
             world.take_over();
             world.run(late_ms);
-            assert_goes(&mut world, &format!("{late_ms} ms late, no leader for {gap} ms"));
+            assert_runs_end(&mut world, &format!("{late_ms} ms late, no leader for {gap} ms"));
         }
     }
 }
 
-/// A successor adopts a run in the very moment of the cancellation.
+/// The job is cancelled at the moment when a new leader adopts its runs.
 #[test]
-fn a_run_ends_that_a_successor_adopts() {
+fn a_run_adopted_by_a_successor_ends() {
     for after in [0, 1, 2, 3, 5, 20, 300, 1_000] {
-        let mut world = at_work(419, vec![step(6, &[]), lasting(6)]);
+        let mut world = with_running_tasks(419, vec![step(6, &[]), lasting(6)]);
         world.workers[0].cut = true;
         world.change_leader(500);
         world.run(after);
         world.cancel(1);
         world.run(after);
         world.workers[0].cut = false;
-        assert_goes(&mut world, &format!("cancelled {after} ms after the takeover"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after the takeover"));
     }
 }
 
-/// A leader that is lost right after it took the cancellation in, before the last run is gone.
+/// The leader is lost right after it handled the cancellation, before the last run has ended.
 #[test]
-fn a_run_ends_whose_leader_is_lost_after_the_cancel() {
+fn a_run_whose_leader_is_lost_after_the_cancel_ends() {
     for after in [0, 1, 2, 50, 500] {
-        let mut world = at_work(420, vec![step(6, &[]), lasting(6)]);
+        let mut world = with_running_tasks(420, vec![step(6, &[]), lasting(6)]);
         world.workers.iter_mut().for_each(|w| w.stop_ms = 800);
         world.workers[0].refuses_stops = true;
         world.cancel(1);
         world.run(after);
         world.change_leader(700);
         world.workers[0].refuses_stops = false;
-        assert_goes(&mut world, &format!("leader lost {after} ms after the cancel"));
+        assert_runs_end(&mut world, &format!("leader lost {after} ms after the cancel"));
     }
 }
 
-/// Members of a gang whose mates have failed, are starting, or went with their worker.
+/// A gang is cancelled while another member starts late, has failed, or is at a partitioned worker.
 #[test]
-fn mates_of_a_gang_end_together() {
+fn all_members_of_a_cancelled_gang_end() {
     for (case, late, failing, cut) in [
-        ("all at work", None, false, false),
+        ("all running", None, false, false),
         ("one starts late", Some(1_500), false, false),
         ("one fails", None, true, false),
-        ("one is cut off", None, false, true),
+        ("one is partitioned", None, false, true),
     ] {
         for after in [0, 20, 60, 300, 1_000] {
             let mut world = World::open(421, 4);
@@ -252,14 +260,14 @@
             world.cancel(1);
             world.run(if cut { 3_000 } else { 0 });
             world.workers[1].cut = false;
-            assert_goes(&mut world, &format!("{case}, cancelled after {after} ms"));
+            assert_runs_end(&mut world, &format!("{case}, cancelled after {after} ms"));
         }
     }
 }
 
-/// A failed task waits for its next try when its job is cancelled.
+/// A failed task waits for its next attempt when its job is cancelled.
 #[test]
-fn a_failed_task_is_not_tried_again() {
+fn a_failed_task_of_a_cancelled_job_is_not_retried() {
     for after in [49, 51, 52, 53, 55, 100, 150, 160, 210, 400] {
         let mut world = World::open(422, 3);
         world.work_ms = 60_000;
@@ -269,13 +277,13 @@
         world.run(after);
         world.cancel(1);
         world.workers.iter_mut().for_each(|w| w.failing = false);
-        assert_goes(&mut world, &format!("cancelled {after} ms after the first start"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after the first start"));
     }
 }
 
-/// Builds a world of two workers, each of which was lost twice under the tasks of job 1: some of these are being
-/// tried, and the others wait for an empty worker.
-fn twice_lost(seed: u64) -> World {
+/// Builds a simulation of two workers, each of which was lost twice under the tasks of job 1: some tasks run their
+/// trials, and the others wait for an empty worker.
+fn with_waiting_suspects(seed: u64) -> World {
     let mut world = World::open(seed, 2);
     world.submit(job(1, vec![lasting(12)]));
     world.run(2_000);
@@ -290,40 +298,40 @@
     while world.running_of(1) == 0 {
         world.run(1);
     }
-    assert!(world.suspects() > world.running_of(1), "no suspect waits");
+    assert!(world.suspects() > world.running_of(1), "all suspects run, expected some to wait");
     world
 }
 
-/// Tasks that are suspected of having crashed their workers wait for trials of their own, beside the queue of all
-/// others.
+/// Guards against a cancellation that leaves out suspects: they wait for trials of their own, not in the queue of the
+/// other tasks.
 #[test]
-fn suspects_that_wait_for_a_trial_are_not_tried() {
+fn waiting_suspects_of_a_cancelled_job_get_no_trial() {
     for after in (0..1_500).step_by(100) {
-        let mut world = twice_lost(423);
+        let mut world = with_waiting_suspects(423);
         world.run(after);
         world.cancel(1);
-        // The stops of those that are being tried leave empty workers, for which the others wait.
-        assert_goes(&mut world, &format!("cancelled {after} ms after the first trial"));
+        // The stops of the suspects in their trials leave empty workers, for which the others wait.
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after the first trial"));
     }
 }
 
-/// A suspect whose trial begins in the very moment of the cancellation.
+/// The job is cancelled around the moment when a suspect's trial begins.
 #[test]
-fn a_suspect_that_is_being_tried_ends() {
+fn a_suspect_in_its_trial_ends() {
     for after in (0..400).step_by(40) {
         let mut world = World::open(424, 6);
-        world.crash_under(1, 0, AT_ONCE_MS);
+        world.crash_under(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![step(4, &[])]));
         world.run_until_crashes(1, 1, 5_000);
         world.run(3_000 + 10 * after);
         world.cancel(1);
-        assert_goes(&mut world, &format!("cancelled {after} ms after the crash"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after the crash"));
     }
 }
 
-/// A task has two runs, the slow one and its copy, and one of them is forgotten.
+/// Guards against a leader that stops only one of a task's two runs, the slow one and its speculative copy.
 #[test]
-fn a_slow_run_and_its_copy_end() {
+fn a_slow_run_and_its_speculative_copy_end() {
     for after in (0..2_000).step_by(200) {
         for cut in [false, true] {
             let mut world = World::open(425, 4);
@@ -335,25 +343,28 @@
             world.cancel(1);
             world.run(1_000);
             world.workers[0].cut = false;
-            assert_goes(&mut world, &format!("cancelled after {after} ms, slow one cut: {cut}"));
+            assert_runs_end(
+                &mut world,
+                &format!("cancelled after {after} ms, slow one cut: {cut}"),
+            );
         }
     }
 }
 
-/// The leader hears of a cancellation first, which concerns a job that it does not know.
+/// The leader handles the cancellation of a job before it knows the job.
 #[test]
-fn a_job_that_comes_after_its_cancellation_begins_nothing() {
+fn a_job_received_after_its_cancellation_starts_nothing() {
     for gap in [0, 1, 100, 3_000] {
         let mut world = World::open(426, 3);
         world.work_ms = 60_000;
         world.run(100);
         world.cancel_ahead(job(1, vec![step(4, &[]), lasting(2)]), gap);
-        assert_stays_gone(&mut world, &format!("{gap} ms"));
+        assert_no_run_reappears(&mut world, &format!("{gap} ms"));
         assert_eq!(world.state(1), Some(JobState::Cancelled), "{gap} ms");
     }
 }
 
-/// A round that falls due after the cancellation, and one that is under way.
+/// One round is due after the cancellation, and one is running.
 #[test]
 fn no_round_of_a_cancelled_job_begins() {
     for after in [0, 100, 299, 300, 301, 500, 850] {
@@ -364,28 +375,28 @@
         world.run(1_000 + after);
         world.cancel(1);
         let starts = world.starts;
-        assert_goes(&mut world, &format!("cancelled after {after} ms"));
+        assert_runs_end(&mut world, &format!("cancelled after {after} ms"));
         assert_eq!(world.starts, starts, "{after} ms");
     }
 }
 
-/// A task that is being moved off a worker that leaves, or is told to stop for another reason.
+/// The job is cancelled while its tasks are moved off workers that leave: one is draining, one is no longer listed.
 #[test]
-fn a_task_that_is_on_the_move_ends() {
+fn a_task_that_is_being_moved_ends() {
     for after in [0, 1, 3, 100, 900, 2_500] {
-        let mut world = at_work(428, vec![step(8, &[]), lasting(8)]);
+        let mut world = with_running_tasks(428, vec![step(8, &[]), lasting(8)]);
         world.workers.iter_mut().for_each(|w| w.stop_ms = 300);
         world.drain(0, 4_000);
         world.unlist(1);
         world.run(after);
         world.cancel(1);
-        assert_goes(&mut world, &format!("cancelled {after} ms after workers leave"));
+        assert_runs_end(&mut world, &format!("cancelled {after} ms after workers leave"));
     }
 }
 
-/// A job is forgotten some time after its end, and a worker that was cut off for longer still runs its task.
+/// The leader forgets a job some time after its end, while a worker that refused all stops still runs its tasks.
 #[test]
-fn a_run_ends_whose_job_is_forgotten() {
+fn a_run_of_a_forgotten_job_ends() {
     let mut world = World::open(429, 3);
     world.settings.finished_job_retention = Millis(500);
     world.take_over();
@@ -395,14 +406,14 @@
     world.workers[0].refuses_stops = true;
     world.cancel(1);
     world.run(3_000);
-    assert_eq!(world.state(1), None, "the job is not forgotten");
+    assert_eq!(world.state(1), None, "job 1 is still stored 3 s after its cancellation");
     world.workers[0].refuses_stops = false;
-    assert_goes(&mut world, "forgotten");
+    assert_runs_end(&mut world, "forgotten");
 }
 
-/// A job that fails leaves runs of its other tasks and steps.
+/// Guards against a failed job that leaves runs of its other tasks and steps.
 #[test]
-fn runs_of_a_job_that_failed_end() {
+fn runs_of_a_failed_job_end() {
     for cut in [false, true] {
         let mut world = World::open(430, 4);
         world.work_ms = 60_000;
--- a/crates/sched/tests/fleet/directory_age.rs
+++ b/crates/sched/tests/fleet/directory_age.rs
@@ -1,19 +1,19 @@
-//! A leader whose reading of the directory is behind, on virtual time.
+//! A leader whose reads of the directory are stale, on virtual time.
 //!
-//! Seen on 3,000 workers: the leader heard after 7 s of workers that had said that they leave, and went on to
-//! start tasks there, while each of its other calls to the store was answered at once. The tests of a late and of
-//! a silent reading failed while a pass looked at no age.
+//! Guards against starts at workers that are leaving. On 3,000 workers the leader learned only after 7 s that workers
+//! were leaving, and still started tasks there, while the store answered each of its other calls at once. The tests
+//! of late and of unanswered reads failed when a dispatch pass did not check the age of the directory.
 
 use crate::world::{assert_kept, job, step, Reading, World};
 
-/// The workers of a world.
+/// How many workers a simulation has.
 const WORKERS: usize = 12;
 
-/// How many of them leave.
+/// How many of the workers leave.
 const LEAVING: usize = 6;
 
-/// Builds a world whose directory is read in this way from the start.
-fn world(seed: u64, reading: Reading) -> World {
+/// Builds a simulation whose directory is read without delay for 1 s, and then as `reading` says.
+fn open_with_reading(seed: u64, reading: Reading) -> World {
     let mut world = World::open(seed, WORKERS);
     world.directory.reading = Some(Reading::Late(0));
     world.run(1_000);
@@ -21,8 +21,8 @@
     world
 }
 
-/// Hands in a job of short tasks every now and then, for so many milliseconds.
-fn submit_for(world: &mut World, first: u64, ms: u64) -> u64 {
+/// Submits a job of short tasks every 200 ms for `ms` milliseconds, with keys from `first` on. Returns the next key.
+fn submit_jobs_for(world: &mut World, first: u64, ms: u64) -> u64 {
     let jobs = ms / 200;
     for key in first..first + jobs {
         world.submit(job(key, vec![step(8, &[])]));
@@ -31,17 +31,17 @@
     first + jobs
 }
 
-/// Counts the jobs that are completed.
+/// Counts the completed jobs with keys below `jobs`.
 fn completed(world: &World, jobs: u64) -> usize {
     (0..jobs).filter(|&key| world.is_completed(key)).count()
 }
 
-/// Lets half of the workers say that they leave while the directory is read in this way, and checks that nothing
-/// starts there and all jobs end once the reading has caught up.
-fn leaves_while_read(seed: u64, reading: Reading) {
-    let mut world = world(seed, reading);
+/// Lets half of the workers announce that they leave while the directory is read as `reading` says. Checks that
+/// nothing starts there, and that all jobs complete once the reads are up to date.
+fn check_leaving_workers(seed: u64, reading: Reading) {
+    let mut world = open_with_reading(seed, reading);
     (0..LEAVING).for_each(|at| world.says_it_leaves(at, 20_000));
-    let jobs = submit_for(&mut world, 0, 6_000);
+    let jobs = submit_jobs_for(&mut world, 0, 6_000);
     world.directory.reading = Some(Reading::Late(100));
     world.run(6_000);
     assert_eq!(completed(&world, jobs), jobs as usize);
@@ -49,37 +49,37 @@
 }
 
 #[test]
-fn nothing_starts_while_the_reading_is_far_behind_and_all_ends_once_it_has_caught_up() {
-    leaves_while_read(901, Reading::Late(7_000));
+fn stale_directory_reads_hold_starts_back_until_they_catch_up() {
+    check_leaving_workers(901, Reading::Late(7_000));
 }
 
 #[test]
-fn nothing_starts_for_long_while_a_reading_gets_no_answer_and_others_do() {
-    leaves_while_read(902, Reading::Silent);
+fn unanswered_directory_reads_soon_hold_starts_back() {
+    check_leaving_workers(902, Reading::Silent);
 }
 
 #[test]
-fn a_reading_that_is_a_little_behind_holds_nothing_back() {
-    let mut late = world(903, Reading::Late(400));
-    let mut fresh = world(903, Reading::Late(0));
-    let jobs = submit_for(&mut late, 0, 6_000);
-    submit_for(&mut fresh, 0, 6_000);
+fn slightly_stale_directory_reads_hold_nothing_back() {
+    let mut late = open_with_reading(903, Reading::Late(400));
+    let mut fresh = open_with_reading(903, Reading::Late(0));
+    let jobs = submit_jobs_for(&mut late, 0, 6_000);
+    submit_jobs_for(&mut fresh, 0, 6_000);
     assert_eq!(completed(&late, jobs), completed(&fresh, jobs));
     assert_kept(&late);
 }
 
 #[test]
-fn a_directory_in_which_nothing_changes_holds_nothing_back() {
-    let mut quiet = world(904, Reading::Quiet);
-    let mut fresh = world(904, Reading::Late(0));
-    let jobs = submit_for(&mut quiet, 0, 6_000);
-    submit_for(&mut fresh, 0, 6_000);
+fn an_unchanged_directory_holds_nothing_back() {
+    let mut quiet = open_with_reading(904, Reading::Quiet);
+    let mut fresh = open_with_reading(904, Reading::Late(0));
+    let jobs = submit_jobs_for(&mut quiet, 0, 6_000);
+    submit_jobs_for(&mut fresh, 0, 6_000);
     assert_eq!(completed(&quiet, jobs), completed(&fresh, jobs));
 }
 
 #[test]
 fn tasks_start_while_the_store_answers_nothing_at_all() {
-    let mut world = world(905, Reading::Late(0));
+    let mut world = open_with_reading(905, Reading::Late(0));
     world.work_ms = 300;
     world.submit(job(1, vec![step(8, &[]), step(8, &[0]), step(8, &[1]), step(8, &[2])]));
     world.run(100);
@@ -89,11 +89,11 @@
 }
 
 #[test]
-fn a_successor_counts_from_its_own_reading() {
-    let mut world = world(906, Reading::Late(0));
+fn a_successor_measures_the_directory_age_from_its_own_reads() {
+    let mut world = open_with_reading(906, Reading::Late(0));
     world.run(4_000);
     world.change_leader(100);
-    let jobs = submit_for(&mut world, 0, 4_000);
+    let jobs = submit_jobs_for(&mut world, 0, 4_000);
     world.run(3_000);
     assert_eq!(completed(&world, jobs), jobs as usize);
     assert_kept(&world);
