--- /dev/null
+++ b/crates/sched/tests/fleet/late_reports.rs
@@ -0,0 +1,44 @@
+//! Worker reports that arrive when their worker has terminated, or is about to.
+
+use gaplock_types::time::Instant;
+
+use crate::world::{assert_kept, job, lasting, World};
+
+/// Guards against tasks that wait for ever, seen with real processes beside crashing workers. The
+/// last report of a worker arrived after another incarnation had answered in its place. The leader
+/// then took the tasks listed in it to be running at the terminated worker, which it no longer
+/// asks.
+#[test]
+fn a_report_that_arrives_after_its_worker_terminated_is_ignored() {
+    let mut world = World::open(405, 6);
+    world.submit(job(1, vec![lasting(12)]));
+    world.run(1_000);
+    let at = world.busy_worker();
+    let (sent, report) = (Instant(world.now), world.account(at));
+    world.crash_and_return(at);
+    while world.cx.as_ref().is_some_and(|cx| !cx.workers[at].terminated) {
+        world.run(1);
+    }
+    world.hear_of(at, sent, report);
+    world.run(10_000);
+    assert_eq!(world.running_of(1), 12);
+    assert_kept(&world);
+}
+
+/// The last answer of a crashed worker is handled just after the directory has dropped its entry.
+/// The leader must count the crash and not take the worker for one that left.
+#[test]
+fn an_answer_just_after_the_directory_entry_is_removed_does_not_hide_a_crash() {
+    let mut world = World::open(407, 6);
+    world.submit(job(1, vec![lasting(6)]));
+    world.run(1_000);
+    let at = world.busy_worker();
+    let (sent, report) = (Instant(world.now), world.account(at));
+    world.crash_and_return(at);
+    world.unlist(at);
+    world.run(5);
+    world.hear_of(at, sent, report);
+    world.run(9_000);
+    assert!(world.suspects() > 0, "the crash was not counted");
+    assert_kept(&world);
+}
