--- /dev/null
+++ b/crates/sched/tests/fleet/late_pace_orders.rs
@@ -0,0 +1,269 @@
+//! Pace orders that are carried out without an answer, or seconds late, after newer ones.
+//!
+//! Guards against tasks that stay halted or keep interfering for ever. The leader took the pace
+//! that was confirmed last for the one in force, and sent no order while that was the wanted pace.
+//! But an order without an answer may have been carried out or may still be carried out later, and
+//! a worker's report does not say which pace is in force. `late_starts` tests the same kind of
+//! fault for starts.
+
+use gaplock_jobs::{Job, JobKey, Step};
+use gaplock_types::time::Millis;
+
+use crate::world::{assert_kept, job, step, Faults, World};
+
+/// The tail target of the serving tasks, in milliseconds.
+const TAIL_TARGET_MS: u32 = 50;
+
+/// How late a delayed order arrives, in milliseconds: after newer orders have been answered.
+const DELIVERY_DELAY_MS: u64 = 6_000;
+
+/// Builds a job of one serving task, which runs until it is cancelled.
+fn serving_job(key: u64) -> Job {
+    let tail_target = Some(Millis(u64::from(TAIL_TARGET_MS)));
+    let image = Some("serving".to_string());
+    job(key, vec![Step { lasting: true, tail_target, image, ..step(1, &[]) }])
+}
+
+/// Builds a job of `count` best-effort tasks.
+fn best_effort_job(key: u64, count: u32) -> Job {
+    let image = Some("filling".to_string());
+    job(key, vec![Step { fills: true, image, ..step(count, &[]) }])
+}
+
+/// Builds a simulation of one worker that runs `count` best-effort tasks beside one serving task.
+fn best_effort_beside_serving(seed: u64, count: u32) -> World {
+    let mut world = World::open(seed, 1);
+    world.work_ms = 600_000;
+    world.submit(serving_job(1));
+    world.readings.insert(JobKey(1), 10);
+    world.run(500);
+    world.submit(best_effort_job(2, count));
+    world.run(1_500);
+    assert_eq!(world.paces_of(2), vec![100; count as usize]);
+    world
+}
+
+/// Sets the tail of the serving task so far over its target that all best-effort tasks are halted,
+/// or as low as it can be.
+fn set_tail_over_target(world: &mut World, over: bool) {
+    world.readings.insert(JobKey(1), if over { 4 * TAIL_TARGET_MS } else { 1 });
+}
+
+/// Runs until a best-effort task is halted at its worker.
+fn run_until_halted(world: &mut World) {
+    for _ in 0..3_000 {
+        if world.paces_of(2).contains(&0) {
+            return;
+        }
+        world.run(1);
+    }
+    panic!("no best-effort task was halted within 3 s, paces: {:?}", world.paces_of(2));
+}
+
+#[test]
+fn a_halt_without_an_answer_is_lifted_once_it_is_no_longer_wanted() {
+    let mut world = best_effort_beside_serving(111, 1);
+    world.workers[0].delays_paces.extend([1]);
+    set_tail_over_target(&mut world, true);
+    run_until_halted(&mut world);
+    set_tail_over_target(&mut world, false);
+    world.run(4_000);
+    assert_eq!(
+        world.paces_of(2),
+        vec![100],
+        "a task stays halted although the leader takes it to be running"
+    );
+    assert_kept(&world);
+}
+
+#[test]
+fn a_late_order_does_not_let_a_halted_task_keep_interfering() {
+    let mut world = best_effort_beside_serving(112, 1);
+    set_tail_over_target(&mut world, true);
+    run_until_halted(&mut world);
+    set_tail_over_target(&mut world, false);
+    world.workers[0].delays_paces.extend([DELIVERY_DELAY_MS]);
+    while world.workers[0].delays_paces.front().is_some() {
+        world.run(1);
+    }
+    let late_at = world.now + DELIVERY_DELAY_MS;
+    world.run(DELIVERY_DELAY_MS - 2_000);
+    set_tail_over_target(&mut world, true);
+    run_until_halted(&mut world);
+    assert!(world.now < late_at, "the late order arrived before the task was halted");
+    world.run(late_at - world.now);
+    let mut ran_ms = 0;
+    while ran_ms < 4_000 && world.paces_of(2).contains(&100) {
+        world.run(1);
+        ran_ms += 1;
+    }
+    let max_interference_ms = world.settings.max_tail_excess.0 / 2;
+    assert!(ran_ms > 0, "the late order was not carried out");
+    assert!(
+        ran_ms < max_interference_ms,
+        "the halted task ran for {ran_ms} ms, limit {max_interference_ms} ms"
+    );
+    assert_kept(&world);
+}
+
+#[test]
+fn a_successor_lifts_the_halt_of_a_run_that_it_adopts() {
+    let mut world = best_effort_beside_serving(113, 2);
+    set_tail_over_target(&mut world, true);
+    run_until_halted(&mut world);
+    world.lose_leader();
+    set_tail_over_target(&mut world, false);
+    world.run(1_000);
+    world.take_over();
+    world.run(4_000);
+    assert_eq!(
+        world.paces_of(2),
+        vec![100, 100],
+        "a task stays halted although the leader takes it to be running"
+    );
+    assert_kept(&world);
+}
+
+#[test]
+fn a_recovery_scan_delays_pace_orders_but_not_for_long() {
+    let mut world = World::open(117, 24);
+    world.work_ms = 600_000;
+    world.submit(job(1, vec![Step { count: 24, ..serving_job(1).steps[0].clone() }]));
+    world.readings.insert(JobKey(1), 10);
+    world.run(500);
+    world.submit(best_effort_job(2, 24));
+    world.run(1_500);
+    world.crash(0);
+    world.lose_leader();
+    world.take_over();
+    let before = world.paces_ordered;
+    world.run(1_000);
+    assert!(world.in_survey(), "the recovery scan ended before the silent worker's leases");
+    assert_eq!(world.paces_ordered, before, "paces were ordered early in the recovery scan");
+    world.run(2_000);
+    assert!(
+        world.in_survey() && world.paces_ordered > before,
+        "a long recovery scan must not keep paces from being ordered"
+    );
+    assert_kept(&world);
+}
+
+#[test]
+fn a_run_with_an_uncertain_pace_costs_about_one_order_a_second() {
+    let mut world = best_effort_beside_serving(115, 1);
+    world.workers[0].delays_paces.extend([1]);
+    set_tail_over_target(&mut world, true);
+    run_until_halted(&mut world);
+    set_tail_over_target(&mut world, false);
+    world.run(2_000);
+    let before = world.paces_ordered;
+    world.run(10_000);
+    let ordered = world.paces_ordered - before;
+    assert!((7..=10).contains(&ordered), "{ordered} pace orders in 10 s, expected 7 to 10");
+}
+
+#[test]
+fn a_refused_order_leaves_no_pace_uncertain() {
+    let mut world = best_effort_beside_serving(114, 1);
+    world.workers[0].unwell = true;
+    set_tail_over_target(&mut world, true);
+    world.run(2_500);
+    world.workers[0].unwell = false;
+    set_tail_over_target(&mut world, true);
+    world.run(3_000);
+    set_tail_over_target(&mut world, false);
+    world.run(2_000);
+    assert_eq!(world.paces_of(2), vec![100]);
+    let before = world.paces_ordered;
+    world.run(10_000);
+    assert_eq!(world.paces_ordered, before, "paces were ordered again although none is uncertain");
+    assert_kept(&world);
+}
+
+#[test]
+fn every_task_runs_again_after_any_mixture_of_lost_and_late_orders() {
+    for seed in 0..12 {
+        let mut world = best_effort_beside_serving(120 + seed, 3);
+        world.faults = Faults {
+            lost_per_mille: 60,
+            unanswered_per_mille: 100,
+            late_per_mille: 200,
+            unwell_per_mille: 100,
+            ..Faults::default()
+        };
+        for turn in 0..6 {
+            set_tail_over_target(&mut world, turn % 2 == 0);
+            let span = 500 + world.draw(2_500);
+            world.run(span);
+            if turn == 3 {
+                world.lose_leader();
+                world.take_over();
+            }
+        }
+        set_tail_over_target(&mut world, false);
+        world.faults = Faults::default();
+        // The last late order arrives within 12 s.
+        world.run(16_000);
+        let paces = world.paces_of(2);
+        assert!(paces.iter().all(|p| *p == 100), "seed {seed}: {paces:?}");
+        assert_eq!(paces.len(), 3, "seed {seed}");
+    }
+}
+
+/// Returns the paces of three best-effort tasks beside a serving task that tolerates only part of
+/// them, after the first order that lifted a halt was answered or got no answer.
+fn paces_after_lifted_halt(world: &mut World, unanswered: bool) -> Vec<u32> {
+    set_tail_over_target(world, true);
+    run_until_halted(world);
+    world.run(500);
+    assert_eq!(world.paces_of(2), vec![0; 3]);
+    if unanswered {
+        world.workers[0].delays_paces.extend([60_000]);
+    }
+    world.readings.insert(JobKey(1), 10);
+    world.run(2_500);
+    assert_eq!(world.paces_of(2), vec![100; 3]);
+    world.readings.insert(JobKey(1), 30);
+    world.run(6_000);
+    world.paces_of(2)
+}
+
+#[test]
+fn best_effort_tasks_beside_a_run_with_an_uncertain_pace_allow_for_its_highest_pace() {
+    let certain = paces_after_lifted_halt(&mut best_effort_beside_serving(117, 3), false);
+    let uncertain = paces_after_lifted_halt(&mut best_effort_beside_serving(117, 3), true);
+    let sum = |paces: &[u32]| paces.iter().sum::<u32>();
+    assert!(certain.contains(&0), "no task is halted, paces: {certain:?}");
+    // The run with the uncertain pace is ordered to halt, and the others leave as much capacity for
+    // it as it uses at full pace.
+    assert!(
+        sum(&uncertain) + 100 <= sum(&certain) + 5,
+        "paces: {certain:?} if all are certain, {uncertain:?} if one is uncertain"
+    );
+}
+
+#[test]
+fn a_late_halt_is_lifted_once_the_tail_is_below_its_target() {
+    let mut world = World::open(95, 1);
+    world.work_ms = 60_000;
+    world.submit(serving_job(1));
+    world.run(500);
+    world.submit(best_effort_job(2, 1));
+    world.run(500);
+    assert_eq!(world.paces_of(2), [100]);
+    world.workers[0].delays_paces.push_back(12_000);
+    set_tail_over_target(&mut world, true);
+    world.run(3_000);
+    assert_eq!(world.paces_of(2), [0]);
+    world.readings.insert(JobKey(1), 5);
+    world.run(6_000);
+    assert_eq!(world.paces_of(2), [100], "the task was not resumed");
+    world.run(5_000);
+    let after: Vec<u32> = world.paces_of(2);
+    world.run(10_000);
+    assert_eq!(
+        world.paces_of(2),
+        [100],
+        "the paces were {after:?} after the late halt and stay below 100 for 10 s"
+    );
+}
--- a/crates/sched/tests/fleet/main.rs
+++ b/crates/sched/tests/fleet/main.rs
@@ -13,7 +13,7 @@
 mod foreign;
 mod gangs;
 mod innocents;
-mod late_paces;
+mod late_pace_orders;
 mod late_reports;
 mod late_starts;
 mod late_upkeeps;
