--- a/crates/sched/tests/fleet/late_upkeeps.rs
+++ b/crates/sched/tests/fleet/late_maintenance_orders.rs
@@ -1,10 +1,10 @@
-//! Orders that a host goes down that are carried out late, and answers that speak of a later try.
+//! Orders to take a host down that are carried out late, and answers that refer to a later attempt.
 //!
-//! Found by reading the code beside the fault of `late_starts`: the refusal of a repeated order
-//! released its host although the first one could still be carried out, and a successor knew
-//! nothing of orders whose fate was open, so others went down meanwhile. Cause: an answer to a
-//! repeated call says nothing of the earlier tries. Proved by the tests below: more hosts of a wave
-//! were down at one time than may be.
+//! Guards against more hosts of a maintenance wave being down at one time than allowed. The refusal
+//! of a repeated order released its host although the first attempt could still be carried out, and
+//! a successor did not know of orders whose outcome was open, so other hosts went down meanwhile.
+//! The cause: an answer to a repeated call says nothing about earlier attempts. `late_starts` tests
+//! the same kind of fault for starts.
 
 use gaplock_jobs::Step;
 use gaplock_sched::message::{MaintenanceAnswer, WaveProgress};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_list_under_way_when_a_host_goes_down_does_not_show_that_it_is_back() {
+fn a_host_list_requested_before_a_host_goes_down_does_not_prove_that_it_is_back() {
     for slow in (0..500).step_by(20) {
         let mut world = World::open(142, 5);
         world.hosts.list_slow_ms = 200;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_successor_counts_a_host_that_a_former_leader_has_ordered_down() {
+fn a_successor_counts_a_host_that_the_previous_leader_ordered_down() {
     let mut world = World::open(143, 4);
     world.work_ms = 4_000;
     world.hosts.list_slow_ms = 300;
@@ -56,13 +56,14 @@
     world.take_over();
     world.run(20);
     assert!(!world.in_survey());
-    // Its successor finds that host the busiest, so that it would be the last to go down: another
-    // worker has come up there, which it takes for that of another host as long as it has no list.
+    // The successor takes that host for the busiest one and so would take it down last: another
+    // worker has come up there, and the successor takes it for the worker of another host until it
+    // has a list of hosts.
     let next = world.replace_worker(0);
-    set_unwell(&mut world, next, true);
+    set_others_overloaded(&mut world, next, true);
     world.submit(job(1, vec![step(4, &[])]));
     world.run(250);
-    set_unwell(&mut world, next, false);
+    set_others_overloaded(&mut world, next, false);
     assert_eq!(world.running_at(next), 4);
     world.run(40_000);
     assert_eq!(world.hosts.most_down, 1);
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn a_successor_gives_no_tasks_to_a_host_that_a_former_leader_has_ordered_down() {
+fn a_successor_gives_no_tasks_to_a_host_that_the_previous_leader_ordered_down() {
     let mut world = World::open(145, 3);
     world.hosts.list_slow_ms = 300;
     world.hosts.fates.extend([OrderFate::Unanswered(1_500)]);
@@ -84,19 +85,19 @@
     world.change_leader(100);
     world.run(20);
     assert!(!world.in_survey());
-    // No list of the hosts has come yet.
-    let lasting = Step { lasting: true, may_miss: Some(0), ..step(12, &[]) };
-    world.submit(job(1, vec![lasting]));
+    // The successor has no list of hosts yet.
+    let long_running = Step { lasting: true, may_miss: Some(0), ..step(12, &[]) };
+    world.submit(job(1, vec![long_running]));
     world.run(4_000);
     assert_eq!(world.running_of(1), 12);
     assert!(world.is_wave_completed(1));
     assert_kept(&world);
 }
 
-/// Lets every worker but one refuse its orders, or no longer.
-fn set_unwell(world: &mut World, but: usize, unwell: bool) {
+/// Sets whether every worker except one refuses its orders as overloaded.
+fn set_others_overloaded(world: &mut World, except: usize, overloaded: bool) {
     for (at, worker) in world.workers.iter_mut().enumerate() {
-        worker.unwell = unwell && at != but;
+        worker.unwell = overloaded && at != except;
     }
 }
 
@@ -108,18 +109,22 @@
     world.ask_wave(1, 1, 60_000, 1);
     world.run(1_000);
     assert_eq!(world.hosts.ordered, [host_name(0)]);
-    let again = world.replace_worker(0);
+    let replacement = world.replace_worker(0);
     world.run(1_200);
-    let lasting = Step { lasting: true, may_miss: Some(0), ..step(8, &[]) };
-    world.submit(job(1, vec![lasting]));
+    let long_running = Step { lasting: true, may_miss: Some(0), ..step(8, &[]) };
+    world.submit(job(1, vec![long_running]));
     world.run(2_000);
     assert_eq!(world.running_of(1), 8);
-    assert_eq!(world.running_at(again), 0, "it runs what a late order would end");
+    assert_eq!(
+        world.running_at(replacement),
+        0,
+        "the new worker runs tasks that a late order would end"
+    );
     assert_kept(&world);
 }
 
 #[test]
-fn no_wave_takes_too_many_hosts_down_whatever_becomes_of_orders_and_leaders() {
+fn no_wave_takes_too_many_hosts_down_despite_late_orders_and_leader_changes() {
     for seed in 0..30 {
         let mut world = World::open(150 + seed, 8);
         world.faults = Faults {
@@ -142,15 +147,19 @@
         }
         world.faults = Faults::default();
         world.run(60_000);
-        assert!(world.hosts.most_down <= 2, "seed {seed}: {} were down", world.hosts.most_down);
+        assert!(
+            world.hosts.most_down <= 2,
+            "seed {seed}: {} hosts were down at one time, at most 2 allowed",
+            world.hosts.most_down
+        );
         assert!(world.is_wave_completed(1), "seed {seed}");
         assert_eq!(world.hosts.upkeeps.len(), 6, "seed {seed}");
     }
 }
 
-/// Draws what becomes of an order: a third are carried out late, a third get no answer or are
-/// refused.
-fn draw_fate(world: &mut World) -> OrderFate {
+/// Draws the outcome of an order: a third are carried out late, a third get no answer or are
+/// refused, and the rest are answered.
+fn draw_order_outcome(world: &mut World) -> OrderFate {
     match world.draw(9) {
         0..3 => OrderFate::Unanswered(2_000 + world.draw(10_000)),
         3 => OrderFate::Unanswered(0),
@@ -161,13 +170,13 @@
 }
 
 #[test]
-fn late_orders_take_no_lasting_tasks_down_beyond_what_may_be_missed() {
+fn late_orders_take_down_no_more_long_running_tasks_than_may_be_missed() {
     for seed in 0..20 {
         let mut world = World::open(200 + seed, 6);
-        let fates: Vec<OrderFate> = (0..60).map(|_| draw_fate(&mut world)).collect();
-        world.hosts.fates.extend(fates);
-        let lasting = Step { lasting: true, may_miss: Some(1), ..step(9, &[]) };
-        world.submit(job(1, vec![lasting]));
+        let outcomes: Vec<OrderFate> = (0..60).map(|_| draw_order_outcome(&mut world)).collect();
+        world.hosts.fates.extend(outcomes);
+        let long_running = Step { lasting: true, may_miss: Some(1), ..step(9, &[]) };
+        world.submit(job(1, vec![long_running]));
         world.run(3_000);
         world.ask_wave(1, 5, 200_000, 2);
         for _ in 0..5 {
@@ -179,22 +188,27 @@
             world.take_over();
         }
         world.run(90_000);
-        assert!(world.hosts.most_down <= 2, "seed {seed}: {} were down", world.hosts.most_down);
+        assert!(
+            world.hosts.most_down <= 2,
+            "seed {seed}: {} hosts were down at one time, at most 2 allowed",
+            world.hosts.most_down
+        );
         assert!(world.is_wave_completed(1), "seed {seed}");
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
 #[test]
-fn what_a_former_version_stored_of_a_wave_is_still_read() {
+fn wave_progress_stored_by_an_earlier_version_can_still_be_read() {
     let text = r#"{"number":7,"began_unix_ms":5,"begun":["h1"],"completed":false}"#;
-    let known: WaveProgress = serde_json::from_str(text).expect("it decodes");
-    assert_eq!(known.begun.len(), 1);
-    assert!(known.ordered.is_empty());
+    let stored: WaveProgress =
+        serde_json::from_str(text).expect("a record without `ordered` decodes");
+    assert_eq!(stored.begun.len(), 1);
+    assert!(stored.ordered.is_empty());
 }
 
 #[test]
-fn an_order_of_a_former_leader_carried_out_late_does_not_exceed_what_may_be_down() {
+fn a_late_order_of_the_previous_leader_takes_down_no_more_hosts_than_allowed() {
     let mut world = World::open(97, 4);
     world.run(500);
     world.hosts.fates.extend([OrderFate::Unanswered(1_500)]);
@@ -209,6 +223,6 @@
         world.list_again(at);
     }
     world.run(20_000);
-    assert_eq!(world.hosts.most_down, 1, "hosts down at one time, one allowed");
+    assert_eq!(world.hosts.most_down, 1, "hosts that were down at one time, one allowed");
     assert_kept(&world);
 }
