--- a/crates/sched/tests/fleet/late_writes.rs
+++ b/crates/sched/tests/fleet/late_writes.rs
@@ -1,33 +1,34 @@
-//! Commits that the store carries out late: after their repeat, after its refusal, after a newer
+//! Commits that the store carries out late: after their repeat, after its refusal, or after a newer
 //! leader's claim.
 //!
-//! Seen: tasks that had ended as done started again under the next leader. A commit without an
-//! answer was repeated, the repeat refused, the next commit bore the same mark, and the late one
-//! was taken for it. Cause: an answer to a repeated call was taken for the fate of the call. Proved
-//! by the logs of days played again (`docs/incidents/twice-after-late-call.md`). The world checks
-//! that what the leader takes for stored is what the store holds, and that nothing starts after its
-//! end was acknowledged.
+//! Guards against tasks that ended as done and are started again under the next leader. A commit
+//! without an answer was repeated, the repeat was refused, the next commit had the same mark, and
+//! the late commit was taken for it. The cause: an answer to a repeated call was taken for the
+//! outcome of the call. The logs of days that were run again show it
+//! (`docs/incidents/twice-after-late-call.md`). The simulation checks that what the leader
+//! considers stored is what the store holds, and that no task starts after its end was
+//! acknowledged.
 
 use crate::world::{assert_all_end, assert_kept, job, step, Faults, World, WriteFaults};
 
-/// Every write goes unanswered and is carried out seconds later.
-const ALL_LATE: WriteFaults = WriteFaults {
+/// No write gets an answer, and each is carried out seconds later.
+const ALL_WRITES_LATE: WriteFaults = WriteFaults {
     lost_per_mille: 0,
     unanswered_per_mille: 0,
     late_per_mille: 1_000,
     refused_per_mille: 0,
 };
 
-/// Writes that go wrong in every way.
-const MIXED: WriteFaults = WriteFaults {
+/// All kinds of write faults.
+const MIXED_WRITE_FAULTS: WriteFaults = WriteFaults {
     lost_per_mille: 50,
     unanswered_per_mille: 100,
     late_per_mille: 150,
     refused_per_mille: 150,
 };
 
-/// Orders that go wrong in every way but by the refusals of unwell workers.
-const ORDERS: Faults = Faults {
+/// All kinds of order faults except refusals by overloaded workers.
+const ORDER_FAULTS: Faults = Faults {
     lost_per_mille: 20,
     unanswered_per_mille: 50,
     late_per_mille: 50,
@@ -39,7 +40,7 @@
 fn a_commit_carried_out_after_its_repeat_was_refused_is_not_taken_for_a_newer_one() {
     let mut world = World::open(101, 2);
     world.run(100);
-    world.write_faults = ALL_LATE;
+    world.write_faults = ALL_WRITES_LATE;
     world.submit(job(1, vec![step(4, &[]), step(4, &[0])]));
     world.run(600);
     world.write_faults = WriteFaults::default();
@@ -50,37 +51,37 @@
     world.take_over();
     world.run(3_000);
     assert!(world.is_completed(1));
-    assert_eq!(world.starts, 8, "tasks that had ended were started again");
+    assert_eq!(world.starts, 8, "tasks were started again after their ends");
     assert_kept(&world);
 }
 
 #[test]
-fn a_late_commit_of_a_former_leader_changes_nothing() {
+fn a_late_commit_of_a_previous_leader_changes_nothing() {
     let mut world = World::open(102, 2);
     world.run(100);
-    world.write_faults = ALL_LATE;
+    world.write_faults = ALL_WRITES_LATE;
     world.submit(job(1, vec![step(4, &[])]));
     world.run(1_000);
     world.take_over();
     world.write_faults = WriteFaults::default();
     world.run(12_000);
     assert!(world.is_completed(1));
-    assert_eq!(world.starts, 4, "tasks that had ended were started again");
+    assert_eq!(world.starts, 4, "tasks were started again after their ends");
     assert_kept(&world);
 }
 
 #[test]
-fn writes_and_orders_that_come_late_double_nothing_over_all_leaders() {
+fn late_writes_and_orders_run_no_task_twice_across_leaders() {
     for seed in 0..30 {
         let mut world = World::open(seed, 6);
-        world.faults = ORDERS;
-        world.write_faults = MIXED;
+        world.faults = ORDER_FAULTS;
+        world.write_faults = MIXED_WRITE_FAULTS;
         for key in 0..20 {
             world.submit(job(key, vec![step(5, &[]), step(3, &[0])]));
             world.run(200);
             match world.draw(10) {
                 0 => change_leader(&mut world),
-                1 => refuse_for_a_while(&mut world),
+                1 => refuse_writes_for_a_while(&mut world),
                 _ => {}
             }
         }
@@ -93,8 +94,9 @@
     world.change_leader(gap);
 }
 
-/// Lets the store refuse writes for some seconds while tasks end, with a commit under way or not.
-fn refuse_for_a_while(world: &mut World) {
+/// Makes the store refuse writes for up to 6 s while tasks end, whether or not a commit is under
+/// way.
+fn refuse_writes_for_a_while(world: &mut World) {
     let length = world.draw(6_000);
     world.store_down = true;
     world.run(length);
