--- a/crates/sched/tests/fleet/leaving.rs
+++ b/crates/sched/tests/fleet/leaving_workers.rs
@@ -1,16 +1,16 @@
-//! Workers that are leaving, or that the directory no longer lists, on virtual time.
+//! Workers that drain, or that the directory no longer lists, on virtual time.
 
 use gaplock_jobs::Job;
 
 use crate::world::{assert_kept, job, step, World};
 
 #[test]
-fn a_draining_worker_is_emptied_and_gets_nothing() {
+fn a_draining_worker_is_emptied_and_gets_no_tasks() {
     let mut world = World::open(5, 3);
     world.work_ms = 60_000;
-    let mut lasting = step(6, &[]);
-    lasting.lasting = true;
-    world.submit(job(1, vec![lasting]));
+    let mut long_running = step(6, &[]);
+    long_running.lasting = true;
+    world.submit(job(1, vec![long_running]));
     world.run(2_000);
     world.drain(0, 6_000);
     world.run(3_000);
@@ -19,18 +19,18 @@
     assert_kept(&world);
 }
 
-/// A job of one step of lasting tasks.
-fn lasting_job(key: u64, count: u32) -> Job {
-    let mut lasting = step(count, &[]);
-    lasting.lasting = true;
-    job(key, vec![lasting])
+/// Builds a job of one step of `count` long-running tasks.
+fn long_running_job(key: u64, count: u32) -> Job {
+    let mut long_running = step(count, &[]);
+    long_running.lasting = true;
+    job(key, vec![long_running])
 }
 
 #[test]
-fn a_worker_that_leaves_the_directory_without_a_word_is_emptied() {
+fn a_worker_that_leaves_the_directory_without_draining_is_emptied() {
     let mut world = World::open(21, 3);
     world.work_ms = 60_000;
-    world.submit(lasting_job(1, 6));
+    world.submit(long_running_job(1, 6));
     world.run(4_000);
     world.unlist(0);
     world.run(1_500);
@@ -43,7 +43,7 @@
 fn a_worker_whose_entry_lapsed_in_an_outage_keeps_its_tasks_if_it_comes_back_in_time() {
     let mut world = World::open(22, 3);
     world.work_ms = 60_000;
-    world.submit(lasting_job(1, 6));
+    world.submit(long_running_job(1, 6));
     world.run(4_000);
     let before = world.running_at(0);
     world.directory_back();
@@ -52,7 +52,7 @@
     world.list_again(0);
     world.run(3_000);
     assert_eq!(world.running_at(0), before);
-    assert_eq!(world.starts, 6, "a task was moved without need");
+    assert_eq!(world.starts, 6, "a task was moved although its worker came back in time");
     assert_kept(&world);
 }
 
@@ -60,7 +60,7 @@
 fn a_worker_still_missing_after_an_outage_is_emptied() {
     let mut world = World::open(23, 3);
     world.work_ms = 60_000;
-    world.submit(lasting_job(1, 6));
+    world.submit(long_running_job(1, 6));
     world.run(4_000);
     world.directory_back();
     world.unlist(0);
@@ -71,33 +71,34 @@
 }
 
 #[test]
-fn tasks_that_may_not_be_missed_leave_a_vanished_worker_one_by_one() {
+fn tasks_with_a_miss_limit_leave_an_unlisted_worker_one_by_one() {
     let mut world = World::open(24, 3);
     world.work_ms = 60_000;
-    let mut lasting = step(9, &[]);
-    lasting.lasting = true;
-    lasting.may_miss = Some(1);
-    world.submit(job(1, vec![lasting]));
+    let mut long_running = step(9, &[]);
+    long_running.lasting = true;
+    long_running.may_miss = Some(1);
+    world.submit(job(1, vec![long_running]));
     world.run(4_000);
     assert!(world.running_at(0) > 1);
     world.unlist(0);
-    let mut least = 9;
+    let mut fewest_running = 9;
     for _ in 0..600 {
         world.run(10);
-        least = least.min(world.running_of(1));
+        fewest_running = fewest_running.min(world.running_of(1));
     }
-    assert_eq!(least, 8, "more tasks were away at one time than may be missed");
+    assert_eq!(fewest_running, 8, "fewest tasks running at one time, one of nine may be missed");
     assert_eq!(world.running_at(0), 0);
     assert_kept(&world);
 }
 
-/// Seen on a day in which a third of the workers started again under their names: tasks were started again after
-/// their noted ends. The numbers of a worker's ends begin at 1 again, the leader passed over each number up to the
-/// last one that it knew, and acknowledged up to that one all the same. The cause was that a worker was known by its
-/// name alone. What proved it: `end_passed_over` for each such run here, and on that day releases as not listed on
-/// just the workers that had started again, until their numbers had caught up.
+/// Guards against tasks that are started again after their recorded ends, seen on a day on which a
+/// third of the workers restarted under their names. The numbers of a restarted worker's ends begin
+/// at 1 again. The leader knew a worker by its name alone, so it skipped each number up to the last
+/// one that it knew, and yet acknowledged up to that one. The log showed `end_passed_over` for each
+/// such run here, and on that day releases as not listed on just the restarted workers, until their
+/// numbers had caught up.
 #[test]
-fn the_ends_of_a_worker_that_starts_again_under_its_id_are_new() {
+fn ends_of_a_worker_that_restarts_under_its_id_are_not_taken_for_old_ones() {
     let mut world = World::open(914, 1);
     world.work_ms = 2_000;
     world.submit(job(1, vec![step(8, &[])]));
--- a/crates/sched/tests/fleet/main.rs
+++ b/crates/sched/tests/fleet/main.rs
@@ -18,7 +18,7 @@
 mod late_reports;
 mod late_starts;
 mod late_writes;
-mod leaving;
+mod leaving_workers;
 mod odd_jobs;
 mod packing;
 mod promises;
