--- a/crates/sched/tests/fleet/odd_jobs.rs
+++ b/crates/sched/tests/fleet/extreme_jobs.rs
@@ -1,8 +1,8 @@
-//! Jobs whose figures are far beyond what any caller means: what they cost a leader is bounded.
+//! Jobs with figures far beyond what any caller needs: what they cost a leader must be bounded.
 //!
-//! Seen by reading: a job that repeats had all its due rounds begun at once, so one request could take all
-//! memory of the leader, and of each one after it; and an estimate near the largest number wrapped
-//! around, which put the job before all others. These tests failed on that code.
+//! Guards against two faults: a repeating job had all its due rounds begun at once, so that one
+//! request could take all memory of the leader and of each leader after it; and an estimate near
+//! the largest number overflowed, which put the job before all others.
 
 use gaplock_jobs::job::Repeat;
 use gaplock_jobs::{Job, JobKey};
@@ -10,7 +10,7 @@
 
 use crate::world::{assert_kept, job, step, World};
 
-fn repeating(times: u32, every: u64) -> Job {
+fn repeating_job(times: u32, every: u64) -> Job {
     let repeat = Some(Repeat { times, first_unix_ms: 0, every: Millis(every) });
     Job { repeat, ..job(1, vec![step(2, &[])]) }
 }
@@ -18,21 +18,29 @@
 #[test]
 fn rounds_that_are_due_at_once_do_not_all_begin_at_once() {
     let mut world = World::open(701, 4);
-    world.submit(repeating(60_000, 0));
-    assert!(world.rounds_under_way(1) <= 10_000, "{}", world.rounds_under_way(1));
+    world.submit(repeating_job(60_000, 0));
+    assert!(
+        world.rounds_under_way(1) <= 10_000,
+        "{} rounds are under way, at most 10,000 allowed",
+        world.rounds_under_way(1)
+    );
     world.submit(job(2, vec![step(2, &[])]));
     world.run(100);
     assert!(world.rounds_under_way(1) <= 10_000);
     world.take_over();
-    assert!(world.rounds_under_way(1) <= 10_000, "{}", world.rounds_under_way(1));
+    assert!(
+        world.rounds_under_way(1) <= 10_000,
+        "{} rounds are under way, at most 10,000 allowed",
+        world.rounds_under_way(1)
+    );
     assert_kept(&world);
 }
 
 #[test]
-fn rounds_that_had_to_wait_are_run_in_their_turn() {
+fn rounds_that_had_to_wait_start_once_earlier_ones_finish() {
     let mut world = World::open(702, 40);
     world.work_ms = 1;
-    let mut wide = repeating(3, 0);
+    let mut wide = repeating_job(3, 0);
     wide.steps = vec![step(9_000, &[])];
     world.submit(wide);
     assert_eq!(world.rounds_under_way(1), 2);
@@ -45,24 +53,24 @@
 }
 
 #[test]
-fn a_round_that_is_due_beyond_all_time_is_not_due_now() {
+fn a_round_whose_due_time_overflows_is_not_due_now() {
     let mut world = World::open(703, 2);
-    world.submit(repeating(3, u64::MAX / 2 + 1));
+    world.submit(repeating_job(3, u64::MAX / 2 + 1));
     world.run(2_000);
     assert_eq!(world.rounds_finished(1), 1);
     assert_kept(&world);
 }
 
 #[test]
-fn an_estimate_without_end_puts_a_job_last() {
+fn the_largest_estimate_puts_a_job_last() {
     let mut world = World::open(704, 1);
-    let mut endless = job(1, vec![step(8, &[]), step(1, &[0])]);
-    for step in &mut endless.steps {
+    let mut long = job(1, vec![step(8, &[]), step(1, &[0])]);
+    for step in &mut long.steps {
         step.estimate = Millis(u64::MAX);
     }
-    world.submit(endless);
+    world.submit(long);
     world.submit(job(2, vec![step(1, &[])]));
-    let cx = world.cx.as_ref().expect("it leads");
+    let cx = world.cx.as_ref().expect("the leader is running");
     let due = |key| cx.jobs[&JobKey(key)].due;
     assert!(due(1) > due(2));
     world.run(3_000);
@@ -70,13 +78,13 @@
 }
 
 #[test]
-fn a_start_that_every_worker_refuses_as_invalid_is_repeated_ever_more_rarely() {
+fn a_start_that_every_worker_refuses_as_invalid_is_repeated_with_growing_pauses() {
     let mut world = World::open(95, 4);
     world.workers.iter_mut().for_each(|w| w.refuses_starts = true);
     world.submit(job(1, vec![step(1, &[])]));
     world.run(20_000);
     let refused: u64 = world.workers.iter().map(|w| w.invalid_starts).sum();
-    assert!(refused <= 20, "it was sent {refused} times in 20 s");
+    assert!(refused <= 20, "the start was sent {refused} times in 20 s, at most 20 allowed");
     world.workers.iter_mut().for_each(|w| w.refuses_starts = false);
     world.run(6_000);
     assert!(world.is_completed(1));
