--- a/crates/sched/tests/fleet/promises.rs
+++ b/crates/sched/tests/fleet/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever goes wrong, on virtual time.
+//! Invariants of the scheduler that hold under any faults, on virtual time.
 
 use crate::world::{self, assert_kept, job, play, step, Faults, World};
 use gaplock_jobs::config::Advice;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_successor_keeps_what_runs() {
+fn a_successor_starts_no_running_task_again() {
     let mut world = World::open(2, 3);
     world.work_ms = 4_000;
     world.submit(job(1, vec![step(6, &[]), step(4, &[0])]));
@@ -25,7 +25,7 @@
     world.change_leader(2_500);
     world.run(9_000);
     assert!(world.is_completed(1));
-    assert_eq!(world.starts, 10, "the successor started something again");
+    assert_eq!(world.starts, 10, "the successor started tasks again");
     assert_kept(&world);
 }
 
@@ -40,14 +40,18 @@
     world.workers[0].cut = true;
     world.take_over();
     world.run(5_500);
-    assert_eq!(world.starts, 9, "a task was started while its lease could be running");
+    assert_eq!(world.starts, 9, "a task was started although its lease may not have ended");
     world.run(4_000);
-    assert_eq!(world.starts, 9 + at_risk as u64, "the tasks of a lost worker were not started");
+    assert_eq!(
+        world.starts,
+        9 + at_risk as u64,
+        "the tasks of a lost worker were not started elsewhere"
+    );
     assert_kept(&world);
 }
 
 #[test]
-fn a_worker_that_answers_again_after_its_leases_does_not_double_its_tasks() {
+fn a_worker_that_answers_again_after_its_leases_end_runs_no_task_twice() {
     let mut world = World::open(4, 3);
     world.work_ms = 9_000;
     world.submit(job(1, vec![step(9, &[])]));
@@ -96,7 +100,7 @@
     }
     world.run(3_000);
     let completed = (0..10).filter(|&key| world.is_completed(key)).count();
-    assert_eq!(completed, 10, "jobs failed because of one worker");
+    assert_eq!(completed, 10, "jobs failed because of one failing worker");
     assert_kept(&world);
 }
 
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn calls_that_get_lost_or_come_late_double_nothing() {
+fn lost_and_late_calls_run_no_task_twice() {
     for seed in 0..30 {
         let mut world = World::open(seed, 6);
         world.faults = Faults {
@@ -132,10 +136,10 @@
     }
 }
 
-/// `scale-2 --seed 34871394740` of Klang Valley: renewals that nobody answered pushed the end of
-/// the lease ahead for ever.
+/// Guards against renewals without an answer that extend the assumed end of a lease for ever
+/// (`scale-2 --seed 34871394740` of Klang Valley).
 #[test]
-fn tasks_of_a_worker_lost_for_good_start_elsewhere_after_its_leases() {
+fn tasks_of_a_worker_lost_for_good_start_elsewhere_after_its_leases_end() {
     let mut world = World::open(10, 3);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(9, &[])]));
@@ -150,10 +154,11 @@
     assert_kept(&world);
 }
 
-/// `scale-2 --seed 677558841639` of Ljubljana: a serving task was over its target for 4 s while
-/// rough readings fell just below it now and then, which ended the excess too early.
+/// Guards against best-effort tasks that keep running beside a serving task over its target. The
+/// serving task was over its target for 4 s, but rough readings fell just below it now and then,
+/// which ended the excess too early (`scale-2 --seed 677558841639` of Ljubljana).
 #[test]
-fn fillers_are_halted_beside_a_tail_that_stays_over_its_target() {
+fn best_effort_tasks_are_halted_beside_a_tail_that_stays_over_its_target() {
     let mut world = World::open(11, 1);
     world.work_ms = 60_000;
     let mut serving = step(1, &[]);
@@ -161,11 +166,12 @@
     serving.image = Some("serves".into());
     serving.tail_target = Some(Millis(50));
     world.submit(job(1, vec![serving]));
-    let mut fills = step(2, &[]);
-    fills.fills = true;
-    fills.image = Some("fills".into());
-    world.submit(job(2, vec![fills]));
-    // The tail is low for long beside the fillers, so that the model learns no pressure.
+    let mut best_effort = step(2, &[]);
+    best_effort.fills = true;
+    best_effort.image = Some("fills".into());
+    world.submit(job(2, vec![best_effort]));
+    // The tail stays low for long beside the best-effort tasks, so that the model learns no
+    // interference.
     world.readings.insert(JobKey(1), 14);
     world.readings.insert(JobKey(2), 500);
     world.run(20_000);
@@ -174,24 +180,28 @@
         world.readings.insert(JobKey(1), if n % 2 == 0 { 60 } else { 47 });
         world.run(500);
     }
-    assert_eq!(world.paces_of(2), [0, 0], "fillers went on beside a tail over its target");
+    assert_eq!(
+        world.paces_of(2),
+        [0, 0],
+        "best-effort tasks kept running beside a tail over its target"
+    );
     world.readings.insert(JobKey(1), 14);
     world.readings.insert(JobKey(2), 0);
     world.run(3_000);
-    assert_eq!(world.paces_of(2), [100, 100], "fillers stayed halted");
+    assert_eq!(world.paces_of(2), [100, 100], "best-effort tasks stayed halted");
 }
 
-/// `trouble-2 --seed 411911639069` of Klang Valley: a failure was counted by two leaders, since the
-/// worker listed it until the second one acknowledged it.
+/// Guards against a failure that is counted by two leaders: the worker listed it until the second
+/// leader acknowledged it (`trouble-2 --seed 411911639069` of Klang Valley).
 #[test]
-fn a_failure_is_counted_once_over_all_leaders() {
+fn a_failure_is_counted_once_across_leaders() {
     let mut world = World::open(12, 2);
     world.faults.failing_per_mille = 1_000;
     world.submit(job(1, vec![step(1, &[])]));
     while world.stored_failures(1) == 0 {
         world.run(1);
     }
-    // The failure is stored, but the worker has not heard of that and lists it again.
+    // The failure is stored but not yet acknowledged to the worker, which lists it again.
     world.faults.failing_per_mille = 0;
     for count in 1..4 {
         world.workers.iter_mut().for_each(|w| w.cut = true);
@@ -212,8 +222,8 @@
 #[test]
 fn a_step_runs_only_where_it_is_permitted() {
     let mut world = World::open(13, 4);
-    let every = Millis(10);
-    world.advice = Some(Advice { decide: every, each: every, valid: Millis(3_000) });
+    let interval = Millis(10);
+    world.advice = Some(Advice { decide: interval, each: interval, valid: Millis(3_000) });
     world.take_over();
     world.work_ms = 20_000;
     world.submit(job(1, vec![step(10, &[])]));
@@ -223,8 +233,9 @@
     assert_kept(&world);
 }
 
-/// `trouble-3` of the grown site in Klang Valley: of two failures that were not stored, a successor
-/// heard of the later one first and took the earlier one for counted.
+/// Guards against a failure that is never counted: of two failures that were not stored, a
+/// successor received the later one first and took the earlier one for counted (`trouble-3` of the
+/// grown site in Klang Valley).
 #[test]
 fn failures_are_counted_in_whatever_order_workers_answer() {
     let mut world = World::open(14, 4);
@@ -241,39 +252,45 @@
     world.run(500);
     world.workers[first].cut = false;
     world.run(3_000);
-    assert_eq!(world.starts, u64::from(world::MAX_ATTEMPTS), "it was started once more");
+    assert_eq!(
+        world.starts,
+        u64::from(world::MAX_ATTEMPTS),
+        "the task was started more often than its allowed attempts"
+    );
     assert_eq!(world.state(1), Some(JobState::Failed));
     assert_kept(&world);
 }
 
-/// Quiet days of Ljubljana: a lasting task that left room free for short ones kept larger short
-/// ones from being tried at all.
+/// Guards against a waiting long-running task that left capacity free for short tasks, yet kept
+/// larger short tasks from being tried at all (seen on quiet days of Ljubljana).
 #[test]
-fn a_lasting_task_that_waits_does_not_keep_a_short_one_from_the_room_left_for_it() {
+fn a_waiting_long_running_task_does_not_block_short_tasks_from_capacity_kept_for_them() {
     let mut world = World::open(15, 1);
-    let lasting = |count| gaplock_jobs::Step { lasting: true, ..step(count, &[]) };
+    let long_running = |count| gaplock_jobs::Step { lasting: true, ..step(count, &[]) };
     let short = || {
         let mut short = step(1, &[]);
         short.demand.cpu.0 = 2_000;
         short
     };
-    world.submit(job(1, vec![lasting(6)]));
+    world.submit(job(1, vec![long_running(6)]));
     world.run(300);
-    // The second of two short tasks has had to wait for the room, so it is kept.
+    // The second of two short tasks has had to wait for the capacity, so that capacity is kept for
+    // short tasks.
     world.submit(job(3, vec![short()]));
     world.submit(job(4, vec![short()]));
     world.run(1_200);
-    world.submit(job(2, vec![lasting(1)]));
+    world.submit(job(2, vec![long_running(1)]));
     world.run(100);
     assert_eq!((world.running_of(1), world.running_of(2)), (6, 0));
     assert!(world.is_completed(3) && world.is_completed(4));
     world.submit(job(5, vec![short()]));
     world.run(300);
-    assert_eq!(world.running_of(5), 1, "the room left for short tasks was not used");
+    assert_eq!(world.running_of(5), 1, "the capacity kept for short tasks was not used");
 }
 
-/// `mix --seed 901004260944` of Klang Valley: workers there grant 10 s, and a successor that could
-/// not reach five workers started nothing for 10.7 s.
+/// Guards against a successor that starts nothing for too long. Workers there grant leases of 10 s,
+/// and a successor that could not reach five workers started nothing for 10.7 s (`mix --seed
+/// 901004260944` of Klang Valley).
 #[test]
 fn a_successor_waits_no_longer_for_silent_workers_where_they_grant_long_leases() {
     let mut world = World::open(61, 3);
@@ -287,6 +304,10 @@
     world.workers[0].cut = true;
     world.take_over();
     world.run(7_000);
-    assert_eq!(world.starts, 9 + at_risk as u64, "the tasks of a lost worker were not started");
+    assert_eq!(
+        world.starts,
+        9 + at_risk as u64,
+        "the tasks of a lost worker were not started elsewhere"
+    );
     assert_kept(&world);
 }
