--- a/crates/sched/tests/fleet/renewals.rs
+++ b/crates/sched/tests/fleet/renewals.rs
@@ -1,4 +1,4 @@
-//! How often and when workers are asked, on virtual time.
+//! How often and when the leader sends renewals to its workers, on virtual time.
 
 use gaplock_sched::renewals;
 use gaplock_types::time::Millis;
@@ -7,20 +7,20 @@
 
 const WORKERS: usize = 60;
 
-/// Within how many milliseconds renewals count as sent at one time.
-const AT_ONE_TIME: u64 = 50;
+/// Renewals that are sent within this many milliseconds count as one burst.
+const BURST_WINDOW_MS: u64 = 50;
 
-/// Returns the most renewals that were sent at one time from `since` on.
-fn most_at_one_time(world: &World, since: u64) -> usize {
+/// Returns the size of the largest burst of renewals that was sent from `since` on.
+fn largest_burst(world: &World, since: u64) -> usize {
     let times = world.renewals.iter().map(|(at, _)| *at);
     let sent: Vec<u64> = times.filter(|at| *at >= since).collect();
     let within =
-        |from: u64| sent.iter().filter(|at| (from..from + AT_ONE_TIME).contains(*at)).count();
+        |from: u64| sent.iter().filter(|at| (from..from + BURST_WINDOW_MS).contains(*at)).count();
     sent.iter().map(|from| within(*from)).max().unwrap_or(0)
 }
 
 #[test]
-fn workers_are_not_asked_all_at_one_time_after_a_takeover() {
+fn renewals_are_spread_out_after_a_takeover() {
     let mut world = World::open(71, WORKERS);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(WORKERS as u32 * 2, &[])]));
@@ -29,13 +29,17 @@
     world.run(300);
     let since = world.now;
     world.run(4_000);
-    let most = most_at_one_time(&world, since);
-    assert!(most < WORKERS / 3, "{most} of {WORKERS} workers were asked within {AT_ONE_TIME} ms");
+    let most = largest_burst(&world, since);
+    assert!(
+        most < WORKERS / 3,
+        "{most} of {WORKERS} workers got a renewal within {BURST_WINDOW_MS} ms"
+    );
     assert_kept(&world);
 }
 
-/// Returns how many entries of the queue of due renewals were examined for each renewal of a fleet at work.
-fn examined_for_each_renewal(workers: usize) -> f64 {
+/// Returns how many entries of the queue of due renewals are examined per renewal on a fleet of
+/// `workers` workers with running tasks.
+fn entries_examined_per_renewal(workers: usize) -> f64 {
     let mut world = World::open(72, workers);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(workers as u32, &[])]));
@@ -46,10 +50,13 @@
 }
 
 #[test]
-fn a_look_for_due_renewals_costs_by_those_that_are_due() {
-    let (small, large) = (examined_for_each_renewal(60), examined_for_each_renewal(240));
+fn finding_a_due_renewal_costs_no_more_on_a_larger_fleet() {
+    let (small, large) = (entries_examined_per_renewal(60), entries_examined_per_renewal(240));
     let ratio = large / small;
-    assert!(ratio < 1.3, "{small:.1} entries for each renewal, {large:.1} on four times the fleet");
+    assert!(
+        ratio < 1.3,
+        "{small:.1} entries examined per renewal, {large:.1} on a fleet four times as large"
+    );
 }
 
 #[test]
