--- a/crates/sched/tests/fleet/restarts.rs
+++ b/crates/sched/tests/fleet/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their names, on virtual time.
+//! Workers that restart under their names, on virtual time.
 
 use std::env;
 
@@ -6,13 +6,14 @@
     assert_all_end, assert_kept, assert_nothing_waits, job, lasting, step, Faults, World,
 };
 
-/// Seen on a day in which most workers had started again: long after, jobs were left with nothing running though
-/// most of the room was free. The leader, which had taken in dozens of ends of each worker's former start, passed
-/// over as many of the next one. So it never learnt that a step was done, started its tasks again and again, and
-/// the step after it never had its turn. What proved it: no step waited by the leader's metrics, and the runs of
-/// the step before were released as not listed, on just the workers that had started again.
+/// Guards against jobs that stay with nothing running although most capacity is free, seen long
+/// after most workers of a pool had restarted. The leader had handled dozens of ends of each
+/// worker's previous incarnation and skipped as many of the next one. So it never learned that a
+/// step was done, started the tasks of that step again and again, and never started the step after
+/// it. The leader's metrics showed no waiting step, and the runs of the earlier step were released
+/// as not listed, on just the workers that had restarted.
 #[test]
-fn a_step_has_its_turn_though_its_workers_started_again() {
+fn a_later_step_starts_though_its_workers_restarted() {
     let mut world = World::open(971, 2);
     world.work_ms = 100;
     for key in 1..=20 {
@@ -24,14 +25,14 @@
     (0..2).for_each(|at| world.start_over(at));
     world.submit(job(21, vec![step(4, &[]), step(4, &[0])]));
     world.run(12_000);
-    assert!(world.is_completed(21), "{} starts", world.starts);
+    assert!(world.is_completed(21), "job 21 has not completed after {} starts", world.starts);
     assert_kept(&world);
 }
 
-/// A start that was on its way when the worker started again names the worker only, so its next start carries it
-/// out.
+/// A start that was on its way when the worker restarted names the worker but no incarnation, so
+/// the next incarnation carries it out.
 #[test]
-fn an_order_that_reaches_the_next_start_is_carried_out_once() {
+fn a_start_order_that_reaches_the_next_incarnation_is_carried_out_once() {
     for after in 0..40 {
         let mut world = World::open(972, 3);
         world.work_ms = 300;
@@ -40,14 +41,14 @@
         world.run(after);
         (0..3).for_each(|at| world.start_over(at));
         world.run(6_000);
-        assert!(world.is_completed(1), "{after} ms");
+        assert!(world.is_completed(1), "workers restarted {after} ms after the submission");
         assert_kept(&world);
     }
 }
 
-/// The leader is lost before, while, or after it learns that the workers have started again.
+/// The leader is lost before, while, or after it learns that the workers have restarted.
 #[test]
-fn a_successor_finds_out_which_workers_have_started_again() {
+fn a_successor_detects_which_workers_restarted() {
     for after in [0, 1, 5, 50, 300, 1_000, 3_000] {
         let mut world = World::open(973, 3);
         world.work_ms = 4_000;
@@ -58,16 +59,16 @@
         world.run(after);
         world.change_leader(1_000);
         world.run(25_000);
-        assert!(world.is_completed(1), "{after} ms");
-        assert_eq!(world.running_of(2), 3, "{after} ms");
+        assert!(world.is_completed(1), "leader lost {after} ms after the restarts");
+        assert_eq!(world.running_of(2), 3, "leader lost {after} ms after the restarts");
         assert_kept(&world);
         assert_nothing_waits(&mut world);
     }
 }
 
-/// The workers' former starts are known to the successor by the roster alone.
+/// The successor knows the previous incarnations of the workers by the roster alone.
 #[test]
-fn a_worker_that_starts_again_between_two_leaders_is_taken_for_what_it_is() {
+fn a_worker_restart_between_two_leaders_is_detected() {
     let mut world = World::open(974, 2);
     world.work_ms = 1_000;
     world.submit(job(1, vec![step(8, &[])]));
@@ -83,23 +84,29 @@
     assert_kept(&world);
 }
 
-/// Each start of a worker that a task takes down counts against it, although all have one name.
+/// Each incarnation of a worker that a task crashes counts against the task, although all
+/// incarnations have one name.
 #[test]
-fn a_task_that_crashes_workers_which_keep_their_names_is_given_up() {
+fn a_job_that_crashes_workers_which_keep_their_names_reaches_a_final_state() {
     let mut world = World::open(975, 4);
     world.crashes.same_names = true;
     world.crash_under(1, 0, 20);
     world.submit(job(1, vec![step(1, &[])]));
     world.submit(job(2, vec![lasting(4)]));
     world.run(60_000);
-    assert!(world.state(1).is_some_and(|state| state.is_final()), "{}", world.crashes.of(1));
+    assert!(
+        world.state(1).is_some_and(|state| state.is_final()),
+        "{} workers crashed under job 1",
+        world.crashes.of(1)
+    );
     assert_eq!(world.running_of(2), 4);
     assert_kept(&world);
 }
 
-/// A worker that another one stood in for is asked again once the directory lists it.
+/// A worker at whose address another incarnation answered for a while is asked again once the
+/// directory lists it.
 #[test]
-fn a_worker_that_was_taken_for_another_one_gets_tasks_once_it_is_listed() {
+fn a_worker_mistaken_for_another_gets_tasks_once_it_is_listed() {
     let mut world = World::open(976, 1);
     world.run(500);
     world.workers[0].replaced = true;
@@ -113,9 +120,10 @@
     assert_kept(&world);
 }
 
-/// The leader keeps an entry for each start; what goes by the size of the fleet goes by the workers that are there.
+/// The leader keeps an entry for each incarnation; what depends on the size of the fleet must count
+/// only the workers that are there.
 #[test]
-fn ends_of_workers_that_have_started_again_often_are_acknowledged_soon() {
+fn ends_of_workers_that_restarted_often_are_acknowledged_soon() {
     let mut world = World::open(977, 3);
     world.work_ms = 100;
     world.run(1_000);
@@ -131,11 +139,12 @@
     assert_kept(&world);
 }
 
-/// How many random worlds are played unless `RESTART_SEEDS` says.
-const SEEDS: u64 = 12;
+/// How many random simulations are run unless the environment variable `RESTART_SEEDS` gives
+/// another number.
+const DEFAULT_SEED_COUNT: u64 = 12;
 
-/// Does one of the things that make a restart hard to see.
-fn harm(world: &mut World) {
+/// Injects one of the faults that make a restart hard to detect, or none.
+fn inject_random_fault(world: &mut World) {
     let worker = world.draw(6) as usize;
     match world.draw(20) {
         5 | 6 => world.workers[worker].cut = !world.workers[worker].cut,
@@ -149,9 +158,10 @@
 }
 
 #[test]
-fn whatever_goes_wrong_besides_nothing_runs_twice_and_all_ends() {
-    let seeds = env::var("RESTART_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(SEEDS);
-    // Of the worlds above the first ones, 1149 fails where the roster does not name the later start at once.
+fn restarts_mixed_with_other_faults_run_nothing_twice_and_all_jobs_end() {
+    let seeds =
+        env::var("RESTART_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_SEED_COUNT);
+    // Beyond the default seeds, 1149 fails if the roster does not name the new incarnation at once.
     for seed in (980..980 + seeds).chain([1149]) {
         let mut world = World::open(seed, 6);
         world.faults = Faults {
@@ -165,8 +175,9 @@
             world.submit(job(key, vec![step(5, &[]), step(3, &[0])]));
             let pause = 100 + world.draw(800);
             world.run(pause);
-            harm(&mut world);
-            // No more than two starts of a worker end under one task, which is given up after three.
+            inject_random_fault(&mut world);
+            // At most two incarnations of a worker end under one task, since a task that ends three
+            // of them is not started any more.
             match key {
                 5 => {
                     let worker = world.draw(6) as usize;
