--- /dev/null
+++ b/crates/sched/tests/fleet/best_effort.rs
@@ -0,0 +1,181 @@
+//! Best-effort tasks beside serving tasks, on virtual time.
+
+use gaplock_jobs::{Job, JobKey, Step};
+use gaplock_sched::pacing::{Learned, LearnedFactor, LearnedImage};
+use gaplock_types::time::Millis;
+
+use crate::world::{assert_kept, job, step, World};
+
+/// The tail target of the serving tasks, in milliseconds.
+const TAIL_TARGET_MS: u64 = 50;
+
+/// Builds a job of one serving task, which runs until it is cancelled.
+fn serving_job(key: u64) -> Job {
+    let tail_target = Some(Millis(TAIL_TARGET_MS));
+    let image = Some("serving".to_string());
+    job(key, vec![Step { lasting: true, tail_target, image, ..step(1, &[]) }])
+}
+
+/// Builds a job of `count` best-effort tasks.
+fn best_effort_job(key: u64, count: u32) -> Job {
+    let image = Some("filling".to_string());
+    job(key, vec![Step { fills: true, image, ..step(count, &[]) }])
+}
+
+#[test]
+fn halted_tasks_free_no_capacity_for_others() {
+    let mut world = World::open(101, 1);
+    world.work_ms = 60_000;
+    world.submit(serving_job(1));
+    world.run(500);
+    world.submit(best_effort_job(2, 4));
+    world.run(500);
+    assert_eq!(world.running_of(2), 4);
+    // The tail of the serving task stays over its target, so the best-effort tasks beside it are
+    // halted.
+    world.readings.insert(JobKey(1), 4 * TAIL_TARGET_MS as u32);
+    world.run(3_000);
+    world.submit(best_effort_job(3, 4));
+    world.run(10_000);
+    assert_eq!(world.running_of(3), 0, "other tasks were placed beside halted ones");
+    assert_kept(&world);
+}
+
+/// The tail of a serving task under light load, in milliseconds.
+const LIGHT_LOAD_TAIL_MS: u32 = 10;
+
+/// The pool has plenty of best-effort work beside serving tasks under light load. Six of eight
+/// cores are used; only four were while best-effort tasks had to leave two fifths of the processors
+/// unused.
+#[test]
+fn best_effort_tasks_use_most_of_a_lightly_loaded_worker() {
+    let mut world = World::open(104, 1);
+    world.work_ms = 60_000;
+    world.submit(serving_job(1));
+    world.readings.insert(JobKey(1), LIGHT_LOAD_TAIL_MS);
+    world.run(3_000);
+    world.submit(best_effort_job(2, 12));
+    world.run(1_000);
+    let running = world.running_of(2);
+    assert!(
+        (6..=7).contains(&running),
+        "best-effort tasks use {running} of eight cores, expected 6 or 7"
+    );
+    assert_kept(&world);
+}
+
+/// The tail of a serving task under so high a load that an image that interferes with it does not
+/// fit beside it, but one that does not interfere does, in milliseconds.
+const HIGH_LOAD_TAIL_MS: u32 = 30;
+
+/// Builds a learned interference model of two serving images: `sturdy` tolerates everything,
+/// `touchy` does not tolerate the best-effort image `heavy`. The best-effort image `light`
+/// interferes with neither.
+fn learned_model() -> Learned {
+    let factor = |image: &str, factor| LearnedFactor { image: image.into(), factor, variance: 0.1 };
+    let image = |image: &str, heavy| LearnedImage {
+        image: image.into(),
+        lowest_ms: f64::from(LIGHT_LOAD_TAIL_MS),
+        factors: vec![factor("heavy", heavy), factor("light", 0.0)],
+    };
+    Learned { images: vec![image("sturdy", 0.0), image("touchy", 4.0)] }
+}
+
+/// Builds a job of `count` tasks of an image, either best-effort or serving ones.
+fn image_job(key: u64, image: &str, count: u32, best_effort: bool) -> Job {
+    let tail_target = Some(Millis(TAIL_TARGET_MS)).filter(|_| !best_effort);
+    let image = Some(image.to_string());
+    job(
+        key,
+        vec![Step {
+            lasting: !best_effort,
+            fills: best_effort,
+            tail_target,
+            image,
+            ..step(count, &[])
+        }],
+    )
+}
+
+/// Builds a fleet of two workers: one runs a `sturdy` serving task under light load, which
+/// tolerates everything, the other a `touchy` one under high load, which tolerates only the image
+/// `light`.
+fn sturdy_beside_touchy(seed: u64) -> World {
+    let mut world = World::open(seed, 2);
+    world.work_ms = 60_000;
+    world.learnt = learned_model();
+    world.take_over();
+    world.submit(image_job(1, "sturdy", 1, false));
+    world.run(500);
+    world.submit(image_job(2, "touchy", 1, false));
+    world.readings.insert(JobKey(1), LIGHT_LOAD_TAIL_MS);
+    world.readings.insert(JobKey(2), HIGH_LOAD_TAIL_MS);
+    world.run(3_000);
+    world
+}
+
+/// Images that interfere with nothing are submitted first and could run anywhere; images that
+/// interfere with most serving tasks come after them. Spread evenly, the first images left capacity
+/// for only three or four of the six other tasks.
+#[test]
+fn images_that_run_anywhere_leave_tolerant_workers_to_those_that_interfere() {
+    let mut world = sturdy_beside_touchy(105);
+    world.submit(image_job(3, "light", 4, true));
+    world.run(1_000);
+    world.submit(image_job(4, "heavy", 6, true));
+    world.run(1_000);
+    assert_eq!((world.running_of(3), world.running_of(4)), (4, 6));
+    assert_kept(&world);
+}
+
+/// The two workers together have capacity for ten tasks. The worker that fewer images could use is
+/// filled first, but is not overfilled while the other has free capacity.
+#[test]
+fn no_worker_is_overfilled_while_another_has_free_capacity() {
+    let mut world = sturdy_beside_touchy(106);
+    world.submit(image_job(3, "light", 8, true));
+    world.run(1_000);
+    let most = world.running_at(0).max(world.running_at(1)) - 1;
+    assert!(most <= 5, "{most} of eight best-effort tasks are on one worker, at most 5 expected");
+    assert_kept(&world);
+}
+
+/// The tail of a serving task that leaves no capacity for best-effort tasks beside it, in
+/// milliseconds.
+const NEAR_TARGET_TAIL_MS: u32 = 48;
+
+/// More work waits than the pool can run, for longer than a job's whole objective. Tasks that were
+/// placed after 8 s wherever they interfered least were halted there at once, and kept others out.
+#[test]
+fn a_best_effort_task_that_would_be_halted_waits_but_not_for_ever() {
+    let mut world = World::open(103, 1);
+    world.work_ms = 60_000;
+    world.submit(serving_job(1));
+    world.readings.insert(JobKey(1), NEAR_TARGET_TAIL_MS);
+    world.run(3_000);
+    world.submit(best_effort_job(2, 4));
+    world.run(15_000);
+    assert_eq!(world.running_of(2), 0, "tasks were placed where they would only be halted");
+    world.run(20_000);
+    assert!(world.running_of(2) > 0, "no task was placed within 35 s");
+    assert_kept(&world);
+}
+
+#[test]
+fn a_shared_worker_gets_several_renewals_a_second() {
+    let mut world = World::open(102, 1);
+    world.work_ms = 60_000;
+    world.submit(serving_job(1));
+    world.readings.insert(JobKey(1), 10);
+    world.run(2_000);
+    let alone = world.renewals_within(3_000);
+    world.submit(best_effort_job(2, 2));
+    world.run(2_000);
+    let shared = world.renewals_within(3_000);
+    assert!(alone <= 4, "{alone} renewals in 3 s without best-effort tasks, at most 4 expected");
+    assert!(
+        shared >= 8,
+        "{shared} renewals in 3 s where readings must be fresh, at least 8 expected"
+    );
+    assert_kept(&world);
+}
--- a/crates/sched/tests/fleet/main.rs
+++ b/crates/sched/tests/fleet/main.rs
@@ -1,6 +1,7 @@
 //! The scheduler on virtual time, with a fleet that goes wrong in all the ways that workers do.
 
 mod backlogs;
+mod best_effort;
 mod bursts;
 mod cancelled;
 mod cancelled_mix;
@@ -24,7 +25,6 @@
 mod packing;
 mod renewals;
 mod restarts;
-mod sharing;
 mod slow_workers;
 mod takeovers;
 mod trials;
