--- a/crates/sched/tests/fleet/slow_workers.rs
+++ b/crates/sched/tests/fleet/slow_workers.rs
@@ -1,17 +1,17 @@
-//! Workers that turn slow, on virtual time.
+//! Workers that become slow, on virtual time.
 
 use crate::world::{assert_kept, job, step, World};
 use gaplock_jobs::{JobKey, Step};
 use gaplock_types::time::Millis;
 
-/// How many times as long work takes on a slow worker, as in the users' troubles.
-const SLOWNESS: u64 = 8;
+/// How many times as long work takes on a slow worker, as in the users' trouble scenarios.
+const SLOWDOWN_FACTOR: u64 = 8;
 
-/// Builds a world whose first worker is slow, with work of a second.
-fn world_with_slow_worker(seed: u64) -> World {
+/// Builds a simulation whose tasks work for one second, and whose first worker is slow.
+fn simulation_with_slow_worker(seed: u64) -> World {
     let mut world = World::open(seed, 4);
     world.work_ms = 1_000;
-    world.workers[0].slowness = SLOWNESS;
+    world.workers[0].slowness = SLOWDOWN_FACTOR;
     world
 }
 
@@ -21,28 +21,28 @@
 
 #[test]
 fn tasks_on_a_slow_worker_are_started_again_elsewhere() {
-    let mut world = world_with_slow_worker(31);
+    let mut world = simulation_with_slow_worker(31);
     world.submit(job(1, vec![wide_step()]));
     world.run(4_500);
-    assert!(world.is_completed(1), "slow tasks were waited for");
+    assert!(world.is_completed(1), "the step waited for its slow tasks");
     assert_kept(&world);
 }
 
 #[test]
-fn a_step_that_allows_copies_keeps_the_slow_run_until_the_copy_is_done() {
-    let mut world = world_with_slow_worker(32);
+fn a_step_that_allows_speculative_copies_keeps_the_slow_run_until_the_copy_is_done() {
+    let mut world = simulation_with_slow_worker(32);
     let copies = Step { duplicates: true, ..wide_step() };
     world.submit(job(1, vec![copies]));
     world.run(3_500);
-    assert!(world.is_completed(1), "slow tasks were waited for");
+    assert!(world.is_completed(1), "the step waited for its slow tasks");
     world.run(1_500);
-    assert_eq!(world.running_of(1), 0, "a slow run goes on beside its finished copy");
+    assert_eq!(world.running_of(1), 0, "a slow run continues beside its finished speculative copy");
     assert_kept(&world);
 }
 
 #[test]
-fn a_slow_worker_gets_no_tasks_while_others_have_room() {
-    let mut world = world_with_slow_worker(33);
+fn a_slow_worker_gets_no_tasks_while_others_have_free_capacity() {
+    let mut world = simulation_with_slow_worker(33);
     world.submit(job(1, vec![wide_step()]));
     world.run(3_000);
     let before = world.runs_given_to(0);
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_worker_that_is_fast_again_gets_tasks_again() {
-    let mut world = world_with_slow_worker(34);
+    let mut world = simulation_with_slow_worker(34);
     world.submit(job(1, vec![wide_step()]));
     world.run(3_000);
     world.workers[0].slowness = 1;
@@ -75,22 +75,22 @@
     world.submit(job(1, vec![serving]));
     world.run(4_000);
     assert!(world.running_at(0) > 0);
-    world.workers[0].slowness = SLOWNESS;
+    world.workers[0].slowness = SLOWDOWN_FACTOR;
     world.run(5_000);
     assert_eq!(world.running_at(0), 0, "tasks stay over their target on a slow worker");
     assert_eq!(world.running_of(1), 8);
     assert_kept(&world);
 }
 
-/// A lasting task comes to its full percentage while it starts and gains nothing from then on.
+/// A long-running task reaches 100 % while it starts and makes no progress from then on.
 #[test]
-fn lasting_tasks_that_are_at_work_do_not_make_their_worker_look_slow() {
+fn ready_long_running_tasks_do_not_make_their_worker_look_slow() {
     let mut world = World::open(56, 1);
-    let mut lasting = step(6, &[]);
-    lasting.lasting = true;
-    world.submit(job(1, vec![lasting]));
+    let mut long_running = step(6, &[]);
+    long_running.lasting = true;
+    world.submit(job(1, vec![long_running]));
     world.run(5_000);
-    let cx = world.cx.as_ref().expect("it is led");
+    let cx = world.cx.as_ref().expect("the leader is running");
     assert!(!cx.workers[0].speed.is_slow(cx.now));
     assert_kept(&world);
 }
