--- a/crates/sched/tests/fleet/takeovers.rs
+++ b/crates/sched/tests/fleet/takeovers.rs
@@ -1,31 +1,36 @@
-//! What a successor waits for, on virtual time.
+//! What a new leader waits for after it has taken over, on virtual time.
 
 use gaplock_jobs::progress::JobState;
 
 use crate::world::{assert_kept, job, lasting, step, World};
 
-/// Longer than it takes to notice that a worker is silent, and shorter than its lease.
-const NOTICED_MS: u64 = 3_000;
+/// Longer than the leader takes to notice that a worker is silent, and shorter than the worker's
+/// lease, in milliseconds.
+const SILENCE_NOTICED_MS: u64 = 3_000;
 
 #[test]
-fn a_successor_waits_only_for_what_a_silent_worker_may_hold() {
+fn a_successor_delays_only_tasks_that_a_silent_worker_may_run() {
     let mut world = World::open(81, 3);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(12, &[])]));
     world.run(1_000);
     world.crash(0);
-    world.run(NOTICED_MS);
-    let held = world.running_of(1);
-    assert!(held < 12, "nothing ran at the lost worker");
-    // What waits for room when the leader is lost was at no worker.
+    world.run(SILENCE_NOTICED_MS);
+    let still_running = world.running_of(1);
+    assert!(still_running < 12, "no task ran at the lost worker");
+    // Tasks that wait for free capacity when the leader is lost are at no worker.
     world.work_ms = 1_000;
     world.submit(job(2, vec![step(16, &[])]));
     world.run(100);
     let before = world.starts;
     world.take_over();
     world.run(1_500);
-    assert!(world.starts > before, "the successor started nothing");
-    assert_eq!(world.running_of(1), held, "a task started that a silent worker may hold");
+    assert!(world.starts > before, "the successor started no task");
+    assert_eq!(
+        world.running_of(1),
+        still_running,
+        "the successor started a task that a silent worker may still run"
+    );
     world.work_ms = 60_000;
     world.run(8_000);
     assert_eq!(world.running_of(1), 12);
@@ -47,12 +52,12 @@
     world.take_over();
     world.submit(job(2, vec![step(2, &[])]));
     world.run(200);
-    assert!(!world.in_survey(), "the successor waits for a worker that ran nothing");
+    assert!(!world.in_survey(), "the successor waits for a worker that ran no task");
     assert_kept(&world);
 }
 
-/// A record that cannot be read was taken for none: the successor started all tasks again, also those whose ends
-/// were acknowledged.
+/// Guards against a progress record that cannot be read being taken for a missing one: the
+/// successor started all tasks again, also those whose ends were acknowledged.
 #[test]
 fn a_job_whose_progress_cannot_be_read_is_not_started_again() {
     let mut world = World::open(951, 2);
@@ -66,7 +71,7 @@
     world.spoil_progress(2);
     world.change_leader(200);
     world.run(500);
-    assert_eq!(world.running_of(1), 6, "what runs may end");
+    assert_eq!(world.running_of(1), 6, "running tasks must be left to end");
     world.submit(job(3, vec![step(4, &[])]));
     world.run(9_000);
     assert_eq!((world.running_of(1), world.running_of(2)), (0, 2));
