--- /dev/null
+++ b/crates/sched/tests/fleet/suspect_isolation.rs
@@ -0,0 +1,86 @@
+//! Workers that are reserved for suspects, which are tasks under which several workers were lost,
+//! on a pool of few workers.
+//!
+//! Guards against short tasks that wait while suspects reserve all workers. In a run of real
+//! processes on a pool of two workers, four long-running tasks, innocent neighbors of tasks that
+//! crash, reserved both workers for 9 s at a time while twenty short tasks waited beside 27 free
+//! cores. The cause: each task under which several workers were lost reserved a worker, whatever
+//! was left for the others.
+
+use gaplock_jobs::Step;
+
+use crate::world::{assert_kept, job, step, World};
+
+/// How long short tasks may wait while suspects run alone, in milliseconds: the second for which
+/// each suspect runs alone in any case, and the time that orders and ends take.
+const MAX_WAIT_MS: u64 = 1_800;
+
+/// How long a short task runs, in milliseconds.
+const SHORT_TASK_MS: u64 = 300;
+
+/// Builds a fleet of `workers` workers, each of which was lost twice under long-running tasks of
+/// one job.
+fn pool_lost_twice(seed: u64, workers: usize) -> World {
+    let mut world = World::open(seed, workers);
+    world.work_ms = SHORT_TASK_MS;
+    let long_running =
+        Step { lasting: true, most_per_worker: Some(1), ..step(workers as u32, &[]) };
+    world.submit(job(1, vec![long_running]));
+    world.run(2_000);
+    for round in 0..2 {
+        for _ in 0..workers {
+            let running = |at: &usize| world.workers[*at].up && world.running_at(*at) > 0;
+            let at =
+                (0..world.workers.len()).find(running).expect("a worker that is up runs a task");
+            world.crash_and_return(at);
+            world.run(200);
+        }
+        world.run(if round == 0 { 12_000 } else { 0 });
+    }
+    while world.running_of(1) < workers {
+        world.run(20);
+    }
+    world
+}
+
+/// Submits a short job every quarter of a second for a while, and returns how long the slowest
+/// took, in milliseconds.
+fn slowest_short_job(world: &mut World) -> u64 {
+    let (every, jobs) = (250, 40);
+    let mut slowest = 0;
+    let mut waiting: Vec<(u64, u64)> = Vec::new();
+    for key in 100..100 + jobs {
+        world.submit(job(key, vec![step(4, &[])]));
+        waiting.push((key, world.now));
+        world.run(every);
+        waiting.retain(|&(key, since)| {
+            slowest = slowest.max(world.now - since);
+            !world.is_completed(key)
+        });
+    }
+    slowest
+}
+
+#[test]
+fn suspects_do_not_reserve_all_workers_of_a_pool_of_two() {
+    let mut world = pool_lost_twice(901, 2);
+    let slowest = slowest_short_job(&mut world);
+    assert!(
+        slowest <= MAX_WAIT_MS + SHORT_TASK_MS,
+        "a short job took {slowest} ms, expected at most {MAX_WAIT_MS} + {SHORT_TASK_MS} ms"
+    );
+    assert_eq!(world.running_of(1), 2);
+    assert_kept(&world);
+}
+
+#[test]
+fn a_suspect_does_not_reserve_the_only_worker_for_long() {
+    let mut world = pool_lost_twice(902, 1);
+    let slowest = slowest_short_job(&mut world);
+    assert!(
+        slowest <= MAX_WAIT_MS + SHORT_TASK_MS,
+        "a short job took {slowest} ms, expected at most {MAX_WAIT_MS} + {SHORT_TASK_MS} ms"
+    );
+    assert_eq!(world.running_of(1), 1);
+    assert_kept(&world);
+}
