--- a/crates/sched/tests/fleet/waves.rs
+++ b/crates/sched/tests/fleet/maintenance_waves.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep, on virtual time.
+//! Maintenance waves, on virtual time.
 
 use gaplock_jobs::Step;
 
@@ -16,20 +16,20 @@
 }
 
 #[test]
-fn lasting_tasks_leave_a_host_before_it_goes_down_as_far_as_they_may_be_missed() {
+fn long_running_tasks_leave_a_host_before_it_goes_down_within_their_miss_limit() {
     let mut world = World::open(42, 4);
     world.work_ms = 60_000;
-    let lasting = Step { lasting: true, may_miss: Some(1), ..step(9, &[]) };
-    world.submit(job(1, vec![lasting]));
+    let long_running = Step { lasting: true, may_miss: Some(1), ..step(9, &[]) };
+    world.submit(job(1, vec![long_running]));
     world.run(4_000);
     world.ask_wave(1, 4, 60_000, 1);
-    let mut least = 9;
+    let mut fewest_running = 9;
     for _ in 0..4_000 {
         world.run(10);
-        least = least.min(world.running_of(1));
+        fewest_running = fewest_running.min(world.running_of(1));
     }
     assert!(world.is_wave_completed(1));
-    assert_eq!(least, 8, "more tasks were away at one time than may be missed");
+    assert_eq!(fewest_running, 8, "fewest tasks running at one time, one of nine may be missed");
     assert_kept(&world);
 }
 
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn a_successor_goes_on_with_a_wave_and_repeats_nothing() {
+fn a_successor_continues_a_wave_and_repeats_nothing() {
     let mut world = World::open(44, 6);
     world.ask_wave(1, 6, 40_000, 1);
     world.run(4_000);
     let before = world.hosts.upkeeps.len();
-    assert!((1..6).contains(&before), "{before} hosts have gone down");
+    assert!((1..6).contains(&before), "{before} hosts have gone down, expected 1 to 5");
     world.change_leader(1_000);
     world.run(30_000);
     assert!(world.is_wave_completed(1));
@@ -69,7 +69,7 @@
     world.store_down = true;
     world.ask_wave(1, 3, 20_000, 1);
     world.run(3_000);
-    assert!(world.hosts.upkeeps.is_empty(), "a host went down that nobody was told of");
+    assert!(world.hosts.upkeeps.is_empty(), "a host went down before the wave was stored");
     world.store_down = false;
     world.run(15_000);
     assert!(world.is_wave_completed(1));
