--- /dev/null
+++ b/crates/sched/tests/fleet/large_fleets.rs
@@ -0,0 +1,60 @@
+//! The load of a large fleet: thousands of workers, jobs of many tasks, and leaders that are lost
+//! in series.
+//!
+//! The leader's work per worker must not grow with the number of workers: a change of leader asks
+//! each worker once, and tasks make progress again within the time that this takes.
+
+use crate::world::{assert_kept, assert_nothing_waits, job, lasting, step, World};
+
+/// Builds a fleet on which long-running tasks take a part of each worker while short tasks come and
+/// go.
+fn loaded_fleet(seed: u64, workers: usize) -> World {
+    let mut world = World::open(seed, workers);
+    world.work_ms = 1_500;
+    world.submit(job(1, vec![lasting(workers as u32)]));
+    world.run(1_000);
+    for key in 2..6 {
+        world.submit(job(key, vec![step(workers as u32 / 2, &[]), step(workers as u32 / 4, &[0])]));
+    }
+    world.run(400);
+    world
+}
+
+/// Returns the number of renewals per worker within two seconds after a change of leader.
+fn renewals_per_worker_after_leader_change(workers: usize) -> f64 {
+    let mut world = loaded_fleet(501, workers);
+    world.lose_leader();
+    world.run(500);
+    world.take_over();
+    let renewals = world.renewals_within(2_000);
+    assert_kept(&world);
+    renewals as f64 / workers as f64
+}
+
+#[test]
+fn a_leader_change_costs_no_more_renewals_per_worker_on_a_larger_fleet() {
+    let (small, large) = (
+        renewals_per_worker_after_leader_change(150),
+        renewals_per_worker_after_leader_change(600),
+    );
+    let ratio = large / small;
+    assert!(
+        ratio < 1.2,
+        "{small:.2} renewals per worker, {large:.2} on a fleet four times as large"
+    );
+}
+
+#[test]
+fn leaders_lost_in_series_during_recovery_scans_run_no_task_twice_and_lose_none() {
+    let mut world = loaded_fleet(502, 800);
+    for gap in [40, 200, 5, 700] {
+        world.change_leader(gap);
+        world.run(60);
+    }
+    world.run(6_000);
+    for key in 2..6 {
+        assert!(world.is_completed(key), "job {key} has not completed");
+    }
+    assert_nothing_waits(&mut world);
+    assert_kept(&world);
+}
