--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -30,7 +30,7 @@
 
 impl Document {
     /// Builds what `plan`, confirmed by `by`, makes of the document that it was made against.
-    pub fn of_plan(before: &Self, plan: &api::Plan, by: &str, at_unix_ms: u64) -> Self {
+    pub fn from_plan(before: &Self, plan: &api::Plan, by: &str, at_unix_ms: u64) -> Self {
         let mut config = plan.wanted.clone();
         config.generation = plan.base.next();
         config.by = by.to_string();
--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -52,7 +52,7 @@
         plan: &api::Plan,
         by: &str,
     ) -> Self {
-        let doc = Document::of_plan(&generations.doc, plan, by, cx.unix_ms);
+        let doc = Document::from_plan(&generations.doc, plan, by, cx.unix_ms);
         let is = intent::Is::Planned.step(intent::On::Confirm).unwrap_or(intent::Is::Refused);
         let mut confirmation = Self {
             is,
--- a/crates/coord/tests/confirmations.rs
+++ b/crates/coord/tests/confirmations.rs
@@ -39,7 +39,7 @@
 fn stored(plans: &[api::Plan], by: &str) -> Document {
     let mut doc = Document::default();
     for plan in plans {
-        doc = Document::of_plan(&doc, plan, by, 7);
+        doc = Document::from_plan(&doc, plan, by, 7);
     }
     doc
 }
