--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the plan that made a generation, if that is still kept.
-    fn maker(&self, generation: ids::Generation) -> Option<&ids::PlanId> {
+    fn plan_of(&self, generation: ids::Generation) -> Option<&ids::PlanId> {
         if self.config.generation == generation {
             return Some(&self.config.plan);
         }
@@ -62,7 +62,7 @@
     /// Tells what became of a plan made against `base`, by this document and its history alone: a
     /// newer generation does not say that the plan was not stored below it.
     pub fn fate(&self, plan: &ids::PlanId, base: ids::Generation) -> Execution {
-        match self.maker(base.next()) {
+        match self.plan_of(base.next()) {
             Some(maker) if maker == plan => Execution::Done,
             Some(_) => Execution::NotDone,
             None => Execution::Unknown,
