--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -112,7 +112,7 @@
     }
 
     /// Takes in that a majority of all known entries was just heard, none with a newer generation.
-    pub fn majority_agrees(&mut self, now: time::Instant) {
+    pub fn record_majority_evidence(&mut self, now: time::Instant) {
         self.known = true;
         self.evidence_at = self.evidence_at.max(now);
     }
--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -101,7 +101,7 @@
         // Before the first answer of the store the list of entries is not known at all.
         let knows_entries = !self.members.peers.is_empty();
         if knows_entries && !newer_heard && self.members.hears_majority(cx.now, &cx.timing) {
-            self.generations.majority_agrees(cx.now);
+            self.generations.record_majority_evidence(cx.now);
         }
     }
 }
--- a/crates/coord/tests/views.rs
+++ b/crates/coord/tests/views.rs
@@ -70,7 +70,7 @@
     assert!(g.fresh(&cx));
     cx.now = cx.now + Millis(1);
     assert!(!g.fresh(&cx));
-    g.majority_agrees(cx.now);
+    g.record_majority_evidence(cx.now);
     assert!(g.fresh(&cx));
     assert!(!g.offer(doc(4)) && !g.offer(doc(5)), "it never goes back");
     assert_eq!(g.generation(), ids::Generation(5));
