--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -78,7 +78,7 @@
     /// Its index in the store, as last read there.
     pub index: ids::StoreIndex,
     /// Whether any evidence has come since the start.
-    known: bool,
+    has_evidence: bool,
     evidence_at: time::Instant,
 }
 
@@ -95,7 +95,7 @@
         sent_at: time::Instant,
         doc: Option<(Document, ids::StoreIndex)>,
     ) -> bool {
-        self.known = true;
+        self.has_evidence = true;
         self.evidence_at = self.evidence_at.max(sent_at);
         let Some((doc, index)) = doc else { return false };
         self.index = self.index.max(index);
@@ -113,7 +113,7 @@
 
     /// Takes in that a majority of all known entries was just heard, none with a newer generation.
     pub fn record_majority_evidence(&mut self, now: time::Instant) {
-        self.known = true;
+        self.has_evidence = true;
         self.evidence_at = self.evidence_at.max(now);
     }
 
@@ -124,6 +124,6 @@
 
     /// Tells whether the document may be served.
     pub fn fresh(&self, cx: &Context) -> bool {
-        self.known && cx.now.since(self.evidence_at) <= cx.timing.config_max_age
+        self.has_evidence && cx.now.since(self.evidence_at) <= cx.timing.config_max_age
     }
 }
