--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -56,7 +56,7 @@
     }
 
     /// Takes in the records in the store.
-    pub fn take_in_records(
+    pub fn update_records(
         &mut self,
         now: time::Instant,
         records: Vec<(MemberRecord, ids::StoreIndex)>,
--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -70,7 +70,7 @@
             }
             records.push((record, kv.index));
         }
-        self.members.take_in_records(cx.now, records);
+        self.members.update_records(cx.now, records);
         self.listed = true;
     }
 
