--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -88,7 +88,7 @@
     }
 
     /// Takes in a heartbeat.
-    pub fn take_in_beat(&mut self, now: time::Instant, beat: api::Heartbeat) {
+    pub fn handle_heartbeat(&mut self, now: time::Instant, beat: api::Heartbeat) {
         let Some(peer) = self.peers.get_mut(&beat.from.entry) else { return };
         peer.cut_since = match (beat.store_ok, peer.cut_since) {
             (true, _) => None,
--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -85,7 +85,7 @@
             self.fetch_at = cx.now + cx.timing.beat_every;
             cx.actions.push(Action::FetchConfig { from: beat.from.entry.clone() });
         }
-        self.members.take_in_beat(cx.now, beat);
+        self.members.handle_heartbeat(cx.now, beat);
     }
 
     /// A majority of all entries, none of which knows a newer generation, is evidence that the
--- a/crates/coord/tests/views.rs
+++ b/crates/coord/tests/views.rs
@@ -34,7 +34,7 @@
     let mut m = Members::open(member("me"));
     let records = |index| vec![(record("b", index), ids::StoreIndex(index))];
     m.update_records(Instant(0), records(1));
-    m.take_in_beat(Instant(100), beat("b", true));
+    m.handle_heartbeat(Instant(100), beat("b", true));
     let b = ids::EntryId::from("b");
     assert!(m.alive(Instant(2_900), &t, &b));
     assert!(!m.alive(Instant(4_000), &t, &b), "silent, and its record is old");
@@ -48,7 +48,7 @@
     let mut m = Members::open(member("me"));
     m.update_records(Instant(0), vec![(record("b", 1), ids::StoreIndex(1))]);
     for now in (0..6_000).step_by(500) {
-        m.take_in_beat(Instant(now), beat("b", false));
+        m.handle_heartbeat(Instant(now), beat("b", false));
     }
     let me_only = vec![ids::EntryId::from("me")];
     assert_eq!(m.eligible(Instant(6_000), &t, true, false), me_only);
