--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -38,7 +38,7 @@
     /// When that came.
     pub beat_at: time::Instant,
     /// Since when its heartbeats say that it does not reach the store.
-    pub cut_since: Option<time::Instant>,
+    pub store_unreachable_since: Option<time::Instant>,
 }
 
 /// Every known entry besides this one.
@@ -73,7 +73,7 @@
                 changed_at: now,
                 beat: None,
                 beat_at: time::Instant(0),
-                cut_since: None,
+                store_unreachable_since: None,
             });
             if peer.index != index {
                 peer.changed_at = now;
@@ -81,7 +81,7 @@
             }
             if peer.record.member != record.member {
                 peer.beat = None;
-                peer.cut_since = None;
+                peer.store_unreachable_since = None;
             }
             peer.record = record;
         }
@@ -90,7 +90,7 @@
     /// Takes in a heartbeat.
     pub fn handle_heartbeat(&mut self, now: time::Instant, beat: api::Heartbeat) {
         let Some(peer) = self.peers.get_mut(&beat.from.entry) else { return };
-        peer.cut_since = match (beat.store_ok, peer.cut_since) {
+        peer.store_unreachable_since = match (beat.store_ok, peer.store_unreachable_since) {
             (true, _) => None,
             (false, None) => Some(now),
             (false, since) => since,
@@ -133,7 +133,9 @@
         me_stopping: bool,
     ) -> Vec<ids::EntryId> {
         let cut = |p: &Peer| {
-            store_ok && p.cut_since.is_some_and(|since| now.since(since) >= timing.member_ttl)
+            store_ok
+                && p.store_unreachable_since
+                    .is_some_and(|since| now.since(since) >= timing.member_ttl)
         };
         let stopping = |p: &Peer| p.beat.as_ref().is_some_and(|b| b.stopping);
         let peers = self
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -47,7 +47,8 @@
             None => true,
             // A living owner hands over by itself, unless it does not reach the store.
             Some((entry, _)) => self.members.peers.get(&entry).is_some_and(|p| {
-                p.cut_since.is_some_and(|since| cx.now.since(since) >= cx.timing.member_ttl)
+                p.store_unreachable_since
+                    .is_some_and(|since| cx.now.since(since) >= cx.timing.member_ttl)
             }),
         }
     }
