--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -36,7 +36,7 @@
     /// Its last heartbeat.
     pub beat: Option<api::Heartbeat>,
     /// When that came.
-    pub beat_at: time::Instant,
+    pub heartbeat_at: time::Instant,
     /// Since when its heartbeats say that it does not reach the store.
     pub store_unreachable_since: Option<time::Instant>,
 }
@@ -72,7 +72,7 @@
                 index,
                 changed_at: now,
                 beat: None,
-                beat_at: time::Instant(0),
+                heartbeat_at: time::Instant(0),
                 store_unreachable_since: None,
             });
             if peer.index != index {
@@ -95,7 +95,7 @@
             (false, None) => Some(now),
             (false, since) => since,
         };
-        peer.beat_at = now;
+        peer.heartbeat_at = now;
         peer.beat = Some(beat);
     }
 
@@ -103,7 +103,7 @@
     pub fn heard(&self, now: time::Instant, timing: &Timing, entry: &ids::EntryId) -> bool {
         self.peers
             .get(entry)
-            .is_some_and(|p| p.beat.is_some() && now.since(p.beat_at) < timing.member_ttl)
+            .is_some_and(|p| p.beat.is_some() && now.since(p.heartbeat_at) < timing.member_ttl)
     }
 
     /// Tells whether an entry lives, by its heartbeats or by its record in the store.
