--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -125,7 +125,7 @@
     ///
     /// `store_ok` tells whether this entry reaches the store; if so, peers that have not reached
     /// it for a whole lease are left out.
-    pub fn eligible(
+    pub fn eligible_owners(
         &self,
         now: time::Instant,
         timing: &Timing,
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -14,7 +14,7 @@
 impl Node {
     pub(super) fn settle_ownership(&mut self, cx: &mut Context) {
         let store_ok = self.store_ok(cx);
-        let entries = self.members.eligible(cx.now, &cx.timing, store_ok, self.stopping);
+        let entries = self.members.eligible_owners(cx.now, &cx.timing, store_ok, self.stopping);
         if entries != self.entries_before {
             self.entries_before.clone_from(&entries);
             self.entries_since = cx.now;
--- a/crates/coord/tests/views.rs
+++ b/crates/coord/tests/views.rs
@@ -51,9 +51,9 @@
         m.handle_heartbeat(Instant(now), beat("b", false));
     }
     let me_only = vec![ids::EntryId::from("me")];
-    assert_eq!(m.eligible(Instant(6_000), &t, true, false), me_only);
+    assert_eq!(m.eligible_owners(Instant(6_000), &t, true, false), me_only);
     // If nobody reaches the store, nobody is better.
-    assert_eq!(m.eligible(Instant(6_000), &t, false, false).len(), 2);
+    assert_eq!(m.eligible_owners(Instant(6_000), &t, false, false).len(), 2);
 }
 
 #[test]
