--- a/crates/coord/src/assign.rs
+++ b/crates/coord/src/assign.rs
@@ -18,7 +18,7 @@
     pub slices: u32,
 }
 
-fn mix(mut x: u64) -> u64 {
+fn mix_bits(mut x: u64) -> u64 {
     x ^= x >> 30;
     x = x.wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x ^= x >> 27;
@@ -29,7 +29,7 @@
 /// Hashes text to a number that is the same in every process and version.
 pub fn stable_hash(text: &str) -> u64 {
     let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
-    mix(text.bytes().fold(0xcbf2_9ce4_8422_2325, fold))
+    mix_bits(text.bytes().fold(0xcbf2_9ce4_8422_2325, fold))
 }
 
 impl Layout {
