--- a/crates/coord/src/assign.rs
+++ b/crates/coord/src/assign.rs
@@ -96,7 +96,7 @@
     for p in &config.placements {
         let counts = workers_by_partition(layout, p, hosts);
         for s in &p.services {
-            for (id, replicas) in divide(s.replicas, &counts) {
+            for (id, replicas) in apportion(s.replicas, &counts) {
                 all.entry(id).or_default().replicas.insert(s.id.clone(), replicas);
             }
         }
@@ -119,7 +119,7 @@
     counts
 }
 
-fn divide(
+fn apportion(
     replicas: u32,
     counts: &BTreeMap<ids::PartitionId, u32>,
 ) -> BTreeMap<ids::PartitionId, u32> {
