--- a/crates/coord/src/assign.rs
+++ b/crates/coord/src/assign.rs
@@ -58,7 +58,7 @@
 }
 
 /// Assigns partitions to entries: the entry with the highest hash, unless it has its full share.
-pub fn owners(
+pub fn assign_owners(
     layout: &Layout,
     entries: &[ids::EntryId],
 ) -> BTreeMap<ids::PartitionId, ids::EntryId> {
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -20,7 +20,7 @@
             self.entries_since = cx.now;
         }
         let settled = cx.now.since(self.entries_since).0 >= cx.timing.member_ttl.0 / 3;
-        let wanted = assign::owners(&self.layout, &entries);
+        let wanted = assign::assign_owners(&self.layout, &entries);
         let ids: Vec<ids::PartitionId> = self.partitions.keys().copied().collect();
         for id in ids {
             let want = wanted.get(&id);
--- a/crates/coord/tests/views.rs
+++ b/crates/coord/tests/views.rs
@@ -100,7 +100,7 @@
             slices,
         };
         let all: Vec<ids::EntryId> = (0..entries).map(|i| ids::EntryId(format!("e{i}"))).collect();
-        let owners = assign::owners(&layout, &all);
+        let owners = assign::assign_owners(&layout, &all);
         prop_assert_eq!(owners.len() as u32, layout.count());
         let limit = (layout.count() as usize).div_ceil(entries);
         for e in &all {
--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -124,7 +124,7 @@
     let began = Instant::now();
     let times = 50;
     for _ in 0..times {
-        assert!(!assign::owners(layout, &entries).is_empty());
+        assert!(!assign::assign_owners(layout, &entries).is_empty());
     }
     began.elapsed().as_secs_f64() * 1e6 / f64::from(times)
 }
