--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -167,7 +167,7 @@
 }
 
 /// Builds the refusal of a plan whose base is not in force any more.
-pub fn stale() -> api::Refusal {
+pub fn stale_plan() -> api::Refusal {
     api::Refusal::new(codes::Code::PlanStale, "Another change was accepted first")
 }
 
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -47,7 +47,7 @@
                 return;
             }
             Execution::NotDone => {
-                cx.actions.push(refuse(intent::stale()));
+                cx.actions.push(refuse(intent::stale_plan()));
                 return;
             }
             Execution::Unknown => {}
@@ -107,7 +107,7 @@
                 }
                 Ok(())
             }
-            intent::Outcome::Conflict => Err(intent::stale()),
+            intent::Outcome::Conflict => Err(intent::stale_plan()),
             intent::Outcome::Unknown => Err(intent::unknown()),
         };
         let Some(mut confirmation) = self.confirmation.take() else { return };
