--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -172,7 +172,7 @@
 }
 
 /// Builds the refusal of a plan of whose fate nothing is known any more.
-pub fn unknown() -> api::Refusal {
+pub fn unknown_plan_outcome() -> api::Refusal {
     let why = "The history does not reach back to this plan";
     api::Refusal::new(codes::Code::OutcomeUnknown, why)
 }
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -80,7 +80,7 @@
             return Some(api::Refusal::new(codes::Code::NotReady, why));
         }
         if plan.base < in_force {
-            return Some(intent::unknown());
+            return Some(intent::unknown_plan_outcome());
         }
         let why = "Another change is on its way to the store";
         let busy = || api::Refusal::new(codes::Code::InProgress, why);
@@ -108,7 +108,7 @@
                 Ok(())
             }
             intent::Outcome::Conflict => Err(intent::stale_plan()),
-            intent::Outcome::Unknown => Err(intent::unknown()),
+            intent::Outcome::Unknown => Err(intent::unknown_plan_outcome()),
         };
         let Some(mut confirmation) = self.confirmation.take() else { return };
         let outcome = outcome.map(|()| confirmation.generation());
