--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -22,7 +22,7 @@
 use crate::state::PartState;
 
 /// Slots of the ring.
-pub const RING: u64 = 64;
+pub const RING_SLOTS: u64 = 64;
 /// The most records that one entry carries; the rest goes with the next one.
 const ENTRY_MAX_RECORDS: usize = 800;
 const RETRY_EVERY: time::Millis = time::Millis(300);
@@ -101,7 +101,7 @@
             me,
             is: ownership::Is::Other,
             committed: PartState::default(),
-            slots: vec![ids::StoreIndex(0); RING as usize],
+            slots: vec![ids::StoreIndex(0); RING_SLOTS as usize],
             snap: (ids::StoreIndex(0), ids::Seq(0)),
             snap_phase: snapshot::Phase::Idle,
             loading: None,
@@ -217,7 +217,7 @@
         let Some(inflight) = &mut self.inflight else { return };
         if let Phase::Unclear(at) = inflight.phase {
             if cx.now >= at {
-                let key = keys::slot(self.id, inflight.entry.seq.0 % RING);
+                let key = keys::slot(self.id, inflight.entry.seq.0 % RING_SLOTS);
                 inflight.phase = Phase::Reading(cx.call(StoreCall::Get { key }));
             }
         }
@@ -231,7 +231,7 @@
         }
         // The slot that would be overwritten must be covered by the snapshot.
         let seq = self.committed.seq.next();
-        if seq.0 > self.snap.1 .0 + RING {
+        if seq.0 > self.snap.1 .0 + RING_SLOTS {
             return;
         }
         let count = self.pending.len().min(ENTRY_MAX_RECORDS);
@@ -251,7 +251,7 @@
     }
 
     fn send_entry(&self, cx: &mut Context, entry: &Entry) -> CallId {
-        let slot = entry.seq.0 % RING;
+        let slot = entry.seq.0 % RING_SLOTS;
         let value = serde_json::to_vec(entry).expect("plain data serialises");
         let index = self.slots[slot as usize];
         cx.call(StoreCall::Cas { key: keys::slot(self.id, slot), value, index })
@@ -260,7 +260,7 @@
     fn poll_confirm(&mut self, cx: &mut Context) {
         let due = cx.now.since(self.confirmed_at) >= cx.timing.confirm_every;
         if due && self.confirming.is_none() && self.inflight.is_none() && cx.now >= self.retry_at {
-            let key = keys::slot(self.id, self.committed.seq.next().0 % RING);
+            let key = keys::slot(self.id, self.committed.seq.next().0 % RING_SLOTS);
             self.confirming = Some((cx.call(StoreCall::Get { key }), cx.now));
         }
     }
@@ -333,7 +333,7 @@
     fn commit(&mut self, cx: &mut Context, index: ids::StoreIndex) -> Outcome {
         let Some(inflight) = self.inflight.take() else { return Outcome::Nothing };
         let Inflight { entry, after, since, .. } = inflight;
-        self.slots[(entry.seq.0 % RING) as usize] = index;
+        self.slots[(entry.seq.0 % RING_SLOTS) as usize] = index;
         for misfit in self.committed.apply_entry(self.id, &entry) {
             cx.note("journal-misfit", self.id.to_string(), misfit.to_string());
         }
--- a/crates/coord/src/journal/replay.rs
+++ b/crates/coord/src/journal/replay.rs
@@ -3,7 +3,7 @@
 use gaplock_chart::table::ownership;
 use gaplock_types::ids;
 
-use super::{Journal, Outcome, RETRY_EVERY, RING};
+use super::{Journal, Outcome, RETRY_EVERY, RING_SLOTS};
 use crate::action::{Kv, StoreAnswer, StoreCall};
 use crate::context::Context;
 use crate::keys;
@@ -52,7 +52,7 @@
             } else {
                 let entry: Entry =
                     serde_json::from_slice(&kv.value).map_err(|e| format!("{}: {e}", kv.key))?;
-                self.slots[(entry.seq.0 % RING) as usize] = kv.index;
+                self.slots[(entry.seq.0 % RING_SLOTS) as usize] = kv.index;
                 entries.push(entry);
             }
         }
--- a/crates/coord/tests/journal.rs
+++ b/crates/coord/tests/journal.rs
@@ -4,7 +4,7 @@
 
 use gaplock_coord::action::{Action, CallId, Kv, StoreAnswer, StoreCall};
 use gaplock_coord::context::{Context, Timing};
-use gaplock_coord::journal::{Journal, Outcome, RING};
+use gaplock_coord::journal::{Journal, Outcome, RING_SLOTS};
 use gaplock_coord::records::Record;
 use gaplock_types::ids;
 use gaplock_types::time::Millis;
@@ -173,7 +173,7 @@
 fn the_ring_comes_round_without_losing_a_record() {
     let (mut store, mut a) = (Store::default(), owner("a"));
     a.claim(&mut store);
-    let count = 3 * RING + 5;
+    let count = 3 * RING_SLOTS + 5;
     for n in 0..count {
         a.append(n);
         // Every fifth answer is lost, of snapshots too.
@@ -183,7 +183,7 @@
     b.claim(&mut store);
     assert_eq!(b.journal.committed.once.len() as u64, count);
     assert_eq!(b.journal.epoch(), ids::Epoch(2));
-    assert!(store.keys.len() as u64 <= RING + 1);
+    assert!(store.keys.len() as u64 <= RING_SLOTS + 1);
 }
 
 #[test]
