--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -24,7 +24,7 @@
 /// Slots of the ring.
 pub const RING_SLOTS: u64 = 64;
 /// The most records that one entry carries; the rest goes with the next one.
-const ENTRY_MAX_RECORDS: usize = 800;
+const MAX_RECORDS_PER_ENTRY: usize = 800;
 const RETRY_EVERY: time::Millis = time::Millis(300);
 
 pub use replies::{begun_reply, not_owner_reply, After};
@@ -234,7 +234,7 @@
         if seq.0 > self.snap.1 .0 + RING_SLOTS {
             return;
         }
-        let count = self.pending.len().min(ENTRY_MAX_RECORDS);
+        let count = self.pending.len().min(MAX_RECORDS_PER_ENTRY);
         let sent: Vec<Pending> = self.pending.drain(..count).collect();
         let (records, after): (Vec<Record>, Vec<Vec<After>>) =
             sent.into_iter().map(|p| (p.record, p.after)).unzip();
