--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -207,7 +207,7 @@
                 self.poll_inflight(cx);
                 self.poll_snapshot(cx);
                 self.flush(cx);
-                self.poll_confirm(cx);
+                self.poll_ownership_check(cx);
                 self.time_out_replies(cx);
             }
         }
@@ -257,7 +257,7 @@
         cx.call(StoreCall::Cas { key: keys::slot(self.id, slot), value, index })
     }
 
-    fn poll_confirm(&mut self, cx: &mut Context) {
+    fn poll_ownership_check(&mut self, cx: &mut Context) {
         let due = cx.now.since(self.confirmed_at) >= cx.timing.confirm_every;
         if due && self.confirming.is_none() && self.inflight.is_none() && cx.now >= self.retry_at {
             let key = keys::slot(self.id, self.committed.seq.next().0 % RING_SLOTS);
