--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -272,7 +272,7 @@
             return self.loaded(cx, answer);
         }
         if let Some((_, sent_at)) = self.confirming.take_if(|(c, _)| *c == call) {
-            return self.confirm_answered(cx, sent_at, answer);
+            return self.ownership_check_answered(cx, sent_at, answer);
         }
         if let Some(inflight) = &self.inflight {
             match inflight.phase {
@@ -355,7 +355,7 @@
         Outcome::Committed(entry.records)
     }
 
-    fn confirm_answered(
+    fn ownership_check_answered(
         &mut self,
         cx: &mut Context,
         sent_at: time::Instant,
