--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -86,7 +86,7 @@
     pending_since: time::Instant,
     inflight: Option<Inflight>,
     /// The read that is to show that nobody else has claimed, and when it was sent.
-    confirming: Option<(CallId, time::Instant)>,
+    ownership_check: Option<(CallId, time::Instant)>,
     /// When ownership was last known to stand.
     pub confirmed_at: time::Instant,
     /// Whether the former owner had released the partition before the claim.
@@ -109,7 +109,7 @@
             pending: Vec::new(),
             pending_since: time::Instant(0),
             inflight: None,
-            confirming: None,
+            ownership_check: None,
             confirmed_at: time::Instant(0),
             was_released: false,
         }
@@ -190,7 +190,7 @@
         }
         self.drop_replies(cx);
         self.loading = None;
-        self.confirming = None;
+        self.ownership_check = None;
         self.snap_phase = snapshot::Phase::Idle;
     }
 
@@ -259,9 +259,13 @@
 
     fn poll_ownership_check(&mut self, cx: &mut Context) {
         let due = cx.now.since(self.confirmed_at) >= cx.timing.confirm_every;
-        if due && self.confirming.is_none() && self.inflight.is_none() && cx.now >= self.retry_at {
+        if due
+            && self.ownership_check.is_none()
+            && self.inflight.is_none()
+            && cx.now >= self.retry_at
+        {
             let key = keys::slot(self.id, self.committed.seq.next().0 % RING_SLOTS);
-            self.confirming = Some((cx.call(StoreCall::Get { key }), cx.now));
+            self.ownership_check = Some((cx.call(StoreCall::Get { key }), cx.now));
         }
     }
 
@@ -271,7 +275,7 @@
             self.loading = None;
             return self.loaded(cx, answer);
         }
-        if let Some((_, sent_at)) = self.confirming.take_if(|(c, _)| *c == call) {
+        if let Some((_, sent_at)) = self.ownership_check.take_if(|(c, _)| *c == call) {
             return self.ownership_check_answered(cx, sent_at, answer);
         }
         if let Some(inflight) = &self.inflight {
