--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -297,12 +297,12 @@
         match answer {
             StoreAnswer::Written(index) => self.commit(cx, *index),
             // A conflict may be this writer's own earlier copy, so the slot is read in any case.
-            StoreAnswer::Conflict => self.unclear(cx, time::Millis(0)),
-            StoreAnswer::Read(_) | StoreAnswer::Unclear => self.unclear(cx, RETRY_EVERY),
+            StoreAnswer::Conflict => self.schedule_read_back(cx, time::Millis(0)),
+            StoreAnswer::Read(_) | StoreAnswer::Unclear => self.schedule_read_back(cx, RETRY_EVERY),
         }
     }
 
-    fn unclear(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
+    fn schedule_read_back(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
         if let Some(inflight) = &mut self.inflight {
             inflight.phase = Phase::Unclear(cx.now + wait);
         }
@@ -313,7 +313,9 @@
     }
 
     fn read_back(&mut self, cx: &mut Context, answer: &StoreAnswer) -> Outcome {
-        let StoreAnswer::Read(kvs) = answer else { return self.unclear(cx, RETRY_EVERY) };
+        let StoreAnswer::Read(kvs) = answer else {
+            return self.schedule_read_back(cx, RETRY_EVERY);
+        };
         let Some(inflight) = &self.inflight else { return Outcome::Nothing };
         let seq = inflight.entry.seq;
         let found = kvs.first().map(|kv| (kv.index, serde_json::from_slice::<Entry>(&kv.value)));
