--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -78,7 +78,7 @@
     /// The fold of everything that is committed.
     pub committed: PartState,
     slots: Vec<ids::StoreIndex>,
-    snap: (ids::StoreIndex, ids::Seq),
+    stored_snapshot: (ids::StoreIndex, ids::Seq),
     snap_phase: snapshot::Phase,
     loading: Option<CallId>,
     retry_at: time::Instant,
@@ -102,7 +102,7 @@
             is: ownership::Is::Other,
             committed: PartState::default(),
             slots: vec![ids::StoreIndex(0); RING_SLOTS as usize],
-            snap: (ids::StoreIndex(0), ids::Seq(0)),
+            stored_snapshot: (ids::StoreIndex(0), ids::Seq(0)),
             snap_phase: snapshot::Phase::Idle,
             loading: None,
             retry_at: time::Instant(0),
@@ -231,7 +231,7 @@
         }
         // The slot that would be overwritten must be covered by the snapshot.
         let seq = self.committed.seq.next();
-        if seq.0 > self.snap.1 .0 + RING_SLOTS {
+        if seq.0 > self.stored_snapshot.1 .0 + RING_SLOTS {
             return;
         }
         let count = self.pending.len().min(MAX_RECORDS_PER_ENTRY);
--- a/crates/coord/src/journal/replay.rs
+++ b/crates/coord/src/journal/replay.rs
@@ -40,7 +40,7 @@
     /// Folds the snapshot and the entries behind it.
     pub(super) fn replay(&mut self, kvs: &[Kv]) -> Result<(), String> {
         self.committed = PartState::default();
-        self.snap = (ids::StoreIndex(0), ids::Seq(0));
+        self.stored_snapshot = (ids::StoreIndex(0), ids::Seq(0));
         self.slots.fill(ids::StoreIndex(0));
         let snap_key = keys::snapshot(self.id);
         let mut entries = Vec::new();
@@ -48,7 +48,7 @@
             if kv.key == snap_key {
                 self.committed =
                     serde_json::from_slice(&kv.value).map_err(|e| format!("snapshot: {e}"))?;
-                self.snap = (kv.index, self.committed.seq);
+                self.stored_snapshot = (kv.index, self.committed.seq);
             } else {
                 let entry: Entry =
                     serde_json::from_slice(&kv.value).map_err(|e| format!("{}: {e}", kv.key))?;
@@ -58,7 +58,7 @@
         }
         self.committed.rebuild(self.id);
         entries.sort_by_key(|e| e.seq);
-        for entry in entries.iter().filter(|e| e.seq > self.snap.1) {
+        for entry in entries.iter().filter(|e| e.seq > self.stored_snapshot.1) {
             if entry.seq != self.committed.seq.next() {
                 return Err(format!("{} follows {}", entry.seq, self.committed.seq));
             }
--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -28,12 +28,12 @@
 impl Journal {
     pub(super) fn poll_snapshot(&mut self, cx: &mut Context) {
         // A successor's snapshot may have been read back, which an older one must not replace.
-        let behind = self.committed.seq.0.saturating_sub(self.snap.1 .0);
+        let behind = self.committed.seq.0.saturating_sub(self.stored_snapshot.1 .0);
         match self.snap_phase {
             Phase::Idle if self.is != ownership::Is::Claiming && behind >= SNAPSHOT_AFTER => {
                 let value = serde_json::to_vec(&self.committed).expect("plain data serialises");
                 let key = keys::snapshot(self.id);
-                let call = cx.call(StoreCall::Cas { key, value, index: self.snap.0 });
+                let call = cx.call(StoreCall::Cas { key, value, index: self.stored_snapshot.0 });
                 self.snap_phase = Phase::Writing(call, self.committed.seq);
             }
             Phase::Unclear(at) if cx.now >= at => {
@@ -47,7 +47,7 @@
     pub(super) fn snap_answered(&mut self, cx: &mut Context, seq: ids::Seq, answer: &StoreAnswer) {
         self.snap_phase = match answer {
             StoreAnswer::Written(index) => {
-                self.snap = (*index, seq);
+                self.stored_snapshot = (*index, seq);
                 Phase::Idle
             }
             StoreAnswer::Conflict => Phase::Unclear(cx.now),
@@ -61,11 +61,11 @@
             return;
         };
         self.snap_phase = Phase::Idle;
-        self.snap = match kvs.first() {
+        self.stored_snapshot = match kvs.first() {
             None => (ids::StoreIndex(0), ids::Seq(0)),
             Some(kv) => match serde_json::from_slice::<PartState>(&kv.value) {
                 Ok(state) => (kv.index, state.seq),
-                Err(_) => (kv.index, self.snap.1),
+                Err(_) => (kv.index, self.stored_snapshot.1),
             },
         };
     }
