--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -79,7 +79,7 @@
     pub committed: PartState,
     slots: Vec<ids::StoreIndex>,
     stored_snapshot: (ids::StoreIndex, ids::Seq),
-    snap_phase: snapshot::Phase,
+    snapshot_phase: snapshot::Phase,
     loading: Option<CallId>,
     retry_at: time::Instant,
     pending: Vec<Pending>,
@@ -103,7 +103,7 @@
             committed: PartState::default(),
             slots: vec![ids::StoreIndex(0); RING_SLOTS as usize],
             stored_snapshot: (ids::StoreIndex(0), ids::Seq(0)),
-            snap_phase: snapshot::Phase::Idle,
+            snapshot_phase: snapshot::Phase::Idle,
             loading: None,
             retry_at: time::Instant(0),
             pending: Vec::new(),
@@ -191,7 +191,7 @@
         self.drop_replies(cx);
         self.loading = None;
         self.ownership_check = None;
-        self.snap_phase = snapshot::Phase::Idle;
+        self.snapshot_phase = snapshot::Phase::Idle;
     }
 
     /// Does what is due: loads, reads back, snapshots, commits.
@@ -285,7 +285,7 @@
                 _ => {}
             }
         }
-        match self.snap_phase {
+        match self.snapshot_phase {
             snapshot::Phase::Writing(c, seq) if c == call => self.snap_answered(cx, seq, answer),
             snapshot::Phase::Reading(c) if c == call => self.snap_read(cx, answer),
             _ => {}
--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -29,23 +29,23 @@
     pub(super) fn poll_snapshot(&mut self, cx: &mut Context) {
         // A successor's snapshot may have been read back, which an older one must not replace.
         let behind = self.committed.seq.0.saturating_sub(self.stored_snapshot.1 .0);
-        match self.snap_phase {
+        match self.snapshot_phase {
             Phase::Idle if self.is != ownership::Is::Claiming && behind >= SNAPSHOT_AFTER => {
                 let value = serde_json::to_vec(&self.committed).expect("plain data serialises");
                 let key = keys::snapshot(self.id);
                 let call = cx.call(StoreCall::Cas { key, value, index: self.stored_snapshot.0 });
-                self.snap_phase = Phase::Writing(call, self.committed.seq);
+                self.snapshot_phase = Phase::Writing(call, self.committed.seq);
             }
             Phase::Unclear(at) if cx.now >= at => {
                 let call = cx.call(StoreCall::Get { key: keys::snapshot(self.id) });
-                self.snap_phase = Phase::Reading(call);
+                self.snapshot_phase = Phase::Reading(call);
             }
             _ => {}
         }
     }
 
     pub(super) fn snap_answered(&mut self, cx: &mut Context, seq: ids::Seq, answer: &StoreAnswer) {
-        self.snap_phase = match answer {
+        self.snapshot_phase = match answer {
             StoreAnswer::Written(index) => {
                 self.stored_snapshot = (*index, seq);
                 Phase::Idle
@@ -57,10 +57,10 @@
 
     pub(super) fn snap_read(&mut self, cx: &mut Context, answer: &StoreAnswer) {
         let StoreAnswer::Read(kvs) = answer else {
-            self.snap_phase = Phase::Unclear(cx.now + RETRY_EVERY);
+            self.snapshot_phase = Phase::Unclear(cx.now + RETRY_EVERY);
             return;
         };
-        self.snap_phase = Phase::Idle;
+        self.snapshot_phase = Phase::Idle;
         self.stored_snapshot = match kvs.first() {
             None => (ids::StoreIndex(0), ids::Seq(0)),
             Some(kv) => match serde_json::from_slice::<PartState>(&kv.value) {
