--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -286,7 +286,9 @@
             }
         }
         match self.snapshot_phase {
-            snapshot::Phase::Writing(c, seq) if c == call => self.snap_answered(cx, seq, answer),
+            snapshot::Phase::Writing(c, seq) if c == call => {
+                self.snapshot_write_answered(cx, seq, answer)
+            }
             snapshot::Phase::Reading(c) if c == call => self.snap_read(cx, answer),
             _ => {}
         }
--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -44,7 +44,12 @@
         }
     }
 
-    pub(super) fn snap_answered(&mut self, cx: &mut Context, seq: ids::Seq, answer: &StoreAnswer) {
+    pub(super) fn snapshot_write_answered(
+        &mut self,
+        cx: &mut Context,
+        seq: ids::Seq,
+        answer: &StoreAnswer,
+    ) {
         self.snapshot_phase = match answer {
             StoreAnswer::Written(index) => {
                 self.stored_snapshot = (*index, seq);
