--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -289,7 +289,7 @@
             snapshot::Phase::Writing(c, seq) if c == call => {
                 self.snapshot_write_answered(cx, seq, answer)
             }
-            snapshot::Phase::Reading(c) if c == call => self.snap_read(cx, answer),
+            snapshot::Phase::Reading(c) if c == call => self.snapshot_read_back(cx, answer),
             _ => {}
         }
         Outcome::Nothing
--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -60,7 +60,7 @@
         };
     }
 
-    pub(super) fn snap_read(&mut self, cx: &mut Context, answer: &StoreAnswer) {
+    pub(super) fn snapshot_read_back(&mut self, cx: &mut Context, answer: &StoreAnswer) {
         let StoreAnswer::Read(kvs) = answer else {
             self.snapshot_phase = Phase::Unclear(cx.now + RETRY_EVERY);
             return;
