--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -10,7 +10,7 @@
 use crate::state::PartState;
 
 /// Entries after which a new snapshot is written.
-const SNAPSHOT_AFTER: u64 = 32;
+const SNAPSHOT_EVERY_ENTRIES: u64 = 32;
 
 /// How far the writing of a snapshot is.
 #[derive(Debug)]
@@ -30,7 +30,9 @@
         // A successor's snapshot may have been read back, which an older one must not replace.
         let behind = self.committed.seq.0.saturating_sub(self.stored_snapshot.1 .0);
         match self.snapshot_phase {
-            Phase::Idle if self.is != ownership::Is::Claiming && behind >= SNAPSHOT_AFTER => {
+            Phase::Idle
+                if self.is != ownership::Is::Claiming && behind >= SNAPSHOT_EVERY_ENTRIES =>
+            {
                 let value = serde_json::to_vec(&self.committed).expect("plain data serialises");
                 let key = keys::snapshot(self.id);
                 let call = cx.call(StoreCall::Cas { key, value, index: self.stored_snapshot.0 });
