--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -77,7 +77,7 @@
     /// When the next lease request is due.
     pub next_lease: time::Instant,
     /// Lease requests without answer, in a row.
-    pub misses: u32,
+    pub unanswered_leases: u32,
     /// Since when lease requests have gone without answer; the owner's own silence does not count.
     pub missing_since: Option<time::Instant>,
     /// Ended runs to be acknowledged with the next lease request.
@@ -109,7 +109,7 @@
             heard: false,
             asked_at: None,
             next_lease: time::Instant(0),
-            misses: 0,
+            unanswered_leases: 0,
             missing_since: None,
             acks: Vec::new(),
             runs: BTreeMap::new(),
@@ -182,13 +182,13 @@
     pub fn missed(&mut self, cx: &mut Context) {
         self.asked_at = None;
         self.count_miss(cx);
-        if self.misses >= MISSES_BEFORE_SILENCE {
+        if self.unanswered_leases >= MISSES_BEFORE_SILENCE {
             self.step(cx, upstream::On::Silence, "no answer to lease requests");
         }
     }
 
     fn count_miss(&mut self, cx: &Context) {
-        self.misses += 1;
+        self.unanswered_leases += 1;
         self.missing_since.get_or_insert(cx.now);
     }
 
@@ -201,7 +201,7 @@
     /// Takes in a worker's answer under this entry's epoch. Returns whether it has booted anew.
     pub fn answered(&mut self, cx: &mut Context, reply: &wire::LeaseReply) -> bool {
         self.asked_at = None;
-        self.misses = 0;
+        self.unanswered_leases = 0;
         self.missing_since = None;
         self.heard = true;
         let rebooted = self.boot != Some(reply.boot);
