--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -155,7 +155,7 @@
         owner: &ids::Member,
     ) -> wire::LeaseRequest {
         if self.asked_at.is_some() {
-            self.count_miss(cx);
+            self.count_unanswered(cx);
         }
         self.asked_at = Some(cx.now);
         self.next_lease = cx.now + cx.timing.lease_every;
@@ -181,13 +181,13 @@
     /// Takes in that a lease request had no answer.
     pub fn missed(&mut self, cx: &mut Context) {
         self.asked_at = None;
-        self.count_miss(cx);
+        self.count_unanswered(cx);
         if self.unanswered_leases >= MISSES_BEFORE_SILENCE {
             self.step(cx, upstream::On::Silence, "no answer to lease requests");
         }
     }
 
-    fn count_miss(&mut self, cx: &Context) {
+    fn count_unanswered(&mut self, cx: &Context) {
         self.unanswered_leases += 1;
         self.missing_since.get_or_insert(cx.now);
     }
