--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -13,7 +13,7 @@
 use crate::context::Context;
 
 /// Unanswered lease requests after which a worker counts as silent.
-const MISSES_BEFORE_SILENCE: u32 = 3;
+const UNANSWERED_BEFORE_SILENCE: u32 = 3;
 /// How long an unanswered lease request may hinder the next one.
 const LEASE_CALL_LIMIT: time::Millis = time::Millis(3_000);
 
@@ -182,7 +182,7 @@
     pub fn missed(&mut self, cx: &mut Context) {
         self.asked_at = None;
         self.count_unanswered(cx);
-        if self.unanswered_leases >= MISSES_BEFORE_SILENCE {
+        if self.unanswered_leases >= UNANSWERED_BEFORE_SILENCE {
             self.step(cx, upstream::On::Silence, "no answer to lease requests");
         }
     }
