--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -15,7 +15,7 @@
 /// Unanswered lease requests after which a worker counts as silent.
 const UNANSWERED_BEFORE_SILENCE: u32 = 3;
 /// How long an unanswered lease request may hinder the next one.
-const LEASE_CALL_LIMIT: time::Millis = time::Millis(3_000);
+const LEASE_CALL_TIMEOUT: time::Millis = time::Millis(3_000);
 
 /// What an owner knows of one run.
 #[derive(Debug, Clone, Default)]
@@ -141,7 +141,7 @@
     pub fn lease_due(&self, cx: &Context) -> bool {
         let open = match self.asked_at {
             None => true,
-            Some(at) => cx.now.since(at) >= LEASE_CALL_LIMIT,
+            Some(at) => cx.now.since(at) >= LEASE_CALL_TIMEOUT,
         };
         open && cx.now >= self.next_lease
     }
