--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -146,7 +146,7 @@
     /// When a peer may be asked for its configuration again.
     fetch_at: time::Instant,
     /// Partitions that are being released, with the entry that each is for.
-    handed: BTreeMap<ids::PartitionId, ids::EntryId>,
+    pending_handovers: BTreeMap<ids::PartitionId, ids::EntryId>,
     load: Vec<api::ServiceLoad>,
 }
 
@@ -179,7 +179,7 @@
             listed: false,
             store_ok_at: None,
             fetch_at: time::Instant(0),
-            handed: BTreeMap::new(),
+            pending_handovers: BTreeMap::new(),
             load: Vec::new(),
         }
     }
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -61,7 +61,7 @@
     ) {
         if let Some(p) = self.partitions.get_mut(&id) {
             p.release(cx);
-            self.handed.extend(to.map(|to| (id, to)));
+            self.pending_handovers.extend(to.map(|to| (id, to)));
         }
     }
 
@@ -70,9 +70,10 @@
         let released = |id: &ids::PartitionId| {
             partitions.get(id).is_some_and(|p| p.is() == ownership::Is::Other)
         };
-        let done: Vec<ids::PartitionId> = self.handed.keys().copied().filter(released).collect();
+        let done: Vec<ids::PartitionId> =
+            self.pending_handovers.keys().copied().filter(released).collect();
         for id in done {
-            if let Some(to) = self.handed.remove(&id) {
+            if let Some(to) = self.pending_handovers.remove(&id) {
                 cx.actions.push(Action::HandOver { to, partition: id });
             }
         }
