--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -128,7 +128,7 @@
     confirmation: Option<Confirmation>,
     started_at: Option<time::Instant>,
     /// The entries that may own partitions, and since when they are these.
-    entries_before: Vec<ids::EntryId>,
+    eligible_entries: Vec<ids::EntryId>,
     entries_since: time::Instant,
     stopping: bool,
     next_beat: time::Instant,
@@ -167,7 +167,7 @@
             check: EntryCheck::default(),
             confirmation: None,
             started_at: None,
-            entries_before: Vec::new(),
+            eligible_entries: Vec::new(),
             entries_since: time::Instant(0),
             stopping: false,
             next_beat: time::Instant(0),
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -15,8 +15,8 @@
     pub(super) fn settle_ownership(&mut self, cx: &mut Context) {
         let store_ok = self.store_ok(cx);
         let entries = self.members.eligible_owners(cx.now, &cx.timing, store_ok, self.stopping);
-        if entries != self.entries_before {
-            self.entries_before.clone_from(&entries);
+        if entries != self.eligible_entries {
+            self.eligible_entries.clone_from(&entries);
             self.entries_since = cx.now;
         }
         let settled = cx.now.since(self.entries_since).0 >= cx.timing.member_ttl.0 / 3;
