--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -129,7 +129,7 @@
     started_at: Option<time::Instant>,
     /// The entries that may own partitions, and since when they are these.
     eligible_entries: Vec<ids::EntryId>,
-    entries_since: time::Instant,
+    eligible_since: time::Instant,
     stopping: bool,
     next_beat: time::Instant,
     next_refresh: time::Instant,
@@ -168,7 +168,7 @@
             confirmation: None,
             started_at: None,
             eligible_entries: Vec::new(),
-            entries_since: time::Instant(0),
+            eligible_since: time::Instant(0),
             stopping: false,
             next_beat: time::Instant(0),
             next_refresh: time::Instant(0),
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -17,9 +17,9 @@
         let entries = self.members.eligible_owners(cx.now, &cx.timing, store_ok, self.stopping);
         if entries != self.eligible_entries {
             self.eligible_entries.clone_from(&entries);
-            self.entries_since = cx.now;
+            self.eligible_since = cx.now;
         }
-        let settled = cx.now.since(self.entries_since).0 >= cx.timing.member_ttl.0 / 3;
+        let settled = cx.now.since(self.eligible_since).0 >= cx.timing.member_ttl.0 / 3;
         let wanted = assign::assign_owners(&self.layout, &entries);
         let ids: Vec<ids::PartitionId> = self.partitions.keys().copied().collect();
         for id in ids {
