--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -213,12 +213,12 @@
 
     /// Tells whether the balancer may send callers here.
     pub fn ready(&self, cx: &Context) -> bool {
-        !self.stopping && self.generations.fresh(cx) && self.acquainted(cx)
+        !self.stopping && self.generations.fresh(cx) && self.knows_services(cx)
     }
 
     /// Tells whether this entry knows where services run: it has heard every entry in the store's
     /// list, or has waited long enough for those that live.
-    fn acquainted(&self, cx: &Context) -> bool {
+    fn knows_services(&self, cx: &Context) -> bool {
         let Some(started) = self.started_at else { return false };
         let waited = cx.now.since(started) >= cx.timing.member_ttl;
         let heard = |entry| self.members.heard(cx.now, &cx.timing, entry);
