--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -332,7 +332,7 @@
         self.refresh_membership(cx);
         self.weigh_evidence(cx);
         self.settle_ownership(cx);
-        self.gather_rooms(cx);
+        self.collect_free_capacity(cx);
         for p in self.partitions.values_mut() {
             p.tick(cx);
         }
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -101,7 +101,7 @@
     }
 
     /// Gathers which partitions could take lent tasks, here and at the peers.
-    pub(super) fn gather_rooms(&mut self, cx: &mut Context) {
+    pub(super) fn collect_free_capacity(&mut self, cx: &mut Context) {
         cx.rooms = self.rooms().into_iter().map(|r| (r.partition, r.free)).collect();
         for (entry, peer) in &self.members.peers {
             let heard = self.members.heard(cx.now, &cx.timing, entry);
