--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -36,7 +36,7 @@
         cx.config = std::sync::Arc::new(self.generations.doc.config.clone());
         cx.actions.push(Action::InForce(cx.config.clone()));
         self.next_beat = cx.now;
-        self.share_out(cx);
+        self.distribute_shares(cx);
     }
 
     pub(super) fn confirm(&mut self, cx: &mut Context, id: ReplyId, plan: &api::Plan, by: &str) {
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -270,7 +270,7 @@
             }
             Event::Hosts(hosts) => {
                 self.hosts = hosts;
-                self.share_out(cx);
+                self.distribute_shares(cx);
             }
             Event::Beat(beat) => self.take_in_beat(cx, beat),
             Event::HandOver(id) => {
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    pub(super) fn share_out(&mut self, cx: &mut Context) {
+    pub(super) fn distribute_shares(&mut self, cx: &mut Context) {
         cx.fleet = self.hosts.iter().map(|h| h.capacity).collect();
         cx.fleet_capacity = assign::total_capacity(&self.hosts);
         let shares = assign::shares(&self.layout, &cx.config, &self.hosts);
