--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -331,7 +331,7 @@
         self.started_at.get_or_insert(cx.now);
         self.refresh_membership(cx);
         self.weigh_evidence(cx);
-        self.settle_ownership(cx);
+        self.update_ownership(cx);
         self.collect_free_capacity(cx);
         for p in self.partitions.values_mut() {
             p.tick(cx);
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -12,7 +12,7 @@
 use crate::partition::Partition;
 
 impl Node {
-    pub(super) fn settle_ownership(&mut self, cx: &mut Context) {
+    pub(super) fn update_ownership(&mut self, cx: &mut Context) {
         let store_ok = self.store_ok(cx);
         let entries = self.members.eligible_owners(cx.now, &cx.timing, store_ok, self.stopping);
         if entries != self.eligible_entries {
