--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -90,7 +90,7 @@
 
     /// A majority of all entries, none of which knows a newer generation, is evidence that the
     /// configuration is the newest.
-    pub(super) fn weigh_evidence(&mut self, cx: &mut Context) {
+    pub(super) fn check_majority_evidence(&mut self, cx: &mut Context) {
         let mine = self.generations.generation();
         let newer_heard = self
             .members
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -330,7 +330,7 @@
     fn tick(&mut self, cx: &mut Context) {
         self.started_at.get_or_insert(cx.now);
         self.refresh_membership(cx);
-        self.weigh_evidence(cx);
+        self.check_majority_evidence(cx);
         self.update_ownership(cx);
         self.collect_free_capacity(cx);
         for p in self.partitions.values_mut() {
