--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -97,7 +97,11 @@
         }
     }
 
-    pub(super) fn confirmation_moved(&mut self, cx: &mut Context, outcome: intent::Outcome) {
+    pub(super) fn handle_confirmation_outcome(
+        &mut self,
+        cx: &mut Context,
+        outcome: intent::Outcome,
+    ) {
         let outcome = match outcome {
             intent::Outcome::Open => return,
             intent::Outcome::Stored(sent_at, doc, index) => {
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -354,7 +354,7 @@
         }
         if let Some(confirmation) = &mut self.confirmation {
             let outcome = confirmation.answered(cx, call, answer);
-            self.confirmation_moved(cx, outcome);
+            self.handle_confirmation_outcome(cx, outcome);
         }
         for p in self.partitions.values_mut() {
             p.store_answered(cx, call, answer);
