--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -56,7 +56,7 @@
             c.join(id);
             return;
         }
-        if let Some(refusal) = self.cannot_tell(plan) {
+        if let Some(refusal) = self.confirmation_refusal(plan) {
             cx.actions.push(refuse(refusal));
             return;
         }
@@ -73,7 +73,7 @@
 
     /// Returns the refusal of a plan that cannot be confirmed here now, where this entry cannot say
     /// either what became of an earlier confirmation of it.
-    fn cannot_tell(&self, plan: &api::Plan) -> Option<api::Refusal> {
+    fn confirmation_refusal(&self, plan: &api::Plan) -> Option<api::Refusal> {
         let in_force = self.generations.generation();
         if plan.base > in_force {
             let why = "This entry does not have the plan's base yet";
