--- a/crates/coord/src/state/mod.rs
+++ b/crates/coord/src/state/mod.rs
@@ -200,7 +200,7 @@
             Record::Requeue { .. }
             | Record::Finish { .. }
             | Record::GiveUp { .. }
-            | Record::Cancelled { .. } => self.leave(record)?,
+            | Record::Cancelled { .. } => self.apply_run_end(record)?,
             Record::Cancel { number, index } => self.cancel(home, *number, *index, record)?,
             Record::JobForget { number } => self.forget_job(*number),
             Record::OnceClaim { id, digest, claimer, at_unix_ms } => {
@@ -237,7 +237,7 @@
     }
 
     /// Takes a run off its place, by one of the records that do so.
-    fn leave(&mut self, record: &Record) -> Result<()> {
+    fn apply_run_end(&mut self, record: &Record) -> Result<()> {
         match record {
             Record::Requeue { run, checkpoint_ms, evicted, failed, crashed, why } => {
                 self.step(run.task, task::On::Requeue, record, |t| {
