--- a/crates/coord/src/state/mod.rs
+++ b/crates/coord/src/state/mod.rs
@@ -124,7 +124,7 @@
 }
 
 /// Takes a task off its worker, and keeps why.
-fn leave_place(task: &mut Task, why: &str) {
+fn clear_place(task: &mut Task, why: &str) {
     task.place = None;
     task.why = why.to_string();
 }
@@ -245,17 +245,17 @@
                     t.evictions += u32::from(*evicted);
                     t.failures += u32::from(*failed);
                     t.crashes = if *crashed { t.crashes + 1 } else { 0 };
-                    leave_place(t, why);
+                    clear_place(t, why);
                 })
             }
             Record::Finish { run } => {
                 self.step(run.task, task::On::Finish, record, |t| t.place = None)
             }
             Record::GiveUp { task, why } => {
-                self.step(*task, task::On::GiveUp, record, |t| leave_place(t, why))
+                self.step(*task, task::On::GiveUp, record, |t| clear_place(t, why))
             }
             Record::Cancelled { run } => {
-                self.step(run.task, task::On::Cancel, record, |t| leave_place(t, "cancelled"))
+                self.step(run.task, task::On::Cancel, record, |t| clear_place(t, "cancelled"))
             }
             _ => Ok(()),
         }
