--- a/crates/coord/src/state/mod.rs
+++ b/crates/coord/src/state/mod.rs
@@ -181,7 +181,7 @@
         record: &Record,
     ) -> Result<()> {
         match record {
-            Record::Claim => self.take_claim(epoch, owner),
+            Record::Claim => self.apply_claim(epoch, owner),
             Record::Release => self.released = true,
             Record::JobAdd { .. } => self.add_job(home, record),
             Record::TaskAdd { number } => self.add_task(home, *number),
@@ -221,7 +221,7 @@
     }
 
     /// Takes in that the partition has a new owner.
-    fn take_claim(&mut self, epoch: ids::Epoch, owner: &ids::Member) {
+    fn apply_claim(&mut self, epoch: ids::Epoch, owner: &ids::Member) {
         self.epoch = epoch;
         self.owner = owner.clone();
         self.released = false;
