--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -21,7 +21,7 @@
             generation: self.generations.generation(),
             owned: self.owned(),
             load: self.load.clone(),
-            rooms: self.rooms(),
+            rooms: self.free_capacity(),
         }));
     }
 
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -95,14 +95,14 @@
         }
     }
 
-    pub(super) fn rooms(&self) -> Vec<api::FreeCapacity> {
+    pub(super) fn free_capacity(&self) -> Vec<api::FreeCapacity> {
         let room = |p: &Partition| p.room().map(|free| api::FreeCapacity { partition: p.id, free });
         self.partitions.values().filter_map(room).collect()
     }
 
     /// Gathers which partitions could take lent tasks, here and at the peers.
     pub(super) fn collect_free_capacity(&mut self, cx: &mut Context) {
-        cx.rooms = self.rooms().into_iter().map(|r| (r.partition, r.free)).collect();
+        cx.rooms = self.free_capacity().into_iter().map(|r| (r.partition, r.free)).collect();
         for (entry, peer) in &self.members.peers {
             let heard = self.members.heard(cx.now, &cx.timing, entry);
             let rooms = peer.beat.iter().filter(|_| heard).flat_map(|b| b.rooms.iter());
