--- a/crates/coord/src/lib.rs
+++ b/crates/coord/src/lib.rs
@@ -1,12 +1,13 @@
-//! Coordination parts that gaplock's daemons run on and that other programs can embed.
+//! The coordination logic of gaplock's daemons, which other programs can embed as well.
 //!
-//! Every part is sans-I/O: it takes the time, messages and answers as arguments and returns what
-//! should be done as [`action::Action`] values, so that a seed replays a whole run. The parts, from
-//! the bottom up: [`journal`] stores a partition's records through compare-and-swap and fences
-//! former owners; [`state`] folds records; [`link`] bounds what may still run on a worker;
-//! [`partition`] decides for one partition; [`members`] and [`assign`] say who should own what;
-//! [`generation`] keeps the configuration from going back; [`node`] joins them into one entry.
-//! `docs/DESIGN.md` gives the options that were weighed.
+//! All modules are sans-I/O: they take the time, messages and answers as arguments and return what
+//! should be done as [`action::Action`] values, so that a seed reproduces a whole run. The modules,
+//! from the lowest layer up: [`journal`] stores a partition's records through compare-and-swap and
+//! fences previous owners; [`state`] applies records; [`link`] tracks what may still run on a
+//! worker; [`partition`] makes the decisions of one partition; [`members`] and [`assign`] determine
+//! which entry should own which partition; [`generation`] keeps the configuration from reverting to
+//! an older one; [`node`] combines them into one entry. `docs/DESIGN.md` describes the design
+//! options that were considered.
 
 pub mod action;
 pub mod assign;
