--- a/crates/coord/src/keys.rs
+++ b/crates/coord/src/keys.rs
@@ -2,14 +2,14 @@
 
 use gaplock_types::ids;
 
-/// Holds the configuration in force.
+/// Key of the configuration in force.
 pub const CONFIG: &str = "gaplock/config";
-/// Holds the latest generations, for the history.
+/// Key of the latest configuration generations, kept for the history.
 pub const HISTORY: &str = "gaplock/history";
-/// Prefix of the entries' own records.
+/// Prefix of the membership records, one for each entry.
 pub const MEMBERS: &str = "gaplock/members/";
 
-/// Returns the prefix of everything that a partition keeps.
+/// Returns the prefix of all keys of a partition.
 pub fn partition_prefix(id: ids::PartitionId) -> String {
     format!("gaplock/part/{}/", id.0)
 }
@@ -19,12 +19,12 @@
     format!("gaplock/part/{}/snap", id.0)
 }
 
-/// Returns the key of a slot of a partition's journal.
+/// Returns the key of one slot of a partition's journal.
 pub fn slot(id: ids::PartitionId, slot: u64) -> String {
     format!("gaplock/part/{}/log/{slot}", id.0)
 }
 
-/// Returns the key of an entry's record.
+/// Returns the key of an entry's membership record.
 pub fn member(entry: &ids::EntryId) -> String {
     format!("{MEMBERS}{entry}")
 }
