--- a/crates/coord/src/action.rs
+++ b/crates/coord/src/action.rs
@@ -1,17 +1,19 @@
-//! What the coordination parts ask their driver to do, and what it tells them back.
+//! The actions that the coordination modules request from their driver, and the answers to them.
+//!
+//! They keep the modules free of I/O: the driver carries out the actions and reports the answers.
 
 use gaplock_policy::route;
 use gaplock_types::{api, ids, wire};
 
-/// Marks a store call, so that its answer finds its asker.
+/// Identifies a store call, to match its answer to the call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct CallId(pub u64);
 
-/// Marks a command whose sender waits for a reply.
+/// Identifies a command whose sender waits for a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ReplyId(pub u64);
 
-/// A key of the store with its value.
+/// A key of the store, with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Kv {
     /// The key.
@@ -46,7 +48,7 @@
         /// The key.
         key: String,
     },
-    /// Read every key below a prefix, at one moment.
+    /// Read all keys below a prefix, in one consistent read.
     List {
         /// The prefix.
         prefix: String,
@@ -69,7 +71,7 @@
 /// A command to a worker.
 #[derive(Debug, Clone)]
 pub enum WorkerCall {
-    /// Take or renew the right to command it.
+    /// Acquire or renew the lease that allows the owner to command the worker.
     Lease(wire::LeaseRequest),
     /// Start a run.
     Start(wire::StartRequest),
@@ -84,16 +86,16 @@
     Lease(wire::LeaseReply),
     /// The answer to a command.
     Verdict(wire::CommandOutcome),
-    /// No answer: the command may or may not have reached the worker.
+    /// No answer: the worker may or may not have received the command.
     Unclear,
 }
 
-/// Something for the driver to do.
+/// An operation that the driver carries out.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Call the store.
     Store {
-        /// Marks the answer.
+        /// Identifies the answer.
         call: CallId,
         /// The call.
         req: StoreCall,
@@ -109,16 +111,16 @@
         /// The call.
         req: WorkerCall,
     },
-    /// Answer a waiting command.
+    /// Answer a command whose sender waits.
     Reply {
-        /// Marks the command.
+        /// Identifies the command.
         id: ReplyId,
         /// The answer.
         reply: api::Reply,
     },
     /// Send a heartbeat to every peer.
     Beat(api::Heartbeat),
-    /// Tell a peer that it should claim a partition now, because this entry has released it.
+    /// Tell a peer to claim a partition now, because this entry has released it.
     HandOver {
         /// The peer.
         to: ids::EntryId,
@@ -127,55 +129,55 @@
     },
     /// Offer a worker's slots to the router.
     Offer(route::WorkerUpdate),
-    /// Tell the router how many slots of a worker are taken, by the worker's word.
+    /// Tell the router how many slots of a worker are occupied, as the worker reported.
     Busy {
         /// The worker.
         worker: ids::WorkerId,
-        /// Requests that it was working on.
+        /// Requests that the worker was handling.
         busy: u32,
-        /// When the question was sent.
+        /// When the worker was asked.
         asked_at: gaplock_types::time::Instant,
     },
-    /// Send nothing more to a partition's workers.
+    /// Stop sending requests to a partition's workers.
     ClosePartition(ids::PartitionId),
-    /// Send a command about a lent run to another partition's owner, wherever that is.
+    /// Send a command about a lent run to the owner of another partition, on any entry.
     Ask {
-        /// The partition that asks.
+        /// The partition that sends the command.
         from: ids::PartitionId,
-        /// The partition that is asked.
+        /// The partition that receives the command.
         to: ids::PartitionId,
-        /// The lender's run.
+        /// The run, as the lending partition identifies it.
         run: wire::Run,
         /// The command.
         command: api::Command,
     },
-    /// Ask a peer for the configuration that it has in force.
+    /// Fetch the configuration that a peer has in force.
     FetchConfig {
         /// The peer.
         from: ids::EntryId,
     },
-    /// Answer a waiting confirmation.
+    /// Answer an operator who waits for the confirmation of a plan.
     Confirmed {
-        /// Marks the confirmation.
+        /// Identifies the confirmation.
         id: ReplyId,
-        /// The generation, or why not.
+        /// The generation that the plan created, or the refusal.
         outcome: std::result::Result<ids::Generation, api::Refusal>,
     },
-    /// Put a configuration in force.
+    /// Put a configuration in force in the driver.
     InForce(std::sync::Arc<gaplock_types::config::Config>),
     /// Log a decision.
     Note(Note),
-    /// Log and count a violated invariant; the offending action has been left out.
+    /// Log and count a violated invariant; the action that violates it was not taken.
     Violated(gaplock_verify::Violation),
 }
 
-/// A decision worth a log line.
+/// A decision that is logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Note {
-    /// What kind of decision, a fixed word for counting.
+    /// The kind of decision, a fixed word by which decisions are counted.
     pub kind: &'static str,
-    /// What it is about.
+    /// What the decision concerns.
     pub subject: String,
-    /// The reason.
+    /// The reason for the decision.
     pub why: String,
 }
