--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -1,9 +1,9 @@
-//! Keeps the configuration from ever going back, and from being served when it may be old.
+//! Keeps an entry from reverting to an older configuration and from serving an outdated one.
 //!
 //! An entry serves a generation only with recent evidence that no newer one has been accepted:
-//! an answer of the store, or heartbeats of a majority of all known entries. A confirmer needs a
-//! majority too, so the two majorities share an entry that passes the newer generation on.
-//! `docs/DESIGN.md`, section Configuration, has the argument.
+//! an answer of the store, or heartbeats of a majority of all known entries. An entry that confirms
+//! a plan needs a majority too. Two majorities share at least one entry, and that entry passes the
+//! newer generation on. `docs/DESIGN.md`, section Configuration, gives the full argument.
 
 use std::sync::Arc;
 
@@ -13,23 +13,23 @@
 
 use crate::context::Context;
 
-/// Past generations that are kept for the history.
+/// The most generations that the history keeps; older ones are dropped.
 pub const HISTORY_ROWS: usize = 100;
 
-/// The configuration as it is kept in the store, with its history.
+/// The configuration with its history, as stored.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Document {
     /// The configuration.
     pub config: config::Config,
-    /// The configuration before it, for an undo.
+    /// The previous configuration, to which an operator can revert.
     #[serde(default)]
     pub previous: Option<config::Config>,
-    /// Past generations, oldest first.
+    /// The generations up to this one, oldest first.
     pub history: Vec<api::HistoryRow>,
 }
 
 impl Document {
-    /// Builds what `plan`, confirmed by `by`, makes of the document that it was made against.
+    /// Builds the document that results from `plan`, confirmed by `by`, on top of `before`.
     pub fn from_plan(before: &Self, plan: &api::Plan, by: &str, at_unix_ms: u64) -> Self {
         let mut config = plan.wanted.clone();
         config.generation = plan.base.next();
@@ -50,7 +50,7 @@
         Self { config, previous: Some(before.config.clone()), history }
     }
 
-    /// Returns the plan that made a generation, if that is still kept.
+    /// Returns the plan that created a generation, if the history still has it.
     fn plan_of(&self, generation: ids::Generation) -> Option<&ids::PlanId> {
         if self.config.generation == generation {
             return Some(&self.config.plan);
@@ -59,11 +59,11 @@
         (row.plan != ids::PlanId::default()).then_some(&row.plan)
     }
 
-    /// Tells what became of a plan made against `base`, by this document and its history alone: a
-    /// newer generation does not say that the plan was not stored below it.
+    /// Returns whether a plan made against `base` was carried out, from this document and its
+    /// history alone. A newer generation is no proof against the plan: it may build on it.
     pub fn fate(&self, plan: &ids::PlanId, base: ids::Generation) -> Execution {
         match self.plan_of(base.next()) {
-            Some(maker) if maker == plan => Execution::Done,
+            Some(creator) if creator == plan => Execution::Done,
             Some(_) => Execution::NotDone,
             None => Execution::Unknown,
         }
@@ -75,9 +75,9 @@
 pub struct Generations {
     /// The document in force.
     pub doc: Arc<Document>,
-    /// Its index in the store, as last read there.
+    /// The document's modification index, as last read from the store.
     pub index: ids::StoreIndex,
-    /// Whether any evidence has come since the start.
+    /// Whether there has been any evidence of freshness since this process started.
     has_evidence: bool,
     evidence_at: time::Instant,
 }
@@ -88,8 +88,8 @@
         self.doc.config.generation
     }
 
-    /// Takes in a document read from the store by a call that was sent at `sent_at`; none means
-    /// that the store holds no configuration yet. Returns whether it is newer.
+    /// Applies a document read from the store by a call sent at `sent_at`; `None` means that the
+    /// store holds no configuration yet. Returns whether the document is newer.
     pub fn read(
         &mut self,
         sent_at: time::Instant,
@@ -102,7 +102,7 @@
         self.offer(doc)
     }
 
-    /// Takes in a document from a peer. Returns whether it is newer.
+    /// Applies a document, for example from a peer, if it is newer. Returns whether it is.
     pub fn offer(&mut self, doc: Document) -> bool {
         if doc.config.generation <= self.generation() {
             return false;
@@ -111,18 +111,19 @@
         true
     }
 
-    /// Takes in that a majority of all known entries was just heard, none with a newer generation.
+    /// Records that heartbeats arrive from a majority of all known entries and that none of them
+    /// reports a newer generation.
     pub fn record_majority_evidence(&mut self, now: time::Instant) {
         self.has_evidence = true;
         self.evidence_at = self.evidence_at.max(now);
     }
 
-    /// Returns how old the latest evidence is that the document is the newest.
+    /// Returns the age of the latest evidence that this document is the newest.
     pub fn age(&self, now: time::Instant) -> time::Millis {
         now.since(self.evidence_at)
     }
 
-    /// Tells whether the document may be served.
+    /// Returns whether the document may be served.
     pub fn fresh(&self, cx: &Context) -> bool {
         self.has_evidence && cx.now.since(self.evidence_at) <= cx.timing.config_max_age
     }
