--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -1,8 +1,9 @@
-//! Which entries there are, and which of them live.
+//! The known entries, and which of them are alive.
 //!
-//! An entry is alive while it is heard from directly or while its record in the store changes, so
-//! neither a cut between two entries nor an outage of the store alone takes an entry's partitions
-//! away. Liveness only decides who should claim; safety rests on the journal's fence.
+//! An entry is alive while its heartbeats arrive or while its record in the store changes. So an
+//! entry keeps its partitions through a network partition between two entries, and through an
+//! outage of the store alone. Liveness only determines who should claim a partition; safety depends
+//! on the journal's fencing.
 
 use std::collections::BTreeMap;
 
@@ -11,33 +12,33 @@
 
 use crate::context::Timing;
 
-/// An entry's record in the store.
+/// An entry's membership record in the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The entry's process.
+    /// The entry and the incarnation of its process.
     pub member: ids::Member,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub addr: String,
     /// Its failure domain.
     pub domain: ids::DomainId,
-    /// Rises with each refresh.
+    /// A counter that increases with each refresh of the record.
     pub beat: u64,
 }
 
 /// A peer as this entry knows it.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Its record.
+    /// Its record in the store.
     pub record: MemberRecord,
-    /// The record's index in the store.
+    /// The modification index of the record.
     pub index: ids::StoreIndex,
-    /// When the record was last seen to change.
+    /// When this entry last saw the record change.
     pub changed_at: time::Instant,
     /// Its last heartbeat.
     pub beat: Option<api::Heartbeat>,
-    /// When that came.
+    /// When the last heartbeat arrived.
     pub heartbeat_at: time::Instant,
-    /// Since when its heartbeats say that it does not reach the store.
+    /// Since when its heartbeats report that it cannot reach the store.
     pub store_unreachable_since: Option<time::Instant>,
 }
 
@@ -50,12 +51,12 @@
 }
 
 impl Members {
-    /// Builds the view of an entry that knows no other yet.
+    /// Builds the view of an entry that knows no peers yet.
     pub fn open(me: ids::Member) -> Self {
         Self { me, peers: BTreeMap::new() }
     }
 
-    /// Takes in the records in the store.
+    /// Updates the peers from the records in the store.
     pub fn update_records(
         &mut self,
         now: time::Instant,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Handles a heartbeat; one of an entry without a record is ignored.
     pub fn handle_heartbeat(&mut self, now: time::Instant, beat: api::Heartbeat) {
         let Some(peer) = self.peers.get_mut(&beat.from.entry) else { return };
         peer.store_unreachable_since = match (beat.store_ok, peer.store_unreachable_since) {
@@ -99,20 +100,21 @@
         peer.beat = Some(beat);
     }
 
-    /// Tells whether a peer was heard directly within the lease.
+    /// Returns whether a heartbeat of a peer arrived within the membership lease.
     pub fn heard(&self, now: time::Instant, timing: &Timing, entry: &ids::EntryId) -> bool {
         self.peers
             .get(entry)
             .is_some_and(|p| p.beat.is_some() && now.since(p.heartbeat_at) < timing.member_ttl)
     }
 
-    /// Tells whether an entry lives, by its heartbeats or by its record in the store.
+    /// Returns whether an entry is alive, by its heartbeats or by its record in the store.
     pub fn alive(&self, now: time::Instant, timing: &Timing, entry: &ids::EntryId) -> bool {
         if *entry == self.me.entry || self.heard(now, timing, entry) {
             return true;
         }
         let record_ttl = timing.member_ttl.0 + 2 * timing.member_refresh.0;
-        // A peer that has been heard before and fell silent gets no benefit of an old record.
+        // A peer that sent heartbeats before and stopped must have a recently changed record: the
+        // longer limit is only for peers that have sent none yet.
         let Some(peer) = self.peers.get(entry) else { return false };
         let since = now.since(peer.changed_at).0;
         match peer.beat {
@@ -123,8 +125,8 @@
 
     /// Returns the entries that may own partitions, this one among them, in a fixed order.
     ///
-    /// `store_ok` tells whether this entry reaches the store; if so, peers that have not reached
-    /// it for a whole lease are left out.
+    /// `store_ok` says whether this entry reaches the store. If it does, peers that have not
+    /// reached the store for a whole membership lease are left out.
     pub fn eligible_owners(
         &self,
         now: time::Instant,
@@ -132,7 +134,7 @@
         store_ok: bool,
         me_stopping: bool,
     ) -> Vec<ids::EntryId> {
-        let cut = |p: &Peer| {
+        let without_store = |p: &Peer| {
             store_ok
                 && p.store_unreachable_since
                     .is_some_and(|since| now.since(since) >= timing.member_ttl)
@@ -141,7 +143,9 @@
         let peers = self
             .peers
             .iter()
-            .filter(|(entry, p)| self.alive(now, timing, entry) && !cut(p) && !stopping(p))
+            .filter(|(entry, p)| {
+                self.alive(now, timing, entry) && !without_store(p) && !stopping(p)
+            })
             .map(|(entry, _)| entry.clone());
         let mut all: Vec<ids::EntryId> = peers.collect();
         if !me_stopping {
@@ -151,13 +155,15 @@
         all
     }
 
-    /// Tells whether more than half of all known entries, this one included, are heard directly.
+    /// Returns whether heartbeats arrive from more than half of all known entries. This entry
+    /// itself counts as heard.
     pub fn hears_majority(&self, now: time::Instant, timing: &Timing) -> bool {
         let heard = self.peers.keys().filter(|e| self.heard(now, timing, e)).count() + 1;
         2 * heard > self.peers.len() + 1
     }
 
-    /// Returns the living peer that owns a partition, by the highest epoch that was heard.
+    /// Returns the peer that owns a partition, by its heartbeats. If several peers claim to own it,
+    /// the one with the highest epoch is returned.
     pub fn owner_of(
         &self,
         now: time::Instant,
@@ -174,7 +180,8 @@
             .max_by_key(|(_, epoch)| *epoch)
     }
 
-    /// Returns the records that have not changed for so long that they may be removed.
+    /// Returns the records that may be removed, because they have not changed for ten membership
+    /// leases and no heartbeat of their entry arrives.
     pub fn stale(
         &self,
         now: time::Instant,
