--- a/crates/coord/src/assign.rs
+++ b/crates/coord/src/assign.rs
@@ -1,7 +1,7 @@
-//! Says which partition a worker belongs to, and which entry should own a partition.
+//! Assigns workers to partitions and partitions to entries.
 //!
-//! Both are pure functions of what every entry knows, so entries agree without talking about it.
-//! Racks stay whole within a partition, so that one owner sees a rack's common fault.
+//! Both are pure functions of what every entry knows, so entries agree without exchanging messages.
+//! All workers of a rack are in one partition, so that a single owner sees a fault of the rack.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
     x ^ (x >> 31)
 }
 
-/// Hashes text to a number that is the same in every process and version.
+/// Hashes text to a number that is the same in all processes and versions.
 pub fn stable_hash(text: &str) -> u64 {
     let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
     mix_bits(text.bytes().fold(0xcbf2_9ce4_8422_2325, fold))
@@ -38,7 +38,7 @@
         self.domains.len() as u32 * self.slices
     }
 
-    /// Returns every partition.
+    /// Returns all partitions.
     pub fn partitions(&self) -> impl Iterator<Item = ids::PartitionId> {
         (0..self.count()).map(ids::PartitionId)
     }
@@ -50,14 +50,15 @@
         Some(ids::PartitionId(domain * self.slices + slice))
     }
 
-    /// Returns the partition that holds a caller's key.
+    /// Returns the partition that holds a partner's request key.
     pub fn home_of(&self, partner: &ids::PartnerId, key: &ids::RequestKey) -> ids::PartitionId {
         let hash = stable_hash(&format!("{partner}/{key}"));
         ids::PartitionId((hash % u64::from(self.count().max(1))) as u32)
     }
 }
 
-/// Assigns partitions to entries: the entry with the highest hash, unless it has its full share.
+/// Assigns each partition to the entry with the highest hash for it (rendezvous hashing), among the
+/// entries that do not have their full share yet.
 pub fn assign_owners(
     layout: &Layout,
     entries: &[ids::EntryId],
@@ -73,14 +74,15 @@
         let best = (0..entries.len())
             .filter(|i| counts[*i] < limit)
             .max_by_key(|i| weight(&entries[*i]))
-            .expect("the shares add up to all partitions");
+            .expect("the entries' limits add up to at least the number of partitions");
         counts[best] += 1;
         owned.insert(id, entries[best].clone());
     }
     owned
 }
 
-/// Divides every service's replicas over the partitions by their workers, largest remainder first.
+/// Computes what each partition is to run: the replicas of each service, apportioned by the number
+/// of usable workers with the largest-remainder method, and the partition's capacity.
 pub fn shares(
     layout: &Layout,
     config: &config::Config,
