--- a/crates/coord/src/context.rs
+++ b/crates/coord/src/context.rs
@@ -1,4 +1,6 @@
-//! What every part needs while it handles one event: time, settings, buffers and learnt values.
+//! The context of one event: time, settings, buffers and learned models.
+//!
+//! It is passed to every handler, so that no module reads a clock or global state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,29 +11,30 @@
 
 use crate::action::{Action, CallId, Note, ReplyId, StoreCall};
 
-/// Spans that govern leases, commits and membership; all are settings.
+/// Intervals and time limits of leases, commits and membership; all are settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
     /// How long a record may wait for others to be committed with it.
     pub commit_delay: time::Millis,
-    /// How long a command waits for its commit before it is answered "outcome unknown".
+    /// How long a command waits for its commit before the answer is "outcome unknown".
     pub commit_timeout: time::Millis,
     /// How often a worker's lease is renewed.
     pub lease_every: time::Millis,
-    /// How long tasks go on at a worker that no owner reaches.
+    /// How long tasks keep running on a worker that no owner reaches.
     pub task_ttl: time::Millis,
-    /// How long a worker that the host list still shows may be silent before its tasks, all leases
-    /// having ended, run elsewhere: it may have finished them and still tell so.
+    /// How long a worker that is still in the host list may be silent before its tasks run
+    /// elsewhere, once all leases have ended. Until then the worker may have finished the tasks and
+    /// may still report it.
     pub silent_limit: time::Millis,
-    /// How long an owner that cannot reach the store goes on renewing.
+    /// How long an owner that cannot reach the store keeps renewing leases.
     pub renew_right: time::Millis,
-    /// How often an idle owner reads back that nobody has claimed its partition.
+    /// How often an idle owner checks in the store that no other entry has claimed its partition.
     pub confirm_every: time::Millis,
-    /// How often entries tell each other that they live.
+    /// How often an entry sends heartbeats to its peers.
     pub beat_every: time::Millis,
-    /// Silence after which an entry counts as dead.
+    /// The membership lease: how long after its last heartbeat an entry counts as alive.
     pub member_ttl: time::Millis,
-    /// How often an entry refreshes its record in the store and reads the others'.
+    /// How often an entry refreshes its record in the store and reads those of its peers.
     pub member_refresh: time::Millis,
     /// How long an entry may serve a configuration without evidence that it is the newest.
     pub config_max_age: time::Millis,
@@ -44,8 +47,8 @@
 }
 
 impl Timing {
-    /// Returns how long an owner goes on renewing once its release is on its way: the release may
-    /// be stored without its knowing, and its successor waits for just this long.
+    /// Returns how long an owner keeps renewing leases once it has sent its release. The owner may
+    /// get no answer although the release is stored, and the successor waits exactly this long.
     pub fn release_right(&self) -> time::Millis {
         self.renew_right.min(self.silent_limit)
     }
@@ -72,7 +75,7 @@
     }
 }
 
-/// What a partition is to run, worked out for all partitions alike from hosts and configuration.
+/// What a partition is to run. Every entry computes the same from hosts and configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Shares {
     /// Replicas of each service that the partition runs.
@@ -81,29 +84,29 @@
     pub capacity: sizes::Resources,
 }
 
-/// Time, settings, learnt values and reusable buffers, passed to every handler.
+/// Time, settings, learned models and reusable buffers, passed to every handler.
 pub struct Context {
     /// The monotonic time of the event.
     pub now: time::Instant,
-    /// The wall clock, for people and for long retention only.
+    /// The wall clock in milliseconds since 1970, only for people and for long retention.
     pub unix_ms: u64,
     /// The settings.
     pub timing: Timing,
     /// The configuration in force.
     pub config: Arc<config::Config>,
-    /// Every capacity of the fleet, for "can this ever fit".
+    /// The capacity of each host, to determine whether a task can ever fit.
     pub fleet: Vec<sizes::Resources>,
     /// The whole fleet's capacity.
     pub fleet_capacity: sizes::Resources,
-    /// Partitions in which nothing waits, with the most that one worker there has free.
+    /// The partitions without waiting tasks, each with the largest free capacity of one worker.
     pub rooms: BTreeMap<ids::PartitionId, sizes::Resources>,
-    /// Learnt disturbance of pairs.
+    /// The learned interference between tasks and services that share a host.
     pub pairing: interference::InterferenceModel,
-    /// Each service's tail and the allowance that follows from it.
+    /// Each service's tail latency and the allowance derived from it.
     pub tails: BTreeMap<ids::ServiceId, tail::TailController>,
-    /// Learnt processor use.
+    /// The learned processor use of tasks.
     pub estimator: estimate::Estimator,
-    /// Actions of the event, in order; the driver takes them out.
+    /// The actions that the event led to, in order; the driver removes them.
     pub actions: Vec<Action>,
     pub(crate) candidates: Vec<placement::Candidate>,
     next_call: u64,
@@ -129,14 +132,15 @@
         }
     }
 
-    /// Returns the 99th percentile that a service may reach on one worker now, in microseconds.
+    /// Returns the limit of a service's 99th percentile latency on one worker at present, in
+    /// microseconds.
     pub fn ceiling_us(&self, service: &ids::ServiceId) -> Option<f64> {
         let (_, service) = self.config.placement_of(service)?;
         let allowance = self.tails.get(&service.id).map_or(1.0, tail::TailController::allowance);
         Some(f64::from(service.objective_ms) * 1000.0 * allowance)
     }
 
-    /// Asks the driver for a store call and returns the mark of its answer.
+    /// Requests a store call from the driver and returns the id that its answer will carry.
     pub fn call(&mut self, req: StoreCall) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
@@ -154,7 +158,7 @@
         self.actions.push(Action::Note(Note { kind, subject, why: why.into() }));
     }
 
-    /// Reports the outcome of a check and tells whether the action may go on.
+    /// Reports a violation that a check found. Returns whether the action may go on.
     pub fn allowed(&mut self, checked: std::result::Result<(), Violation>) -> bool {
         match checked {
             Ok(()) => true,
@@ -165,7 +169,8 @@
         }
     }
 
-    /// Returns the span after which a lease of `ttl` has certainly ended.
+    /// Returns the time after which a lease of `ttl` has ended for certain, with any clock drift
+    /// within the assumed bound.
     pub fn certain(&self, ttl: time::Millis) -> time::Millis {
         ttl.with_drift(self.timing.drift_per_mille)
     }
