--- a/crates/coord/src/records.rs
+++ b/crates/coord/src/records.rs
@@ -1,4 +1,6 @@
-//! What a partition's journal holds: records, committed in groups as entries.
+//! The contents of a partition's journal: records, which are committed in groups as entries.
+//!
+//! Records are the only durable form of a partition's state, so each change of it is one.
 
 use gaplock_types::{api, ids, sizes, wire};
 use serde::{Deserialize, Serialize};
@@ -6,9 +8,9 @@
 /// One change of a partition's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// An entry takes the partition over; every entry of a lower epoch is fenced by this record.
+    /// An entry becomes the owner of the partition; this record fences all lower epochs.
     Claim,
-    /// The owner gives the partition up and will not renew leases any more.
+    /// The owner releases the partition and does not renew leases any more.
     Release,
     /// A job is stored.
     JobAdd {
@@ -16,40 +18,40 @@
         number: u64,
         /// The partner, or `gaplock` for service replicas.
         partner: ids::PartnerId,
-        /// The submitter's key.
+        /// The submitter's request key.
         key: ids::RequestKey,
         /// A digest of the submission.
         digest: String,
-        /// What it is.
+        /// What kind of task it runs.
         kind: wire::TaskKind,
-        /// What one task may hold.
+        /// What one task may use.
         demand: sizes::Resources,
-        /// Declared work of one task.
+        /// The declared work of one task, in milliseconds.
         work_ms: u64,
-        /// Tasks.
+        /// The number of tasks.
         tasks: u32,
-        /// Whether it goes first.
+        /// Whether its tasks go ahead of the partner's other tasks.
         urgent: bool,
         /// When it was stored, in milliseconds since 1970.
         at_unix_ms: u64,
     },
-    /// A job gets one more task, as for a service replica.
+    /// A job gets one more task, for example a service replica.
     TaskAdd {
         /// The job's number.
         number: u64,
     },
-    /// A task is assigned to a worker; its start is sent after this record is stored.
+    /// A task is assigned to a worker. The start command is sent after this record is stored.
     Assign {
         /// The run.
         run: wire::Run,
         /// The worker.
         worker: ids::WorkerId,
-        /// The worker's boot.
+        /// The worker's boot, which identifies its current incarnation.
         boot: wire::Boot,
-        /// What is reserved.
+        /// What is reserved on the worker.
         reserve: sizes::Resources,
     },
-    /// A task is lent to another partition, which is told after this record is stored.
+    /// A task is lent to another partition, which is notified after this record is stored.
     Lend {
         /// The run.
         run: wire::Run,
@@ -58,24 +60,24 @@
         /// What counts against the partner's quota.
         reserve: sizes::Resources,
     },
-    /// A borrowed task begins at the lender's checkpoint.
+    /// A borrowed task starts at the lending partition's checkpoint.
     ResumeFrom {
         /// The task.
         task: ids::TaskId,
-        /// Work that is kept, in milliseconds.
+        /// The work that the checkpoint preserves, in milliseconds.
         checkpoint_ms: u64,
     },
-    /// A run is proven stopped; its task waits again.
+    /// A run has stopped for certain; its task waits again.
     Requeue {
         /// The run.
         run: wire::Run,
-        /// Work that is kept, in milliseconds.
+        /// The work that the checkpoint preserves, in milliseconds.
         checkpoint_ms: u64,
-        /// Whether gaplock moved it away.
+        /// Whether gaplock evicted the run.
         evicted: bool,
         /// Whether the task itself failed.
         failed: bool,
-        /// Whether its worker booted anew soon after its start.
+        /// Whether the worker rebooted soon after the run's start.
         #[serde(default)]
         crashed: bool,
         /// Why.
@@ -86,27 +88,26 @@
         /// The run.
         run: wire::Run,
     },
-    /// A task is given up.
+    /// A task is abandoned and not run again.
     GiveUp {
         /// The task.
         task: ids::TaskId,
         /// Why.
         why: String,
     },
-    /// A job, or one task of it, is not wanted any more; waiting tasks end, running ones are
-    /// stopped.
+    /// A job, or one task of it, is cancelled: waiting tasks end, running ones are stopped.
     Cancel {
         /// The job's number.
         number: u64,
-        /// One task only.
+        /// The index of the one task to cancel; `None` cancels the whole job.
         index: Option<u32>,
     },
-    /// A cancelled run is proven stopped.
+    /// A cancelled run has stopped for certain.
     Cancelled {
         /// The run.
         run: wire::Run,
     },
-    /// An ended job is forgotten.
+    /// An ended job is removed.
     JobForget {
         /// The job's number.
         number: u64,
@@ -122,40 +123,40 @@
         /// When, in milliseconds since 1970.
         at_unix_ms: u64,
     },
-    /// A claimed request has ended; `NotRun` gives the claim back.
+    /// A claimed request has ended; `NotRun` removes the claim.
     OnceEnd {
         /// Partner and key.
         id: String,
-        /// How.
+        /// How it ended.
         end: api::OnceEnd,
     },
-    /// An old claim is forgotten, or only its kept answer.
+    /// An old claim is removed, or only its stored answer.
     OnceForget {
         /// Partner and key.
         id: String,
-        /// Whether the claim goes too.
+        /// Whether the claim itself is removed too.
         whole: bool,
     },
-    /// An operator declared a worker's boot dead.
+    /// An operator declared a worker's current boot dead.
     WorkerDead {
         /// The worker.
         worker: ids::WorkerId,
     },
-    /// A worker declared dead has been heard again under another boot.
+    /// A worker declared dead has answered again under another boot.
     WorkerBack {
         /// The worker.
         worker: ids::WorkerId,
     },
 }
 
-/// A group of records that became true together.
+/// A group of records that is committed atomically.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// The position in the journal.
     pub seq: ids::Seq,
-    /// The writer's epoch.
+    /// The epoch of the owner that wrote it.
     pub epoch: ids::Epoch,
-    /// The writer.
+    /// The owner that wrote it.
     pub owner: ids::Member,
     /// The records, in order.
     pub records: Vec<Record>,
