--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -1,9 +1,9 @@
-//! Carries one confirmed plan into the store.
+//! Writes one confirmed plan to the store.
 //!
-//! The write is a compare-and-swap against the index that the plan's base was read at. An answer
-//! that was lost is resolved by reading the document back: it and its history name the plan that
-//! made each generation. Another entry may have confirmed the same plan and a newer plan may stand
-//! on it, so the document that was read is taken over, and never the writer's own.
+//! The write is a compare-and-swap against the modification index at which the plan's base was
+//! read. If the answer is lost, the document is read back: it and its history name the plan that
+//! created each generation. Another entry may have confirmed the same plan, and a newer plan may
+//! build on it, so the document that was read is adopted, and never the writer's own.
 
 use gaplock_chart::table::intent;
 use gaplock_policy::attempts::Execution;
@@ -14,9 +14,10 @@
 use crate::generation::{Document, Generations};
 use crate::keys;
 
+/// How long to wait before a write without a clear answer is read back.
 const RETRY_EVERY: time::Millis = time::Millis(300);
 
-/// One confirmation on its way.
+/// One confirmation in progress.
 #[derive(Debug)]
 pub struct Confirmation {
     is: intent::Is,
@@ -24,7 +25,7 @@
     base: ids::Generation,
     doc: Document,
     index: ids::StoreIndex,
-    /// The call on its way, and when it was sent.
+    /// The unanswered store call, and when it was sent.
     call: Option<(CallId, time::Instant)>,
     read_at: Option<time::Instant>,
     since: time::Instant,
@@ -33,13 +34,14 @@
 /// How a confirmation ended.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It is still on its way.
+    /// It is still in progress.
     Open,
-    /// The plan is stored; this document was in the store when the call sent then was served.
+    /// The plan is stored. The fields are when the call was sent, the document that the store then
+    /// held, and its modification index.
     Stored(time::Instant, Box<Document>, ids::StoreIndex),
-    /// Another change came first; the caller plans again.
+    /// Another change was stored first; the caller must make a new plan.
     Conflict,
-    /// The history does not reach back to the plan.
+    /// The history does not reach back to the plan, so its outcome is unknown.
     Unknown,
 }
 
@@ -68,33 +70,34 @@
         confirmation
     }
 
-    /// Returns the plan that is on its way.
+    /// Returns the plan that is being confirmed.
     pub fn plan(&self) -> &ids::PlanId {
         &self.doc.config.plan
     }
 
-    /// Returns the generation that the plan makes.
+    /// Returns the generation that the plan creates.
     pub fn generation(&self) -> ids::Generation {
         self.doc.config.generation
     }
 
-    /// Adds a repeat of the same confirmation; it gets the same answer.
+    /// Adds a repeated request for the same confirmation; it gets the same answer.
     pub fn join(&mut self, id: ReplyId) {
         self.waiting.push(id);
     }
 
-    /// Takes out everybody who waits for the answer.
+    /// Removes and returns all requests that wait for the answer.
     pub fn take_waiting(&mut self) -> Vec<ReplyId> {
         std::mem::take(&mut self.waiting)
     }
 
     fn write(&mut self, cx: &mut Context) {
-        let value = serde_json::to_vec(&self.doc).expect("plain data serialises");
+        let value = serde_json::to_vec(&self.doc).expect("a document always serialises to JSON");
         let key = keys::CONFIG.to_string();
         self.call = Some((cx.call(StoreCall::Cas { key, value, index: self.index }), cx.now));
     }
 
-    /// Reads back what is due, and answers those who have waited too long.
+    /// Reads the document back if that is due. Once the commit timeout has passed, removes and
+    /// returns all waiting requests, which the caller must answer.
     pub fn poll(&mut self, cx: &mut Context) -> Vec<ReplyId> {
         if self.read_at.is_some_and(|at| cx.now >= at) {
             self.read_at = None;
@@ -106,7 +109,7 @@
         Vec::new()
     }
 
-    /// Takes in the answer to a store call, if it was this confirmation's.
+    /// Handles the answer to a store call, if the call was made by this confirmation.
     pub fn answered(&mut self, cx: &mut Context, call: CallId, answer: &StoreAnswer) -> Outcome {
         let Some((_, sent_at)) = self.call.take_if(|(c, _)| *c == call) else {
             return Outcome::Open;
@@ -140,7 +143,7 @@
                 }
             }
             found => {
-                // The base may have come from a peer, with no index of the store.
+                // The base may have come from a peer, without its modification index in the store.
                 self.index = found.map_or(ids::StoreIndex(0), |(_, index)| index);
                 self.write(cx);
                 Outcome::Open
@@ -150,8 +153,8 @@
 
     fn read_back(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
         self.read_at = Some(cx.now + wait);
-        let nobody_yet = self.poll(cx);
-        self.waiting.extend(nobody_yet);
+        let timed_out = self.poll(cx);
+        self.waiting.extend(timed_out);
         Outcome::Open
     }
 
@@ -166,12 +169,12 @@
     }
 }
 
-/// Builds the refusal of a plan whose base is not in force any more.
+/// Builds the refusal of a plan whose base is no longer in force.
 pub fn stale_plan() -> api::Refusal {
     api::Refusal::new(codes::Code::PlanStale, "Another change was accepted first")
 }
 
-/// Builds the refusal of a plan of whose fate nothing is known any more.
+/// Builds the refusal of a plan whose outcome is no longer in the history.
 pub fn unknown_plan_outcome() -> api::Refusal {
     let why = "The history does not reach back to this plan";
     api::Refusal::new(codes::Code::OutcomeUnknown, why)
