--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -1,8 +1,8 @@
-//! What an owner knows of one worker, and until when something may still run there.
+//! What an owner knows about one worker, and until when a run may still be alive on it.
 //!
-//! A lease is counted by the worker's clock from a reading that the owner got back earlier
-//! (`seen`), so a renewal that is delayed in the network or in a frozen process never lasts longer
-//! than the owner reckons. [`Link::alive_until`] is the owner's bound, by its own clock.
+//! A lease is measured on the worker's clock, from a clock reading that the worker returned earlier
+//! (`seen`). So a renewal that is delayed in the network or in a frozen process never lasts longer
+//! than the owner expects. [`Link::alive_until`] is the owner's bound, on its own clock.
 
 use std::collections::BTreeMap;
 
@@ -12,41 +12,43 @@
 
 use crate::context::Context;
 
-/// Unanswered lease requests after which a worker counts as silent.
+/// Consecutive unanswered lease requests after which a worker counts as silent.
 const UNANSWERED_BEFORE_SILENCE: u32 = 3;
-/// How long an unanswered lease request may hinder the next one.
+/// How long an unanswered lease request holds back the next one.
 const LEASE_CALL_TIMEOUT: time::Millis = time::Millis(3_000);
 
-/// What an owner knows of one run.
+/// What an owner knows about one run.
 #[derive(Debug, Clone, Default)]
 pub struct RunView {
-    /// Whether a start command is on its way.
+    /// Whether a start command is unanswered.
     pub in_flight: bool,
-    /// Whether the worker said that it runs, or ran.
+    /// Whether the worker reported that the run has started.
     pub started: bool,
     /// When the next start command may be sent.
     pub retry_at: time::Instant,
-    /// Until when a start command that was sent may still take effect, answered or not: a copy of
-    /// it may be on its way. Until then the worker must not forget the run.
+    /// Until when a start command that was sent may still take effect. That holds for an answered
+    /// command too, since the network may still deliver a duplicate. Until then the worker must not
+    /// forget the run.
     pub valid_until: time::Instant,
-    /// Why the worker refused it.
+    /// Why the worker refused the run.
     pub refused: Option<wire::CommandOutcome>,
-    /// How it stood at the last report.
+    /// The progress at the last report, in milliseconds.
     pub progress_ms: u64,
-    /// Its last reported checkpoint.
+    /// The last reported checkpoint, in milliseconds of work.
     pub checkpoint_ms: u64,
-    /// Whether gaplock is moving it away, and why.
+    /// The reason for the eviction, if gaplock is evicting the run.
     pub evicting: Option<String>,
-    /// The speed that the worker was last told, in thousandths.
+    /// The speed that the worker was last instructed to apply, in thousandths.
     pub speed: u32,
-    /// Whether a stop has been sent, and when it may be repeated.
+    /// When a stop command may be sent (again); zero if none has been sent.
     pub stop_again_at: time::Instant,
-    /// When the worker was first known to have it; a lease request sent later must list it.
+    /// When the owner learned that the worker has the run. The answer to a lease request sent later
+    /// must list the run.
     pub started_at: time::Instant,
 }
 
 impl RunView {
-    /// Notes that the worker has the run.
+    /// Records that the worker has the run.
     pub fn mark_started(&mut self, now: time::Instant) {
         if !self.started {
             self.started = true;
@@ -55,48 +57,49 @@
     }
 }
 
-/// What an owner knows of one worker.
+/// What an owner knows about one worker.
 #[derive(Debug)]
 pub struct Link {
-    /// The worker as the host list shows it.
+    /// The worker's row in the host list.
     pub host: wire::Host,
     /// Its state in `charts/upstream.chart`.
     pub is: upstream::Is,
-    /// Its boot.
+    /// Its boot, which identifies its current incarnation.
     pub boot: Option<wire::Boot>,
-    /// When that boot was first seen.
+    /// When this boot was first seen.
     pub boot_since: time::Instant,
-    /// Its clock as last read, and when the reading came in.
+    /// The last reading of its clock, and when that reading arrived.
     pub seen: Option<(wire::WorkerClock, time::Instant)>,
-    /// Until when runs may be alive under leases that this entry renewed.
+    /// Until when runs may be alive under leases that this entry renewed, on the owner's clock.
     pub alive_until: time::Instant,
-    /// Whether it has answered under this epoch, which fences every former owner there.
+    /// Whether it has answered under this epoch. From then on it refuses all previous owners.
     pub heard: bool,
-    /// When the lease request on its way was sent.
+    /// When the unanswered lease request was sent.
     pub asked_at: Option<time::Instant>,
     /// When the next lease request is due.
     pub next_lease: time::Instant,
-    /// Lease requests without answer, in a row.
+    /// Consecutive lease requests without an answer.
     pub unanswered_leases: u32,
-    /// Since when lease requests have gone without answer; the owner's own silence does not count.
+    /// Since when lease requests have been unanswered. Time in which the owner itself must not send
+    /// any does not count.
     pub missing_since: Option<time::Instant>,
-    /// Ended runs to be acknowledged with the next lease request.
+    /// Ended runs to acknowledge with the next lease request.
     pub acks: Vec<wire::Run>,
-    /// Runs assigned here.
+    /// The runs assigned to this worker.
     pub runs: BTreeMap<wire::Run, RunView>,
-    /// What ran here lately, for matching late measurements.
+    /// What ran on this worker recently, to attribute late measurements.
     pub exposures: interference::ExposureHistory,
-    /// The guard of the services here.
+    /// The tail-latency guard of this worker's services.
     pub guard: guard::TailGuard,
-    /// When the last measurement that was taken in was taken.
+    /// When the last measurement that was applied was taken, on the worker's clock.
     pub usage_taken: wire::WorkerClock,
-    /// Service requests per measurement window, smoothed.
+    /// The smoothed number of service requests per measurement window.
     pub load: f64,
 }
 
 impl Link {
-    /// Builds the link to a worker that has not been heard yet; one that the host list shows as
-    /// leaving begins so, and gets no new work from a new owner either.
+    /// Builds the link to a worker that has not answered yet. A worker that the host list marks as
+    /// leaving starts in that state, so that a new owner gives it no new work either.
     pub fn open(host: wire::Host) -> Self {
         let is = if host.leaving { upstream::Is::Leaving } else { upstream::Is::Unknown };
         Self {
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Moves along the chart; a forbidden event is logged and changes nothing.
+    /// Applies an event to the state machine. A forbidden event is logged and changes nothing.
     pub fn step(&mut self, cx: &mut Context, on: upstream::On, why: &str) {
         match self.is.step(on) {
             Ok(next) if next != self.is => {
@@ -132,12 +135,12 @@
         }
     }
 
-    /// Tells whether new work may go there.
+    /// Returns whether the worker may get new work.
     pub fn usable(&self) -> bool {
         self.is == upstream::Is::Usable && self.seen.is_some()
     }
 
-    /// Tells whether a lease request is due.
+    /// Returns whether a lease request is due.
     pub fn lease_due(&self, cx: &Context) -> bool {
         let open = match self.asked_at {
             None => true,
@@ -146,7 +149,7 @@
         open && cx.now >= self.next_lease
     }
 
-    /// Builds the next lease request and notes until when it may keep runs alive.
+    /// Builds the next lease request and extends [`Self::alive_until`] accordingly.
     pub fn ask(
         &mut self,
         cx: &Context,
@@ -171,14 +174,14 @@
         }
     }
 
-    /// Notes that a command based on the last clock reading may keep runs alive.
+    /// Extends [`Self::alive_until`] for a command that is based on the last clock reading.
     pub fn extend(&mut self, cx: &Context) {
         if let Some((_, read_at)) = self.seen {
             self.alive_until = self.alive_until.max(read_at + cx.certain(cx.timing.task_ttl));
         }
     }
 
-    /// Takes in that a lease request had no answer.
+    /// Handles a lease request that got no answer.
     pub fn missed(&mut self, cx: &mut Context) {
         self.asked_at = None;
         self.count_unanswered(cx);
@@ -192,13 +195,13 @@
         self.missing_since.get_or_insert(cx.now);
     }
 
-    /// Forgets the worker's silence while the owner itself must not ask.
+    /// Clears the worker's silence, because the owner itself must not send lease requests now.
     pub fn pause(&mut self) {
         self.asked_at = None;
         self.missing_since = None;
     }
 
-    /// Takes in a worker's answer under this entry's epoch. Returns whether it has booted anew.
+    /// Handles a worker's answer under this entry's epoch. Returns whether the worker has rebooted.
     pub fn answered(&mut self, cx: &mut Context, reply: &wire::LeaseReply) -> bool {
         self.asked_at = None;
         self.unanswered_leases = 0;
@@ -212,10 +215,10 @@
             self.exposures = interference::ExposureHistory::default();
             self.usage_taken = wire::WorkerClock(0);
         }
-        // An answer that was overtaken by a newer one must not turn the clock back.
+        // An answer that arrives after a newer one must not replace the newer clock reading.
         if rebooted || self.seen.is_none_or(|(clock, _)| clock < reply.clock) {
             self.seen = Some((reply.clock, cx.now));
-            // From now on a command may rest on this reading.
+            // Commands may be based on this reading from now on.
             self.extend(cx);
         }
         self.step(cx, upstream::On::Answer, "it answered");
