--- a/crates/coord/src/state/index.rs
+++ b/crates/coord/src/state/index.rs
@@ -1,4 +1,6 @@
-//! Derived views of a partition's tasks: rebuilt on load, kept up with each change, never stored.
+//! Indexes over a partition's tasks and jobs.
+//!
+//! They are rebuilt on load, updated with each change and never stored.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,25 +9,25 @@
 
 use super::{task_id, PartState};
 
-/// Derived views of the tasks.
+/// Indexes over the tasks and jobs.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(super) struct Index {
     /// Waiting tasks by partner; urgent ones sort first.
     pub(super) queued: BTreeMap<ids::PartnerId, BTreeSet<(bool, ids::TaskId)>>,
     /// Assigned tasks by worker.
     pub(super) by_worker: BTreeMap<ids::WorkerId, BTreeSet<ids::TaskId>>,
-    /// What is reserved by worker.
+    /// The resources reserved on each worker.
     pub(super) reserved: BTreeMap<ids::WorkerId, sizes::Resources>,
-    /// What running batch tasks hold, by partner.
+    /// The resources reserved for assigned tasks, lent ones included, by partner.
     pub(super) held: BTreeMap<ids::PartnerId, sizes::Resources>,
-    /// Tasks lent to other partitions.
+    /// Tasks that are lent to other partitions.
     pub(super) lent: BTreeSet<ids::TaskId>,
-    /// Jobs by submitter and key.
+    /// Job numbers by partner and request key.
     pub(super) keys: BTreeMap<(ids::PartnerId, ids::RequestKey), u64>,
 }
 
 impl PartState {
-    /// Rebuilds the derived views, as after reading a snapshot.
+    /// Rebuilds the indexes, which a snapshot does not contain.
     pub fn rebuild(&mut self, home: ids::PartitionId) {
         self.index = Index::default();
         let numbers: Vec<u64> = self.jobs.keys().copied().collect();
@@ -59,22 +61,22 @@
         self.index.lent.iter().copied()
     }
 
-    /// Returns every worker with assigned tasks.
+    /// Returns all workers with assigned tasks.
     pub fn workers(&self) -> impl Iterator<Item = &ids::WorkerId> {
         self.index.by_worker.keys()
     }
 
-    /// Returns what is reserved on a worker.
+    /// Returns the resources reserved on a worker.
     pub fn reserved(&self, worker: &ids::WorkerId) -> sizes::Resources {
         self.index.reserved.get(worker).copied().unwrap_or_default()
     }
 
-    /// Returns what a partner's batch tasks hold.
+    /// Returns the resources reserved for a partner's assigned tasks, lent ones included.
     pub fn held(&self, partner: &ids::PartnerId) -> sizes::Resources {
         self.index.held.get(partner).copied().unwrap_or_default()
     }
 
-    /// Finds a job by submitter and key.
+    /// Finds a job's number by partner and request key.
     pub fn job_by_key(&self, partner: &ids::PartnerId, key: &ids::RequestKey) -> Option<u64> {
         self.index.keys.get(&(partner.clone(), key.clone())).copied()
     }
