--- a/crates/coord/src/state/mod.rs
+++ b/crates/coord/src/state/mod.rs
@@ -1,6 +1,7 @@
-//! The state of a partition: a deterministic fold of its records.
+//! The state of a partition, derived deterministically by applying its records in order.
 //!
-//! Indexes over the tasks are derived and rebuilt on load, never stored.
+//! So every entry that reads the same journal gets the same state. The indexes over the tasks are
+//! rebuilt on load and never stored.
 
 mod index;
 
@@ -12,7 +13,7 @@
 
 use crate::records::{Entry, Record};
 
-/// A record does not fit the state that it was applied to.
+/// The error of a record that does not fit the state that it was applied to.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("record {record} does not fit: {why}")]
 pub struct ApplyError {
@@ -47,22 +48,22 @@
     pub is: task::Is,
     /// Assignments so far.
     pub attempt: ids::Attempt,
-    /// Where it is assigned.
+    /// Where the task is assigned; `None` if it is not.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub place: Option<Place>,
-    /// Work that is kept.
+    /// The work that the last checkpoint preserves, in milliseconds.
     pub checkpoint_ms: u64,
     /// Evictions so far.
     pub evictions: u32,
     /// Failures so far.
     pub failures: u32,
-    /// Runs in a row under which the worker booted anew soon after the start.
+    /// Consecutive runs whose worker rebooted soon after the run's start.
     #[serde(default)]
     pub crashes: u32,
-    /// Whether it is to end as cancelled once it is proven stopped.
+    /// Whether the task is to end as cancelled once its run has stopped for certain.
     #[serde(default)]
     pub unwanted: bool,
-    /// Why it waits, or how it ended.
+    /// Why the task waits, or how it ended.
     pub why: String,
 }
 
@@ -71,9 +72,9 @@
 pub struct Place {
     /// The worker.
     pub worker: ids::WorkerId,
-    /// The worker's boot.
+    /// The worker's boot, which identifies its current incarnation.
     pub boot: wire::Boot,
-    /// What is reserved there.
+    /// What is reserved on the worker.
     pub reserve: sizes::Resources,
     /// The partition that the task is lent to, in place of a worker.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -85,26 +86,26 @@
 pub struct Job {
     /// The partner.
     pub partner: ids::PartnerId,
-    /// The submitter's key.
+    /// The submitter's request key.
     pub key: ids::RequestKey,
     /// A digest of the submission.
     pub digest: String,
-    /// What it is.
+    /// What kind of task it runs.
     pub kind: wire::TaskKind,
-    /// What one task may hold.
+    /// What one task may use.
     pub demand: sizes::Resources,
-    /// Declared work of one task.
+    /// The declared work of one task, in milliseconds.
     pub work_ms: u64,
-    /// Whether it goes first.
+    /// Whether its tasks go ahead of the partner's other tasks.
     pub urgent: bool,
-    /// When it was stored.
+    /// When it was stored, in milliseconds since 1970.
     pub at_unix_ms: u64,
     /// Its tasks, by index.
     pub tasks: Vec<Task>,
 }
 
 impl Job {
-    /// Tells whether every task has ended.
+    /// Returns whether all tasks have ended.
     pub fn ended(&self) -> bool {
         self.tasks.iter().all(|t| t.is.is_final())
     }
@@ -117,13 +118,13 @@
     pub digest: String,
     /// Who claimed it.
     pub claimer: String,
-    /// When it was claimed.
+    /// When it was claimed, in milliseconds since 1970.
     pub at_unix_ms: u64,
-    /// How it ended, if that is stored.
+    /// How the request ended, if that is stored.
     pub end: Option<api::OnceEnd>,
 }
 
-/// Takes a task off its worker, and keeps why.
+/// Removes a task's place and sets the reason.
 fn clear_place(task: &mut Task, why: &str) {
     task.place = None;
     task.why = why.to_string();
@@ -132,19 +133,19 @@
 /// A partition's state.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PartState {
-    /// The last entry that is folded in.
+    /// The sequence number of the last journal entry that was applied.
     pub seq: ids::Seq,
     /// The owner's epoch.
     pub epoch: ids::Epoch,
     /// The owner.
     pub owner: ids::Member,
-    /// Whether the owner has given the partition up.
+    /// Whether the owner has released the partition.
     pub released: bool,
     /// The next job's number.
     pub next_job: u64,
     /// Jobs by number.
     pub jobs: BTreeMap<u64, Job>,
-    /// Claims by partner and key.
+    /// Claims of requests that must not be repeated, by partner and key.
     pub once: BTreeMap<String, Once>,
     /// Workers that an operator declared dead.
     pub dead: BTreeSet<ids::WorkerId>,
@@ -158,21 +159,22 @@
         self.jobs.get(&id.job.number)?.tasks.get(id.index as usize)
     }
 
-    /// Folds in a whole entry and returns the records that did not fit.
+    /// Applies all records of an entry and returns the errors of those that did not fit.
     ///
-    /// A misfit is a fault of the program. It is left out and the rest goes on, so that one bad
-    /// record never makes a journal unreadable; every fold leaves out the same ones.
+    /// A record that does not fit is a bug in gaplock. It is skipped and the others are applied, so
+    /// that one bad record never makes a journal unreadable. Every replay skips the same records.
     pub fn apply_entry(&mut self, home: ids::PartitionId, entry: &Entry) -> Vec<ApplyError> {
         let apply = |record| self.apply(home, entry.epoch, &entry.owner, record).err();
-        let misfits = entry.records.iter().filter_map(apply).collect();
+        let errors = entry.records.iter().filter_map(apply).collect();
         self.seq = entry.seq;
-        misfits
+        errors
     }
 
-    /// Folds in one record written by `owner` under `epoch`.
+    /// Applies one record that `owner` wrote under `epoch`.
     ///
     /// # Errors
-    /// Returns an error where the record does not fit, as when a state chart forbids its event.
+    /// Returns an error if the record does not fit the state, for example if a state chart forbids
+    /// its event.
     pub fn apply(
         &mut self,
         home: ids::PartitionId,
@@ -220,14 +222,14 @@
         Ok(())
     }
 
-    /// Takes in that the partition has a new owner.
+    /// Sets the partition's new owner.
     fn apply_claim(&mut self, epoch: ids::Epoch, owner: &ids::Member) {
         self.epoch = epoch;
         self.owner = owner.clone();
         self.released = false;
     }
 
-    /// Puts a run at its place.
+    /// Assigns a run to a place.
     fn assign(&mut self, run: &wire::Run, place: Place, record: &Record) -> Result<()> {
         self.step(run.task, task::On::Assign, record, |t| {
             t.attempt = run.attempt;
@@ -236,7 +238,7 @@
         })
     }
 
-    /// Takes a run off its place, by one of the records that do so.
+    /// Applies one of the records that remove a run from its place; ignores all others.
     fn apply_run_end(&mut self, record: &Record) -> Result<()> {
         match record {
             Record::Requeue { run, checkpoint_ms, evicted, failed, crashed, why } => {
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Forgets a job with its caller's key.
+    /// Removes a job and its request key.
     fn forget_job(&mut self, number: u64) {
         if let Some(job) = self.jobs.remove(&number) {
             self.index.keys.remove(&(job.partner, job.key));
@@ -396,7 +398,7 @@
     }
 }
 
-/// Builds the id of a task from its parts.
+/// Builds a task's id from its partition, job number and index.
 pub fn task_id(home: ids::PartitionId, number: u64, index: u32) -> ids::TaskId {
     ids::TaskId { job: ids::JobId { home, number }, index }
 }
