--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -1,12 +1,13 @@
-//! A partition's journal in the platform's store, and the fence that it is.
+//! A partition's journal in the platform's store, which also fences previous owners.
 //!
 //! The journal is a ring of keys. Each commit is one compare-and-swap of the next slot, so of two
-//! owners only one can write a given position, and a claim written there fences everybody whose
-//! next write would have gone to it. No separate lock exists. A snapshot of the fold is written
-//! before the ring comes round; any snapshot is a valid prefix, whoever wrote it.
+//! owners only one can write a given position. A claim written there fences every owner whose next
+//! write would have gone to it, so there is no separate lock. A snapshot of the state is written
+//! before the ring wraps around. Any snapshot covers a valid prefix of the journal, whichever owner
+//! wrote it.
 //!
-//! A write without an answer is never blindly repeated: the slot is read back, and the writer's
-//! own entry there means that it was committed. `docs/DESIGN.md`, section Journal, gives the cost.
+//! A write without an answer is never repeated blindly: the slot is read back, and if it holds the
+//! writer's own entry, the entry is committed. `docs/DESIGN.md`, section Journal, gives the cost.
 
 mod replay;
 mod replies;
@@ -21,31 +22,34 @@
 use crate::records::{Entry, Record};
 use crate::state::PartState;
 
-/// Slots of the ring.
+/// The number of slots in the ring.
 pub const RING_SLOTS: u64 = 64;
-/// The most records that one entry carries; the rest goes with the next one.
+/// The most records that one entry carries; further records go into the next entry.
 const MAX_RECORDS_PER_ENTRY: usize = 800;
+/// How long to wait after a store call without a clear answer, before the next attempt.
 const RETRY_EVERY: time::Millis = time::Millis(300);
 
 pub use replies::{begun_reply, not_owner_reply, After};
 
-/// A record that is not sent yet, with the replies that wait for it.
+/// A record that has not been sent yet, with the replies that wait for its commit.
 #[derive(Debug)]
 struct Pending {
     record: Record,
     after: Vec<After>,
 }
 
+/// The progress of writing an entry.
 #[derive(Debug)]
 enum Phase {
-    /// The write is on its way.
+    /// The write is unanswered.
     Writing(CallId),
-    /// The write had no clear answer; the slot is to be read back.
+    /// The write got no clear answer; the slot is to be read back at this time.
     Unclear(time::Instant),
     /// The slot is being read back.
     Reading(CallId),
 }
 
+/// An entry that has been sent and is not known to be committed, with the waiting replies.
 #[derive(Debug)]
 struct Inflight {
     entry: Entry,
@@ -54,18 +58,18 @@
     since: time::Instant,
 }
 
-/// What an answer led to.
+/// The effect of a store answer on the journal.
 #[derive(Debug, PartialEq)]
 pub enum Outcome {
-    /// Nothing that the partition must know of.
+    /// Nothing that concerns the partition.
     Nothing,
-    /// The claim is committed: the partition is owned from now on.
+    /// The claim is committed: this entry owns the partition from now on.
     Claimed,
     /// An entry is committed.
     Committed(Vec<Record>),
     /// The release is committed.
     Released,
-    /// Somebody else owns the partition.
+    /// Another entry owns the partition.
     Fenced,
 }
 
@@ -75,9 +79,11 @@
     id: ids::PartitionId,
     me: ids::Member,
     is: ownership::Is,
-    /// The fold of everything that is committed.
+    /// The state after all committed entries.
     pub committed: PartState,
+    /// The modification index of each slot.
     slots: Vec<ids::StoreIndex>,
+    /// The modification index of the stored snapshot, and the last sequence number it covers.
     stored_snapshot: (ids::StoreIndex, ids::Seq),
     snapshot_phase: snapshot::Phase,
     loading: Option<CallId>,
@@ -85,11 +91,12 @@
     pending: Vec<Pending>,
     pending_since: time::Instant,
     inflight: Option<Inflight>,
-    /// The read that is to show that nobody else has claimed, and when it was sent.
+    /// The unanswered read that checks whether another entry has claimed, and when it was sent.
     ownership_check: Option<(CallId, time::Instant)>,
-    /// When ownership was last known to stand.
+    /// The latest time at which this entry is known to have owned the partition.
     pub confirmed_at: time::Instant,
-    /// Whether the former owner had released the partition before the claim.
+    /// Whether the previous owner had released the partition before the claim. It is also true if
+    /// there was no previous owner.
     pub was_released: bool,
 }
 
@@ -115,34 +122,34 @@
         }
     }
 
-    /// Returns the state in `charts/ownership.chart`.
+    /// Returns the ownership state, as defined in `charts/ownership.chart`.
     pub fn is(&self) -> ownership::Is {
         self.is
     }
 
-    /// Tells whether this entry owns the partition and may decide.
+    /// Returns whether this entry owns the partition and may make decisions for it.
     pub fn owns(&self) -> bool {
         self.is == ownership::Is::Owner
     }
 
-    /// Returns the epoch that this entry owns the partition under.
+    /// Returns the epoch under which this entry owns the partition.
     pub fn epoch(&self) -> ids::Epoch {
         self.committed.epoch
     }
 
-    /// Tells whether commits go through: nothing has waited longer than the commit timeout.
+    /// Returns whether commits succeed in time: no entry has been in flight for the commit timeout.
     pub fn healthy(&self, cx: &Context) -> bool {
         let limit = cx.timing.commit_timeout;
         self.inflight.as_ref().is_none_or(|i| cx.now.since(i.since) < limit)
     }
 
-    /// Returns since when the release is on its way, answered or not: it may be stored by now.
+    /// Returns when the release was sent, if its commit is not known yet; it may already be stored.
     pub fn release_sent_at(&self) -> Option<time::Instant> {
         let release = |i: &&Inflight| i.entry.records.contains(&Record::Release);
         self.inflight.as_ref().filter(release).map(|i| i.since)
     }
 
-    /// Tells whether records wait to be committed.
+    /// Returns whether records wait to be committed.
     pub fn busy(&self) -> bool {
         self.inflight.is_some() || !self.pending.is_empty()
     }
@@ -154,7 +161,7 @@
         }
     }
 
-    /// Begins to take the partition over.
+    /// Begins to claim the partition, by loading its journal.
     pub fn want(&mut self, cx: &mut Context) {
         if self.is == ownership::Is::Other {
             self.step(cx, ownership::On::Want);
@@ -162,7 +169,7 @@
         }
     }
 
-    /// Adds a record to the next entry; `after` follows its commit.
+    /// Adds a record to the next entry; `after` is carried out after its commit.
     pub fn append(&mut self, cx: &Context, record: Record, after: Option<After>) {
         if self.pending.is_empty() {
             self.pending_since = cx.now;
@@ -170,7 +177,7 @@
         self.pending.push(Pending { record, after: after.into_iter().collect() });
     }
 
-    /// Begins to give the partition up; pending records are committed with the release.
+    /// Begins to release the partition. Pending records are committed with the release.
     pub fn release(&mut self, cx: &mut Context) {
         match self.is {
             ownership::Is::Owner => {
@@ -182,7 +189,7 @@
         }
     }
 
-    /// Drops everything uncommitted and stops being owner; waiting commands are answered.
+    /// Stops being the owner: drops all uncommitted records and answers the waiting commands.
     pub fn give_up(&mut self, cx: &mut Context, on: ownership::On) {
         self.step(cx, on);
         if self.busy() {
@@ -194,7 +201,7 @@
         self.snapshot_phase = snapshot::Phase::Idle;
     }
 
-    /// Does what is due: loads, reads back, snapshots, commits.
+    /// Carries out what is due: loading, reading back, snapshots, commits and the ownership check.
     pub fn poll(&mut self, cx: &mut Context) {
         match self.is {
             ownership::Is::Other => {}
@@ -252,7 +259,7 @@
 
     fn send_entry(&self, cx: &mut Context, entry: &Entry) -> CallId {
         let slot = entry.seq.0 % RING_SLOTS;
-        let value = serde_json::to_vec(entry).expect("plain data serialises");
+        let value = serde_json::to_vec(entry).expect("an entry always serialises to JSON");
         let index = self.slots[slot as usize];
         cx.call(StoreCall::Cas { key: keys::slot(self.id, slot), value, index })
     }
@@ -269,7 +276,7 @@
         }
     }
 
-    /// Takes in the answer to one of this journal's store calls.
+    /// Handles the answer to a store call, if the call was made by this journal.
     pub fn answered(&mut self, cx: &mut Context, call: CallId, answer: &StoreAnswer) -> Outcome {
         if self.loading == Some(call) {
             self.loading = None;
@@ -298,7 +305,7 @@
     fn write_answered(&mut self, cx: &mut Context, answer: &StoreAnswer) -> Outcome {
         match answer {
             StoreAnswer::Written(index) => self.commit(cx, *index),
-            // A conflict may be this writer's own earlier copy, so the slot is read in any case.
+            // The conflict may come from a duplicate of this very write, so the slot is read back.
             StoreAnswer::Conflict => self.schedule_read_back(cx, time::Millis(0)),
             StoreAnswer::Read(_) | StoreAnswer::Unclear => self.schedule_read_back(cx, RETRY_EVERY),
         }
@@ -342,16 +349,17 @@
         let Some(inflight) = self.inflight.take() else { return Outcome::Nothing };
         let Inflight { entry, after, since, .. } = inflight;
         self.slots[(entry.seq.0 % RING_SLOTS) as usize] = index;
-        for misfit in self.committed.apply_entry(self.id, &entry) {
-            cx.note("journal-misfit", self.id.to_string(), misfit.to_string());
+        for error in self.committed.apply_entry(self.id, &entry) {
+            cx.note("journal-misfit", self.id.to_string(), error.to_string());
         }
-        // Ownership stood when the write was sent; by its answer it may have ended again.
+        // The commit proves ownership at the time of sending. By the time of the answer, another
+        // entry may have claimed.
         self.confirmed_at = since;
         for after in after {
             after.answer(cx);
         }
         if entry.records.contains(&Record::Release) {
-            // Nothing may be left over for a later ownership of this process.
+            // No record may be left over: if this process claims again, it would commit the record.
             self.give_up(cx, ownership::On::Released);
             return Outcome::Released;
         }
@@ -385,7 +393,8 @@
             self.give_up(cx, ownership::On::Fenced);
             return Outcome::Fenced;
         }
-        // The answer may be late, as at a process that was frozen: only the question's time counts.
+        // The answer may be late, for example after this process was frozen, so the read proves
+        // ownership only at the time of sending.
         self.confirmed_at = self.confirmed_at.max(sent_at);
         Outcome::Nothing
     }
