--- a/crates/coord/src/journal/replay.rs
+++ b/crates/coord/src/journal/replay.rs
@@ -1,4 +1,6 @@
-//! Reads a partition's snapshot and journal from the store and folds them.
+//! Loads a partition's snapshot and journal from the store.
+//!
+//! An entry that claims a partition rebuilds the state this way, and then writes its claim.
 
 use gaplock_chart::table::ownership;
 use gaplock_types::ids;
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Folds the snapshot and the entries behind it.
+    /// Rebuilds the committed state from the snapshot and the entries after it.
     pub(super) fn replay(&mut self, kvs: &[Kv]) -> Result<(), String> {
         self.committed = PartState::default();
         self.stored_snapshot = (ids::StoreIndex(0), ids::Seq(0));
@@ -62,7 +64,7 @@
             if entry.seq != self.committed.seq.next() {
                 return Err(format!("{} follows {}", entry.seq, self.committed.seq));
             }
-            // Misfits were noted when the entry was committed; every fold leaves out the same.
+            // Records that do not fit were logged at the commit; every replay skips the same ones.
             self.committed.apply_entry(self.id, entry);
         }
         Ok(())
