--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -1,4 +1,6 @@
-//! Writes the fold of a journal before its ring comes round.
+//! Writes a snapshot of the committed state before the journal's ring wraps around.
+//!
+//! A slot that is written again loses its old entry, so a snapshot must cover that entry by then.
 
 use gaplock_chart::table::ownership;
 use gaplock_types::{ids, time};
@@ -9,31 +11,33 @@
 use crate::keys;
 use crate::state::PartState;
 
-/// Entries after which a new snapshot is written.
+/// The number of entries after which a new snapshot is written: half of the ring.
 const SNAPSHOT_EVERY_ENTRIES: u64 = 32;
 
-/// How far the writing of a snapshot is.
+/// The progress of writing a snapshot.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// Nothing is on its way.
+    /// No snapshot is being written.
     Idle,
-    /// It is being written, up to this entry.
+    /// A snapshot that covers the journal up to this sequence number is being written.
     Writing(CallId, ids::Seq),
-    /// The write had no clear answer; it is to be read back then.
+    /// The write got no clear answer; the snapshot is to be read back at this time.
     Unclear(time::Instant),
-    /// It is being read back.
+    /// The snapshot is being read back.
     Reading(CallId),
 }
 
 impl Journal {
     pub(super) fn poll_snapshot(&mut self, cx: &mut Context) {
-        // A successor's snapshot may have been read back, which an older one must not replace.
+        // The snapshot that was read back may be a successor's and newer than this entry's state.
+        // An older one must not replace it.
         let behind = self.committed.seq.0.saturating_sub(self.stored_snapshot.1 .0);
         match self.snapshot_phase {
             Phase::Idle
                 if self.is != ownership::Is::Claiming && behind >= SNAPSHOT_EVERY_ENTRIES =>
             {
-                let value = serde_json::to_vec(&self.committed).expect("plain data serialises");
+                let value = serde_json::to_vec(&self.committed)
+                    .expect("a partition's state always serialises to JSON");
                 let key = keys::snapshot(self.id);
                 let call = cx.call(StoreCall::Cas { key, value, index: self.stored_snapshot.0 });
                 self.snapshot_phase = Phase::Writing(call, self.committed.seq);
