--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, records in the store, and the evidence that they are for the configuration.
+//! Heartbeats and membership records, and the evidence they give that the configuration is current.
 
 use gaplock_types::{api, ids, time};
 
@@ -30,17 +30,18 @@
             return;
         }
         self.next_refresh = cx.now + cx.timing.member_refresh;
-        self.beat += 1;
+        self.refreshes += 1;
         let record = MemberRecord {
             member: self.me.clone(),
             addr: self.addr.clone(),
             domain: self.domain.clone(),
-            beat: self.beat,
+            beat: self.refreshes,
         };
-        let value = serde_json::to_vec(&record).expect("plain data serialises");
+        let value =
+            serde_json::to_vec(&record).expect("a membership record always serialises to JSON");
         let key = keys::member(&self.me.entry);
         let index = self.my_index;
-        if !self.stopping || self.beat == 1 {
+        if !self.stopping || self.refreshes == 1 {
             let call = cx.call(StoreCall::Cas { key, value, index });
             self.refresh_call = Some((call, cx.now));
         }
@@ -88,8 +89,8 @@
         self.members.handle_heartbeat(cx.now, beat);
     }
 
-    /// A majority of all entries, none of which knows a newer generation, is evidence that the
-    /// configuration is the newest.
+    /// Records evidence that the configuration is the newest, if heartbeats arrive from a majority
+    /// of all entries and no peer has reported a newer generation.
     pub(super) fn check_majority_evidence(&mut self, cx: &mut Context) {
         let mine = self.generations.generation();
         let newer_heard = self
@@ -98,7 +99,7 @@
             .values()
             .filter_map(|p| p.beat.as_ref())
             .any(|b| b.generation > mine);
-        // Before the first answer of the store the list of entries is not known at all.
+        // Before the store's first answer the entries are unknown, and so is what a majority is.
         let knows_entries = !self.members.peers.is_empty();
         if knows_entries && !newer_heard && self.members.hears_majority(cx.now, &cx.timing) {
             self.generations.record_majority_evidence(cx.now);
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -1,7 +1,8 @@
 //! One entry: its partitions, its view of the other entries, and its configuration.
 //!
 //! [`Node::handle`] takes one event and leaves actions in the context. The daemon drives it with
-//! real time and sockets, the soak with a seed; nothing here knows the difference.
+//! real time and sockets, the soak test with simulated time from a seed. The code is the same for
+//! both.
 
 mod configuration;
 mod membership;
@@ -21,7 +22,7 @@
 use crate::members::Members;
 use crate::partition::Partition;
 
-/// Something that happened.
+/// An event that the driver delivers to the entry.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// Time has passed.
@@ -48,20 +49,20 @@
     },
     /// The host list was read.
     Hosts(Vec<wire::Host>),
-    /// A peer's heartbeat came.
+    /// A peer's heartbeat arrived.
     Beat(api::Heartbeat),
-    /// A peer released a partition for this entry.
+    /// A peer released a partition, so that this entry can claim it.
     HandOver(ids::PartitionId),
-    /// A command for a partition came.
+    /// A command for a partition arrived.
     Command {
         /// The partition.
         partition: ids::PartitionId,
-        /// Marks the reply.
+        /// Identifies the reply.
         id: ReplyId,
         /// The command.
         command: api::Command,
     },
-    /// The store's configuration was read by a call sent at `sent_at`.
+    /// The configuration in the store was read.
     Config {
         /// When the call was sent.
         sent_at: time::Instant,
@@ -70,18 +71,18 @@
     },
     /// A peer sent the document that it has in force.
     PeerConfig(Document),
-    /// Another partition's owner told how a lent run stands.
+    /// The owner of another partition reported the state of a lent run.
     LoanTold {
         /// The lending partition.
         partition: ids::PartitionId,
-        /// The lender's run.
+        /// The run, as the lending partition identifies it.
         run: wire::Run,
-        /// What was told.
+        /// The report.
         reply: api::Reply,
     },
     /// An operator confirms a plan.
     Confirm {
-        /// Marks the reply.
+        /// Identifies the reply.
         id: ReplyId,
         /// The plan.
         plan: Box<api::Plan>,
@@ -97,18 +98,18 @@
         /// Why.
         verdict: wire::CommandOutcome,
     },
-    /// The process is to stop: everything is handed over.
+    /// The process is to stop; all its partitions are handed over to peers.
     Stop,
 }
 
-/// Where a partition's owner is.
+/// Which entry owns a partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Located {
     /// This entry owns it.
     Here,
     /// A peer owns it.
     Peer(ids::EntryId),
-    /// Nobody is known to own it.
+    /// No entry is known to own it.
     Nowhere,
 }
 
@@ -127,31 +128,31 @@
     check: EntryCheck,
     confirmation: Option<Confirmation>,
     started_at: Option<time::Instant>,
-    /// The entries that may own partitions, and since when they are these.
+    /// The entries that may own partitions, as of the last tick, and since when these are the same.
     eligible_entries: Vec<ids::EntryId>,
     eligible_since: time::Instant,
     stopping: bool,
     next_beat: time::Instant,
     next_refresh: time::Instant,
     /// Refreshes of this entry's record so far.
-    beat: u64,
+    refreshes: u64,
     refresh_call: Option<(CallId, time::Instant)>,
     list_call: Option<(CallId, time::Instant)>,
-    /// The index of this entry's record in the store.
+    /// The modification index of this entry's record in the store.
     my_index: ids::StoreIndex,
-    /// Whether the store's list of entries has been read since the start.
+    /// Whether the membership records have been read from the store since the start.
     listed: bool,
     /// When the latest store call that succeeded was sent.
     store_ok_at: Option<time::Instant>,
     /// When a peer may be asked for its configuration again.
     fetch_at: time::Instant,
-    /// Partitions that are being released, with the entry that each is for.
+    /// Partitions that are being released, with the entry that is to claim each.
     pending_handovers: BTreeMap<ids::PartitionId, ids::EntryId>,
     load: Vec<api::ServiceLoad>,
 }
 
 impl Node {
-    /// Builds an entry that owns nothing yet.
+    /// Builds an entry that owns no partition yet.
     pub fn open(me: ids::Member, addr: String, domain: ids::DomainId, layout: Layout) -> Self {
         let partitions =
             layout.partitions().map(|id| (id, Partition::open(id, me.clone()))).collect();
@@ -172,7 +173,7 @@
             stopping: false,
             next_beat: time::Instant(0),
             next_refresh: time::Instant(0),
-            beat: 0,
+            refreshes: 0,
             refresh_call: None,
             list_call: None,
             my_index: ids::StoreIndex(0),
@@ -200,24 +201,25 @@
         owned.map(|p| (p.id, p.epoch())).collect()
     }
 
-    /// Tells whether every partition has been handed over, after a stop.
+    /// Returns whether all partitions have been handed over, after a stop.
     pub fn handed_over(&self) -> bool {
         self.partitions.values().all(|p| p.is() == ownership::Is::Other)
     }
 
-    /// Tells whether the store answered within the members' lease.
+    /// Returns whether the store answered recently: to a call sent within one membership lease plus
+    /// one refresh interval.
     pub fn store_ok(&self, cx: &Context) -> bool {
         let limit = cx.timing.member_ttl.0 + cx.timing.member_refresh.0;
         self.store_ok_at.is_some_and(|at| cx.now.since(at).0 < limit)
     }
 
-    /// Tells whether the balancer may send callers here.
+    /// Returns whether the load balancer may send callers to this entry.
     pub fn ready(&self, cx: &Context) -> bool {
         !self.stopping && self.generations.fresh(cx) && self.knows_services(cx)
     }
 
-    /// Tells whether this entry knows where services run: it has heard every entry in the store's
-    /// list, or has waited long enough for those that live.
+    /// Returns whether this entry knows where services run. It does once it has heartbeats of all
+    /// peers in the store's list, or has waited one membership lease for those that are alive.
     fn knows_services(&self, cx: &Context) -> bool {
         let Some(started) = self.started_at else { return false };
         let waited = cx.now.since(started) >= cx.timing.member_ttl;
@@ -245,7 +247,7 @@
         counts
     }
 
-    /// Sets what the next heartbeats say about free slots.
+    /// Sets the free slots that the next heartbeats report.
     pub fn set_load(&mut self, load: Vec<api::ServiceLoad>) {
         self.load = load;
     }
@@ -253,7 +255,7 @@
     /// Handles one event; actions are left in the context.
     pub fn handle(&mut self, cx: &mut Context, event: Event) {
         self.dispatch(cx, event);
-        // Peers look for free slots in heartbeats, so a change of slots hastens the next one.
+        // Peers learn of free slots from heartbeats, so a change of slots is sent immediately.
         if cx.actions.iter().any(|a| matches!(a, Action::Offer(_) | Action::ClosePartition(_))) {
             self.next_beat = cx.now;
         }
@@ -309,7 +311,7 @@
         }
     }
 
-    /// Hands a command to its partition.
+    /// Passes a command to its partition.
     fn command(
         &mut self,
         cx: &mut Context,
