--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -1,4 +1,7 @@
-//! Which partitions this entry claims, releases and hands over, and what each is to run.
+//! Determines which partitions this entry claims, releases and hands over, and what each is to run.
+//!
+//! Each entry computes the same assignment from the entries that it sees alive. The journal decides
+//! if their views differ.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +29,8 @@
             let want = wanted.get(&id);
             let mine = want == Some(&self.me.entry);
             let owns = self.partitions.get(&id).is_some_and(Partition::owns);
-            // A release that cannot be stored would only keep the owner from starting anything.
+            // Without the store, a release cannot be stored, and meanwhile the owner could not
+            // start anything. So it keeps the partition, unless this process stops.
             if owns && !mine && ((settled && store_ok) || self.stopping) {
                 self.release(cx, id, want.cloned());
             } else if !owns && mine && store_ok && settled && self.may_claim(cx, id) {
@@ -37,7 +41,8 @@
         }
     }
 
-    /// Tells whether a partition that this entry should own has no living owner.
+    /// Returns whether this entry may claim a partition that it should own: no living peer owns it,
+    /// or the owner has not reached the store for a membership lease.
     pub(super) fn may_claim(&self, cx: &Context, id: ids::PartitionId) -> bool {
         let started = self.started_at.unwrap_or(cx.now);
         if cx.now.since(started) < cx.timing.member_ttl {
@@ -45,7 +50,7 @@
         }
         match self.members.owner_of(cx.now, &cx.timing, id) {
             None => true,
-            // A living owner hands over by itself, unless it does not reach the store.
+            // A living owner hands over on its own, unless it does not reach the store.
             Some((entry, _)) => self.members.peers.get(&entry).is_some_and(|p| {
                 p.store_unreachable_since
                     .is_some_and(|since| cx.now.since(since) >= cx.timing.member_ttl)
@@ -96,17 +101,18 @@
     }
 
     pub(super) fn free_capacity(&self) -> Vec<api::FreeCapacity> {
-        let room = |p: &Partition| p.room().map(|free| api::FreeCapacity { partition: p.id, free });
-        self.partitions.values().filter_map(room).collect()
+        let report =
+            |p: &Partition| p.room().map(|free| api::FreeCapacity { partition: p.id, free });
+        self.partitions.values().filter_map(report).collect()
     }
 
-    /// Gathers which partitions could take lent tasks, here and at the peers.
+    /// Collects the partitions that could take lent tasks, of this entry and of its peers.
     pub(super) fn collect_free_capacity(&mut self, cx: &mut Context) {
         cx.rooms = self.free_capacity().into_iter().map(|r| (r.partition, r.free)).collect();
         for (entry, peer) in &self.members.peers {
             let heard = self.members.heard(cx.now, &cx.timing, entry);
-            let rooms = peer.beat.iter().filter(|_| heard).flat_map(|b| b.rooms.iter());
-            cx.rooms.extend(rooms.map(|r| (r.partition, r.free)));
+            let reports = peer.beat.iter().filter(|_| heard).flat_map(|b| b.rooms.iter());
+            cx.rooms.extend(reports.map(|r| (r.partition, r.free)));
         }
     }
 }
