--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -1,4 +1,6 @@
-//! Puts configurations in force and carries confirmed plans into the store.
+//! Puts configurations in force and writes confirmed plans to the store.
+//!
+//! One entry writes one plan at a time; a repeated confirmation gets the outcome of the first.
 
 use gaplock_policy::attempts::Execution;
 use gaplock_types::{api, codes};
@@ -9,7 +11,7 @@
 use crate::intent::{self, Confirmation};
 
 impl Node {
-    /// Tells how far the generation in force here has come.
+    /// Returns which entries have the generation that is in force here, and which do not yet.
     pub fn config_status(&self, cx: &Context) -> api::ConfigStatus {
         let generation = self.generations.generation();
         let mut in_force = vec![self.me.entry.clone()];
@@ -71,8 +73,8 @@
         self.confirmation = Some(Confirmation::open(cx, id, &self.generations, plan, by));
     }
 
-    /// Returns the refusal of a plan that cannot be confirmed here now, where this entry cannot say
-    /// either what became of an earlier confirmation of it.
+    /// Returns the refusal of a plan that cannot be confirmed here now. The caller has checked that
+    /// this entry does not know the outcome of an earlier confirmation of the plan either.
     fn confirmation_refusal(&self, plan: &api::Plan) -> Option<api::Refusal> {
         let in_force = self.generations.generation();
         if plan.base > in_force {
@@ -89,8 +91,8 @@
 
     pub(super) fn poll_confirmation(&mut self, cx: &mut Context) {
         let Some(confirmation) = &mut self.confirmation else { return };
-        let late = confirmation.poll(cx);
-        for id in late {
+        let timed_out = confirmation.poll(cx);
+        for id in timed_out {
             let why = "The store did not confirm the change in time; confirm the same plan again";
             let refusal = api::Refusal::new(codes::Code::OutcomeUnknown, why);
             cx.actions.push(Action::Confirmed { id, outcome: Err(refusal) });
@@ -105,7 +107,7 @@
         let outcome = match outcome {
             intent::Outcome::Open => return,
             intent::Outcome::Stored(sent_at, doc, index) => {
-                // The answer may be late, so it shows what was newest when the call was sent.
+                // The answer may be late, so it proves only what was newest when the call was sent.
                 if self.generations.read(sent_at, Some((*doc, index))) {
                     self.put_in_force(cx);
                 }
