--- a/crates/coord/tests/journal.rs
+++ b/crates/coord/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal as a fence: lost answers, two owners, the ring coming round.
+//! Tests of the journal's fencing: lost answers, two owners, and wrap-around of the ring.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use gaplock_types::ids;
 use gaplock_types::time::Millis;
 
-/// A store of a few lines: keys with indexes.
+/// A minimal in-memory store: keys with values and modification indexes.
 #[derive(Default)]
 struct Store {
     keys: BTreeMap<String, (Vec<u8>, u64)>,
@@ -65,8 +65,9 @@
         actions.into_iter().filter_map(store).collect()
     }
 
-    /// Serves every call until nothing is left; `lose` says which writes' answers are lost.
-    fn settle(&mut self, store: &mut Store, mut lose: impl FnMut() -> bool) -> Vec<Outcome> {
+    /// Polls the journal and serves its store calls, for 50 rounds. For each write, `lose` returns
+    /// whether its answer is lost.
+    fn serve_calls(&mut self, store: &mut Store, mut lose: impl FnMut() -> bool) -> Vec<Outcome> {
         let mut outcomes = Vec::new();
         for _ in 0..50 {
             self.cx.now = self.cx.now + Millis(400);
@@ -84,7 +85,7 @@
 
     fn claim(&mut self, store: &mut Store) -> Vec<Outcome> {
         self.journal.want(&mut self.cx);
-        self.settle(store, || false)
+        self.serve_calls(store, || false)
     }
 
     fn append(&mut self, n: u64) {
@@ -105,7 +106,7 @@
     a.append(1);
     let writes_before = store.index;
     let mut first = true;
-    let outcomes = a.settle(&mut store, || std::mem::take(&mut first));
+    let outcomes = a.serve_calls(&mut store, || std::mem::take(&mut first));
     assert!(matches!(outcomes.as_slice(), [Outcome::Committed(_)]), "{outcomes:?}");
     assert_eq!(store.index, writes_before + 1);
     assert!(a.journal.committed.once.contains_key("k1"));
@@ -120,22 +121,25 @@
     for (call, _never_served) in a.calls() {
         a.journal.answered(&mut a.cx, call, &StoreAnswer::Unclear);
     }
-    let outcomes = a.settle(&mut store, || false);
+    let outcomes = a.serve_calls(&mut store, || false);
     assert!(matches!(outcomes.as_slice(), [Outcome::Committed(_)]), "{outcomes:?}");
 }
 
 #[test]
-fn a_successor_fences_the_former_owner_whatever_that_believes() {
+fn a_successor_fences_a_previous_owner_that_does_not_know_of_it() {
     let (mut store, mut a, mut b) = (Store::default(), owner("a"), owner("b"));
     a.claim(&mut store);
     a.append(1);
-    a.settle(&mut store, || false);
+    a.serve_calls(&mut store, || false);
     assert_eq!(b.claim(&mut store), [Outcome::Claimed]);
     assert!(b.journal.epoch() > a.journal.epoch());
-    assert!(b.journal.committed.once.contains_key("k1"), "the successor has what was committed");
-    // The former owner was frozen and knows nothing of it.
+    assert!(
+        b.journal.committed.once.contains_key("k1"),
+        "the successor has the committed record k1"
+    );
+    // The previous owner was frozen and does not know of the claim.
     a.append(2);
-    assert_eq!(a.settle(&mut store, || false), [Outcome::Fenced]);
+    assert_eq!(a.serve_calls(&mut store, || false), [Outcome::Fenced]);
     assert!(!a.journal.owns() && b.journal.owns());
     let mut c = owner("c");
     c.claim(&mut store);
@@ -143,16 +147,16 @@
 }
 
 #[test]
-fn an_idle_former_owner_finds_out_as_well() {
+fn an_idle_previous_owner_learns_that_it_is_fenced() {
     let (mut store, mut a, mut b) = (Store::default(), owner("a"), owner("b"));
     a.claim(&mut store);
     b.claim(&mut store);
     a.cx.now = a.cx.now + Millis(20_000);
-    assert_eq!(a.settle(&mut store, || false), [Outcome::Fenced]);
+    assert_eq!(a.serve_calls(&mut store, || false), [Outcome::Fenced]);
 }
 
 #[test]
-fn of_two_claimers_one_wins() {
+fn of_two_concurrent_claims_exactly_one_is_committed() {
     let (mut store, mut a, mut b) = (Store::default(), owner("a"), owner("b"));
     a.journal.want(&mut a.cx);
     b.journal.want(&mut b.cx);
@@ -170,14 +174,14 @@
 }
 
 #[test]
-fn the_ring_comes_round_without_losing_a_record() {
+fn the_ring_wraps_around_without_losing_a_record() {
     let (mut store, mut a) = (Store::default(), owner("a"));
     a.claim(&mut store);
     let count = 3 * RING_SLOTS + 5;
     for n in 0..count {
         a.append(n);
-        // Every fifth answer is lost, of snapshots too.
-        a.settle(&mut store, || n % 5 == 0 && n % 2 == 0);
+        // For every tenth record, the answers to all writes are lost, those of snapshots included.
+        a.serve_calls(&mut store, || n % 5 == 0 && n % 2 == 0);
     }
     let mut b = owner("b");
     b.claim(&mut store);
@@ -187,15 +191,15 @@
 }
 
 #[test]
-fn a_release_leaves_nothing_for_a_later_ownership() {
+fn no_record_is_left_over_from_a_release_to_a_later_ownership() {
     let (mut store, mut a) = (Store::default(), owner("a"));
     a.claim(&mut store);
     a.journal.release(&mut a.cx);
     a.journal.poll(&mut a.cx);
-    // Added while the release is on its way, as a worker's late report once was.
+    // Records are added while the release is in flight, as happens with a worker's late report.
     a.append(9);
     a.append(10);
-    let outcomes = a.settle(&mut store, || false);
+    let outcomes = a.serve_calls(&mut store, || false);
     assert_eq!(outcomes, [Outcome::Released]);
     assert_eq!(a.claim(&mut store), [Outcome::Claimed]);
     assert!(a.journal.was_released);
