--- a/crates/coord/tests/confirmations.rs
+++ b/crates/coord/tests/confirmations.rs
@@ -1,11 +1,15 @@
-//! What a confirmation of a plan is told when its write was repeated or confirmed elsewhere too.
+//! Tests of the answer to a confirmation that is repeated or made at several entries.
 //!
-//! Seen: by reading, not in a run. A plan whose write was carried out late was refused as stale
-//! once the next plan was stored on top of it; a plan confirmed at two entries was put in force at
-//! one with the other's name and time missing; a repeat of a confirmation was refused as stale as
-//! soon as a newer plan was in force, or where the entry itself was behind. Cause: the newest
-//! document was read as the fate of the plan, and the plan's id as proof of the whole document.
-//! Proof: the tests below failed before and hold since.
+//! They guard against these failures:
+//! - A plan whose write is carried out late is refused as stale once the next plan is stored on top
+//!   of it.
+//! - A plan is confirmed at two entries, and one of them puts its own document in force, without
+//!   the name and time that the other stored.
+//! - A repeated confirmation is refused as stale because a newer plan is in force, or because the
+//!   entry itself is behind.
+//!
+//! They come about if the newest document alone is taken for the outcome of the plan, or if the
+//! plan's id is taken as proof that the whole document is the stored one.
 
 use gaplock_coord::action::{Action, CallId, Kv, ReplyId, StoreAnswer, StoreCall};
 use gaplock_coord::assign::Layout;
@@ -16,7 +20,7 @@
 use gaplock_types::time::Millis;
 use gaplock_types::{api, codes, config, ids};
 
-/// Longer than the wait before a write without an answer is read back.
+/// Longer than the wait before an unanswered write is read back.
 const READ_BACK: Millis = Millis(400);
 
 struct Entry {
@@ -35,7 +39,7 @@
     }
 }
 
-/// Returns the documents of plans that were stored one on the other.
+/// Returns the document that results from plans stored one on top of the other.
 fn stored(plans: &[api::Plan], by: &str) -> Document {
     let mut doc = Document::default();
     for plan in plans {
@@ -45,7 +49,7 @@
 }
 
 impl Entry {
-    /// Builds an entry that reaches the store, alone, with `doc` in force.
+    /// Builds an entry without peers that reaches the store and has `doc` in force.
     fn open(doc: &Document) -> Self {
         let me = ids::Member { entry: "a".into(), incarnation: ids::Incarnation(1) };
         let layout = Layout { domains: Vec::new(), slices: 1 };
@@ -67,7 +71,7 @@
         self.node.handle(&mut self.cx, event);
     }
 
-    /// Takes the call about the configuration that is under way.
+    /// Takes the first store call about the configuration from the actions.
     fn take_call(&mut self) -> Option<(CallId, StoreCall)> {
         let about_config = |action| match action {
             Action::Store { call, req } => match &req {
@@ -85,7 +89,7 @@
         self.node.handle(&mut self.cx, Event::Store { call, answer });
     }
 
-    /// Leaves the write without an answer, and answers its reading back with `doc`.
+    /// Loses the answer to the write, and answers the read-back with `doc`.
     fn lose_and_read_back(&mut self, doc: &Document) {
         let (write, _) = self.take_call().expect("the plan is being written");
         self.answer(write, StoreAnswer::Unclear);
@@ -98,17 +102,17 @@
     }
 
     fn outcome(&mut self, wanted: u64) -> Result<u64, codes::Code> {
-        let told = |action| match action {
+        let answer = |action| match action {
             Action::Confirmed { id: ReplyId(id), outcome } if id == wanted => Some(outcome),
             _ => None,
         };
-        let outcome = std::mem::take(&mut self.cx.actions).into_iter().find_map(told);
-        outcome.expect("the operator is answered").map(|g| g.0).map_err(|r| r.result_code())
+        let outcome = std::mem::take(&mut self.cx.actions).into_iter().find_map(answer);
+        outcome.expect("the operator gets an answer").map(|g| g.0).map_err(|r| r.result_code())
     }
 }
 
 #[test]
-fn a_plan_that_was_stored_is_not_refused_because_another_came_on_top_of_it() {
+fn a_stored_plan_is_not_refused_because_a_newer_plan_builds_on_it() {
     let mut a = Entry::open(&Document::default());
     let (mine, next) = (plan("mine", 0), plan("next", 1));
     a.confirm(1, &mine);
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn a_plan_that_lost_to_another_is_refused() {
+fn a_plan_is_refused_if_another_plan_was_stored_first() {
     let mut a = Entry::open(&Document::default());
     a.confirm(1, &plan("mine", 0));
     a.lose_and_read_back(&stored(&[plan("other", 0)], "bor"));
@@ -126,11 +130,11 @@
 }
 
 #[test]
-fn the_document_in_force_is_the_one_that_is_stored() {
+fn the_document_in_force_is_the_stored_one() {
     let mut a = Entry::open(&Document::default());
     let mine = plan("mine", 0);
     a.confirm(1, &mine);
-    // The same plan was confirmed at another entry, whose write came first.
+    // The same plan was confirmed at another entry, whose write was stored first.
     let found = stored(&[mine], "bor");
     a.lose_and_read_back(&found);
     assert_eq!(a.outcome(1), Ok(1));
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn a_repeated_confirmation_is_answered_by_the_history() {
+fn a_repeated_confirmation_is_answered_from_the_history() {
     let (mine, next) = (plan("mine", 0), plan("next", 1));
     let mut a = Entry::open(&stored(&[mine.clone(), next], "ana"));
     a.confirm(1, &mine);
@@ -146,14 +150,14 @@
 }
 
 #[test]
-fn an_entry_that_is_behind_says_nothing_of_a_plans_fate() {
+fn an_entry_that_is_behind_does_not_refuse_a_plan_as_stale() {
     let mut a = Entry::open(&Document::default());
     a.confirm(1, &plan("ahead", 5));
     assert_eq!(a.outcome(1), Err(codes::Code::NotReady));
 }
 
 #[test]
-fn a_stored_plan_is_evidence_of_freshness_only_as_of_its_sending() {
+fn a_stored_plan_is_evidence_of_freshness_only_as_of_the_time_of_sending() {
     let mut a = Entry::open(&Document::default());
     a.confirm(1, &plan("mine", 0));
     let (write, _) = a.take_call().expect("the plan is being written");
