--- a/crates/coord/tests/late_answers.rs
+++ b/crates/coord/tests/late_answers.rs
@@ -1,12 +1,13 @@
-//! What an answer that comes late, or that speaks of a repeat, may prove to a journal's owner.
+//! Tests of what the owner of a journal may conclude from late answers and about repeated commands.
 //!
-//! Seen: by reading, not in a run. A repeat that waits behind records not yet sent was refused as
-//! never taken, though its first try was under way at the store; and ownership was dated by the
-//! arrival of a read's answer, which may have lain for seconds at a frozen process. And, in a run
-//! on virtual time: a former owner that read its successor's snapshot back counted how far it was
-//! behind below zero. Cause: one list of waiting replies for records sent and not sent, the time of
-//! the answer for that of the question, and a snapshot taken for this owner's own. Proof: the tests
-//! below failed before and hold since.
+//! They guard against these failures:
+//! - A repeated command that waits behind unsent records is refused as never accepted, although the
+//!   write of its first attempt is unanswered. It comes about if sent and unsent records share one
+//!   list of waiting replies.
+//! - Ownership is dated by the arrival of a read's answer, which may be seconds late at a frozen
+//!   process, instead of by the time at which the read was sent.
+//! - A previous owner reads back its successor's snapshot, takes it for its own, and the number of
+//!   entries since the snapshot underflows.
 
 use gaplock_coord::action::{Action, CallId, Kv, ReplyId, StoreAnswer, StoreCall};
 use gaplock_coord::context::{Context, Timing};
@@ -15,7 +16,7 @@
 use gaplock_types::time::Millis;
 use gaplock_types::{api, codes, ids};
 
-/// More records than one entry carries.
+/// More records than one journal entry can carry.
 const MORE_THAN_ONE_ENTRY: u64 = 900;
 
 struct Owner {
@@ -42,7 +43,7 @@
             Action::Store { call, req } => Some((call, req)),
             _ => None,
         });
-        calls.next().expect("a call to the store is under way")
+        calls.next().expect("a store call has been requested")
     }
 
     fn answer(&mut self, answer: &StoreAnswer) -> Outcome {
@@ -50,7 +51,7 @@
         self.journal.answered(&mut self.cx, call, answer)
     }
 
-    /// Adds a claim of a request, whose sender waits for reply `n`.
+    /// Appends the claim of a request whose sender waits for reply `n`.
     fn append(&mut self, n: u64) {
         let record = Record::OnceClaim {
             id: format!("k{n}"),
@@ -62,10 +63,10 @@
         self.journal.append(&self.cx, record, Some(after));
     }
 
-    /// Lets another owner's entry be found in the slot that a write is under way to.
+    /// Answers the unanswered write with a conflict, and its read-back with another owner's entry.
     fn fence(&mut self) {
-        let unclear = StoreAnswer::Conflict;
-        assert_eq!(self.answer(&unclear), Outcome::Nothing);
+        let conflict = StoreAnswer::Conflict;
+        assert_eq!(self.answer(&conflict), Outcome::Nothing);
         let other = ids::Member { entry: "b".into(), incarnation: ids::Incarnation(2) };
         let entry = gaplock_coord::records::Entry {
             seq: ids::Seq(1_000),
@@ -80,34 +81,34 @@
         assert_eq!(self.journal.answered(&mut self.cx, call, &answer), Outcome::Fenced);
     }
 
-    /// Returns by reply whether the work may have run.
-    fn told(&mut self) -> Vec<(u64, codes::Ran)> {
+    /// Returns for each refused command whether its work may have run.
+    fn refusals(&mut self) -> Vec<(u64, codes::Ran)> {
         let refused = |action| match action {
             Action::Reply { id, reply: api::Reply::Refused(r) } => Some((id.0, r.ran)),
             _ => None,
         };
-        let mut told: Vec<_> = self.cx.actions.drain(..).filter_map(refused).collect();
-        told.sort_by_key(|(id, _)| *id);
-        told
+        let mut refusals: Vec<_> = self.cx.actions.drain(..).filter_map(refused).collect();
+        refusals.sort_by_key(|(id, _)| *id);
+        refusals
     }
 }
 
 #[test]
-fn a_repeat_is_not_refused_as_never_taken_while_its_first_try_is_under_way() {
+fn a_repeat_is_not_refused_as_not_run_while_its_first_attempt_is_unanswered() {
     let mut a = Owner::open();
     a.append(1);
     a.journal.poll(&mut a.cx);
-    let write = a.cx.actions.pop().expect("the first record is being written");
+    let write = a.cx.actions.pop().expect("the write of the first record has been requested");
     a.append(2);
     a.journal.reply_after_commit(&mut a.cx, ReplyId(3), api::Reply::Granted);
     a.cx.actions.push(write);
     a.fence();
-    let told = a.told();
-    assert_eq!(told, [(1, codes::Ran::Unknown), (2, codes::Ran::No), (3, codes::Ran::Unknown)]);
+    let refusals = a.refusals();
+    assert_eq!(refusals, [(1, codes::Ran::Unknown), (2, codes::Ran::No), (3, codes::Ran::Unknown)]);
 }
 
 #[test]
-fn what_was_sent_is_not_refused_as_never_taken_because_more_waits_behind_it() {
+fn a_sent_record_is_not_refused_as_not_run_because_more_records_wait() {
     let mut a = Owner::open();
     for n in 0..MORE_THAN_ONE_ENTRY {
         a.append(n);
@@ -119,15 +120,18 @@
     assert!(matches!(outcome, Outcome::Committed(_)));
     let granted = |a: &Action| matches!(a, Action::Reply { reply: api::Reply::Granted, .. });
     let answered = a.cx.actions.iter().filter(|a| granted(a)).count() as u64;
-    assert!(answered > 0, "what is committed is answered, whatever waits behind it");
+    assert!(answered > 0, "committed records are answered although more records wait");
     a.fence();
-    let told = a.told();
-    assert_eq!(told.len() as u64, MORE_THAN_ONE_ENTRY - answered);
-    assert!(told.iter().all(|(_, ran)| *ran == codes::Ran::Unknown), "all of them were sent");
+    let refusals = a.refusals();
+    assert_eq!(refusals.len() as u64, MORE_THAN_ONE_ENTRY - answered);
+    assert!(
+        refusals.iter().all(|(_, ran)| *ran == codes::Ran::Unknown),
+        "all refused records were sent"
+    );
 }
 
 #[test]
-fn ownership_is_dated_by_the_question_and_not_by_its_late_answer() {
+fn ownership_is_dated_by_the_sending_of_the_read_and_not_by_its_late_answer() {
     let mut a = Owner::open();
     a.cx.now = a.cx.now + a.cx.timing.confirm_every;
     let asked_at = a.cx.now;
@@ -142,7 +146,7 @@
 fn a_newer_snapshot_by_a_successor_is_not_overwritten() {
     let mut a = Owner::open();
     let mut index = 1;
-    // Enough entries for a snapshot, whose writing gets no answer.
+    // Commits entries until a snapshot is written. That write is not answered yet.
     let snapshot = loop {
         index += 1;
         a.append(index);
@@ -157,7 +161,7 @@
     };
     a.journal.answered(&mut a.cx, snapshot, &StoreAnswer::Conflict);
     a.journal.poll(&mut a.cx);
-    // The successor's snapshot is found; this owner does not know of it yet.
+    // The read-back finds a successor's snapshot; this owner does not know of the successor yet.
     let mut newer = a.journal.committed.clone();
     newer.seq = ids::Seq(newer.seq.0 + 5);
     let value = serde_json::to_vec(&newer).unwrap();
@@ -168,5 +172,5 @@
     let writes = a.cx.actions.iter().filter(|action| {
         matches!(action, Action::Store { req: StoreCall::Cas { index, .. }, .. } if index.0 == 999)
     });
-    assert_eq!(writes.count(), 0, "an older snapshot was sent over the newer one");
+    assert_eq!(writes.count(), 0, "the older snapshot must not overwrite the newer one");
 }
