--- a/crates/coord/tests/views.rs
+++ b/crates/coord/tests/views.rs
@@ -1,4 +1,4 @@
-//! Membership, assignment and freshness of the configuration.
+//! Tests of membership, partition assignment and freshness of the configuration.
 
 use gaplock_coord::assign::{self, Layout};
 use gaplock_coord::context::{Context, Timing};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_entry_lives_by_its_heartbeats_or_by_its_record() {
+fn an_entry_is_alive_by_its_heartbeats_or_by_its_record() {
     let t = Timing::default();
     let mut m = Members::open(member("me"));
     let records = |index| vec![(record("b", index), ids::StoreIndex(index))];
@@ -37,13 +37,19 @@
     m.handle_heartbeat(Instant(100), beat("b", true));
     let b = ids::EntryId::from("b");
     assert!(m.alive(Instant(2_900), &t, &b));
-    assert!(!m.alive(Instant(4_000), &t, &b), "silent, and its record is old");
+    assert!(
+        !m.alive(Instant(4_000), &t, &b),
+        "it sends no heartbeats and its record has not changed"
+    );
     m.update_records(Instant(3_900), records(2));
-    assert!(m.alive(Instant(4_000), &t, &b), "cut off from me, but it writes its record");
+    assert!(
+        m.alive(Instant(4_000), &t, &b),
+        "it is partitioned from this entry, but refreshes its record"
+    );
 }
 
 #[test]
-fn an_entry_that_is_cut_from_the_store_may_own_nothing() {
+fn an_entry_without_the_store_is_not_eligible_if_others_reach_it() {
     let t = Timing::default();
     let mut m = Members::open(member("me"));
     m.update_records(Instant(0), vec![(record("b", 1), ids::StoreIndex(1))]);
@@ -52,7 +58,7 @@
     }
     let me_only = vec![ids::EntryId::from("me")];
     assert_eq!(m.eligible_owners(Instant(6_000), &t, true, false), me_only);
-    // If nobody reaches the store, nobody is better.
+    // If this entry does not reach the store either, the peer stays eligible.
     assert_eq!(m.eligible_owners(Instant(6_000), &t, false, false).len(), 2);
 }
 
@@ -60,7 +66,7 @@
 fn a_configuration_is_served_only_while_it_is_known_to_be_the_newest() {
     let mut cx = Context::open(Timing::default());
     let mut g = Generations::default();
-    assert!(!g.fresh(&cx), "nothing is known at the start");
+    assert!(!g.fresh(&cx), "there is no evidence of freshness at the start");
     let doc = |n| Document {
         config: config::Config { generation: ids::Generation(n), ..Default::default() },
         ..Default::default()
@@ -72,7 +78,7 @@
     assert!(!g.fresh(&cx));
     g.record_majority_evidence(cx.now);
     assert!(g.fresh(&cx));
-    assert!(!g.offer(doc(4)) && !g.offer(doc(5)), "it never goes back");
+    assert!(!g.offer(doc(4)) && !g.offer(doc(5)), "a document that is not newer is rejected");
     assert_eq!(g.generation(), ids::Generation(5));
 }
 
@@ -91,10 +97,9 @@
 }
 
 proptest! {
-    /// Every partition has one owner, nobody has more than its share, and a lost entry moves
-    /// little besides its own.
+    /// Every partition has one owner, and no entry owns more than its share.
     #[test]
-    fn ownership_is_whole_and_even(domains in 1_usize..32, slices in 1_u32..4, entries in 1_usize..10) {
+    fn partitions_are_owned_evenly(domains in 1_usize..32, slices in 1_u32..4, entries in 1_usize..10) {
         let layout = Layout {
             domains: (0..domains).map(|i| ids::DomainId(format!("d{i}"))).collect(),
             slices,
@@ -108,9 +113,9 @@
         }
     }
 
-    /// Replicas are divided without remainder, by the workers of each partition.
+    /// The replicas of all partitions add up to those of the service.
     #[test]
-    fn replicas_add_up(replicas in 0_u32..500, workers in 1_u32..200) {
+    fn replicas_of_partitions_add_up(replicas in 0_u32..500, workers in 1_u32..200) {
         let layout = Layout { domains: vec!["a".into(), "b".into(), "c".into()], slices: 2 };
         let service = config::Service {
             id: "s".into(),
