--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -35,7 +35,7 @@
     /// When this entry last saw the record change.
     pub changed_at: time::Instant,
     /// Its last heartbeat.
-    pub beat: Option<api::Heartbeat>,
+    pub heartbeat: Option<api::Heartbeat>,
     /// When the last heartbeat arrived.
     pub heartbeat_at: time::Instant,
     /// Since when its heartbeats report that it cannot reach the store.
@@ -72,7 +72,7 @@
                 record: record.clone(),
                 index,
                 changed_at: now,
-                beat: None,
+                heartbeat: None,
                 heartbeat_at: time::Instant(0),
                 store_unreachable_since: None,
             });
@@ -81,7 +81,7 @@
                 peer.index = index;
             }
             if peer.record.member != record.member {
-                peer.beat = None;
+                peer.heartbeat = None;
                 peer.store_unreachable_since = None;
             }
             peer.record = record;
@@ -97,14 +97,14 @@
             (false, since) => since,
         };
         peer.heartbeat_at = now;
-        peer.beat = Some(beat);
+        peer.heartbeat = Some(beat);
     }
 
     /// Returns whether a heartbeat of a peer arrived within the membership lease.
     pub fn heard(&self, now: time::Instant, timing: &Timing, entry: &ids::EntryId) -> bool {
         self.peers
             .get(entry)
-            .is_some_and(|p| p.beat.is_some() && now.since(p.heartbeat_at) < timing.member_ttl)
+            .is_some_and(|p| p.heartbeat.is_some() && now.since(p.heartbeat_at) < timing.member_ttl)
     }
 
     /// Returns whether an entry is alive, by its heartbeats or by its record in the store.
@@ -117,7 +117,7 @@
         // longer limit is only for peers that have sent none yet.
         let Some(peer) = self.peers.get(entry) else { return false };
         let since = now.since(peer.changed_at).0;
-        match peer.beat {
+        match peer.heartbeat {
             Some(_) => since < timing.member_ttl.0.min(timing.member_refresh.0 * 3 / 2),
             None => since < record_ttl,
         }
@@ -139,7 +139,7 @@
                 && p.store_unreachable_since
                     .is_some_and(|since| now.since(since) >= timing.member_ttl)
         };
-        let stopping = |p: &Peer| p.beat.as_ref().is_some_and(|b| b.stopping);
+        let stopping = |p: &Peer| p.heartbeat.as_ref().is_some_and(|b| b.stopping);
         let peers = self
             .peers
             .iter()
@@ -174,7 +174,7 @@
             .iter()
             .filter(|(entry, _)| self.heard(now, timing, entry))
             .filter_map(|(entry, p)| {
-                let owned = &p.beat.as_ref()?.owned;
+                let owned = &p.heartbeat.as_ref()?.owned;
                 owned.iter().find(|(part, _)| *part == id).map(|(_, e)| (entry.clone(), *e))
             })
             .max_by_key(|(_, epoch)| *epoch)
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -18,7 +18,7 @@
         let mut waiting = Vec::new();
         for (entry, peer) in &self.members.peers {
             let has = self.members.heard(cx.now, &cx.timing, entry)
-                && peer.beat.as_ref().is_some_and(|b| b.generation >= generation);
+                && peer.heartbeat.as_ref().is_some_and(|b| b.generation >= generation);
             if has {
                 in_force.push(entry.clone());
             } else {
--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -97,7 +97,7 @@
             .members
             .peers
             .values()
-            .filter_map(|p| p.beat.as_ref())
+            .filter_map(|p| p.heartbeat.as_ref())
             .any(|b| b.generation > mine);
         // Before the store's first answer the entries are unknown, and so is what a majority is.
         let knows_entries = !self.members.peers.is_empty();
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -111,7 +111,7 @@
         cx.rooms = self.free_capacity().into_iter().map(|r| (r.partition, r.free)).collect();
         for (entry, peer) in &self.members.peers {
             let heard = self.members.heard(cx.now, &cx.timing, entry);
-            let reports = peer.beat.iter().filter(|_| heard).flat_map(|b| b.rooms.iter());
+            let reports = peer.heartbeat.iter().filter(|_| heard).flat_map(|b| b.rooms.iter());
             cx.rooms.extend(reports.map(|r| (r.partition, r.free)));
         }
     }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -125,7 +125,7 @@
         let (now, timing) = (core.cx.now, core.cx.timing);
         let members = &core.node.members;
         let heard = members.peers.iter().filter(|(e, _)| members.heard(now, &timing, e));
-        let beats = heard.filter_map(|(_, p)| p.beat.as_ref());
+        let beats = heard.filter_map(|(_, p)| p.heartbeat.as_ref());
         services.extend(beats.flat_map(|b| b.load.iter().map(|l| l.service.clone())));
     });
     engine.with_routing(|r| {
@@ -223,7 +223,7 @@
         let heard = members.peers.iter().filter(|(e, _)| members.heard(now, &timing, e));
         heard
             .filter_map(|(entry, p)| {
-                let load = &p.beat.as_ref()?.load;
+                let load = &p.heartbeat.as_ref()?.load;
                 let free = load.iter().find(|l| l.service == *service)?.free;
                 Some((entry.clone(), p.record.addr.clone(), free))
             })
