--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -182,7 +182,7 @@
 
     /// Returns the records that may be removed, because they have not changed for ten membership
     /// leases and no heartbeat of their entry arrives.
-    pub fn stale(
+    pub fn stale_records(
         &self,
         now: time::Instant,
         timing: &Timing,
--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -48,7 +48,7 @@
         let call = cx.call(StoreCall::List { prefix: keys::MEMBERS.to_string() });
         self.list_call = Some((call, cx.now));
         if self.store_ok(cx) {
-            for (entry, index) in self.members.stale(cx.now, &cx.timing) {
+            for (entry, index) in self.members.stale_records(cx.now, &cx.timing) {
                 cx.call(StoreCall::Delete { key: keys::member(&entry), index });
             }
         }
