--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -9,7 +9,7 @@
 use crate::members::MemberRecord;
 
 impl Node {
-    pub(super) fn send_beat(&mut self, cx: &mut Context) {
+    pub(super) fn send_heartbeat(&mut self, cx: &mut Context) {
         if cx.now < self.next_beat {
             return;
         }
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -340,7 +340,7 @@
         }
         self.hand_over_released(cx);
         self.poll_confirmation(cx);
-        self.send_beat(cx);
+        self.send_heartbeat(cx);
     }
 
     fn store_answered(&mut self, cx: &mut Context, call: CallId, answer: &StoreAnswer) {
