--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -37,7 +37,7 @@
         }
         cx.config = std::sync::Arc::new(self.generations.doc.config.clone());
         cx.actions.push(Action::InForce(cx.config.clone()));
-        self.next_beat = cx.now;
+        self.next_heartbeat = cx.now;
         self.distribute_shares(cx);
     }
 
--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -10,10 +10,10 @@
 
 impl Node {
     pub(super) fn send_heartbeat(&mut self, cx: &mut Context) {
-        if cx.now < self.next_beat {
+        if cx.now < self.next_heartbeat {
             return;
         }
-        self.next_beat = cx.now + cx.timing.beat_every;
+        self.next_heartbeat = cx.now + cx.timing.beat_every;
         cx.actions.push(Action::Beat(api::Heartbeat {
             from: self.me.clone(),
             store_ok: self.store_ok(cx),
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -132,7 +132,7 @@
     eligible_entries: Vec<ids::EntryId>,
     eligible_since: time::Instant,
     stopping: bool,
-    next_beat: time::Instant,
+    next_heartbeat: time::Instant,
     next_refresh: time::Instant,
     /// Refreshes of this entry's record so far.
     refreshes: u64,
@@ -171,7 +171,7 @@
             eligible_entries: Vec::new(),
             eligible_since: time::Instant(0),
             stopping: false,
-            next_beat: time::Instant(0),
+            next_heartbeat: time::Instant(0),
             next_refresh: time::Instant(0),
             refreshes: 0,
             refresh_call: None,
@@ -257,7 +257,7 @@
         self.dispatch(cx, event);
         // Peers learn of free slots from heartbeats, so a change of slots is sent immediately.
         if cx.actions.iter().any(|a| matches!(a, Action::Offer(_) | Action::ClosePartition(_))) {
-            self.next_beat = cx.now;
+            self.next_heartbeat = cx.now;
         }
     }
 
@@ -305,7 +305,7 @@
             }
             Event::Stop => {
                 self.stopping = true;
-                self.next_beat = cx.now;
+                self.next_heartbeat = cx.now;
                 self.tick(cx);
             }
         }
