--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -40,7 +40,7 @@
         let value =
             serde_json::to_vec(&record).expect("a membership record always serialises to JSON");
         let key = keys::member(&self.me.entry);
-        let index = self.my_index;
+        let index = self.my_record_index;
         if !self.stopping || self.refreshes == 1 {
             let call = cx.call(StoreCall::Cas { key, value, index });
             self.refresh_call = Some((call, cx.now));
@@ -63,11 +63,11 @@
         let StoreAnswer::Read(kvs) = answer else { return };
         self.store_ok_at = self.store_ok_at.max(Some(sent_at));
         let mut records = Vec::new();
-        self.my_index = ids::StoreIndex(0);
+        self.my_record_index = ids::StoreIndex(0);
         for kv in kvs {
             let Ok(record) = serde_json::from_slice::<MemberRecord>(&kv.value) else { continue };
             if record.member.entry == self.me.entry {
-                self.my_index = kv.index;
+                self.my_record_index = kv.index;
             }
             records.push((record, kv.index));
         }
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -139,7 +139,7 @@
     refresh_call: Option<(CallId, time::Instant)>,
     list_call: Option<(CallId, time::Instant)>,
     /// The modification index of this entry's record in the store.
-    my_index: ids::StoreIndex,
+    my_record_index: ids::StoreIndex,
     /// Whether the membership records have been read from the store since the start.
     listed: bool,
     /// When the latest store call that succeeded was sent.
@@ -176,7 +176,7 @@
             refreshes: 0,
             refresh_call: None,
             list_call: None,
-            my_index: ids::StoreIndex(0),
+            my_record_index: ids::StoreIndex(0),
             listed: false,
             store_ok_at: None,
             fetch_at: time::Instant(0),
@@ -346,7 +346,7 @@
     fn store_answered(&mut self, cx: &mut Context, call: CallId, answer: &StoreAnswer) {
         if self.refresh_call.is_some_and(|(c, _)| c == call) {
             if let StoreAnswer::Written(index) = answer {
-                self.my_index = *index;
+                self.my_record_index = *index;
             }
             return;
         }
