--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -99,11 +99,11 @@
         self.evidence_at = self.evidence_at.max(sent_at);
         let Some((doc, index)) = doc else { return false };
         self.index = self.index.max(index);
-        self.offer(doc)
+        self.apply_if_newer(doc)
     }
 
     /// Applies a document, for example from a peer, if it is newer. Returns whether it is.
-    pub fn offer(&mut self, doc: Document) -> bool {
+    pub fn apply_if_newer(&mut self, doc: Document) -> bool {
         if doc.config.generation <= self.generation() {
             return false;
         }
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -288,7 +288,7 @@
                 }
             }
             Event::PeerConfig(doc) => {
-                if self.generations.offer(doc) {
+                if self.generations.apply_if_newer(doc) {
                     self.put_in_force(cx);
                 }
             }
--- a/crates/coord/tests/views.rs
+++ b/crates/coord/tests/views.rs
@@ -78,7 +78,10 @@
     assert!(!g.fresh(&cx));
     g.record_majority_evidence(cx.now);
     assert!(g.fresh(&cx));
-    assert!(!g.offer(doc(4)) && !g.offer(doc(5)), "a document that is not newer is rejected");
+    assert!(
+        !g.apply_if_newer(doc(4)) && !g.apply_if_newer(doc(5)),
+        "a document that is not newer is rejected"
+    );
     assert_eq!(g.generation(), ids::Generation(5));
 }
 
