--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -90,7 +90,7 @@
 
     /// Applies a document read from the store by a call sent at `sent_at`; `None` means that the
     /// store holds no configuration yet. Returns whether the document is newer.
-    pub fn read(
+    pub fn apply_stored(
         &mut self,
         sent_at: time::Instant,
         doc: Option<(Document, ids::StoreIndex)>,
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -108,7 +108,7 @@
             intent::Outcome::Open => return,
             intent::Outcome::Stored(sent_at, doc, index) => {
                 // The answer may be late, so it proves only what was newest when the call was sent.
-                if self.generations.read(sent_at, Some((*doc, index))) {
+                if self.generations.apply_stored(sent_at, Some((*doc, index))) {
                     self.put_in_force(cx);
                 }
                 Ok(())
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -283,7 +283,7 @@
             Event::Command { partition, id, command } => self.command(cx, partition, id, command),
             Event::Config { sent_at, doc } => {
                 self.store_ok_at = self.store_ok_at.max(Some(sent_at));
-                if self.generations.read(sent_at, doc) {
+                if self.generations.apply_stored(sent_at, doc) {
                     self.put_in_force(cx);
                 }
             }
--- a/crates/coord/tests/views.rs
+++ b/crates/coord/tests/views.rs
@@ -71,7 +71,7 @@
         config: config::Config { generation: ids::Generation(n), ..Default::default() },
         ..Default::default()
     };
-    assert!(g.read(Instant(1_000), Some((doc(5), ids::StoreIndex(9)))));
+    assert!(g.apply_stored(Instant(1_000), Some((doc(5), ids::StoreIndex(9)))));
     cx.now = Instant(1_000) + cx.timing.config_max_age;
     assert!(g.fresh(&cx));
     cx.now = cx.now + Millis(1);
