--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -27,7 +27,7 @@
     index: ids::StoreIndex,
     /// The unanswered store call, and when it was sent.
     call: Option<(CallId, time::Instant)>,
-    read_at: Option<time::Instant>,
+    read_back_at: Option<time::Instant>,
     since: time::Instant,
 }
 
@@ -63,7 +63,7 @@
             doc,
             index: generations.index,
             call: None,
-            read_at: None,
+            read_back_at: None,
             since: cx.now,
         };
         confirmation.write(cx);
@@ -99,8 +99,8 @@
     /// Reads the document back if that is due. Once the commit timeout has passed, removes and
     /// returns all waiting requests, which the caller must answer.
     pub fn poll(&mut self, cx: &mut Context) -> Vec<ReplyId> {
-        if self.read_at.is_some_and(|at| cx.now >= at) {
-            self.read_at = None;
+        if self.read_back_at.is_some_and(|at| cx.now >= at) {
+            self.read_back_at = None;
             self.call = Some((cx.call(StoreCall::Get { key: keys::CONFIG.to_string() }), cx.now));
         }
         if cx.now.since(self.since) >= cx.timing.commit_timeout {
@@ -152,7 +152,7 @@
     }
 
     fn read_back(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
-        self.read_at = Some(cx.now + wait);
+        self.read_back_at = Some(cx.now + wait);
         let timed_out = self.poll(cx);
         self.waiting.extend(timed_out);
         Outcome::Open
