--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -116,8 +116,8 @@
         };
         match answer {
             StoreAnswer::Written(index) => self.stored(sent_at, self.doc.clone(), *index),
-            StoreAnswer::Conflict => self.read_back(cx, time::Millis(0)),
-            StoreAnswer::Unclear => self.read_back(cx, RETRY_EVERY),
+            StoreAnswer::Conflict => self.schedule_read_back(cx, time::Millis(0)),
+            StoreAnswer::Unclear => self.schedule_read_back(cx, RETRY_EVERY),
             StoreAnswer::Read(kvs) => {
                 let found = kvs.first().and_then(|kv| {
                     let doc: Document = serde_json::from_slice(&kv.value).ok()?;
@@ -151,7 +151,7 @@
         }
     }
 
-    fn read_back(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
+    fn schedule_read_back(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
         self.read_back_at = Some(cx.now + wait);
         let timed_out = self.poll(cx);
         self.waiting.extend(timed_out);
