--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -162,8 +162,8 @@
         2 * heard > self.peers.len() + 1
     }
 
-    /// Returns the peer that owns a partition, by its heartbeats. If several peers claim to own it,
-    /// the one with the highest epoch is returned.
+    /// Returns the peer that owns a partition, by its heartbeats. If several report that they own
+    /// it, the one with the highest epoch is returned.
     pub fn owner_of(
         &self,
         now: time::Instant,
