--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -1,12 +1,13 @@
-//! A partition's journal in the platform's store, and the fence that it is.
+//! A partition's journal in the platform's store, which also fences previous owners.
 //!
 //! The journal is a ring of keys. Each commit is one compare-and-swap of the next slot, so of two
-//! owners only one can write a given position, and a claim written there fences everybody whose
-//! next write would have gone to it. No separate lock exists. A snapshot of the fold is written
-//! before the ring comes round; any snapshot is a valid prefix, whoever wrote it.
+//! owners only one can write a given position. A claim written there fences every owner whose next
+//! write would have gone to it, so there is no separate lock. A snapshot of the state is written
+//! before the ring wraps around. Any snapshot covers a valid prefix of the journal, whichever owner
+//! wrote it.
 //!
-//! A write without an answer is never blindly repeated: the slot is read back, and the writer's
-//! own entry there means that it was committed. `docs/DESIGN.md`, section Journal, gives the cost.
+//! A write without an answer is never repeated blindly: the slot is read back, and if it holds the
+//! writer's own entry, the entry is committed. `docs/DESIGN.md`, section Journal, gives the cost.
 
 mod replay;
 mod replies;
@@ -21,31 +22,34 @@
 use crate::records::{Entry, Record};
 use crate::state::PartState;
 
-/// Slots of the ring.
-pub const RING: u64 = 64;
-/// The most records that one entry carries; the rest goes with the next one.
-const ENTRY_MAX_RECORDS: usize = 800;
+/// The number of slots in the ring.
+pub const RING_SLOTS: u64 = 64;
+/// The most records that one entry carries; further records go into the next entry.
+const MAX_RECORDS_PER_ENTRY: usize = 800;
+/// How long to wait after a store call without a clear answer, before the next attempt.
 const RETRY_EVERY: time::Millis = time::Millis(300);
 
 pub use replies::{begun_reply, not_owner_reply, After};
 
-/// A record that is not sent yet, with the replies that wait for it.
+/// A record that has not been sent yet, with the replies that wait for its commit.
 #[derive(Debug)]
 struct Pending {
     record: Record,
     after: Vec<After>,
 }
 
+/// The progress of writing an entry.
 #[derive(Debug)]
 enum Phase {
-    /// The write is on its way.
+    /// The write is unanswered.
     Writing(CallId),
-    /// The write had no clear answer; the slot is to be read back.
+    /// The write got no clear answer; the slot is to be read back at this time.
     Unclear(time::Instant),
     /// The slot is being read back.
     Reading(CallId),
 }
 
+/// An entry that has been sent and is not known to be committed, with the waiting replies.
 #[derive(Debug)]
 struct Inflight {
     entry: Entry,
@@ -54,18 +58,18 @@
     since: time::Instant,
 }
 
-/// What an answer led to.
+/// The effect of a store answer on the journal.
 #[derive(Debug, PartialEq)]
 pub enum Outcome {
-    /// Nothing that the partition must know of.
+    /// Nothing that concerns the partition.
     Nothing,
-    /// The claim is committed: the partition is owned from now on.
+    /// The claim is committed: this entry owns the partition from now on.
     Claimed,
     /// An entry is committed.
     Committed(Vec<Record>),
     /// The release is committed.
     Released,
-    /// Somebody else owns the partition.
+    /// Another entry owns the partition.
     Fenced,
 }
 
@@ -75,21 +79,24 @@
     id: ids::PartitionId,
     me: ids::Member,
     is: ownership::Is,
-    /// The fold of everything that is committed.
+    /// The state after all committed entries.
     pub committed: PartState,
+    /// The modification index of each slot.
     slots: Vec<ids::StoreIndex>,
-    snap: (ids::StoreIndex, ids::Seq),
-    snap_phase: snapshot::Phase,
+    /// The modification index of the stored snapshot, and the last sequence number it covers.
+    stored_snapshot: (ids::StoreIndex, ids::Seq),
+    snapshot_phase: snapshot::Phase,
     loading: Option<CallId>,
     retry_at: time::Instant,
     pending: Vec<Pending>,
     pending_since: time::Instant,
     inflight: Option<Inflight>,
-    /// The read that is to show that nobody else has claimed, and when it was sent.
-    confirming: Option<(CallId, time::Instant)>,
-    /// When ownership was last known to stand.
+    /// The unanswered read that checks whether another entry has claimed, and when it was sent.
+    ownership_check: Option<(CallId, time::Instant)>,
+    /// The latest time at which this entry is known to have owned the partition.
     pub confirmed_at: time::Instant,
-    /// Whether the former owner had released the partition before the claim.
+    /// Whether the previous owner had released the partition before the claim. It is also true if
+    /// there was no previous owner.
     pub was_released: bool,
 }
 
@@ -101,48 +108,48 @@
             me,
             is: ownership::Is::Other,
             committed: PartState::default(),
-            slots: vec![ids::StoreIndex(0); RING as usize],
-            snap: (ids::StoreIndex(0), ids::Seq(0)),
-            snap_phase: snapshot::Phase::Idle,
+            slots: vec![ids::StoreIndex(0); RING_SLOTS as usize],
+            stored_snapshot: (ids::StoreIndex(0), ids::Seq(0)),
+            snapshot_phase: snapshot::Phase::Idle,
             loading: None,
             retry_at: time::Instant(0),
             pending: Vec::new(),
             pending_since: time::Instant(0),
             inflight: None,
-            confirming: None,
+            ownership_check: None,
             confirmed_at: time::Instant(0),
             was_released: false,
         }
     }
 
-    /// Returns the state in `charts/ownership.chart`.
+    /// Returns the ownership state, as defined in `charts/ownership.chart`.
     pub fn is(&self) -> ownership::Is {
         self.is
     }
 
-    /// Tells whether this entry owns the partition and may decide.
+    /// Returns whether this entry owns the partition and may make decisions for it.
     pub fn owns(&self) -> bool {
         self.is == ownership::Is::Owner
     }
 
-    /// Returns the epoch that this entry owns the partition under.
+    /// Returns the epoch under which this entry owns the partition.
     pub fn epoch(&self) -> ids::Epoch {
         self.committed.epoch
     }
 
-    /// Tells whether commits go through: nothing has waited longer than the commit timeout.
+    /// Returns whether commits succeed in time: no entry has been in flight for the commit timeout.
     pub fn healthy(&self, cx: &Context) -> bool {
         let limit = cx.timing.commit_timeout;
         self.inflight.as_ref().is_none_or(|i| cx.now.since(i.since) < limit)
     }
 
-    /// Returns since when the release is on its way, answered or not: it may be stored by now.
+    /// Returns when the release was sent, if its commit is not known yet; it may already be stored.
     pub fn release_sent_at(&self) -> Option<time::Instant> {
         let release = |i: &&Inflight| i.entry.records.contains(&Record::Release);
         self.inflight.as_ref().filter(release).map(|i| i.since)
     }
 
-    /// Tells whether records wait to be committed.
+    /// Returns whether records wait to be committed.
     pub fn busy(&self) -> bool {
         self.inflight.is_some() || !self.pending.is_empty()
     }
@@ -154,7 +161,7 @@
         }
     }
 
-    /// Begins to take the partition over.
+    /// Begins to claim the partition, by loading its journal.
     pub fn want(&mut self, cx: &mut Context) {
         if self.is == ownership::Is::Other {
             self.step(cx, ownership::On::Want);
@@ -162,7 +169,7 @@
         }
     }
 
-    /// Adds a record to the next entry; `after` follows its commit.
+    /// Adds a record to the next entry; `after` is carried out after its commit.
     pub fn append(&mut self, cx: &Context, record: Record, after: Option<After>) {
         if self.pending.is_empty() {
             self.pending_since = cx.now;
@@ -170,7 +177,7 @@
         self.pending.push(Pending { record, after: after.into_iter().collect() });
     }
 
-    /// Begins to give the partition up; pending records are committed with the release.
+    /// Begins to release the partition. Pending records are committed with the release.
     pub fn release(&mut self, cx: &mut Context) {
         match self.is {
             ownership::Is::Owner => {
@@ -182,7 +189,7 @@
         }
     }
 
-    /// Drops everything uncommitted and stops being owner; waiting commands are answered.
+    /// Stops being the owner: drops all uncommitted records and answers the waiting commands.
     pub fn give_up(&mut self, cx: &mut Context, on: ownership::On) {
         self.step(cx, on);
         if self.busy() {
@@ -190,11 +197,11 @@
         }
         self.drop_replies(cx);
         self.loading = None;
-        self.confirming = None;
-        self.snap_phase = snapshot::Phase::Idle;
+        self.ownership_check = None;
+        self.snapshot_phase = snapshot::Phase::Idle;
     }
 
-    /// Does what is due: loads, reads back, snapshots, commits.
+    /// Carries out what is due: loading, reading back, snapshots, commits and the ownership check.
     pub fn poll(&mut self, cx: &mut Context) {
         match self.is {
             ownership::Is::Other => {}
@@ -207,7 +214,7 @@
                 self.poll_inflight(cx);
                 self.poll_snapshot(cx);
                 self.flush(cx);
-                self.poll_confirm(cx);
+                self.poll_ownership_check(cx);
                 self.time_out_replies(cx);
             }
         }
@@ -217,7 +224,7 @@
         let Some(inflight) = &mut self.inflight else { return };
         if let Phase::Unclear(at) = inflight.phase {
             if cx.now >= at {
-                let key = keys::slot(self.id, inflight.entry.seq.0 % RING);
+                let key = keys::slot(self.id, inflight.entry.seq.0 % RING_SLOTS);
                 inflight.phase = Phase::Reading(cx.call(StoreCall::Get { key }));
             }
         }
@@ -231,10 +238,10 @@
         }
         // The slot that would be overwritten must be covered by the snapshot.
         let seq = self.committed.seq.next();
-        if seq.0 > self.snap.1 .0 + RING {
+        if seq.0 > self.stored_snapshot.1 .0 + RING_SLOTS {
             return;
         }
-        let count = self.pending.len().min(ENTRY_MAX_RECORDS);
+        let count = self.pending.len().min(MAX_RECORDS_PER_ENTRY);
         let sent: Vec<Pending> = self.pending.drain(..count).collect();
         let (records, after): (Vec<Record>, Vec<Vec<After>>) =
             sent.into_iter().map(|p| (p.record, p.after)).unzip();
@@ -251,28 +258,32 @@
     }
 
     fn send_entry(&self, cx: &mut Context, entry: &Entry) -> CallId {
-        let slot = entry.seq.0 % RING;
-        let value = serde_json::to_vec(entry).expect("plain data serialises");
+        let slot = entry.seq.0 % RING_SLOTS;
+        let value = serde_json::to_vec(entry).expect("an entry always serialises to JSON");
         let index = self.slots[slot as usize];
         cx.call(StoreCall::Cas { key: keys::slot(self.id, slot), value, index })
     }
 
-    fn poll_confirm(&mut self, cx: &mut Context) {
+    fn poll_ownership_check(&mut self, cx: &mut Context) {
         let due = cx.now.since(self.confirmed_at) >= cx.timing.confirm_every;
-        if due && self.confirming.is_none() && self.inflight.is_none() && cx.now >= self.retry_at {
-            let key = keys::slot(self.id, self.committed.seq.next().0 % RING);
-            self.confirming = Some((cx.call(StoreCall::Get { key }), cx.now));
+        if due
+            && self.ownership_check.is_none()
+            && self.inflight.is_none()
+            && cx.now >= self.retry_at
+        {
+            let key = keys::slot(self.id, self.committed.seq.next().0 % RING_SLOTS);
+            self.ownership_check = Some((cx.call(StoreCall::Get { key }), cx.now));
         }
     }
 
-    /// Takes in the answer to one of this journal's store calls.
+    /// Handles the answer to a store call, if the call was made by this journal.
     pub fn answered(&mut self, cx: &mut Context, call: CallId, answer: &StoreAnswer) -> Outcome {
         if self.loading == Some(call) {
             self.loading = None;
             return self.loaded(cx, answer);
         }
-        if let Some((_, sent_at)) = self.confirming.take_if(|(c, _)| *c == call) {
-            return self.confirm_answered(cx, sent_at, answer);
+        if let Some((_, sent_at)) = self.ownership_check.take_if(|(c, _)| *c == call) {
+            return self.ownership_check_answered(cx, sent_at, answer);
         }
         if let Some(inflight) = &self.inflight {
             match inflight.phase {
@@ -281,9 +292,11 @@
                 _ => {}
             }
         }
-        match self.snap_phase {
-            snapshot::Phase::Writing(c, seq) if c == call => self.snap_answered(cx, seq, answer),
-            snapshot::Phase::Reading(c) if c == call => self.snap_read(cx, answer),
+        match self.snapshot_phase {
+            snapshot::Phase::Writing(c, seq) if c == call => {
+                self.snapshot_write_answered(cx, seq, answer)
+            }
+            snapshot::Phase::Reading(c) if c == call => self.snapshot_read_back(cx, answer),
             _ => {}
         }
         Outcome::Nothing
@@ -292,13 +305,13 @@
     fn write_answered(&mut self, cx: &mut Context, answer: &StoreAnswer) -> Outcome {
         match answer {
             StoreAnswer::Written(index) => self.commit(cx, *index),
-            // A conflict may be this writer's own earlier copy, so the slot is read in any case.
-            StoreAnswer::Conflict => self.unclear(cx, time::Millis(0)),
-            StoreAnswer::Read(_) | StoreAnswer::Unclear => self.unclear(cx, RETRY_EVERY),
+            // The conflict may come from a duplicate of this very write, so the slot is read back.
+            StoreAnswer::Conflict => self.schedule_read_back(cx, time::Millis(0)),
+            StoreAnswer::Read(_) | StoreAnswer::Unclear => self.schedule_read_back(cx, RETRY_EVERY),
         }
     }
 
-    fn unclear(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
+    fn schedule_read_back(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
         if let Some(inflight) = &mut self.inflight {
             inflight.phase = Phase::Unclear(cx.now + wait);
         }
@@ -309,7 +322,9 @@
     }
 
     fn read_back(&mut self, cx: &mut Context, answer: &StoreAnswer) -> Outcome {
-        let StoreAnswer::Read(kvs) = answer else { return self.unclear(cx, RETRY_EVERY) };
+        let StoreAnswer::Read(kvs) = answer else {
+            return self.schedule_read_back(cx, RETRY_EVERY);
+        };
         let Some(inflight) = &self.inflight else { return Outcome::Nothing };
         let seq = inflight.entry.seq;
         let found = kvs.first().map(|kv| (kv.index, serde_json::from_slice::<Entry>(&kv.value)));
@@ -333,17 +348,18 @@
     fn commit(&mut self, cx: &mut Context, index: ids::StoreIndex) -> Outcome {
         let Some(inflight) = self.inflight.take() else { return Outcome::Nothing };
         let Inflight { entry, after, since, .. } = inflight;
-        self.slots[(entry.seq.0 % RING) as usize] = index;
-        for misfit in self.committed.apply_entry(self.id, &entry) {
-            cx.note("journal-misfit", self.id.to_string(), misfit.to_string());
+        self.slots[(entry.seq.0 % RING_SLOTS) as usize] = index;
+        for error in self.committed.apply_entry(self.id, &entry) {
+            cx.note("journal-misfit", self.id.to_string(), error.to_string());
         }
-        // Ownership stood when the write was sent; by its answer it may have ended again.
+        // The commit proves ownership at the time of sending. By the time of the answer, another
+        // entry may have claimed.
         self.confirmed_at = since;
         for after in after {
             after.answer(cx);
         }
         if entry.records.contains(&Record::Release) {
-            // Nothing may be left over for a later ownership of this process.
+            // No record may be left over: if this process claims again, it would commit the record.
             self.give_up(cx, ownership::On::Released);
             return Outcome::Released;
         }
@@ -355,7 +371,7 @@
         Outcome::Committed(entry.records)
     }
 
-    fn confirm_answered(
+    fn ownership_check_answered(
         &mut self,
         cx: &mut Context,
         sent_at: time::Instant,
@@ -377,7 +393,8 @@
             self.give_up(cx, ownership::On::Fenced);
             return Outcome::Fenced;
         }
-        // The answer may be late, as at a process that was frozen: only the question's time counts.
+        // The answer may be late, for example after this process was frozen, so the read proves
+        // ownership only at the time of sending.
         self.confirmed_at = self.confirmed_at.max(sent_at);
         Outcome::Nothing
     }
--- a/crates/coord/src/journal/replay.rs
+++ b/crates/coord/src/journal/replay.rs
@@ -1,9 +1,11 @@
-//! Reads a partition's snapshot and journal from the store and folds them.
+//! Loads a partition's snapshot and journal from the store.
+//!
+//! An entry that claims a partition rebuilds the state this way, and then writes its claim.
 
 use gaplock_chart::table::ownership;
 use gaplock_types::ids;
 
-use super::{Journal, Outcome, RETRY_EVERY, RING};
+use super::{Journal, Outcome, RETRY_EVERY, RING_SLOTS};
 use crate::action::{Kv, StoreAnswer, StoreCall};
 use crate::context::Context;
 use crate::keys;
@@ -37,10 +39,10 @@
         }
     }
 
-    /// Folds the snapshot and the entries behind it.
+    /// Rebuilds the committed state from the snapshot and the entries after it.
     pub(super) fn replay(&mut self, kvs: &[Kv]) -> Result<(), String> {
         self.committed = PartState::default();
-        self.snap = (ids::StoreIndex(0), ids::Seq(0));
+        self.stored_snapshot = (ids::StoreIndex(0), ids::Seq(0));
         self.slots.fill(ids::StoreIndex(0));
         let snap_key = keys::snapshot(self.id);
         let mut entries = Vec::new();
@@ -48,21 +50,21 @@
             if kv.key == snap_key {
                 self.committed =
                     serde_json::from_slice(&kv.value).map_err(|e| format!("snapshot: {e}"))?;
-                self.snap = (kv.index, self.committed.seq);
+                self.stored_snapshot = (kv.index, self.committed.seq);
             } else {
                 let entry: Entry =
                     serde_json::from_slice(&kv.value).map_err(|e| format!("{}: {e}", kv.key))?;
-                self.slots[(entry.seq.0 % RING) as usize] = kv.index;
+                self.slots[(entry.seq.0 % RING_SLOTS) as usize] = kv.index;
                 entries.push(entry);
             }
         }
         self.committed.rebuild(self.id);
         entries.sort_by_key(|e| e.seq);
-        for entry in entries.iter().filter(|e| e.seq > self.snap.1) {
+        for entry in entries.iter().filter(|e| e.seq > self.stored_snapshot.1) {
             if entry.seq != self.committed.seq.next() {
                 return Err(format!("{} follows {}", entry.seq, self.committed.seq));
             }
-            // Misfits were noted when the entry was committed; every fold leaves out the same.
+            // Records that do not fit were logged at the commit; every replay skips the same ones.
             self.committed.apply_entry(self.id, entry);
         }
         Ok(())
--- a/crates/coord/src/members.rs
+++ b/crates/coord/src/members.rs
@@ -1,8 +1,9 @@
-//! Which entries there are, and which of them live.
+//! The known entries, and which of them are alive.
 //!
-//! An entry is alive while it is heard from directly or while its record in the store changes, so
-//! neither a cut between two entries nor an outage of the store alone takes an entry's partitions
-//! away. Liveness only decides who should claim; safety rests on the journal's fence.
+//! An entry is alive while its heartbeats arrive or while its record in the store changes. So an
+//! entry keeps its partitions through a network partition between two entries, and through an
+//! outage of the store alone. Liveness only determines who should claim a partition; safety depends
+//! on the journal's fencing.
 
 use std::collections::BTreeMap;
 
@@ -11,34 +12,34 @@
 
 use crate::context::Timing;
 
-/// An entry's record in the store.
+/// An entry's membership record in the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The entry's process.
+    /// The entry and the incarnation of its process.
     pub member: ids::Member,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub addr: String,
     /// Its failure domain.
     pub domain: ids::DomainId,
-    /// Rises with each refresh.
+    /// A counter that increases with each refresh of the record.
     pub beat: u64,
 }
 
 /// A peer as this entry knows it.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Its record.
+    /// Its record in the store.
     pub record: MemberRecord,
-    /// The record's index in the store.
+    /// The modification index of the record.
     pub index: ids::StoreIndex,
-    /// When the record was last seen to change.
+    /// When this entry last saw the record change.
     pub changed_at: time::Instant,
     /// Its last heartbeat.
-    pub beat: Option<api::Heartbeat>,
-    /// When that came.
-    pub beat_at: time::Instant,
-    /// Since when its heartbeats say that it does not reach the store.
-    pub cut_since: Option<time::Instant>,
+    pub heartbeat: Option<api::Heartbeat>,
+    /// When the last heartbeat arrived.
+    pub heartbeat_at: time::Instant,
+    /// Since when its heartbeats report that it cannot reach the store.
+    pub store_unreachable_since: Option<time::Instant>,
 }
 
 /// Every known entry besides this one.
@@ -50,13 +51,13 @@
 }
 
 impl Members {
-    /// Builds the view of an entry that knows no other yet.
+    /// Builds the view of an entry that knows no peers yet.
     pub fn open(me: ids::Member) -> Self {
         Self { me, peers: BTreeMap::new() }
     }
 
-    /// Takes in the records in the store.
-    pub fn take_in_records(
+    /// Updates the peers from the records in the store.
+    pub fn update_records(
         &mut self,
         now: time::Instant,
         records: Vec<(MemberRecord, ids::StoreIndex)>,
@@ -71,51 +72,52 @@
                 record: record.clone(),
                 index,
                 changed_at: now,
-                beat: None,
-                beat_at: time::Instant(0),
-                cut_since: None,
+                heartbeat: None,
+                heartbeat_at: time::Instant(0),
+                store_unreachable_since: None,
             });
             if peer.index != index {
                 peer.changed_at = now;
                 peer.index = index;
             }
             if peer.record.member != record.member {
-                peer.beat = None;
-                peer.cut_since = None;
+                peer.heartbeat = None;
+                peer.store_unreachable_since = None;
             }
             peer.record = record;
         }
     }
 
-    /// Takes in a heartbeat.
-    pub fn take_in_beat(&mut self, now: time::Instant, beat: api::Heartbeat) {
+    /// Handles a heartbeat; one of an entry without a record is ignored.
+    pub fn handle_heartbeat(&mut self, now: time::Instant, beat: api::Heartbeat) {
         let Some(peer) = self.peers.get_mut(&beat.from.entry) else { return };
-        peer.cut_since = match (beat.store_ok, peer.cut_since) {
+        peer.store_unreachable_since = match (beat.store_ok, peer.store_unreachable_since) {
             (true, _) => None,
             (false, None) => Some(now),
             (false, since) => since,
         };
-        peer.beat_at = now;
-        peer.beat = Some(beat);
+        peer.heartbeat_at = now;
+        peer.heartbeat = Some(beat);
     }
 
-    /// Tells whether a peer was heard directly within the lease.
+    /// Returns whether a heartbeat of a peer arrived within the membership lease.
     pub fn heard(&self, now: time::Instant, timing: &Timing, entry: &ids::EntryId) -> bool {
         self.peers
             .get(entry)
-            .is_some_and(|p| p.beat.is_some() && now.since(p.beat_at) < timing.member_ttl)
+            .is_some_and(|p| p.heartbeat.is_some() && now.since(p.heartbeat_at) < timing.member_ttl)
     }
 
-    /// Tells whether an entry lives, by its heartbeats or by its record in the store.
+    /// Returns whether an entry is alive, by its heartbeats or by its record in the store.
     pub fn alive(&self, now: time::Instant, timing: &Timing, entry: &ids::EntryId) -> bool {
         if *entry == self.me.entry || self.heard(now, timing, entry) {
             return true;
         }
         let record_ttl = timing.member_ttl.0 + 2 * timing.member_refresh.0;
-        // A peer that has been heard before and fell silent gets no benefit of an old record.
+        // A peer that sent heartbeats before and stopped must have a recently changed record: the
+        // longer limit is only for peers that have sent none yet.
         let Some(peer) = self.peers.get(entry) else { return false };
         let since = now.since(peer.changed_at).0;
-        match peer.beat {
+        match peer.heartbeat {
             Some(_) => since < timing.member_ttl.0.min(timing.member_refresh.0 * 3 / 2),
             None => since < record_ttl,
         }
@@ -123,23 +125,27 @@
 
     /// Returns the entries that may own partitions, this one among them, in a fixed order.
     ///
-    /// `store_ok` tells whether this entry reaches the store; if so, peers that have not reached
-    /// it for a whole lease are left out.
-    pub fn eligible(
+    /// `store_ok` says whether this entry reaches the store. If it does, peers that have not
+    /// reached the store for a whole membership lease are left out.
+    pub fn eligible_owners(
         &self,
         now: time::Instant,
         timing: &Timing,
         store_ok: bool,
         me_stopping: bool,
     ) -> Vec<ids::EntryId> {
-        let cut = |p: &Peer| {
-            store_ok && p.cut_since.is_some_and(|since| now.since(since) >= timing.member_ttl)
+        let without_store = |p: &Peer| {
+            store_ok
+                && p.store_unreachable_since
+                    .is_some_and(|since| now.since(since) >= timing.member_ttl)
         };
-        let stopping = |p: &Peer| p.beat.as_ref().is_some_and(|b| b.stopping);
+        let stopping = |p: &Peer| p.heartbeat.as_ref().is_some_and(|b| b.stopping);
         let peers = self
             .peers
             .iter()
-            .filter(|(entry, p)| self.alive(now, timing, entry) && !cut(p) && !stopping(p))
+            .filter(|(entry, p)| {
+                self.alive(now, timing, entry) && !without_store(p) && !stopping(p)
+            })
             .map(|(entry, _)| entry.clone());
         let mut all: Vec<ids::EntryId> = peers.collect();
         if !me_stopping {
@@ -149,13 +155,15 @@
         all
     }
 
-    /// Tells whether more than half of all known entries, this one included, are heard directly.
+    /// Returns whether heartbeats arrive from more than half of all known entries. This entry
+    /// itself counts as heard.
     pub fn hears_majority(&self, now: time::Instant, timing: &Timing) -> bool {
         let heard = self.peers.keys().filter(|e| self.heard(now, timing, e)).count() + 1;
         2 * heard > self.peers.len() + 1
     }
 
-    /// Returns the living peer that owns a partition, by the highest epoch that was heard.
+    /// Returns the peer that owns a partition, by its heartbeats. If several report that they own
+    /// it, the one with the highest epoch is returned.
     pub fn owner_of(
         &self,
         now: time::Instant,
@@ -166,14 +174,15 @@
             .iter()
             .filter(|(entry, _)| self.heard(now, timing, entry))
             .filter_map(|(entry, p)| {
-                let owned = &p.beat.as_ref()?.owned;
+                let owned = &p.heartbeat.as_ref()?.owned;
                 owned.iter().find(|(part, _)| *part == id).map(|(_, e)| (entry.clone(), *e))
             })
             .max_by_key(|(_, epoch)| *epoch)
     }
 
-    /// Returns the records that have not changed for so long that they may be removed.
-    pub fn stale(
+    /// Returns the records that may be removed, because they have not changed for ten membership
+    /// leases and no heartbeat of their entry arrives.
+    pub fn stale_records(
         &self,
         now: time::Instant,
         timing: &Timing,
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -1,4 +1,6 @@
-//! Puts configurations in force and carries confirmed plans into the store.
+//! Puts configurations in force and writes confirmed plans to the store.
+//!
+//! One entry writes one plan at a time; a repeated confirmation gets the outcome of the first.
 
 use gaplock_policy::attempts::Execution;
 use gaplock_types::{api, codes};
@@ -9,14 +11,14 @@
 use crate::intent::{self, Confirmation};
 
 impl Node {
-    /// Tells how far the generation in force here has come.
+    /// Returns which entries have the generation that is in force here, and which do not yet.
     pub fn config_status(&self, cx: &Context) -> api::ConfigStatus {
         let generation = self.generations.generation();
         let mut in_force = vec![self.me.entry.clone()];
         let mut waiting = Vec::new();
         for (entry, peer) in &self.members.peers {
             let has = self.members.heard(cx.now, &cx.timing, entry)
-                && peer.beat.as_ref().is_some_and(|b| b.generation >= generation);
+                && peer.heartbeat.as_ref().is_some_and(|b| b.generation >= generation);
             if has {
                 in_force.push(entry.clone());
             } else {
@@ -35,8 +37,8 @@
         }
         cx.config = std::sync::Arc::new(self.generations.doc.config.clone());
         cx.actions.push(Action::InForce(cx.config.clone()));
-        self.next_beat = cx.now;
-        self.share_out(cx);
+        self.next_heartbeat = cx.now;
+        self.distribute_shares(cx);
     }
 
     pub(super) fn confirm(&mut self, cx: &mut Context, id: ReplyId, plan: &api::Plan, by: &str) {
@@ -47,7 +49,7 @@
                 return;
             }
             Execution::NotDone => {
-                cx.actions.push(refuse(intent::stale()));
+                cx.actions.push(refuse(intent::stale_plan()));
                 return;
             }
             Execution::Unknown => {}
@@ -56,7 +58,7 @@
             c.join(id);
             return;
         }
-        if let Some(refusal) = self.cannot_tell(plan) {
+        if let Some(refusal) = self.confirmation_refusal(plan) {
             cx.actions.push(refuse(refusal));
             return;
         }
@@ -71,16 +73,16 @@
         self.confirmation = Some(Confirmation::open(cx, id, &self.generations, plan, by));
     }
 
-    /// Returns the refusal of a plan that cannot be confirmed here now, where this entry cannot say
-    /// either what became of an earlier confirmation of it.
-    fn cannot_tell(&self, plan: &api::Plan) -> Option<api::Refusal> {
+    /// Returns the refusal of a plan that cannot be confirmed here now. The caller has checked that
+    /// this entry does not know the outcome of an earlier confirmation of the plan either.
+    fn confirmation_refusal(&self, plan: &api::Plan) -> Option<api::Refusal> {
         let in_force = self.generations.generation();
         if plan.base > in_force {
             let why = "This entry does not have the plan's base yet";
             return Some(api::Refusal::new(codes::Code::NotReady, why));
         }
         if plan.base < in_force {
-            return Some(intent::unknown());
+            return Some(intent::unknown_plan_outcome());
         }
         let why = "Another change is on its way to the store";
         let busy = || api::Refusal::new(codes::Code::InProgress, why);
@@ -89,26 +91,30 @@
 
     pub(super) fn poll_confirmation(&mut self, cx: &mut Context) {
         let Some(confirmation) = &mut self.confirmation else { return };
-        let late = confirmation.poll(cx);
-        for id in late {
+        let timed_out = confirmation.poll(cx);
+        for id in timed_out {
             let why = "The store did not confirm the change in time; confirm the same plan again";
             let refusal = api::Refusal::new(codes::Code::OutcomeUnknown, why);
             cx.actions.push(Action::Confirmed { id, outcome: Err(refusal) });
         }
     }
 
-    pub(super) fn confirmation_moved(&mut self, cx: &mut Context, outcome: intent::Outcome) {
+    pub(super) fn handle_confirmation_outcome(
+        &mut self,
+        cx: &mut Context,
+        outcome: intent::Outcome,
+    ) {
         let outcome = match outcome {
             intent::Outcome::Open => return,
             intent::Outcome::Stored(sent_at, doc, index) => {
-                // The answer may be late, so it shows what was newest when the call was sent.
-                if self.generations.read(sent_at, Some((*doc, index))) {
+                // The answer may be late, so it proves only what was newest when the call was sent.
+                if self.generations.apply_stored(sent_at, Some((*doc, index))) {
                     self.put_in_force(cx);
                 }
                 Ok(())
             }
-            intent::Outcome::Conflict => Err(intent::stale()),
-            intent::Outcome::Unknown => Err(intent::unknown()),
+            intent::Outcome::Conflict => Err(intent::stale_plan()),
+            intent::Outcome::Unknown => Err(intent::unknown_plan_outcome()),
         };
         let Some(mut confirmation) = self.confirmation.take() else { return };
         let outcome = outcome.map(|()| confirmation.generation());
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -1,4 +1,7 @@
-//! Which partitions this entry claims, releases and hands over, and what each is to run.
+//! Determines which partitions this entry claims, releases and hands over, and what each is to run.
+//!
+//! Each entry computes the same assignment from the entries that it sees alive. The journal decides
+//! if their views differ.
 
 use std::collections::BTreeMap;
 
@@ -12,21 +15,22 @@
 use crate::partition::Partition;
 
 impl Node {
-    pub(super) fn settle_ownership(&mut self, cx: &mut Context) {
+    pub(super) fn update_ownership(&mut self, cx: &mut Context) {
         let store_ok = self.store_ok(cx);
-        let entries = self.members.eligible(cx.now, &cx.timing, store_ok, self.stopping);
-        if entries != self.entries_before {
-            self.entries_before.clone_from(&entries);
-            self.entries_since = cx.now;
+        let entries = self.members.eligible_owners(cx.now, &cx.timing, store_ok, self.stopping);
+        if entries != self.eligible_entries {
+            self.eligible_entries.clone_from(&entries);
+            self.eligible_since = cx.now;
         }
-        let settled = cx.now.since(self.entries_since).0 >= cx.timing.member_ttl.0 / 3;
-        let wanted = assign::owners(&self.layout, &entries);
+        let settled = cx.now.since(self.eligible_since).0 >= cx.timing.member_ttl.0 / 3;
+        let wanted = assign::assign_owners(&self.layout, &entries);
         let ids: Vec<ids::PartitionId> = self.partitions.keys().copied().collect();
         for id in ids {
             let want = wanted.get(&id);
             let mine = want == Some(&self.me.entry);
             let owns = self.partitions.get(&id).is_some_and(Partition::owns);
-            // A release that cannot be stored would only keep the owner from starting anything.
+            // Without the store, a release cannot be stored, and meanwhile the owner could not
+            // start anything. So it keeps the partition, unless this process stops.
             if owns && !mine && ((settled && store_ok) || self.stopping) {
                 self.release(cx, id, want.cloned());
             } else if !owns && mine && store_ok && settled && self.may_claim(cx, id) {
@@ -37,7 +41,8 @@
         }
     }
 
-    /// Tells whether a partition that this entry should own has no living owner.
+    /// Returns whether this entry may claim a partition that it should own: no living peer owns it,
+    /// or the owner has not reached the store for a membership lease.
     pub(super) fn may_claim(&self, cx: &Context, id: ids::PartitionId) -> bool {
         let started = self.started_at.unwrap_or(cx.now);
         if cx.now.since(started) < cx.timing.member_ttl {
@@ -45,9 +50,10 @@
         }
         match self.members.owner_of(cx.now, &cx.timing, id) {
             None => true,
-            // A living owner hands over by itself, unless it does not reach the store.
+            // A living owner hands over on its own, unless it does not reach the store.
             Some((entry, _)) => self.members.peers.get(&entry).is_some_and(|p| {
-                p.cut_since.is_some_and(|since| cx.now.since(since) >= cx.timing.member_ttl)
+                p.store_unreachable_since
+                    .is_some_and(|since| cx.now.since(since) >= cx.timing.member_ttl)
             }),
         }
     }
@@ -60,7 +66,7 @@
     ) {
         if let Some(p) = self.partitions.get_mut(&id) {
             p.release(cx);
-            self.handed.extend(to.map(|to| (id, to)));
+            self.pending_handovers.extend(to.map(|to| (id, to)));
         }
     }
 
@@ -69,15 +75,16 @@
         let released = |id: &ids::PartitionId| {
             partitions.get(id).is_some_and(|p| p.is() == ownership::Is::Other)
         };
-        let done: Vec<ids::PartitionId> = self.handed.keys().copied().filter(released).collect();
+        let done: Vec<ids::PartitionId> =
+            self.pending_handovers.keys().copied().filter(released).collect();
         for id in done {
-            if let Some(to) = self.handed.remove(&id) {
+            if let Some(to) = self.pending_handovers.remove(&id) {
                 cx.actions.push(Action::HandOver { to, partition: id });
             }
         }
     }
 
-    pub(super) fn share_out(&mut self, cx: &mut Context) {
+    pub(super) fn distribute_shares(&mut self, cx: &mut Context) {
         cx.fleet = self.hosts.iter().map(|h| h.capacity).collect();
         cx.fleet_capacity = assign::total_capacity(&self.hosts);
         let shares = assign::shares(&self.layout, &cx.config, &self.hosts);
@@ -93,18 +100,19 @@
         }
     }
 
-    pub(super) fn rooms(&self) -> Vec<api::FreeCapacity> {
-        let room = |p: &Partition| p.room().map(|free| api::FreeCapacity { partition: p.id, free });
-        self.partitions.values().filter_map(room).collect()
+    pub(super) fn free_capacity(&self) -> Vec<api::FreeCapacity> {
+        let report =
+            |p: &Partition| p.room().map(|free| api::FreeCapacity { partition: p.id, free });
+        self.partitions.values().filter_map(report).collect()
     }
 
-    /// Gathers which partitions could take lent tasks, here and at the peers.
-    pub(super) fn gather_rooms(&mut self, cx: &mut Context) {
-        cx.rooms = self.rooms().into_iter().map(|r| (r.partition, r.free)).collect();
+    /// Collects the partitions that could take lent tasks, of this entry and of its peers.
+    pub(super) fn collect_free_capacity(&mut self, cx: &mut Context) {
+        cx.rooms = self.free_capacity().into_iter().map(|r| (r.partition, r.free)).collect();
         for (entry, peer) in &self.members.peers {
             let heard = self.members.heard(cx.now, &cx.timing, entry);
-            let rooms = peer.beat.iter().filter(|_| heard).flat_map(|b| b.rooms.iter());
-            cx.rooms.extend(rooms.map(|r| (r.partition, r.free)));
+            let reports = peer.heartbeat.iter().filter(|_| heard).flat_map(|b| b.rooms.iter());
+            cx.rooms.extend(reports.map(|r| (r.partition, r.free)));
         }
     }
 }
