--- a/crates/sched/tests/fleet/world/evacuations.rs
+++ b/crates/sched/tests/fleet/world/evacuations.rs
@@ -19,7 +19,7 @@
 
 /// The operators' word, and when the leader last read it.
 #[derive(Debug, Default)]
-pub struct Words {
+pub struct EvacuationRequests {
     /// The evacuated domains, with the time of the word.
     since: BTreeMap<ids::DomainId, u64>,
     /// Rises with every word.
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -49,7 +49,7 @@
 use crashes::Crashes;
 use directory::Directory;
 pub use directory::Reading;
-use evacuations::Words;
+use evacuations::EvacuationRequests;
 use hosts::Hosts;
 pub use hosts::{host_name, OrderFate};
 use worker::SimWorker;
@@ -122,7 +122,7 @@
     /// How the leader reads the directory.
     pub directory: Directory,
     /// Which failure domains the operators have evacuated.
-    words: Words,
+    words: EvacuationRequests,
     rng: ChaCha8Rng,
     term: u64,
     token: u64,
@@ -173,7 +173,7 @@
             crashes: Crashes::default(),
             checkpoints: Checkpoints::default(),
             directory: Directory::default(),
-            words: Words::default(),
+            words: EvacuationRequests::default(),
             wave_progress: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             term: 0,
