--- a/crates/sched/tests/fleet/world/evacuations.rs
+++ b/crates/sched/tests/fleet/world/evacuations.rs
@@ -33,20 +33,20 @@
     /// Evacuates the failure domain of a worker.
     pub fn evacuate(&mut self, worker: usize) {
         let now = self.now;
-        self.words.revision += 1;
-        self.words.since.entry(domain_of(worker)).or_insert(now);
+        self.evacuation_requests.revision += 1;
+        self.evacuation_requests.since.entry(domain_of(worker)).or_insert(now);
     }
 
     /// Takes the failure domain of a worker back.
     pub fn take_back(&mut self, worker: usize) {
-        self.words.revision += 1;
-        self.words.since.remove(&domain_of(worker));
+        self.evacuation_requests.revision += 1;
+        self.evacuation_requests.since.remove(&domain_of(worker));
     }
 
     /// Returns the operators' word as it lies in the store.
     pub fn evacuated(&self) -> Evacuated {
-        let domains = self.words.since.keys().cloned().collect();
-        Evacuated { revision: self.words.revision, domains }
+        let domains = self.evacuation_requests.since.keys().cloned().collect();
+        Evacuated { revision: self.evacuation_requests.revision, domains }
     }
 
     /// Tells the leader what the store said, be it long ago.
@@ -57,12 +57,12 @@
     /// Lets the leader read the word when that is due and the store answers.
     pub(super) fn read_words(&mut self) {
         if self.store_down {
-            self.words.store_back = self.now;
+            self.evacuation_requests.store_back = self.now;
         }
-        if self.now < self.words.last_read + READ_EVERY_MS {
+        if self.now < self.evacuation_requests.last_read + READ_EVERY_MS {
             return;
         }
-        self.words.last_read = self.now;
+        self.evacuation_requests.last_read = self.now;
         if !self.store_down {
             self.hear_evacuated(self.evacuated());
         }
@@ -72,8 +72,8 @@
     /// late was sent before.
     pub(super) fn check_evacuated(&mut self, at: usize, task: TaskKey, sent: u64) {
         let domain = &self.workers[at].info.domain;
-        let Some(&since) = self.words.since.get(domain) else { return };
-        let heeded = since.max(self.words.store_back) + HEEDED_WITHIN_MS;
+        let Some(&since) = self.evacuation_requests.since.get(domain) else { return };
+        let heeded = since.max(self.evacuation_requests.store_back) + HEEDED_WITHIN_MS;
         if sent > heeded {
             let violation = format!("{}: {task} starts in evacuated {domain}", self.now);
             self.violations.push(violation);
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -122,7 +122,7 @@
     /// How the leader reads the directory.
     pub directory: Directory,
     /// Which failure domains the operators have evacuated.
-    words: EvacuationRequests,
+    evacuation_requests: EvacuationRequests,
     rng: ChaCha8Rng,
     term: u64,
     token: u64,
@@ -173,7 +173,7 @@
             crashes: Crashes::default(),
             checkpoints: Checkpoints::default(),
             directory: Directory::default(),
-            words: EvacuationRequests::default(),
+            evacuation_requests: EvacuationRequests::default(),
             wave_progress: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             term: 0,
