--- a/crates/sched/tests/fleet/world/evacuations.rs
+++ b/crates/sched/tests/fleet/world/evacuations.rs
@@ -55,7 +55,7 @@
     }
 
     /// Lets the leader read the word when that is due and the store answers.
-    pub(super) fn read_words(&mut self) {
+    pub(super) fn read_evacuations(&mut self) {
         if self.store_down {
             self.evacuation_requests.store_back = self.now;
         }
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -324,7 +324,7 @@
             log::set_now(self.now);
             self.step_workers();
             self.step_hosts();
-            self.read_words();
+            self.read_evacuations();
             self.read_directory();
             while let Some(entry) = self.deliveries.first_entry() {
                 if entry.key().0 > self.now {
