--- a/crates/sched/tests/fleet/world/evacuations.rs
+++ b/crates/sched/tests/fleet/world/evacuations.rs
@@ -26,7 +26,7 @@
     revision: u64,
     last_read: u64,
     /// When the store last came back.
-    store_back: u64,
+    store_recovered_at: u64,
 }
 
 impl World {
@@ -57,7 +57,7 @@
     /// Lets the leader read the word when that is due and the store answers.
     pub(super) fn read_evacuations(&mut self) {
         if self.store_down {
-            self.evacuation_requests.store_back = self.now;
+            self.evacuation_requests.store_recovered_at = self.now;
         }
         if self.now < self.evacuation_requests.last_read + READ_EVERY_MS {
             return;
@@ -73,7 +73,7 @@
     pub(super) fn check_evacuated(&mut self, at: usize, task: TaskKey, sent: u64) {
         let domain = &self.workers[at].info.domain;
         let Some(&since) = self.evacuation_requests.since.get(domain) else { return };
-        let heeded = since.max(self.evacuation_requests.store_back) + HEEDED_WITHIN_MS;
+        let heeded = since.max(self.evacuation_requests.store_recovered_at) + HEEDED_WITHIN_MS;
         if sent > heeded {
             let violation = format!("{}: {task} starts in evacuated {domain}", self.now);
             self.violations.push(violation);
