--- a/crates/sched/tests/fleet/world/evacuations.rs
+++ b/crates/sched/tests/fleet/world/evacuations.rs
@@ -15,7 +15,7 @@
 const READ_EVERY_MS: u64 = 500;
 
 /// How long after the word a start may still be sent, in milliseconds: one reading may be lost.
-const HEEDED_WITHIN_MS: u64 = 2 * READ_EVERY_MS;
+const EFFECTIVE_WITHIN_MS: u64 = 2 * READ_EVERY_MS;
 
 /// The operators' word, and when the leader last read it.
 #[derive(Debug, Default)]
@@ -73,7 +73,7 @@
     pub(super) fn check_evacuated(&mut self, at: usize, task: TaskKey, sent: u64) {
         let domain = &self.workers[at].info.domain;
         let Some(&since) = self.evacuation_requests.since.get(domain) else { return };
-        let heeded = since.max(self.evacuation_requests.store_recovered_at) + HEEDED_WITHIN_MS;
+        let heeded = since.max(self.evacuation_requests.store_recovered_at) + EFFECTIVE_WITHIN_MS;
         if sent > heeded {
             let violation = format!("{}: {task} starts in evacuated {domain}", self.now);
             self.violations.push(violation);
