--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/world/checks.rs
@@ -95,7 +95,7 @@
                 self.violations.push(format!("{now}: {task} twice, at {other} and {at}"));
             }
         }
-        if self.noted_done.contains(&task) {
+        if self.recorded_done.contains(&task) {
             self.violations.push(format!("{now}: {task} starts after its end was noted"));
         }
         if self.noted_failed.get(&task).copied().unwrap_or(0) >= MAX_ATTEMPTS
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -140,7 +140,7 @@
     roster: BTreeMap<ids::WorkerId, RosterEntry>,
     wave_progress: BTreeMap<WaveNumber, WaveProgress>,
     writes: Writes,
-    noted_done: BTreeSet<TaskKey>,
+    recorded_done: BTreeSet<TaskKey>,
     /// When each task was last started.
     started_at: BTreeMap<TaskKey, u64>,
     done: BTreeSet<TaskKey>,
@@ -187,7 +187,7 @@
             progress: BTreeMap::new(),
             unreadable: BTreeSet::new(),
             roster: BTreeMap::new(),
-            noted_done: BTreeSet::new(),
+            recorded_done: BTreeSet::new(),
             started_at: BTreeMap::new(),
             done: BTreeSet::new(),
             noted_failed: BTreeMap::new(),
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -61,7 +61,7 @@
                         );
                         self.violations.push(text);
                     }
-                    self.noted_done.insert(end.task);
+                    self.recorded_done.insert(end.task);
                 }
                 EndCause::Failed => *self.noted_failed.entry(end.task).or_default() += 1,
                 _ => {}
