--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/world/checks.rs
@@ -98,7 +98,7 @@
         if self.recorded_done.contains(&task) {
             self.violations.push(format!("{now}: {task} starts after its end was noted"));
         }
-        if self.noted_failed.get(&task).copied().unwrap_or(0) >= MAX_ATTEMPTS
+        if self.recorded_failed.get(&task).copied().unwrap_or(0) >= MAX_ATTEMPTS
             && !self.jobs[&task.job].steps[usize::from(task.step)].lasting
         {
             self.violations.push(format!("{now}: {task} starts after all its attempts"));
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -144,7 +144,7 @@
     /// When each task was last started.
     started_at: BTreeMap<TaskKey, u64>,
     done: BTreeSet<TaskKey>,
-    noted_failed: BTreeMap<TaskKey, u32>,
+    recorded_failed: BTreeMap<TaskKey, u32>,
     failed: BTreeMap<TaskKey, u32>,
 }
 
@@ -190,7 +190,7 @@
             recorded_done: BTreeSet::new(),
             started_at: BTreeMap::new(),
             done: BTreeSet::new(),
-            noted_failed: BTreeMap::new(),
+            recorded_failed: BTreeMap::new(),
             failed: BTreeMap::new(),
         };
         for n in 0..workers {
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -63,7 +63,7 @@
                     }
                     self.recorded_done.insert(end.task);
                 }
-                EndCause::Failed => *self.noted_failed.entry(end.task).or_default() += 1,
+                EndCause::Failed => *self.recorded_failed.entry(end.task).or_default() += 1,
                 _ => {}
             }
         }
