--- a/crates/sched/tests/fleet/world/directory.rs
+++ b/crates/sched/tests/fleet/world/directory.rs
@@ -66,12 +66,12 @@
             Reading::Quiet => DirectoryRead { sent, revision: 0, complete: true },
             Reading::Silent => return,
         };
-        self.hear_who_leaves(read.revision);
+        self.deliver_drain_notices(read.revision);
         self.event(Event::DirectoryRead(read));
     }
 
     /// Tells the leader which workers have said until then that they leave.
-    fn hear_who_leaves(&mut self, until: u64) {
+    fn deliver_drain_notices(&mut self, until: u64) {
         let mut heard = Vec::new();
         for (&worker, (since, is_heard)) in &mut self.directory.leaving {
             if *since <= until && !*is_heard {
