--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -207,7 +207,7 @@
             Delivery::ToHost { order, answered } => self.take_down(order, answered),
             Delivery::Held { trip, sent } => self.answer_renewal(trip, sent),
             Delivery::Unlisted { at } => self.unlist(at),
-            Delivery::Reborn { at } => self.reborn(at),
+            Delivery::Reborn { at } => self.add_replacement(at),
             Delivery::Entered { at, id } => self.entered(at, &id),
         }
     }
--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -110,7 +110,7 @@
     }
 
     /// Adds the next incarnation of a worker, at the same address.
-    pub(super) fn reborn(&mut self, at: usize) {
+    pub(super) fn add_replacement(&mut self, at: usize) {
         let dead = &self.workers[at];
         let (id, addr) =
             (ids::WorkerId(format!("{}+", dead.info.id.name())), dead.info.addr.clone());
