--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -75,7 +75,7 @@
     /// The directory drops the entry of a worker that has crashed.
     Unlisted { at: usize },
     /// The host of a worker that has crashed has another one.
-    Reborn { at: usize },
+    Replaced { at: usize },
     /// The directory shows the entry of a worker that has started again under its name.
     Entered { at: usize, id: ids::WorkerId },
     /// The leader hears of its write, or has waited before it goes on.
@@ -207,7 +207,7 @@
             Delivery::ToHost { order, answered } => self.take_down(order, answered),
             Delivery::Held { trip, sent } => self.answer_renewal(trip, sent),
             Delivery::Unlisted { at } => self.unlist(at),
-            Delivery::Reborn { at } => self.add_replacement(at),
+            Delivery::Replaced { at } => self.add_replacement(at),
             Delivery::Entered { at, id } => self.entered(at, &id),
         }
     }
--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -105,7 +105,7 @@
         self.crash(at);
         if !self.crashes.silent {
             self.send(UNLISTED_AFTER_MS, Delivery::Unlisted { at });
-            self.send(BACK_AFTER_MS, Delivery::Reborn { at });
+            self.send(BACK_AFTER_MS, Delivery::Replaced { at });
         }
     }
 
