--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -208,7 +208,7 @@
             Delivery::Held { trip, sent } => self.answer_renewal(trip, sent),
             Delivery::Unlisted { at } => self.unlist(at),
             Delivery::Replaced { at } => self.add_replacement(at),
-            Delivery::Entered { at, id } => self.entered(at, &id),
+            Delivery::Entered { at, id } => self.list_restarted(at, &id),
         }
     }
 
