--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -77,7 +77,7 @@
     /// The host of a worker that has crashed has another one.
     Replaced { at: usize },
     /// The directory shows the entry of a worker that has started again under its name.
-    Entered { at: usize, id: ids::WorkerId },
+    RestartListed { at: usize, id: ids::WorkerId },
     /// The leader hears of its write, or has waited before it goes on.
     FromStore { mark: CommitId, heard: Heard },
 }
@@ -208,7 +208,7 @@
             Delivery::Held { trip, sent } => self.answer_renewal(trip, sent),
             Delivery::Unlisted { at } => self.unlist(at),
             Delivery::Replaced { at } => self.add_replacement(at),
-            Delivery::Entered { at, id } => self.list_restarted(at, &id),
+            Delivery::RestartListed { at, id } => self.list_restarted(at, &id),
         }
     }
 
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -193,7 +193,7 @@
         info.id = ids::WorkerId::of(&former.name(), Some(self.now));
         (info.draining, info.remaining) = (false, None);
         self.workers[at] = SimWorker { info, ..SimWorker::new("", at) };
-        self.send(ENTERED_AFTER_MS, Delivery::Entered { at, id: former });
+        self.send(ENTERED_AFTER_MS, Delivery::RestartListed { at, id: former });
     }
 
     /// Lists a worker that has started again in place of its former start.
