--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -21,7 +21,7 @@
 const RESIZE_HEARD_MS: u64 = 3_000;
 
 /// How long the directory still shows the former start of a worker, in milliseconds.
-const ENTERED_AFTER_MS: u64 = 800;
+const RESTART_LISTED_AFTER_MS: u64 = 800;
 
 #[derive(Debug, Clone)]
 pub(super) struct SimRun {
@@ -187,13 +187,13 @@
 
     /// Starts a worker over under its name, whose next start gets the calls that this one left unanswered.
     pub fn start_over_before_calls(&mut self, at: usize) {
-        self.note_trouble(at, ENTERED_AFTER_MS);
+        self.note_trouble(at, RESTART_LISTED_AFTER_MS);
         let mut info = self.workers[at].info.clone();
         let former = info.id.clone();
         info.id = ids::WorkerId::of(&former.name(), Some(self.now));
         (info.draining, info.remaining) = (false, None);
         self.workers[at] = SimWorker { info, ..SimWorker::new("", at) };
-        self.send(ENTERED_AFTER_MS, Delivery::RestartListed { at, id: former });
+        self.send(RESTART_LISTED_AFTER_MS, Delivery::RestartListed { at, id: former });
     }
 
     /// Lists a worker that has started again in place of its former start.
