--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -19,7 +19,7 @@
 const UNLISTED_AFTER_MS: u64 = 2_000;
 
 /// How long after a crash its host has a new worker, in milliseconds.
-const BACK_AFTER_MS: u64 = 3_000;
+const REPLACED_AFTER_MS: u64 = 3_000;
 
 /// Which tasks crash their workers, and what they have done so far.
 #[derive(Debug, Default)]
@@ -105,7 +105,7 @@
         self.crash(at);
         if !self.crashes.silent {
             self.send(UNLISTED_AFTER_MS, Delivery::Unlisted { at });
-            self.send(BACK_AFTER_MS, Delivery::Replaced { at });
+            self.send(REPLACED_AFTER_MS, Delivery::Replaced { at });
         }
     }
 
