--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -67,7 +67,7 @@
     /// An answer arrives.
     ToLeader { event: Event, leader: u64 },
     /// A worker has waited long enough with its answer to a renewal.
-    Held { trip: Trip, sent: Instant },
+    RenewalAnswerDue { trip: Trip, sent: Instant },
     /// An order that a host goes down arrives; its leader may have ended meanwhile.
     ToHost { order: HostOrder, answered: bool },
     /// A write of the leader arrives at the store.
@@ -205,7 +205,7 @@
             Delivery::FromStore { mark, heard } => self.hear_of_write(mark, heard),
             Delivery::ToWorker { trip, call, token } => self.at_worker(trip, call, token),
             Delivery::ToHost { order, answered } => self.take_down(order, answered),
-            Delivery::Held { trip, sent } => self.answer_renewal(trip, sent),
+            Delivery::RenewalAnswerDue { trip, sent } => self.answer_renewal(trip, sent),
             Delivery::Unlisted { at } => self.unlist(at),
             Delivery::Replaced { at } => self.add_replacement(at),
             Delivery::RestartListed { at, id } => self.list_restarted(at, &id),
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -14,10 +14,9 @@
 impl World {
     /// Lets a waiting renewal answer now.
     pub(super) fn wake_renewal(&mut self, at: usize) {
-        let waiting = self
-            .deliveries
-            .iter()
-            .find(|(_, d)| matches!(d, Delivery::Held { trip, .. } if trip.worker == at));
+        let waiting = self.deliveries.iter().find(
+            |(_, d)| matches!(d, Delivery::RenewalAnswerDue { trip, .. } if trip.worker == at),
+        );
         let Some(key) = waiting.map(|(key, _)| *key) else { return };
         if let Some(delivery) = self.deliveries.remove(&key) {
             self.send(0, delivery);
@@ -39,7 +38,7 @@
             self.grant(at, until);
         }
         let wait = if self.workers[at].ends.is_empty() { wait } else { 0 };
-        self.send(wait, Delivery::Held { trip, sent });
+        self.send(wait, Delivery::RenewalAnswerDue { trip, sent });
     }
 
     fn acknowledge(&mut self, at: usize, stored: EndSeq) {
