--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -14,7 +14,7 @@
 use super::checkpoints::Brought;
 use super::hosts::HostOrder;
 use super::worker::SimWorker;
-use super::writes::{Heard, Write};
+use super::writes::{Write, WriteNotice};
 use super::World;
 
 /// What a leader asks of a worker.
@@ -79,7 +79,7 @@
     /// The directory shows the entry of a worker that has started again under its name.
     RestartListed { at: usize, id: ids::WorkerId },
     /// The leader hears of its write, or has waited before it goes on.
-    FromStore { mark: CommitId, heard: Heard },
+    FromStore { mark: CommitId, heard: WriteNotice },
 }
 
 /// How long a leader waits for an answer, in milliseconds: as long as the product waits for the
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -64,7 +64,7 @@
 
 /// What the leader hears of the write in flight.
 #[derive(Debug, Clone, Copy)]
-pub enum Heard {
+pub enum WriteNotice {
     Answer(CommitAnswer),
     Looks,
     Waited,
@@ -124,8 +124,8 @@
     fn write_next(&mut self, next: NextStep) {
         match next {
             NextStep::Send => self.send_write(),
-            NextStep::ReadStore => self.hears_later(CALL_MS, Heard::Looks),
-            NextStep::Wait => self.hears_later(PAUSE_MS, Heard::Waited),
+            NextStep::ReadStore => self.hears_later(CALL_MS, WriteNotice::Looks),
+            NextStep::Wait => self.hears_later(PAUSE_MS, WriteNotice::Waited),
             NextStep::Stored => {
                 self.check_stored();
                 self.writes.in_flight = None;
@@ -159,7 +159,7 @@
         let Some(write) = self.writes.in_flight.clone() else { return };
         self.writes.writer.sent();
         if self.store_down {
-            return self.hears_later(REFUSED_MS, Heard::Answer(CommitAnswer::Refused));
+            return self.hears_later(REFUSED_MS, WriteNotice::Answer(CommitAnswer::Refused));
         }
         let f = self.write_faults;
         // Worlds without such faults draw nothing, so that their seeds play as they always have.
@@ -170,21 +170,21 @@
             roll < most
         };
         if falls(f.refused_per_mille) {
-            return self.hears_later(REFUSED_MS, Heard::Answer(CommitAnswer::Refused));
+            return self.hears_later(REFUSED_MS, WriteNotice::Answer(CommitAnswer::Refused));
         }
         if falls(f.lost_per_mille) {
-            return self.hears_later(LIMIT_MS, Heard::Answer(CommitAnswer::Silent));
+            return self.hears_later(LIMIT_MS, WriteNotice::Answer(CommitAnswer::Silent));
         }
         let late = falls(f.late_per_mille);
         let answered = !late && !falls(f.unanswered_per_mille);
         if !answered {
-            self.hears_later(LIMIT_MS, Heard::Answer(CommitAnswer::Silent));
+            self.hears_later(LIMIT_MS, WriteNotice::Answer(CommitAnswer::Silent));
         }
         let after = if late { self.rng.random_range(LATE_MS) } else { CALL_MS };
         self.send(after, Delivery::ToStore { write, answered });
     }
 
-    fn hears_later(&mut self, after: u64, heard: Heard) {
+    fn hears_later(&mut self, after: u64, heard: WriteNotice) {
         let Some(mark) = self.writes.in_flight.as_ref().map(|w| w.mark) else { return };
         self.send(after, Delivery::FromStore { mark, heard });
     }
@@ -197,21 +197,21 @@
             self.store(write.records);
         }
         if answered {
-            self.hear_of_write(mark, Heard::Answer(answer));
+            self.hear_of_write(mark, WriteNotice::Answer(answer));
         }
     }
 
     /// Lets the leader hear of its write; an answer to an earlier one goes nowhere.
-    pub(super) fn hear_of_write(&mut self, mark: CommitId, heard: Heard) {
+    pub(super) fn hear_of_write(&mut self, mark: CommitId, heard: WriteNotice) {
         if self.writes.in_flight.as_ref().is_none_or(|w| w.mark != mark) {
             return;
         }
         let (leads, sight) = (self.cx.is_some(), self.sight());
         let writer = &mut self.writes.writer;
         let next = match heard {
-            Heard::Answer(answer) => writer.answered(answer),
-            Heard::Looks => writer.store_read(sight),
-            Heard::Waited => writer.waited(leads),
+            WriteNotice::Answer(answer) => writer.answered(answer),
+            WriteNotice::Looks => writer.store_read(sight),
+            WriteNotice::Waited => writer.waited(leads),
         };
         self.write_next(next);
     }
