--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum WriteNotice {
     Answer(CommitAnswer),
-    Looks,
+    ReadStore,
     Waited,
 }
 
@@ -124,7 +124,7 @@
     fn write_next(&mut self, next: NextStep) {
         match next {
             NextStep::Send => self.send_write(),
-            NextStep::ReadStore => self.hears_later(CALL_MS, WriteNotice::Looks),
+            NextStep::ReadStore => self.hears_later(CALL_MS, WriteNotice::ReadStore),
             NextStep::Wait => self.hears_later(PAUSE_MS, WriteNotice::Waited),
             NextStep::Stored => {
                 self.check_stored();
@@ -210,7 +210,7 @@
         let writer = &mut self.writes.writer;
         let next = match heard {
             WriteNotice::Answer(answer) => writer.answered(answer),
-            WriteNotice::Looks => writer.store_read(sight),
+            WriteNotice::ReadStore => writer.store_read(sight),
             WriteNotice::Waited => writer.waited(leads),
         };
         self.write_next(next);
