--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -124,8 +124,8 @@
     fn write_next(&mut self, next: NextStep) {
         match next {
             NextStep::Send => self.send_write(),
-            NextStep::ReadStore => self.hears_later(CALL_MS, WriteNotice::ReadStore),
-            NextStep::Wait => self.hears_later(PAUSE_MS, WriteNotice::Waited),
+            NextStep::ReadStore => self.notify_later(CALL_MS, WriteNotice::ReadStore),
+            NextStep::Wait => self.notify_later(PAUSE_MS, WriteNotice::Waited),
             NextStep::Stored => {
                 self.check_stored();
                 self.writes.in_flight = None;
@@ -159,7 +159,7 @@
         let Some(write) = self.writes.in_flight.clone() else { return };
         self.writes.writer.sent();
         if self.store_down {
-            return self.hears_later(REFUSED_MS, WriteNotice::Answer(CommitAnswer::Refused));
+            return self.notify_later(REFUSED_MS, WriteNotice::Answer(CommitAnswer::Refused));
         }
         let f = self.write_faults;
         // Worlds without such faults draw nothing, so that their seeds play as they always have.
@@ -170,21 +170,21 @@
             roll < most
         };
         if falls(f.refused_per_mille) {
-            return self.hears_later(REFUSED_MS, WriteNotice::Answer(CommitAnswer::Refused));
+            return self.notify_later(REFUSED_MS, WriteNotice::Answer(CommitAnswer::Refused));
         }
         if falls(f.lost_per_mille) {
-            return self.hears_later(LIMIT_MS, WriteNotice::Answer(CommitAnswer::Silent));
+            return self.notify_later(LIMIT_MS, WriteNotice::Answer(CommitAnswer::Silent));
         }
         let late = falls(f.late_per_mille);
         let answered = !late && !falls(f.unanswered_per_mille);
         if !answered {
-            self.hears_later(LIMIT_MS, WriteNotice::Answer(CommitAnswer::Silent));
+            self.notify_later(LIMIT_MS, WriteNotice::Answer(CommitAnswer::Silent));
         }
         let after = if late { self.rng.random_range(LATE_MS) } else { CALL_MS };
         self.send(after, Delivery::ToStore { write, answered });
     }
 
-    fn hears_later(&mut self, after: u64, heard: WriteNotice) {
+    fn notify_later(&mut self, after: u64, heard: WriteNotice) {
         let Some(mark) = self.writes.in_flight.as_ref().map(|w| w.mark) else { return };
         self.send(after, Delivery::FromStore { mark, heard });
     }
