--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -202,7 +202,7 @@
             Delivery::ToLeader { event, leader } if leader == self.term => self.event(event),
             Delivery::ToLeader { .. } => {}
             Delivery::ToStore { write, answered } => self.at_store(write, answered),
-            Delivery::FromStore { mark, heard } => self.hear_of_write(mark, heard),
+            Delivery::FromStore { mark, heard } => self.notify_of_write(mark, heard),
             Delivery::ToWorker { trip, call, token } => self.at_worker(trip, call, token),
             Delivery::ToHost { order, answered } => self.take_down(order, answered),
             Delivery::RenewalAnswerDue { trip, sent } => self.answer_renewal(trip, sent),
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -197,12 +197,12 @@
             self.store(write.records);
         }
         if answered {
-            self.hear_of_write(mark, WriteNotice::Answer(answer));
+            self.notify_of_write(mark, WriteNotice::Answer(answer));
         }
     }
 
     /// Lets the leader hear of its write; an answer to an earlier one goes nowhere.
-    pub(super) fn hear_of_write(&mut self, mark: CommitId, heard: WriteNotice) {
+    pub(super) fn notify_of_write(&mut self, mark: CommitId, heard: WriteNotice) {
         if self.writes.in_flight.as_ref().is_none_or(|w| w.mark != mark) {
             return;
         }
