--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -206,7 +206,7 @@
         if self.writes.in_flight.as_ref().is_none_or(|w| w.mark != mark) {
             return;
         }
-        let (leads, sight) = (self.cx.is_some(), self.sight());
+        let (leads, sight) = (self.cx.is_some(), self.store_view());
         let writer = &mut self.writes.writer;
         let next = match heard {
             WriteNotice::Answer(answer) => writer.answered(answer),
@@ -217,7 +217,7 @@
     }
 
     /// Returns what a look at the store shows.
-    fn sight(&self) -> StoreView {
+    fn store_view(&self) -> StoreView {
         if self.store_down {
             return StoreView::Nothing;
         }
