--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -162,7 +162,7 @@
 
     /// Takes a host down unless that was done before; what runs there dies at once. A token is not
     /// looked at: the platform does not check it everywhere.
-    pub(super) fn take_down(&mut self, order: HostOrder, answered: bool) {
+    pub(super) fn carry_out_maintenance(&mut self, order: HostOrder, answered: bool) {
         let of_wave =
             self.hosts.waves.get(&order.wave).is_some_and(|w| w.hosts.contains(&order.host));
         let host = &order.host;
