--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -135,7 +135,7 @@
                     continue;
                 }
                 Action::Maintenance { wave, host } => {
-                    self.order_down(wave, host);
+                    self.send_maintenance_order(wave, host);
                     continue;
                 }
                 Action::ConfirmLeadership => continue,
--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -120,7 +120,7 @@
     }
 
     /// Sends the order that a host goes down.
-    pub(super) fn order_down(&mut self, wave: WaveNumber, host: ids::HostId) {
+    pub(super) fn send_maintenance_order(&mut self, wave: WaveNumber, host: ids::HostId) {
         self.hosts.ordered.push(host.clone());
         let fate = self.hosts.fates.pop_front().unwrap_or_else(|| self.draw_fate());
         let order = HostOrder { wave, host, leader: self.term };
