--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -19,7 +19,7 @@
 const CALL_MS: u64 = 5;
 
 /// How long a host is down for its upkeep, in milliseconds.
-const UPKEEP_MS: u64 = 2_000;
+const MAINTENANCE_MS: u64 = 2_000;
 
 /// How long a leader waits for the answer to an order, in milliseconds: as long as the product.
 const ORDER_LIMIT_MS: u64 = 2_000;
@@ -172,7 +172,7 @@
             self.crash(at);
             self.unlist(at);
             self.hosts.upkeeps.insert(host.clone(), 1);
-            self.hosts.down_until.insert(host.clone(), self.now + UPKEEP_MS);
+            self.hosts.down_until.insert(host.clone(), self.now + MAINTENANCE_MS);
             self.hosts.most_down = self.hosts.most_down.max(self.hosts.down_until.len());
         }
         if answered {
