--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -122,7 +122,7 @@
     /// Sends the order that a host goes down.
     pub(super) fn send_maintenance_order(&mut self, wave: WaveNumber, host: ids::HostId) {
         self.hosts.ordered.push(host.clone());
-        let fate = self.hosts.fates.pop_front().unwrap_or_else(|| self.draw_fate());
+        let fate = self.hosts.fates.pop_front().unwrap_or_else(|| self.draw_order_outcome());
         let order = HostOrder { wave, host, leader: self.term };
         let (after, answered) = match fate {
             OrderFate::Answered(ms) => (Some(ms), true),
@@ -139,7 +139,7 @@
     }
 
     /// Draws what becomes of an order.
-    fn draw_fate(&mut self) -> OrderFate {
+    fn draw_order_outcome(&mut self) -> OrderFate {
         let f = self.faults;
         let roll = self.rng.random_range(0..1_000);
         let late = f.lost_per_mille + f.late_per_mille;
