--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -168,7 +168,7 @@
         let host = &order.host;
         if of_wave && !self.hosts.upkeeps.contains_key(host) {
             let at = self.hosts.of_worker.iter().rposition(|h| h == host).expect("it has one");
-            self.check_missed(at, host);
+            self.check_tasks_away(at, host);
             self.crash(at);
             self.unlist(at);
             self.hosts.upkeeps.insert(host.clone(), 1);
@@ -184,7 +184,7 @@
 
     /// Notes lasting tasks that go down with their host although too many others of their step are
     /// away.
-    fn check_missed(&mut self, at: usize, host: &ids::HostId) {
+    fn check_tasks_away(&mut self, at: usize, host: &ids::HostId) {
         for job in self.jobs.values().filter(|job| !self.cancelled.contains(&job.key)) {
             let Some(may_miss) = job.steps[0].may_miss else { continue };
             let of = |w: &SimWorker| w.running.keys().filter(|task| task.job == job.key).count();
