--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -142,7 +142,7 @@
     }
 
     /// Takes in that a leader is told of a checkpoint.
-    pub(super) fn told(&mut self, task: TaskKey, checkpoint: &Brought) {
+    pub(super) fn record_listed(&mut self, task: TaskKey, checkpoint: &Brought) {
         let furthest = self.checkpoints.furthest_ms.entry(task).or_default();
         *furthest = (*furthest).max(checkpoint.as_deref().map_or(0, done_ms));
     }
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -87,8 +87,8 @@
         let running: Vec<RunningTask> =
             runs.iter().map(|(task, r)| self.listed(at, *task, r)).collect();
         let ends = self.workers[at].ends.clone();
-        running.iter().for_each(|row| self.told(row.task, &row.checkpoint));
-        ends.iter().for_each(|end| self.told(end.task, &end.checkpoint));
+        running.iter().for_each(|row| self.record_listed(row.task, &row.checkpoint));
+        ends.iter().for_each(|end| self.record_listed(end.task, &end.checkpoint));
         let worker = &self.workers[at];
         let clock = WorkerClock(self.now + worker.clock_offset);
         WorkerReport { worker: Some(worker.info.id.clone()), clock, running, ends }
