--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns the tasks whose checkpoints serve for a task: its own, or those of its gang.
-    fn served_by(&self, task: TaskKey) -> Vec<TaskKey> {
+    fn checkpoint_sources(&self, task: TaskKey) -> Vec<TaskKey> {
         let step = self.step_of(task);
         if !step.gang {
             return vec![task];
@@ -82,7 +82,7 @@
     /// start under its run number.
     pub(super) fn check_brought(&mut self, task: TaskKey, run: Run, brought: &Brought) {
         let now = self.now;
-        for member in self.served_by(task) {
+        for member in self.checkpoint_sources(task) {
             let first = self.checkpoints.of_run.get(&(member, run));
             if let Some(first) = first.filter(|first| *first != brought) {
                 let text =
@@ -93,7 +93,7 @@
         self.checkpoints.of_run.insert((task, run), brought.clone());
         let Some(text) = brought else { return };
         self.checkpoints.brought += 1;
-        let served_by = self.served_by(task);
+        let served_by = self.checkpoint_sources(task);
         let made = served_by.iter().filter_map(|member| self.checkpoints.made.get(member));
         if !self.step_of(task).checkpoints || !made.into_iter().any(|texts| texts.contains(text)) {
             self.violations.push(format!("{now}: {task} run {run:?} brings {text}, not its own"));
