--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -40,7 +40,7 @@
     pub brought: u64,
     made: BTreeMap<TaskKey, BTreeSet<String>>,
     /// The text that each run was first started with.
-    of_run: BTreeMap<(TaskKey, Run), Brought>,
+    of_first_start: BTreeMap<(TaskKey, Run), Brought>,
     /// How far each task had come by what was listed.
     furthest_ms: BTreeMap<TaskKey, u64>,
 }
@@ -83,14 +83,14 @@
     pub(super) fn check_brought(&mut self, task: TaskKey, run: Run, brought: &Brought) {
         let now = self.now;
         for member in self.checkpoint_sources(task) {
-            let first = self.checkpoints.of_run.get(&(member, run));
+            let first = self.checkpoints.of_first_start.get(&(member, run));
             if let Some(first) = first.filter(|first| *first != brought) {
                 let text =
                     format!("{now}: {task} run {run:?} brings {brought:?}, {member} {first:?}");
                 self.violations.push(text);
             }
         }
-        self.checkpoints.of_run.insert((task, run), brought.clone());
+        self.checkpoints.of_first_start.insert((task, run), brought.clone());
         let Some(text) = brought else { return };
         self.checkpoints.brought += 1;
         let served_by = self.checkpoint_sources(task);
