--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -80,7 +80,7 @@
 
     /// Checks that a start brings nothing, or what its task has saved, and the same as every other
     /// start under its run number.
-    pub(super) fn check_brought(&mut self, task: TaskKey, run: Run, brought: &Brought) {
+    pub(super) fn check_start_checkpoint(&mut self, task: TaskKey, run: Run, brought: &Brought) {
         let now = self.now;
         for member in self.checkpoint_sources(task) {
             let first = self.checkpoints.of_first_start.get(&(member, run));
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -339,7 +339,7 @@
         checkpoint: &Brought,
         clock: u64,
     ) -> Result<(), Refusal> {
-        self.check_brought(task, run, checkpoint);
+        self.check_start_checkpoint(task, run, checkpoint);
         let worker = &mut self.workers[at];
         if worker.refuses_starts || worker.refuses_checkpoints && checkpoint.is_some() {
             worker.invalid_starts += 1;
