--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -11,7 +11,7 @@
 use gaplock_types::time::{Instant, Millis};
 use rand::Rng;
 
-use super::checkpoints::Brought;
+use super::checkpoints::StartCheckpoint;
 use super::hosts::HostOrder;
 use super::worker::SimWorker;
 use super::writes::{Write, WriteNotice};
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone)]
 pub enum Call {
     Renew(Renewal),
-    Start { task: TaskKey, run: Run, until: WorkerClock, work: Work, checkpoint: Brought },
+    Start { task: TaskKey, run: Run, until: WorkerClock, work: Work, checkpoint: StartCheckpoint },
     Stop { task: TaskKey, run: Run },
     Pace { task: TaskKey, run: Run, percent: u32 },
 }
--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -10,7 +10,7 @@
 use super::World;
 
 /// What a start brings.
-pub type Brought = Option<String>;
+pub type StartCheckpoint = Option<String>;
 
 /// How much work lies between two checkpoints of a run, in milliseconds.
 const SAVED_EVERY_MS: u64 = 200;
@@ -24,7 +24,7 @@
     /// How much of the work was done when the run began, in milliseconds.
     pub(super) from_ms: u64,
     /// What its start brought.
-    brought: Brought,
+    brought: StartCheckpoint,
     /// How many milliseconds one millisecond of work takes.
     slowness: u64,
 }
@@ -40,7 +40,7 @@
     pub brought: u64,
     made: BTreeMap<TaskKey, BTreeSet<String>>,
     /// The text that each run was first started with.
-    of_first_start: BTreeMap<(TaskKey, Run), Brought>,
+    of_first_start: BTreeMap<(TaskKey, Run), StartCheckpoint>,
     /// How far each task had come by what was listed.
     furthest_ms: BTreeMap<TaskKey, u64>,
 }
@@ -80,7 +80,12 @@
 
     /// Checks that a start brings nothing, or what its task has saved, and the same as every other
     /// start under its run number.
-    pub(super) fn check_start_checkpoint(&mut self, task: TaskKey, run: Run, brought: &Brought) {
+    pub(super) fn check_start_checkpoint(
+        &mut self,
+        task: TaskKey,
+        run: Run,
+        brought: &StartCheckpoint,
+    ) {
         let now = self.now;
         for member in self.checkpoint_sources(task) {
             let first = self.checkpoints.of_first_start.get(&(member, run));
@@ -101,7 +106,12 @@
     }
 
     /// Begins a run where its checkpoint says, and counts the listed work that it does again.
-    pub(super) fn resume(&mut self, task: TaskKey, brought: &Brought, slowness: u64) -> Saves {
+    pub(super) fn resume(
+        &mut self,
+        task: TaskKey,
+        brought: &StartCheckpoint,
+        slowness: u64,
+    ) -> Saves {
         let from_ms = brought.as_deref().map_or(0, done_ms);
         let furthest = self.checkpoints.furthest_ms.get(&task).copied().unwrap_or(0);
         self.checkpoints.thrown_away_ms += furthest.saturating_sub(from_ms);
@@ -109,7 +119,7 @@
     }
 
     /// Returns the checkpoint that a worker lists of a run, and notes what was saved.
-    pub(super) fn listed_checkpoint(&mut self, task: TaskKey, sim: &SimRun) -> Brought {
+    pub(super) fn listed_checkpoint(&mut self, task: TaskKey, sim: &SimRun) -> StartCheckpoint {
         let done = sim.saves.done_ms(sim.began, self.now);
         let saved = done / SAVED_EVERY_MS * SAVED_EVERY_MS;
         if saved <= sim.saves.from_ms {
@@ -124,7 +134,7 @@
         task: TaskKey,
         sim: &SimRun,
         how: EndCause,
-    ) -> Brought {
+    ) -> StartCheckpoint {
         match how {
             EndCause::Done => None,
             EndCause::Stopped => self.save(task, sim.saves.done_ms(sim.began, self.now)),
@@ -132,7 +142,7 @@
         }
     }
 
-    fn save(&mut self, task: TaskKey, saved_ms: u64) -> Brought {
+    fn save(&mut self, task: TaskKey, saved_ms: u64) -> StartCheckpoint {
         let text = text(task, saved_ms);
         if !self.step_of(task).checkpoints {
             return self.checkpoints.lists_all.then_some(text);
@@ -142,7 +152,7 @@
     }
 
     /// Takes in that a leader is told of a checkpoint.
-    pub(super) fn record_listed(&mut self, task: TaskKey, checkpoint: &Brought) {
+    pub(super) fn record_listed(&mut self, task: TaskKey, checkpoint: &StartCheckpoint) {
         let furthest = self.checkpoints.furthest_ms.entry(task).or_default();
         *furthest = (*furthest).max(checkpoint.as_deref().map_or(0, done_ms));
     }
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 use super::calls::{self, Call, Delivery, Trip, Work};
-use super::checkpoints::{Brought, Saves};
+use super::checkpoints::{Saves, StartCheckpoint};
 use super::{World, SERVICE};
 
 /// How long after a room has changed a start may still be sent by the former one, in milliseconds: the
@@ -336,7 +336,7 @@
         (task, run): (TaskKey, Run),
         until: WorkerClock,
         work: Work,
-        checkpoint: &Brought,
+        checkpoint: &StartCheckpoint,
         clock: u64,
     ) -> Result<(), Refusal> {
         self.check_start_checkpoint(task, run, checkpoint);
