--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -20,7 +20,7 @@
 
 /// What a run has to do with checkpoints.
 #[derive(Debug, Clone)]
-pub(super) struct Saves {
+pub(super) struct CheckpointState {
     /// How much of the work was done when the run began, in milliseconds.
     pub(super) from_ms: u64,
     /// What its start brought.
@@ -57,7 +57,7 @@
     text.get(..PROGRESS_DIGITS).and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or(0)
 }
 
-impl Saves {
+impl CheckpointState {
     /// Returns how much work is done at `now`, in milliseconds.
     fn done_ms(&self, began: u64, now: u64) -> u64 {
         self.from_ms + (now - began) / self.slowness
@@ -111,11 +111,11 @@
         task: TaskKey,
         brought: &StartCheckpoint,
         slowness: u64,
-    ) -> Saves {
+    ) -> CheckpointState {
         let from_ms = brought.as_deref().map_or(0, done_ms);
         let furthest = self.checkpoints.furthest_ms.get(&task).copied().unwrap_or(0);
         self.checkpoints.thrown_away_ms += furthest.saturating_sub(from_ms);
-        Saves { from_ms, brought: brought.clone(), slowness }
+        CheckpointState { from_ms, brought: brought.clone(), slowness }
     }
 
     /// Returns the checkpoint that a worker lists of a run, and notes what was saved.
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 use super::calls::{self, Call, Delivery, Trip, Work};
-use super::checkpoints::{Saves, StartCheckpoint};
+use super::checkpoints::{CheckpointState, StartCheckpoint};
 use super::{World, SERVICE};
 
 /// How long after a room has changed a start may still be sent by the former one, in milliseconds: the
@@ -33,7 +33,7 @@
     /// When its work is over, by the virtual clock; unset for a lasting task.
     ends_at: Option<u64>,
     /// What it has saved.
-    pub(super) saves: Saves,
+    pub(super) saves: CheckpointState,
     fails: bool,
     /// When its stop is over; unset while it is not being stopped.
     stops_at: Option<u64>,
