--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -120,10 +120,10 @@
 
     /// Returns the checkpoint that a worker lists of a run, and notes what was saved.
     pub(super) fn listed_checkpoint(&mut self, task: TaskKey, sim: &SimRun) -> StartCheckpoint {
-        let done = sim.saves.done_ms(sim.began, self.now);
+        let done = sim.checkpoint_state.done_ms(sim.began, self.now);
         let saved = done / SAVED_EVERY_MS * SAVED_EVERY_MS;
-        if saved <= sim.saves.from_ms {
-            return sim.saves.brought.clone();
+        if saved <= sim.checkpoint_state.from_ms {
+            return sim.checkpoint_state.brought.clone();
         }
         self.save(task, saved)
     }
@@ -137,7 +137,7 @@
     ) -> StartCheckpoint {
         match how {
             EndCause::Done => None,
-            EndCause::Stopped => self.save(task, sim.saves.done_ms(sim.began, self.now)),
+            EndCause::Stopped => self.save(task, sim.checkpoint_state.done_ms(sim.began, self.now)),
             _ => self.listed_checkpoint(task, sim),
         }
     }
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -33,7 +33,7 @@
     /// When its work is over, by the virtual clock; unset for a lasting task.
     ends_at: Option<u64>,
     /// What it has saved.
-    pub(super) saves: CheckpointState,
+    pub(super) checkpoint_state: CheckpointState,
     fails: bool,
     /// When its stop is over; unset while it is not being stopped.
     stops_at: Option<u64>,
@@ -380,8 +380,17 @@
         let began = self.now;
         let (takes, stops_at) = (work.takes, None);
         let crashes_at = self.crashes.after(task).map(|ms| began + ms);
-        let sim =
-            SimRun { takes, run, began, ends_at, saves, fails, stops_at, crashes_at, pace: 100 };
+        let sim = SimRun {
+            takes,
+            run,
+            began,
+            ends_at,
+            checkpoint_state: saves,
+            fails,
+            stops_at,
+            crashes_at,
+            pace: 100,
+        };
         self.workers[at].running.insert(task, sim);
         Ok(())
     }
