--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -13,7 +13,7 @@
 pub type StartCheckpoint = Option<String>;
 
 /// How much work lies between two checkpoints of a run, in milliseconds.
-const SAVED_EVERY_MS: u64 = 200;
+const CHECKPOINT_EVERY_MS: u64 = 200;
 
 /// How many digits of a checkpoint tell how far the work had come.
 const PROGRESS_DIGITS: usize = 8;
@@ -121,7 +121,7 @@
     /// Returns the checkpoint that a worker lists of a run, and notes what was saved.
     pub(super) fn listed_checkpoint(&mut self, task: TaskKey, sim: &SimRun) -> StartCheckpoint {
         let done = sim.checkpoint_state.done_ms(sim.began, self.now);
-        let saved = done / SAVED_EVERY_MS * SAVED_EVERY_MS;
+        let saved = done / CHECKPOINT_EVERY_MS * CHECKPOINT_EVERY_MS;
         if saved <= sim.checkpoint_state.from_ms {
             return sim.checkpoint_state.brought.clone();
         }
