--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -17,7 +17,7 @@
 const GONE_WITHIN_MS: u64 = 2_000;
 
 /// How often runs are looked at, in milliseconds.
-const LOOK_EVERY_MS: u64 = 20;
+const CHECK_EVERY_MS: u64 = 20;
 
 /// A cancellation that is stored.
 #[derive(Debug, Clone, Copy)]
@@ -111,7 +111,7 @@
         if self.cx.is_none() {
             return self.note_leader();
         }
-        if self.cancellations.made.is_empty() || !self.now.is_multiple_of(LOOK_EVERY_MS) {
+        if self.cancellations.made.is_empty() || !self.now.is_multiple_of(CHECK_EVERY_MS) {
             return;
         }
         let lease = self.settings.lease_max.0;
