--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -14,7 +14,7 @@
 
 /// How long a run of a cancelled job may be there where nothing goes wrong: the time of a stop, and of the account
 /// that shows the run.
-const GONE_WITHIN_MS: u64 = 2_000;
+const STOPPED_WITHIN_MS: u64 = 2_000;
 
 /// How often runs are looked at, in milliseconds.
 const CHECK_EVERY_MS: u64 = 20;
@@ -60,7 +60,7 @@
     fn gone_by(&self, job: JobKey, at: usize, lease_ms: u64) -> Option<u64> {
         let made = self.made.get(&job)?;
         let calm = self.troubled_until.get(&at).map_or(0, |until| until + lease_ms);
-        Some(made.at.max(calm).max(self.led_since) + GONE_WITHIN_MS)
+        Some(made.at.max(calm).max(self.led_since) + STOPPED_WITHIN_MS)
     }
 }
 
