--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -57,7 +57,7 @@
 
 impl Cancellations {
     /// Returns by when the runs of a job at a worker must be gone. What went wrong there may have left a lease.
-    fn gone_by(&self, job: JobKey, at: usize, lease_ms: u64) -> Option<u64> {
+    fn stopped_by(&self, job: JobKey, at: usize, lease_ms: u64) -> Option<u64> {
         let made = self.made.get(&job)?;
         let calm = self.troubled_until.get(&at).map_or(0, |until| until + lease_ms);
         Some(made.at.max(calm).max(self.led_since) + STOPPED_WITHIN_MS)
@@ -118,7 +118,7 @@
         let mut over = Vec::new();
         for (at, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.up) {
             for (task, sim) in &worker.running {
-                let gone_by = self.cancellations.gone_by(task.job, at, lease);
+                let gone_by = self.cancellations.stopped_by(task.job, at, lease);
                 if gone_by.is_some_and(|by| by + worker.stop_ms < self.now) {
                     over.push((at, *task, sim.run));
                 }
