--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -36,7 +36,7 @@
     /// When the present leader began.
     led_since: u64,
     /// Runs that were found going on.
-    found: BTreeSet<(usize, TaskKey, Run)>,
+    reported: BTreeSet<(usize, TaskKey, Run)>,
     /// Broken promises of cancellations, in words.
     broken: Vec<String>,
 }
@@ -125,7 +125,7 @@
             }
         }
         for (at, task, run) in over {
-            if self.cancellations.found.insert((at, task, run)) {
+            if self.cancellations.reported.insert((at, task, run)) {
                 let ago = self.now - self.cancellations.made[&task.job].at;
                 let now = self.now;
                 let said = format!(
