--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -24,7 +24,7 @@
 struct Cancellation {
     at: u64,
     /// The first term whose leader knows of it.
-    known_from: u64,
+    known_from_term: u64,
 }
 
 /// The cancellations of a world, and what hinders its leaders from carrying them out.
@@ -78,7 +78,7 @@
     /// Notes that a cancellation is stored: the leader that is told of it knows it, or else its successor.
     pub(super) fn note_cancelled(&mut self, key: JobKey) {
         let known_from = if self.cx.is_some() { self.term } else { self.term + 1 };
-        let made = Cancellation { at: self.now, known_from };
+        let made = Cancellation { at: self.now, known_from_term: known_from };
         self.cancelled.insert(key);
         self.cancellations.made.entry(key).or_insert(made);
     }
@@ -97,7 +97,7 @@
     /// Checks that a start which the leader sends is not one of a job that it knows to be cancelled.
     pub(super) fn check_sent(&mut self, at: usize, task: TaskKey, run: Run) {
         let made = self.cancellations.made.get(&task.job).copied();
-        let Some(made) = made.filter(|made| made.known_from <= self.term) else { return };
+        let Some(made) = made.filter(|made| made.known_from_term <= self.term) else { return };
         let (now, ago) = (self.now, self.now - made.at);
         let said = format!(
             "{now}: start of {task}, run {}, sent to {at} {ago} ms after its cancel",
