--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -51,7 +51,7 @@
 
 /// Fails the test if something runs whose job is over.
 pub(super) fn assert_none_left_over(world: &World) {
-    let left = world.left_over();
+    let left = world.runs_of_finished_jobs();
     assert!(left.is_empty(), "{} runs of jobs that are over go on: {left:?}", left.len());
 }
 
@@ -150,7 +150,7 @@
     }
 
     /// Lists what runs of jobs that are over, with its workers.
-    fn left_over(&self) -> Vec<(usize, TaskKey, Run)> {
+    fn runs_of_finished_jobs(&self) -> Vec<(usize, TaskKey, Run)> {
         let up = self.workers.iter().enumerate().filter(|(_, w)| w.up);
         let runs = up.flat_map(|(at, w)| w.running.iter().map(move |(t, sim)| (at, *t, sim.run)));
         runs.filter(|(_, task, _)| self.is_over(task.job)).collect()
