--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -46,11 +46,11 @@
 pub fn assert_cancellations_kept(world: &mut World) {
     quieten(world);
     assert!(world.cancellations.broken.is_empty(), "{:#?}", world.cancellations.broken);
-    assert_none_left_over(world);
+    assert_no_runs_of_finished_jobs(world);
 }
 
 /// Fails the test if something runs whose job is over.
-pub(super) fn assert_none_left_over(world: &World) {
+pub(super) fn assert_no_runs_of_finished_jobs(world: &World) {
     let left = world.runs_of_finished_jobs();
     assert!(left.is_empty(), "{} runs of jobs that are over go on: {left:?}", left.len());
 }
--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/world/checks.rs
@@ -4,7 +4,7 @@
 use gaplock_jobs::{Job, TaskKey};
 
 use super::builders::{job, step};
-use super::cancellations::assert_none_left_over;
+use super::cancellations::assert_no_runs_of_finished_jobs;
 use super::worker::SimWorker;
 use super::{Faults, World, WriteFaults, MAX_ATTEMPTS};
 
@@ -43,7 +43,7 @@
     quieten(world);
     let waiting = world.waiting();
     assert!(waiting.is_empty(), "{} could run and wait: {waiting:?}", waiting.len());
-    assert_none_left_over(world);
+    assert_no_runs_of_finished_jobs(world);
 }
 
 /// Ends all faults and lets so much time pass that nothing waits any more that fits.
