--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -76,7 +76,7 @@
     }
 
     /// Notes that a cancellation is stored: the leader that is told of it knows it, or else its successor.
-    pub(super) fn note_cancelled(&mut self, key: JobKey) {
+    pub(super) fn record_cancelled(&mut self, key: JobKey) {
         let known_from = if self.cx.is_some() { self.term } else { self.term + 1 };
         let made = Cancellation { at: self.now, known_from_term: known_from };
         self.cancelled.insert(key);
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -231,7 +231,7 @@
 
     /// Cancels a job.
     pub fn cancel(&mut self, key: u64) {
-        self.note_cancelled(JobKey(key));
+        self.record_cancelled(JobKey(key));
         self.event(Event::Cancel(JobKey(key)));
     }
 
