--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -163,7 +163,7 @@
         let roll = self.rng.random_range(0..1_000);
         let f = self.faults;
         if self.workers[worker].replaced && !self.workers[worker].cut {
-            self.note_trouble(worker, 0);
+            self.record_fault(worker, 0);
             let event = other_incarnation(ix, &call);
             return self.send(1, Delivery::ToLeader { event, leader });
         }
@@ -182,7 +182,7 @@
             self.send(CALL_LIMIT_MS, Delivery::ToLeader { event, leader });
         }
         if lost {
-            return self.note_trouble(worker, 0);
+            return self.record_fault(worker, 0);
         }
         let after = match delay {
             Some(ms) => ms,
@@ -190,7 +190,7 @@
             None => 1,
         };
         if unanswered {
-            self.note_trouble(worker, after);
+            self.record_fault(worker, after);
         }
         let trip = Trip { worker, asked: ix, leader, answered: !unanswered };
         self.send(after, Delivery::ToWorker { trip, call, token });
@@ -214,7 +214,7 @@
 
     /// Lets a call end without an answer that lost its worker on the way.
     pub(super) fn time_out(&mut self, trip: Trip, call: &Call) {
-        self.note_trouble(trip.worker, 0);
+        self.record_fault(trip.worker, 0);
         if let Some(ix) = self.awaited_by(trip) {
             let event = no_answer(ix, call);
             self.send(CALL_LIMIT_MS, Delivery::ToLeader { event, leader: trip.leader });
--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -84,7 +84,7 @@
     }
 
     /// Notes that something goes wrong at a worker, or with calls to it, for so many milliseconds.
-    pub(super) fn note_trouble(&mut self, at: usize, for_ms: u64) {
+    pub(super) fn record_fault(&mut self, at: usize, for_ms: u64) {
         let until = self.cancellations.troubled_until.entry(at).or_default();
         *until = (*until).max(self.now + for_ms);
     }
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -187,7 +187,7 @@
 
     /// Starts a worker over under its name, whose next start gets the calls that this one left unanswered.
     pub fn start_over_before_calls(&mut self, at: usize) {
-        self.note_trouble(at, RESTART_LISTED_AFTER_MS);
+        self.record_fault(at, RESTART_LISTED_AFTER_MS);
         let mut info = self.workers[at].info.clone();
         let former = info.id.clone();
         info.id = ids::WorkerId::of(&former.name(), Some(self.now));
@@ -279,7 +279,7 @@
 
     /// Answers that nothing was done.
     fn refuse(&mut self, trip: Trip, call: &Call) {
-        self.note_trouble(trip.worker, 0);
+        self.record_fault(trip.worker, 0);
         let Some(worker) = self.awaited_by(trip) else { return };
         let event = match call {
             Call::Renew(renewal) => {
