--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -32,7 +32,7 @@
 pub struct Cancellations {
     made: BTreeMap<JobKey, Cancellation>,
     /// Until when something went wrong with the calls to a worker, or with the worker.
-    troubled_until: BTreeMap<usize, u64>,
+    faulty_until: BTreeMap<usize, u64>,
     /// When the present leader began.
     led_since: u64,
     /// Runs that were found going on.
@@ -59,7 +59,7 @@
     /// Returns by when the runs of a job at a worker must be gone. What went wrong there may have left a lease.
     fn stopped_by(&self, job: JobKey, at: usize, lease_ms: u64) -> Option<u64> {
         let made = self.made.get(&job)?;
-        let calm = self.troubled_until.get(&at).map_or(0, |until| until + lease_ms);
+        let calm = self.faulty_until.get(&at).map_or(0, |until| until + lease_ms);
         Some(made.at.max(calm).max(self.led_since) + STOPPED_WITHIN_MS)
     }
 }
@@ -85,7 +85,7 @@
 
     /// Notes that something goes wrong at a worker, or with calls to it, for so many milliseconds.
     pub(super) fn record_fault(&mut self, at: usize, for_ms: u64) {
-        let until = self.cancellations.troubled_until.entry(at).or_default();
+        let until = self.cancellations.faulty_until.entry(at).or_default();
         *until = (*until).max(self.now + for_ms);
     }
 
