--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -90,7 +90,7 @@
     }
 
     /// Notes that another leader begins, or that there is none.
-    pub(super) fn note_leader(&mut self) {
+    pub(super) fn record_leader_change(&mut self) {
         self.cancellations.led_since = self.now;
     }
 
@@ -109,7 +109,7 @@
     /// Checks that no run of a cancelled job goes on where nothing hinders its stop.
     pub(super) fn check_runs(&mut self) {
         if self.cx.is_none() {
-            return self.note_leader();
+            return self.record_leader_change();
         }
         if self.cancellations.made.is_empty() || !self.now.is_multiple_of(CHECK_EVERY_MS) {
             return;
--- a/crates/sched/tests/fleet/world/store.rs
+++ b/crates/sched/tests/fleet/world/store.rs
@@ -18,7 +18,7 @@
     /// Replaces the leader by a new one that knows only the store.
     pub fn take_over(&mut self) {
         self.term += 1;
-        self.note_leader();
+        self.record_leader_change();
         self.token += 10;
         self.writes.claim(self.term);
         let term = Term { number: self.term, token: FencingToken(self.token) };
