--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -9,7 +9,7 @@
 use gaplock_sched::message::Run;
 use gaplock_sched::Event;
 
-use super::checks::quieten;
+use super::checks::end_faults_and_settle;
 use super::World;
 
 /// How long a run of a cancelled job may be there where nothing goes wrong: the time of a stop, and of the account
@@ -44,7 +44,7 @@
 /// Ends all faults and, once it has been quiet for a while, fails the test if a promise of a cancellation was broken,
 /// whatever else went wrong.
 pub fn assert_cancellations_kept(world: &mut World) {
-    quieten(world);
+    end_faults_and_settle(world);
     assert!(world.cancellations.broken.is_empty(), "{:#?}", world.cancellations.broken);
     assert_no_runs_of_finished_jobs(world);
 }
--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/world/checks.rs
@@ -40,14 +40,14 @@
 /// Ends all faults and, once it has been quiet for a while, fails the test if a task waits that could run, or runs
 /// though its job is over.
 pub fn assert_nothing_waits(world: &mut World) {
-    quieten(world);
+    end_faults_and_settle(world);
     let waiting = world.waiting();
     assert!(waiting.is_empty(), "{} could run and wait: {waiting:?}", waiting.len());
     assert_no_runs_of_finished_jobs(world);
 }
 
 /// Ends all faults and lets so much time pass that nothing waits any more that fits.
-pub(super) fn quieten(world: &mut World) {
+pub(super) fn end_faults_and_settle(world: &mut World) {
     world.faults = Faults::default();
     world.write_faults = WriteFaults::default();
     world.workers.iter_mut().for_each(SimWorker::recover);
