--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/world/checks.rs
@@ -51,12 +51,12 @@
     world.faults = Faults::default();
     world.write_faults = WriteFaults::default();
     world.workers.iter_mut().for_each(SimWorker::recover);
-    world.run(QUIET_MS);
+    world.run(SETTLE_MS);
 }
 
 /// How long it is quiet before nothing waits any more that fits: the longest lease, and the time for what was
 /// held back by crashes to be tried.
-const QUIET_MS: u64 = 20_000;
+const SETTLE_MS: u64 = 20_000;
 
 impl World {
     /// Lists the tasks whose turn has come by their workers' word, that run nowhere, and for which a worker has
