--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/world/checks.rs
@@ -114,7 +114,7 @@
     }
 
     /// Tells whether copies of a task may run.
-    pub(super) fn copies(&self, task: TaskKey) -> bool {
+    pub(super) fn allows_copies(&self, task: TaskKey) -> bool {
         self.jobs[&task.job].steps[usize::from(task.step)].duplicates
     }
 
