--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -88,7 +88,7 @@
     }
 
     /// Crashes a worker on account of a task.
-    pub(super) fn crash_by(&mut self, at: usize, task: TaskKey) {
+    pub(super) fn crash_by_task(&mut self, at: usize, task: TaskKey) {
         let id = self.workers[at].info.id.clone();
         self.crashes.under.entry(task).or_default().insert(id);
         let runs = self.workers[at].running.keys();
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -212,7 +212,7 @@
             let crash = |r: &SimRun| r.crashes_at.is_some_and(|at| at <= self.now);
             let culprit = worker.running.iter().find(|(_, r)| crash(r)).map(|(task, _)| *task);
             if let Some(task) = culprit {
-                self.crash_by(at, task);
+                self.crash_by_task(at, task);
                 continue;
             }
             let lapsed = self.now + worker.clock_offset >= worker.lease_until;
