--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -10,7 +10,7 @@
 use super::World;
 
 /// How many workers may crash under one task that crashes its workers, before its starts are counted.
-const CRASHES_FREE: usize = 3;
+const TOLERATED_CRASHES: usize = 3;
 
 /// How many starts there are too many after that.
 const STARTS_AFTER: usize = 3;
@@ -76,7 +76,7 @@
     /// Counts the start of a task, and notes one too many after its crashes.
     pub(super) fn count_start(&mut self, task: TaskKey) {
         let crashed = self.crashes.under.get(&task).map_or(0, BTreeSet::len);
-        if crashed < CRASHES_FREE {
+        if crashed < TOLERATED_CRASHES {
             return;
         }
         let starts = self.crashes.starts_since.entry(task).or_default();
