--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -13,7 +13,7 @@
 const TOLERATED_CRASHES: usize = 3;
 
 /// How many starts there are too many after that.
-const STARTS_AFTER: usize = 3;
+const TOO_MANY_STARTS: usize = 3;
 
 /// How long after a crash the directory drops the worker's entry, in milliseconds: some heartbeats.
 const UNLISTED_AFTER_MS: u64 = 2_000;
@@ -81,7 +81,7 @@
         }
         let starts = self.crashes.starts_since.entry(task).or_default();
         *starts += 1;
-        if *starts == STARTS_AFTER {
+        if *starts == TOO_MANY_STARTS {
             let said = format!("{}: {task} starts again after {crashed} crashes", self.now);
             self.violations.push(said);
         }
