--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -32,7 +32,7 @@
     /// Workers start again under their names instead of others coming in their place.
     pub same_names: bool,
     /// The starts of workers that crashed under each such task.
-    under: BTreeMap<TaskKey, BTreeSet<ids::WorkerId>>,
+    crashed_under: BTreeMap<TaskKey, BTreeSet<ids::WorkerId>>,
     /// Starts of each such task since then, once there were too many crashes.
     starts_since: BTreeMap<TaskKey, usize>,
     /// Runs of other tasks that went down with a worker.
@@ -52,7 +52,7 @@
 
     /// Returns how many workers have crashed under a job's tasks.
     pub fn of(&self, key: u64) -> usize {
-        let of_job = self.under.iter().filter(|(task, _)| task.job == JobKey(key));
+        let of_job = self.crashed_under.iter().filter(|(task, _)| task.job == JobKey(key));
         of_job.map(|(_, workers)| workers.len()).sum()
     }
 }
@@ -75,7 +75,7 @@
 
     /// Counts the start of a task, and notes one too many after its crashes.
     pub(super) fn count_start(&mut self, task: TaskKey) {
-        let crashed = self.crashes.under.get(&task).map_or(0, BTreeSet::len);
+        let crashed = self.crashes.crashed_under.get(&task).map_or(0, BTreeSet::len);
         if crashed < TOLERATED_CRASHES {
             return;
         }
@@ -90,7 +90,7 @@
     /// Crashes a worker on account of a task.
     pub(super) fn crash_by_task(&mut self, at: usize, task: TaskKey) {
         let id = self.workers[at].info.id.clone();
-        self.crashes.under.entry(task).or_default().insert(id);
+        self.crashes.crashed_under.entry(task).or_default().insert(id);
         let runs = self.workers[at].running.keys();
         self.crashes.innocent_runs +=
             runs.filter(|run| !self.crashes.after.contains_key(run)).count();
