--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -34,7 +34,7 @@
     /// The starts of workers that crashed under each such task.
     crashed_under: BTreeMap<TaskKey, BTreeSet<ids::WorkerId>>,
     /// Starts of each such task since then, once there were too many crashes.
-    starts_since: BTreeMap<TaskKey, usize>,
+    starts_after_crashes: BTreeMap<TaskKey, usize>,
     /// Runs of other tasks that went down with a worker.
     pub innocent_runs: usize,
 }
@@ -79,7 +79,7 @@
         if crashed < TOLERATED_CRASHES {
             return;
         }
-        let starts = self.crashes.starts_since.entry(task).or_default();
+        let starts = self.crashes.starts_after_crashes.entry(task).or_default();
         *starts += 1;
         if *starts == TOO_MANY_STARTS {
             let said = format!("{}: {task} starts again after {crashed} crashes", self.now);
