--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/world/checks.rs
@@ -122,7 +122,7 @@
     pub(super) fn check_failed(&mut self, progress: &Progress) {
         let worn =
             |(task, &failed): (&TaskKey, &u32)| task.job == progress.key && failed >= MAX_ATTEMPTS;
-        let culprit = self.crashes.has_culprit(progress.key);
+        let culprit = self.crashes.has_crashing_task(progress.key);
         if progress.state == JobState::Failed && !culprit && !self.failed.iter().any(worn) {
             let violation = format!("{}: {} failed without cause", self.now, progress.key);
             self.violations.push(violation);
--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -46,7 +46,7 @@
     }
 
     /// Tells whether a task of a job crashes its workers.
-    pub fn has_culprit(&self, job: JobKey) -> bool {
+    pub fn has_crashing_task(&self, job: JobKey) -> bool {
         self.after.keys().any(|task| task.job == job)
     }
 
