--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -116,7 +116,7 @@
             (ids::WorkerId(format!("{}+", dead.info.id.name())), dead.info.addr.clone());
         let (host, labels) = (self.host_of(at), dead.info.labels.clone());
         self.workers[at].replaced = true;
-        let next = self.push_worker(&id.0);
+        let next = self.add_unlisted_worker(&id.0);
         self.set_host(next, host);
         let info = &mut self.workers[next].info;
         info.addr = addr;
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -202,14 +202,14 @@
 
     /// Adds a worker and lists it.
     pub fn add_worker(&mut self, id: &str) -> usize {
-        let at = self.push_worker(id);
+        let at = self.add_unlisted_worker(id);
         let info = self.workers[at].info.clone();
         self.event(Event::Listed(info));
         at
     }
 
     /// Adds a worker that is not listed yet.
-    fn push_worker(&mut self, id: &str) -> usize {
+    fn add_unlisted_worker(&mut self, id: &str) -> usize {
         let at = self.workers.len();
         self.workers.push(SimWorker::new(id, at));
         self.add_host(at);
@@ -257,7 +257,7 @@
 
     /// Adds a worker of another pool and lists it.
     pub fn add_worker_of(&mut self, id: &str, pool: &str) {
-        let at = self.push_worker(id);
+        let at = self.add_unlisted_worker(id);
         self.workers[at].info.service = pool.into();
         self.list_again(at);
     }
