--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -49,7 +49,7 @@
 
 /// Whose call it is, where it goes, and whether its answer arrives.
 #[derive(Debug, Clone, Copy)]
-pub struct Trip {
+pub struct CallRoute {
     pub worker: usize,
     /// The leader's position for the worker.
     pub asked: WorkerIx,
@@ -63,11 +63,11 @@
 #[derive(Debug, Clone)]
 pub enum Delivery {
     /// A call arrives.
-    ToWorker { trip: Trip, call: Call, token: u64 },
+    ToWorker { trip: CallRoute, call: Call, token: u64 },
     /// An answer arrives.
     ToLeader { event: Event, leader: u64 },
     /// A worker has waited long enough with its answer to a renewal.
-    RenewalAnswerDue { trip: Trip, sent: Instant },
+    RenewalAnswerDue { trip: CallRoute, sent: Instant },
     /// An order that a host goes down arrives; its leader may have ended meanwhile.
     ToHost { order: HostOrder, answered: bool },
     /// A write of the leader arrives at the store.
@@ -192,7 +192,7 @@
         if unanswered {
             self.record_fault(worker, after);
         }
-        let trip = Trip { worker, asked: ix, leader, answered: !unanswered };
+        let trip = CallRoute { worker, asked: ix, leader, answered: !unanswered };
         self.send(after, Delivery::ToWorker { trip, call, token });
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Lets a call end without an answer that lost its worker on the way.
-    pub(super) fn time_out(&mut self, trip: Trip, call: &Call) {
+    pub(super) fn time_out(&mut self, trip: CallRoute, call: &Call) {
         self.record_fault(trip.worker, 0);
         if let Some(ix) = self.awaited_by(trip) {
             let event = no_answer(ix, call);
@@ -222,12 +222,12 @@
     }
 
     /// Sends an answer, which arrives in the next millisecond.
-    pub(super) fn reply(&mut self, trip: Trip, event: Event) {
+    pub(super) fn reply(&mut self, trip: CallRoute, event: Event) {
         self.send(1, Delivery::ToLeader { event, leader: trip.leader });
     }
 
     /// Returns the leader's position for the worker of a call whose answer arrives.
-    pub(super) fn awaited_by(&self, trip: Trip) -> Option<WorkerIx> {
+    pub(super) fn awaited_by(&self, trip: CallRoute) -> Option<WorkerIx> {
         trip.answered.then_some(trip.asked)
     }
 
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -7,7 +7,7 @@
 use gaplock_sched::Event;
 use gaplock_types::time::Instant;
 
-use super::calls::{Call, Delivery, Renewal, Trip};
+use super::calls::{Call, CallRoute, Delivery, Renewal};
 use super::worker::SimRun;
 use super::World;
 
@@ -23,7 +23,7 @@
         }
     }
 
-    pub(super) fn renew(&mut self, trip: Trip, renewal: Renewal, fenced: bool) {
+    pub(super) fn renew(&mut self, trip: CallRoute, renewal: Renewal, fenced: bool) {
         let Renewal { stored, until, wait, sent } = renewal;
         let at = trip.worker;
         if fenced {
@@ -69,7 +69,7 @@
     }
 
     /// Answers a renewal with the worker's account of itself.
-    pub(super) fn answer_renewal(&mut self, trip: Trip, sent: Instant) {
+    pub(super) fn answer_renewal(&mut self, trip: CallRoute, sent: Instant) {
         let worker = &self.workers[trip.worker];
         if !worker.up || worker.cut {
             let renewal = Renewal { stored: EndSeq(0), until: None, wait: 0, sent };
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -12,7 +12,7 @@
 use gaplock_types::sizes::Resources;
 use rand::Rng;
 
-use super::calls::{self, Call, Delivery, Trip, Work};
+use super::calls::{self, Call, CallRoute, Delivery, Work};
 use super::checkpoints::{CheckpointState, StartCheckpoint};
 use super::{World, SERVICE};
 
@@ -180,7 +180,7 @@
     /// Starts a worker over under its name: it holds nothing, and its ends and its clock begin afresh. Calls that it
     /// left unanswered go with it. The directory shows the start some time later.
     pub fn start_over(&mut self, at: usize) {
-        let goes = |trip: &Trip| trip.worker == at && !trip.answered;
+        let goes = |trip: &CallRoute| trip.worker == at && !trip.answered;
         self.deliveries.retain(|_, d| !matches!(d, Delivery::ToWorker { trip, .. } if goes(trip)));
         self.start_over_before_calls(at);
     }
@@ -245,7 +245,7 @@
     }
 
     /// Takes in a call that has arrived.
-    pub(super) fn at_worker(&mut self, trip: Trip, call: Call, token: u64) {
+    pub(super) fn at_worker(&mut self, trip: CallRoute, call: Call, token: u64) {
         let at = trip.worker;
         if !self.workers[at].up || self.workers[at].cut {
             return self.time_out(trip, &call);
@@ -278,7 +278,7 @@
     }
 
     /// Answers that nothing was done.
-    fn refuse(&mut self, trip: Trip, call: &Call) {
+    fn refuse(&mut self, trip: CallRoute, call: &Call) {
         self.record_fault(trip.worker, 0);
         let Some(worker) = self.awaited_by(trip) else { return };
         let event = match call {
