--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -215,7 +215,7 @@
     /// Lets a call end without an answer that lost its worker on the way.
     pub(super) fn time_out(&mut self, trip: CallRoute, call: &Call) {
         self.record_fault(trip.worker, 0);
-        if let Some(ix) = self.awaited_by(trip) {
+        if let Some(ix) = self.answer_target(trip) {
             let event = no_answer(ix, call);
             self.send(CALL_LIMIT_MS, Delivery::ToLeader { event, leader: trip.leader });
         }
@@ -227,7 +227,7 @@
     }
 
     /// Returns the leader's position for the worker of a call whose answer arrives.
-    pub(super) fn awaited_by(&self, trip: CallRoute) -> Option<WorkerIx> {
+    pub(super) fn answer_target(&self, trip: CallRoute) -> Option<WorkerIx> {
         trip.answered.then_some(trip.asked)
     }
 
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -27,7 +27,7 @@
         let Renewal { stored, until, wait, sent } = renewal;
         let at = trip.worker;
         if fenced {
-            if let Some(worker) = self.awaited_by(trip) {
+            if let Some(worker) = self.answer_target(trip) {
                 let outcome = Outcome::Refused(Refusal::Fenced);
                 self.reply(trip, Event::Renewed { worker, sent, outcome });
             }
@@ -75,7 +75,7 @@
             let renewal = Renewal { stored: EndSeq(0), until: None, wait: 0, sent };
             return self.time_out(trip, &Call::Renew(renewal));
         }
-        let Some(worker) = self.awaited_by(trip) else { return };
+        let Some(worker) = self.answer_target(trip) else { return };
         let outcome = Outcome::Done(self.account(trip.worker));
         self.reply(trip, Event::Renewed { worker, sent, outcome });
     }
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -262,7 +262,7 @@
             return self.renew(trip, renewal, fenced);
         }
         let outcome = if fenced { Err(Refusal::Fenced) } else { self.order(at, &call, clock) };
-        let Some(ix) = self.awaited_by(trip) else { return };
+        let Some(ix) = self.answer_target(trip) else { return };
         let outcome = match outcome {
             Ok(()) => Outcome::Done(WorkerClock(clock)),
             Err(refusal) => Outcome::Refused(refusal),
@@ -280,7 +280,7 @@
     /// Answers that nothing was done.
     fn refuse(&mut self, trip: CallRoute, call: &Call) {
         self.record_fault(trip.worker, 0);
-        let Some(worker) = self.awaited_by(trip) else { return };
+        let Some(worker) = self.answer_target(trip) else { return };
         let event = match call {
             Call::Renew(renewal) => {
                 let outcome = Outcome::Refused(Refusal::Unwell);
