--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -203,7 +203,7 @@
             Delivery::ToLeader { .. } => {}
             Delivery::ToStore { write, answered } => self.at_store(write, answered),
             Delivery::FromStore { mark, heard } => self.notify_of_write(mark, heard),
-            Delivery::ToWorker { trip, call, token } => self.at_worker(trip, call, token),
+            Delivery::ToWorker { trip, call, token } => self.call_arrives(trip, call, token),
             Delivery::ToHost { order, answered } => self.carry_out_maintenance(order, answered),
             Delivery::RenewalAnswerDue { trip, sent } => self.answer_renewal(trip, sent),
             Delivery::Unlisted { at } => self.unlist(at),
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -245,7 +245,7 @@
     }
 
     /// Takes in a call that has arrived.
-    pub(super) fn at_worker(&mut self, trip: CallRoute, call: Call, token: u64) {
+    pub(super) fn call_arrives(&mut self, trip: CallRoute, call: Call, token: u64) {
         let at = trip.worker;
         if !self.workers[at].up || self.workers[at].cut {
             return self.time_out(trip, &call);
