--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -201,7 +201,7 @@
         match delivery {
             Delivery::ToLeader { event, leader } if leader == self.term => self.event(event),
             Delivery::ToLeader { .. } => {}
-            Delivery::ToStore { write, answered } => self.at_store(write, answered),
+            Delivery::ToStore { write, answered } => self.write_arrives(write, answered),
             Delivery::FromStore { mark, heard } => self.notify_of_write(mark, heard),
             Delivery::ToWorker { trip, call, token } => self.call_arrives(trip, call, token),
             Delivery::ToHost { order, answered } => self.carry_out_maintenance(order, answered),
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -190,7 +190,7 @@
     }
 
     /// Lets a write arrive at the store.
-    pub(super) fn at_store(&mut self, write: Write, answered: bool) {
+    pub(super) fn write_arrives(&mut self, write: Write, answered: bool) {
         let answer = self.writes.carry_out(&write);
         let mark = write.mark;
         if matches!(answer, CommitAnswer::Stored(_)) {
