--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -140,7 +140,7 @@
                 }
                 Action::ConfirmLeadership => continue,
             };
-            self.call(worker, call);
+            self.send_call(worker, call);
         }
     }
 
@@ -154,7 +154,7 @@
         self.send(ADVICE_MS, Delivery::ToLeader { event, leader });
     }
 
-    fn call(&mut self, ix: WorkerIx, call: Call) {
+    fn send_call(&mut self, ix: WorkerIx, call: Call) {
         let worker = self.worker_of(ix);
         if matches!(call, Call::Renew(_)) {
             self.renewals.push((self.now, worker));
