--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -127,7 +127,7 @@
                     (worker, Call::Pace { task, run, percent })
                 }
                 Action::Advise { step, workers } => {
-                    self.advise(step, workers);
+                    self.answer_advice(step, workers);
                     continue;
                 }
                 Action::ListHosts => {
@@ -145,7 +145,7 @@
     }
 
     /// Answers which workers may run a step: those with an even position.
-    fn advise(&mut self, step: StepKey, asked: Vec<WorkerIx>) {
+    fn answer_advice(&mut self, step: StepKey, asked: Vec<WorkerIx>) {
         let even = asked.iter().filter(|ix| ix.0 % 2 == 0);
         let permits = even.map(|&worker| Permit { worker, ticket: "t".into() }).collect();
         let (sent, leader) = (self.instant(), self.term);
