--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -103,7 +103,7 @@
     }
 
     /// Carries out what the leader asks for.
-    pub(super) fn act(&mut self) {
+    pub(super) fn carry_out_actions(&mut self) {
         let Some(cx) = &mut self.cx else { return };
         let actions = cx.take_actions();
         let now = Instant(self.now);
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -353,7 +353,7 @@
         let (now, unix) = (self.instant(), self.unix());
         if let Some(cx) = &mut self.cx {
             cx.handle(now, unix, event);
-            self.act();
+            self.carry_out_actions();
         }
     }
 }
--- a/crates/sched/tests/fleet/world/store.rs
+++ b/crates/sched/tests/fleet/world/store.rs
@@ -42,7 +42,7 @@
         for wave in self.waves() {
             self.event(Event::Wave(wave));
         }
-        self.act();
+        self.carry_out_actions();
     }
 
     /// Returns all jobs that are not forgotten.
