--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -199,7 +199,9 @@
     /// Lets what is due happen.
     pub(super) fn deliver(&mut self, delivery: Delivery) {
         match delivery {
-            Delivery::ToLeader { event, leader } if leader == self.term => self.event(event),
+            Delivery::ToLeader { event, leader } if leader == self.term => {
+                self.notify_leader(event)
+            }
             Delivery::ToLeader { .. } => {}
             Delivery::ToStore { write, answered } => self.write_arrives(write, answered),
             Delivery::FromStore { mark, heard } => self.notify_of_write(mark, heard),
--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -72,7 +72,7 @@
         self.jobs.insert(key, Arc::clone(&job));
         self.cancel(key.0);
         self.run(gap);
-        self.event(Event::Job(job));
+        self.notify_leader(Event::Job(job));
     }
 
     /// Notes that a cancellation is stored: the leader that is told of it knows it, or else its successor.
--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/world/crashes.rs
@@ -122,6 +122,6 @@
         info.addr = addr;
         info.labels = labels;
         let info = info.clone();
-        self.event(Event::Listed(info));
+        self.notify_leader(Event::Listed(info));
     }
 }
--- a/crates/sched/tests/fleet/world/directory.rs
+++ b/crates/sched/tests/fleet/world/directory.rs
@@ -53,7 +53,7 @@
         }
         let sent = Instant(self.now);
         if self.now.is_multiple_of(ANSWERED_EVERY_MS) {
-            self.event(Event::StoreRevision(RevisionSample { sent, revision: self.now }));
+            self.notify_leader(Event::StoreRevision(RevisionSample { sent, revision: self.now }));
             if let Some(cx) = &mut self.cx {
                 cx.freshness.answered(sent);
             }
@@ -67,7 +67,7 @@
             Reading::Silent => return,
         };
         self.deliver_drain_notices(read.revision);
-        self.event(Event::DirectoryRead(read));
+        self.notify_leader(Event::DirectoryRead(read));
     }
 
     /// Tells the leader which workers have said until then that they leave.
--- a/crates/sched/tests/fleet/world/evacuations.rs
+++ b/crates/sched/tests/fleet/world/evacuations.rs
@@ -51,7 +51,7 @@
 
     /// Tells the leader what the store said, be it long ago.
     pub fn hear_evacuated(&mut self, evacuated: Evacuated) {
-        self.event(Event::Evacuated(evacuated));
+        self.notify_leader(Event::Evacuated(evacuated));
     }
 
     /// Lets the leader read the word when that is due and the store answers.
--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -96,7 +96,7 @@
         let hosts = (0..hosts).map(host_name).collect();
         let wave = WaveRequest { number, hosts, within: Millis(within), at_once };
         self.hosts.waves.insert(number, wave.clone());
-        self.event(Event::Wave(wave));
+        self.notify_leader(Event::Wave(wave));
     }
 
     /// Lists waves to a new leader, as its first reading of the store does.
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -204,7 +204,7 @@
     pub fn add_worker(&mut self, id: &str) -> usize {
         let at = self.add_unlisted_worker(id);
         let info = self.workers[at].info.clone();
-        self.event(Event::Listed(info));
+        self.notify_leader(Event::Listed(info));
         at
     }
 
@@ -226,13 +226,13 @@
         let job = Arc::new(job);
         self.jobs.insert(job.key, Arc::clone(&job));
         self.forgotten.remove(&job.key);
-        self.event(Event::Job(job));
+        self.notify_leader(Event::Job(job));
     }
 
     /// Cancels a job.
     pub fn cancel(&mut self, key: u64) {
         self.record_cancelled(JobKey(key));
-        self.event(Event::Cancel(JobKey(key)));
+        self.notify_leader(Event::Cancel(JobKey(key)));
     }
 
     /// Crashes a worker; nothing says so but its silence.
@@ -246,13 +246,13 @@
         let id = &self.workers[worker].info.id;
         let ix = self.cx.as_ref().and_then(|cx| cx.by_id.get(id).copied());
         let worker = ix.expect("the leader knows the worker");
-        self.event(Event::Renewed { worker, sent, outcome: Outcome::Done(account) });
+        self.notify_leader(Event::Renewed { worker, sent, outcome: Outcome::Done(account) });
     }
 
     /// Takes a worker off the directory.
     pub fn unlist(&mut self, worker: usize) {
         let id = self.workers[worker].info.id.clone();
-        self.event(Event::Unlisted(id));
+        self.notify_leader(Event::Unlisted(id));
     }
 
     /// Adds a worker of another pool and lists it.
@@ -268,7 +268,7 @@
         config.version += 1;
         let named = Pool { service: pool.into(), guards_capacity: true, headroom: false };
         config.pools.push(named);
-        self.event(Event::Config(Arc::new(config)));
+        self.notify_leader(Event::Config(Arc::new(config)));
     }
 
     /// Changes a worker's room, and lists it so.
@@ -281,25 +281,25 @@
     /// Puts something else into a worker's entry.
     pub fn spoil_entry(&mut self, worker: usize) {
         let id = self.workers[worker].info.id.clone();
-        self.event(Event::Unreadable(id));
+        self.notify_leader(Event::Unreadable(id));
     }
 
     /// Lists a worker at another address, as another writer may do.
     pub fn list_at(&mut self, worker: usize, addr: &str) {
         let mut info = self.workers[worker].info.clone();
         info.addr = addr.to_string();
-        self.event(Event::Listed(info));
+        self.notify_leader(Event::Listed(info));
     }
 
     /// Lists a worker again as it was.
     pub fn list_again(&mut self, worker: usize) {
         let info = self.workers[worker].info.clone();
-        self.event(Event::Listed(info));
+        self.notify_leader(Event::Listed(info));
     }
 
     /// Says that the directory can be read again after an outage.
     pub fn directory_back(&mut self) {
-        self.event(Event::DirectoryRecovered);
+        self.notify_leader(Event::DirectoryRecovered);
     }
 
     /// Lists a worker as draining.
@@ -308,7 +308,7 @@
         info.draining = true;
         info.remaining = Some(Millis(remaining));
         let info = info.clone();
-        self.event(Event::Listed(info));
+        self.notify_leader(Event::Listed(info));
     }
 
     /// Draws a number below `most`.
@@ -334,7 +334,7 @@
                 self.deliver(delivery);
             }
             if self.cx.as_ref().is_some_and(|cx| cx.next_wake().0 <= self.now) {
-                self.event(Event::Tick);
+                self.notify_leader(Event::Tick);
             }
             self.commit();
             self.check_runs();
@@ -349,7 +349,7 @@
         UNIX_BASE + self.now - START_MS
     }
 
-    fn event(&mut self, event: Event) {
+    fn notify_leader(&mut self, event: Event) {
         let (now, unix) = (self.instant(), self.unix());
         if let Some(cx) = &mut self.cx {
             cx.handle(now, unix, event);
--- a/crates/sched/tests/fleet/world/store.rs
+++ b/crates/sched/tests/fleet/world/store.rs
@@ -40,7 +40,7 @@
         }
         self.cx = Some(cx);
         for wave in self.waves() {
-            self.event(Event::Wave(wave));
+            self.notify_leader(Event::Wave(wave));
         }
         self.carry_out_actions();
     }
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -198,7 +198,7 @@
 
     /// Lists a worker that has started again in place of its former start.
     pub(super) fn list_restarted(&mut self, at: usize, former: &ids::WorkerId) {
-        self.event(Event::Unlisted(former.clone()));
+        self.notify_leader(Event::Unlisted(former.clone()));
         self.list_again(at);
     }
 
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -129,11 +129,11 @@
             NextStep::Stored => {
                 self.check_stored();
                 self.writes.in_flight = None;
-                self.event(Event::Committed);
+                self.notify_leader(Event::Committed);
             }
             NextStep::NotStored => {
                 self.writes.in_flight = None;
-                self.event(Event::CommitFailed);
+                self.notify_leader(Event::CommitFailed);
             }
             NextStep::LeadershipOver => {
                 self.writes.in_flight = None;
