--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -252,7 +252,7 @@
         }
         let is_stop = matches!(call, Call::Stop { .. });
         self.workers[at].stops += u64::from(is_stop);
-        if trip.answered && (self.refuses(at) || is_stop && self.workers[at].refuses_stops) {
+        if trip.answered && (self.refuses_call(at) || is_stop && self.workers[at].refuses_stops) {
             return self.refuse(trip, &call);
         }
         let clock = self.now + self.workers[at].clock_offset;
@@ -272,7 +272,7 @@
 
     /// Tells whether an unwell worker refuses the call in hand. What is carried out late was taken
     /// in before.
-    fn refuses(&mut self, at: usize) -> bool {
+    fn refuses_call(&mut self, at: usize) -> bool {
         let per_mille = self.faults.unwell_per_mille.max(self.workers[at].refuses_per_mille);
         self.workers[at].unwell || per_mille > 0 && self.rng.random_range(0..1_000) < per_mille
     }
