--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -261,7 +261,8 @@
         if let Call::Renew(renewal) = call {
             return self.renew(trip, renewal, fenced);
         }
-        let outcome = if fenced { Err(Refusal::Fenced) } else { self.order(at, &call, clock) };
+        let outcome =
+            if fenced { Err(Refusal::Fenced) } else { self.carry_out_order(at, &call, clock) };
         let Some(ix) = self.answer_target(trip) else { return };
         let outcome = match outcome {
             Ok(()) => Outcome::Done(WorkerClock(clock)),
@@ -298,7 +299,7 @@
         worker.lease_until = worker.lease_until.max(until.0.min(most));
     }
 
-    fn order(&mut self, at: usize, call: &Call, clock: u64) -> Result<(), Refusal> {
+    fn carry_out_order(&mut self, at: usize, call: &Call, clock: u64) -> Result<(), Refusal> {
         match call {
             Call::Start { task, run, until, work, checkpoint } => {
                 self.grant(at, *until);
