--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -117,11 +117,11 @@
         writes.serial += 1;
         let (mark, expects) = (writes.writer.begin(), writes.writer.last());
         writes.in_flight = Some(Write { mark, expects, serial: writes.serial, records });
-        self.write_next(NextStep::Send);
+        self.carry_out_step(NextStep::Send);
     }
 
     /// Does what the leader's writer asks for.
-    fn write_next(&mut self, next: NextStep) {
+    fn carry_out_step(&mut self, next: NextStep) {
         match next {
             NextStep::Send => self.send_write(),
             NextStep::ReadStore => self.notify_later(CALL_MS, WriteNotice::ReadStore),
@@ -213,7 +213,7 @@
             WriteNotice::ReadStore => writer.store_read(sight),
             WriteNotice::Waited => writer.waited(leads),
         };
-        self.write_next(next);
+        self.carry_out_step(next);
     }
 
     /// Returns what a look at the store shows.
