--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -35,7 +35,7 @@
         }
         self.acknowledge(at, stored);
         if let Some(until) = until {
-            self.grant(at, until);
+            self.extend_lease(at, until);
         }
         let wait = if self.workers[at].ends.is_empty() { wait } else { 0 };
         self.send(wait, Delivery::RenewalAnswerDue { trip, sent });
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -292,7 +292,7 @@
         self.reply(trip, event);
     }
 
-    pub(super) fn grant(&mut self, at: usize, until: WorkerClock) {
+    pub(super) fn extend_lease(&mut self, at: usize, until: WorkerClock) {
         let worker = &mut self.workers[at];
         let clock = self.now + worker.clock_offset;
         let most = clock + self.settings.lease_max.0;
@@ -302,7 +302,7 @@
     fn carry_out_order(&mut self, at: usize, call: &Call, clock: u64) -> Result<(), Refusal> {
         match call {
             Call::Start { task, run, until, work, checkpoint } => {
-                self.grant(at, *until);
+                self.extend_lease(at, *until);
                 self.start(at, (*task, *run), *until, *work, checkpoint, clock)
             }
             Call::Stop { task, run } => {
