--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -18,7 +18,7 @@
 
 /// How long after a room has changed a start may still be sent by the former one, in milliseconds: the
 /// users count a room that has shrunk 3 s and a heartbeat later.
-const RESIZE_HEARD_MS: u64 = 3_000;
+const RESIZE_EFFECTIVE_MS: u64 = 3_000;
 
 /// How long the directory still shows the former start of a worker, in milliseconds.
 const RESTART_LISTED_AFTER_MS: u64 = 800;
@@ -364,7 +364,7 @@
         if beyond && !worker.unguarded {
             return Err(Refusal::Room);
         }
-        if beyond && work.sent >= worker.resized + RESIZE_HEARD_MS {
+        if beyond && work.sent >= worker.resized + RESIZE_EFFECTIVE_MS {
             self.violations.push(format!("{}: {task} starts beyond the room of {at}", self.now));
         }
         self.check_start(at, task);
