--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -50,7 +50,7 @@
             match end.cause {
                 EndCause::Done => {
                     let came = self.workers[at].ended_at.get(&end.seq).copied().unwrap_or(0);
-                    let lapsed = self.workers[at].lapsed_at >= came;
+                    let lapsed = self.workers[at].lease_lapsed_at >= came;
                     let again = self.started_at.get(&end.task).is_some_and(|s| *s > came);
                     if again && !lapsed && !self.allows_copies(end.task) {
                         let now = self.now;
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -103,7 +103,7 @@
     pub(super) next_seq: u64,
     /// When each end came, and when its lease was last over.
     pub(super) ended_at: BTreeMap<EndSeq, u64>,
-    pub(super) lapsed_at: u64,
+    pub(super) lease_lapsed_at: u64,
     token: u64,
     lease_until: u64,
     pub(super) last_ended: BTreeMap<TaskKey, Run>,
@@ -149,7 +149,7 @@
             ends: Vec::new(),
             next_seq: 1,
             ended_at: BTreeMap::new(),
-            lapsed_at: 0,
+            lease_lapsed_at: 0,
             token: 0,
             lease_until: 0,
             last_ended: BTreeMap::new(),
@@ -217,7 +217,7 @@
             }
             let lapsed = self.now + worker.clock_offset >= worker.lease_until;
             if lapsed {
-                self.workers[at].lapsed_at = self.now;
+                self.workers[at].lease_lapsed_at = self.now;
             }
             let worker = &self.workers[at];
             let over = worker.running.iter().filter(|(_, r)| {
