--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/world/checks.rs
@@ -75,7 +75,9 @@
         let runs = |key: &TaskKey| self.workers.iter().any(|w| w.running.contains_key(key));
         let mut found = Vec::new();
         for (at, step) in job.steps.iter().enumerate() {
-            if !step.after.iter().all(is_done) || !self.workers.iter().any(|w| w.holds(step)) {
+            if !step.after.iter().all(is_done)
+                || !self.workers.iter().any(|w| w.has_capacity_for(step))
+            {
                 continue;
             }
             let keys = (0..step.count).map(|index| task(at as u16, index));
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -169,7 +169,7 @@
     }
 
     /// Tells whether a task of a step has room here, in a worker that is there and stays.
-    pub(super) fn holds(&self, step: &Step) -> bool {
+    pub(super) fn has_capacity_for(&self, step: &Step) -> bool {
         let taken = self.running.values().fold(Resources::default(), |sum, r| sum.plus(&r.takes));
         let stays = self.up && !self.replaced && !self.info.draining;
         stays && self.info.capacity.holds(&taken.plus(&step.demand))
