--- a/crates/sched/tests/floors/main.rs
+++ b/crates/sched/tests/floors/main.rs
@@ -18,7 +18,7 @@
 
 /// Returns how high a module stands, counted over all floors.
 fn height(module: &str) -> usize {
-    let mut all = table::FLOORS.iter().flat_map(|(_, modules)| *modules);
+    let mut all = table::LAYERS.iter().flat_map(|(_, modules)| *modules);
     // The root of the crate passes everything on, so it stands above all.
     all.position(|known| *known == module).unwrap_or(usize::MAX)
 }
@@ -41,7 +41,7 @@
 
 #[test]
 fn every_module_stands_on_one_floor() {
-    let standing: Vec<&str> = table::FLOORS.iter().flat_map(|(_, all)| *all).copied().collect();
+    let standing: Vec<&str> = table::LAYERS.iter().flat_map(|(_, all)| *all).copied().collect();
     let once: BTreeSet<String> = standing.iter().map(|module| module.to_string()).collect();
     assert_eq!(standing.len(), once.len(), "a module stands twice in tests/floors/table.rs");
     assert_eq!(once, modules(&sources()), "modules of tests/floors/table.rs, and of src");
@@ -49,7 +49,7 @@
 
 #[test]
 fn folders_show_the_floors() {
-    for (floor, modules) in table::FLOORS {
+    for (floor, modules) in table::LAYERS {
         let within = |module: &&str| module.split("::").next() == Some(floor);
         assert!(modules.iter().all(within), "a module of {floor} lies elsewhere");
     }
--- a/crates/sched/tests/floors/table.rs
+++ b/crates/sched/tests/floors/table.rs
@@ -2,7 +2,7 @@
 //! own floor or on a lower one. `docs/DESIGN.md` says what each floor is for.
 
 /// The floors by name with their modules.
-pub const FLOORS: &[(&str, &[&str])] = &[
+pub const LAYERS: &[(&str, &[&str])] = &[
     (
         "interface",
         &[
