--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -63,11 +63,11 @@
 #[derive(Debug, Clone)]
 pub enum Delivery {
     /// A call arrives.
-    ToWorker { trip: CallRoute, call: Call, token: u64 },
+    ToWorker { route: CallRoute, call: Call, token: u64 },
     /// An answer arrives.
     ToLeader { event: Event, leader: u64 },
     /// A worker has waited long enough with its answer to a renewal.
-    RenewalAnswerDue { trip: CallRoute, sent: Instant },
+    RenewalAnswerDue { route: CallRoute, sent: Instant },
     /// An order that a host goes down arrives; its leader may have ended meanwhile.
     ToHost { order: HostOrder, answered: bool },
     /// A write of the leader arrives at the store.
@@ -192,8 +192,8 @@
         if unanswered {
             self.record_fault(worker, after);
         }
-        let trip = CallRoute { worker, asked: ix, leader, answered: !unanswered };
-        self.send(after, Delivery::ToWorker { trip, call, token });
+        let route = CallRoute { worker, asked: ix, leader, answered: !unanswered };
+        self.send(after, Delivery::ToWorker { route, call, token });
     }
 
     /// Lets what is due happen.
@@ -205,9 +205,9 @@
             Delivery::ToLeader { .. } => {}
             Delivery::ToStore { write, answered } => self.write_arrives(write, answered),
             Delivery::FromStore { mark, heard } => self.notify_of_write(mark, heard),
-            Delivery::ToWorker { trip, call, token } => self.call_arrives(trip, call, token),
+            Delivery::ToWorker { route, call, token } => self.call_arrives(route, call, token),
             Delivery::ToHost { order, answered } => self.carry_out_maintenance(order, answered),
-            Delivery::RenewalAnswerDue { trip, sent } => self.answer_renewal(trip, sent),
+            Delivery::RenewalAnswerDue { route, sent } => self.answer_renewal(route, sent),
             Delivery::Unlisted { at } => self.unlist(at),
             Delivery::Replaced { at } => self.add_replacement(at),
             Delivery::RestartListed { at, id } => self.list_restarted(at, &id),
@@ -215,22 +215,22 @@
     }
 
     /// Lets a call end without an answer that lost its worker on the way.
-    pub(super) fn time_out(&mut self, trip: CallRoute, call: &Call) {
-        self.record_fault(trip.worker, 0);
-        if let Some(ix) = self.answer_target(trip) {
+    pub(super) fn time_out(&mut self, route: CallRoute, call: &Call) {
+        self.record_fault(route.worker, 0);
+        if let Some(ix) = self.answer_target(route) {
             let event = no_answer(ix, call);
-            self.send(CALL_LIMIT_MS, Delivery::ToLeader { event, leader: trip.leader });
+            self.send(CALL_LIMIT_MS, Delivery::ToLeader { event, leader: route.leader });
         }
     }
 
     /// Sends an answer, which arrives in the next millisecond.
-    pub(super) fn reply(&mut self, trip: CallRoute, event: Event) {
-        self.send(1, Delivery::ToLeader { event, leader: trip.leader });
+    pub(super) fn reply(&mut self, route: CallRoute, event: Event) {
+        self.send(1, Delivery::ToLeader { event, leader: route.leader });
     }
 
     /// Returns the leader's position for the worker of a call whose answer arrives.
-    pub(super) fn answer_target(&self, trip: CallRoute) -> Option<WorkerIx> {
-        trip.answered.then_some(trip.asked)
+    pub(super) fn answer_target(&self, route: CallRoute) -> Option<WorkerIx> {
+        route.answered.then_some(route.asked)
     }
 
     /// Finds the simulated worker behind a position in the leader's table.
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -15,7 +15,7 @@
     /// Lets a waiting renewal answer now.
     pub(super) fn wake_renewal(&mut self, at: usize) {
         let waiting = self.deliveries.iter().find(
-            |(_, d)| matches!(d, Delivery::RenewalAnswerDue { trip, .. } if trip.worker == at),
+            |(_, d)| matches!(d, Delivery::RenewalAnswerDue { route, .. } if route.worker == at),
         );
         let Some(key) = waiting.map(|(key, _)| *key) else { return };
         if let Some(delivery) = self.deliveries.remove(&key) {
@@ -23,13 +23,13 @@
         }
     }
 
-    pub(super) fn renew(&mut self, trip: CallRoute, renewal: Renewal, fenced: bool) {
+    pub(super) fn renew(&mut self, route: CallRoute, renewal: Renewal, fenced: bool) {
         let Renewal { stored, until, wait, sent } = renewal;
-        let at = trip.worker;
+        let at = route.worker;
         if fenced {
-            if let Some(worker) = self.answer_target(trip) {
+            if let Some(worker) = self.answer_target(route) {
                 let outcome = Outcome::Refused(Refusal::Fenced);
-                self.reply(trip, Event::Renewed { worker, sent, outcome });
+                self.reply(route, Event::Renewed { worker, sent, outcome });
             }
             return;
         }
@@ -38,7 +38,7 @@
             self.extend_lease(at, until);
         }
         let wait = if self.workers[at].ends.is_empty() { wait } else { 0 };
-        self.send(wait, Delivery::RenewalAnswerDue { trip, sent });
+        self.send(wait, Delivery::RenewalAnswerDue { route, sent });
     }
 
     fn acknowledge(&mut self, at: usize, stored: EndSeq) {
@@ -69,15 +69,15 @@
     }
 
     /// Answers a renewal with the worker's account of itself.
-    pub(super) fn answer_renewal(&mut self, trip: CallRoute, sent: Instant) {
-        let worker = &self.workers[trip.worker];
+    pub(super) fn answer_renewal(&mut self, route: CallRoute, sent: Instant) {
+        let worker = &self.workers[route.worker];
         if !worker.up || worker.cut {
             let renewal = Renewal { stored: EndSeq(0), until: None, wait: 0, sent };
-            return self.time_out(trip, &Call::Renew(renewal));
+            return self.time_out(route, &Call::Renew(renewal));
         }
-        let Some(worker) = self.answer_target(trip) else { return };
-        let outcome = Outcome::Done(self.account(trip.worker));
-        self.reply(trip, Event::Renewed { worker, sent, outcome });
+        let Some(worker) = self.answer_target(route) else { return };
+        let outcome = Outcome::Done(self.account(route.worker));
+        self.reply(route, Event::Renewed { worker, sent, outcome });
     }
 
     /// Returns a worker's account of itself.
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -180,8 +180,9 @@
     /// Starts a worker over under its name: it holds nothing, and its ends and its clock begin afresh. Calls that it
     /// left unanswered go with it. The directory shows the start some time later.
     pub fn start_over(&mut self, at: usize) {
-        let goes = |trip: &CallRoute| trip.worker == at && !trip.answered;
-        self.deliveries.retain(|_, d| !matches!(d, Delivery::ToWorker { trip, .. } if goes(trip)));
+        let goes = |route: &CallRoute| route.worker == at && !route.answered;
+        self.deliveries
+            .retain(|_, d| !matches!(d, Delivery::ToWorker { route, .. } if goes(route)));
         self.start_over_before_calls(at);
     }
 
@@ -245,30 +246,30 @@
     }
 
     /// Takes in a call that has arrived.
-    pub(super) fn call_arrives(&mut self, trip: CallRoute, call: Call, token: u64) {
-        let at = trip.worker;
+    pub(super) fn call_arrives(&mut self, route: CallRoute, call: Call, token: u64) {
+        let at = route.worker;
         if !self.workers[at].up || self.workers[at].cut {
-            return self.time_out(trip, &call);
+            return self.time_out(route, &call);
         }
         let is_stop = matches!(call, Call::Stop { .. });
         self.workers[at].stops += u64::from(is_stop);
-        if trip.answered && (self.refuses_call(at) || is_stop && self.workers[at].refuses_stops) {
-            return self.refuse(trip, &call);
+        if route.answered && (self.refuses_call(at) || is_stop && self.workers[at].refuses_stops) {
+            return self.refuse(route, &call);
         }
         let clock = self.now + self.workers[at].clock_offset;
         let fenced = token < self.workers[at].token;
         self.workers[at].token = self.workers[at].token.max(token);
         if let Call::Renew(renewal) = call {
-            return self.renew(trip, renewal, fenced);
+            return self.renew(route, renewal, fenced);
         }
         let outcome =
             if fenced { Err(Refusal::Fenced) } else { self.carry_out_order(at, &call, clock) };
-        let Some(ix) = self.answer_target(trip) else { return };
+        let Some(ix) = self.answer_target(route) else { return };
         let outcome = match outcome {
             Ok(()) => Outcome::Done(WorkerClock(clock)),
             Err(refusal) => Outcome::Refused(refusal),
         };
-        self.reply(trip, calls::answer(ix, &call, outcome));
+        self.reply(route, calls::answer(ix, &call, outcome));
     }
 
     /// Tells whether an unwell worker refuses the call in hand. What is carried out late was taken
@@ -279,9 +280,9 @@
     }
 
     /// Answers that nothing was done.
-    fn refuse(&mut self, trip: CallRoute, call: &Call) {
-        self.record_fault(trip.worker, 0);
-        let Some(worker) = self.answer_target(trip) else { return };
+    fn refuse(&mut self, route: CallRoute, call: &Call) {
+        self.record_fault(route.worker, 0);
+        let Some(worker) = self.answer_target(route) else { return };
         let event = match call {
             Call::Renew(renewal) => {
                 let outcome = Outcome::Refused(Refusal::Unwell);
@@ -289,7 +290,7 @@
             }
             order => calls::answer(worker, order, Outcome::Refused(Refusal::Unwell)),
         };
-        self.reply(trip, event);
+        self.reply(route, event);
     }
 
     pub(super) fn extend_lease(&mut self, at: usize, until: WorkerClock) {
