--- a/crates/sched/tests/growth.rs
+++ b/crates/sched/tests/growth.rs
@@ -1,4 +1,4 @@
-//! What a leader's work costs for each worker of a larger fleet.
+//! The leader's work for each worker must not grow with the size of the fleet.
 
 use std::time::{Duration, Instant as StdInstant};
 
@@ -26,8 +26,9 @@
     }
 }
 
-/// Lets a leader hear of so many workers and of an account of each, upon which it enters them in the roster.
-fn entered(workers: usize) -> Context {
+/// Builds a leader that has seen so many workers in the directory and has received a report from each, so
+/// that it adds them to its roster.
+fn leader_with_roster(workers: usize) -> Context {
     let term = Term { number: 1, token: FencingToken(1) };
     let mut cx = Context::open(Settings::default(), term, Instant(NOW), NOW);
     for n in 0..workers {
@@ -35,16 +36,16 @@
     }
     for n in 0..workers {
         let (running, ends) = (Vec::new(), Vec::new());
-        let account = WorkerReport { worker: None, clock: WorkerClock(NOW), running, ends };
+        let report = WorkerReport { worker: None, clock: WorkerClock(NOW), running, ends };
         let (worker, sent) = (WorkerIx(n as u32), Instant(NOW));
-        let outcome = Outcome::Done(account);
+        let outcome = Outcome::Done(report);
         cx.handle(Instant(NOW), NOW, Event::Renewed { worker, sent, outcome });
     }
     cx
 }
 
-/// Returns the least time of several tries, which other load on the machine changes least.
-fn least_time(f: impl Fn()) -> Duration {
+/// Returns the shortest of several timed runs, which other load on the machine distorts least.
+fn shortest_time(f: impl Fn()) -> Duration {
     let times = (0..5).map(|_| {
         let began = StdInstant::now();
         f();
@@ -54,19 +55,24 @@
 }
 
 #[test]
-fn entering_a_worker_in_the_roster_costs_no_more_on_a_larger_fleet() {
-    let [small, large] = [1_500, 12_000]
-        .map(|workers| least_time(|| drop(entered(workers))).as_secs_f64() / workers as f64);
+fn adding_a_worker_to_the_roster_costs_no_more_on_a_larger_fleet() {
+    let [small, large] = [1_500, 12_000].map(|workers| {
+        shortest_time(|| drop(leader_with_roster(workers))).as_secs_f64() / workers as f64
+    });
     let ratio = large / small;
-    assert!(ratio < 4.0, "{ratio:.1} times the time for each worker of eight times the fleet");
+    assert!(
+        ratio < 4.0,
+        "adding a worker takes {ratio:.1} times as long on a fleet 8 times as large"
+    );
 }
 
 #[test]
 fn a_commit_names_each_worker_once() {
-    let mut cx = entered(3);
+    let mut cx = leader_with_roster(3);
     cx.handle(Instant(NOW), NOW, Event::Unlisted(ids::WorkerId("worker-000001".into())));
     cx.handle(Instant(NOW + 100), NOW, Event::Tick);
-    let records = commits::take(&mut cx, Instant(NOW + 100)).expect("workers are to be entered");
+    let records = commits::take(&mut cx, Instant(NOW + 100))
+        .expect("three new workers are due to be added to the roster");
     let named = records.iter().filter_map(|record| match record {
         Record::Worker(entry) => Some(entry.info.id.to_string()),
         Record::ForgetWorker(id) => Some(format!("{id} forgotten")),
