--- a/crates/sched/tests/takeover_lines.rs
+++ b/crates/sched/tests/takeover_lines.rs
@@ -1,4 +1,4 @@
-//! What a new leader logs of the workers that it finds.
+//! How many lines a new leader logs about the workers that it finds in the directory.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -13,13 +13,13 @@
 
 const NOW: u64 = 10_000;
 
-/// Where the log goes.
+/// A log writer that keeps everything in memory.
 #[derive(Clone, Default)]
 struct Log(Arc<Mutex<Vec<u8>>>);
 
 impl io::Write for Log {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        self.0.lock().expect("no holder of the lock panics").extend_from_slice(buf);
+        self.0.lock().expect("no thread panics while it holds the log lock").extend_from_slice(buf);
         Ok(buf.len())
     }
 
@@ -41,9 +41,9 @@
     }
 }
 
-/// Lets a leader take over a roster of workers and read the directory, which shows all of them as ready but for the
-/// first `leaving`; returns how many lines it logged of what the directory shows.
-fn lines(workers: usize, leaving: usize) -> usize {
+/// Lets a leader take over a roster of workers and read the directory, which lists the first `draining` of them
+/// as draining and all others as ready. Returns how many `worker_listed` lines the leader logged.
+fn listed_lines(workers: usize, draining: usize) -> usize {
     let log = Log::default();
     let written = log.clone();
     let subscriber = tracing_subscriber::fmt().with_writer(move || written.clone()).finish();
@@ -56,19 +56,19 @@
             StoredState { roster: roster.collect(), ..StoredState::default() },
         );
         for n in 0..workers {
-            cx.handle(Instant(NOW), NOW, Event::Listed(worker(n, n < leaving)));
+            cx.handle(Instant(NOW), NOW, Event::Listed(worker(n, n < draining)));
         }
     });
-    let text = log.0.lock().expect("no holder of the lock panics").clone();
+    let text = log.0.lock().expect("no thread panics while it holds the log lock").clone();
     String::from_utf8_lossy(&text).matches("worker_listed").count()
 }
 
 #[test]
 fn a_takeover_logs_as_many_lines_on_four_times_the_fleet() {
-    assert_eq!(lines(50, 0), lines(200, 0));
+    assert_eq!(listed_lines(50, 0), listed_lines(200, 0));
 }
 
 #[test]
-fn a_takeover_tells_of_workers_that_have_changed() {
-    assert_eq!(lines(50, 3), 3);
+fn a_takeover_logs_workers_whose_entry_has_changed() {
+    assert_eq!(listed_lines(50, 3), 3);
 }
