--- a/crates/sched/tests/floors/imports.rs
+++ b/crates/sched/tests/floors/imports.rs
@@ -1,10 +1,10 @@
-//! The modules that each module names, read from the sources.
+//! Finds the modules that each module of the crate uses, by a simple scan of the sources.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// A module with its text.
+/// A module with its source code.
 #[derive(Debug)]
 pub struct Source {
     /// Its path within the crate, such as `message::hosts`.
@@ -13,7 +13,7 @@
     pub code: String,
 }
 
-/// Reads all modules below a folder, but for the root of the crate.
+/// Reads all modules below a folder except the root of the crate.
 pub fn sources(folder: &Path) -> Vec<Source> {
     let mut found = Vec::new();
     read_folder(folder, "", &mut found);
@@ -22,14 +22,18 @@
 }
 
 fn read_folder(folder: &Path, prefix: &str, found: &mut Vec<Source>) {
-    for entry in fs::read_dir(folder).expect("the folder is there") {
-        let path = entry.expect("the entry can be read").path();
-        let stem = path.file_stem().and_then(|s| s.to_str()).expect("names are plain").to_string();
+    for entry in fs::read_dir(folder).expect("the source folder is readable") {
+        let path = entry.expect("entries of the source folder are readable").path();
+        let stem = path
+            .file_stem()
+            .and_then(|s| s.to_str())
+            .expect("names of source files are valid UTF-8")
+            .to_string();
         let module = if prefix.is_empty() { stem } else { format!("{prefix}::{stem}") };
         if path.is_dir() {
             read_folder(&path, &module, found);
         } else if module != "lib" {
-            let text = fs::read_to_string(&path).expect("the file can be read");
+            let text = fs::read_to_string(&path).expect("source files are readable as UTF-8");
             found.push(Source { module, code: without_comments(&text) });
         }
     }
@@ -40,19 +44,19 @@
     code.collect::<Vec<&str>>().join("\n")
 }
 
-/// Returns the modules that a module names: the longest known part of each path; [`ROOT`] for a name that
-/// the root of the crate passes on.
-pub fn named(source: &Source, modules: &BTreeSet<String>) -> BTreeSet<String> {
+/// Returns the modules that a module uses: for each path, its longest prefix that is a known module, or
+/// [`ROOT`] for a name that the root of the crate re-exports.
+pub fn used_modules(source: &Source, modules: &BTreeSet<String>) -> BTreeSet<String> {
     let tokens = tokens(&source.code);
     let paths = paths(&tokens);
     let found = paths.iter().filter_map(|path| resolve(&source.module, path, modules));
     found.filter(|module| *module != source.module).collect()
 }
 
-/// What stands for the root of the crate.
+/// Stands for the root of the crate among the returned modules.
 pub const ROOT: &str = "lib";
 
-/// Splits code into words, `::` and single signs.
+/// Splits code into words, `::` and single characters.
 fn tokens(code: &str) -> Vec<String> {
     let mut found: Vec<String> = Vec::new();
     let mut chars = code.chars().peekable();
@@ -72,7 +76,7 @@
     found
 }
 
-/// Lists every path of the code, those of `use` trees in full.
+/// Lists every path in the code, with `use` trees expanded to full paths.
 fn paths(tokens: &[String]) -> Vec<Vec<String>> {
     let mut found = Vec::new();
     let mut at = 0;
@@ -93,7 +97,7 @@
     found
 }
 
-/// Reads one tree of a `use` statement from a position on; returns the position of the sign that ends it.
+/// Reads one tree of a `use` statement from a position on, and returns the position of the token that ends it.
 fn read_tree(
     tokens: &[String],
     from: usize,
@@ -105,7 +109,7 @@
     loop {
         match tokens[at].as_str() {
             "," | "}" | ";" => {
-                // A comma after the last name names nothing.
+                // After a trailing comma there is no name to add.
                 found.extend((at > from).then_some(path));
                 return at;
             }
@@ -123,30 +127,30 @@
     }
 }
 
-/// Finds the module that a path names, if it lies in this crate.
+/// Returns the module that a path refers to, if it belongs to this crate.
 fn resolve(module: &str, path: &[String], modules: &BTreeSet<String>) -> Option<String> {
-    let mut whole: Vec<&str> = module.split("::").collect();
+    let mut resolved: Vec<&str> = module.split("::").collect();
     let mut rest: Vec<&str> = path.iter().map(String::as_str).collect();
     match rest.first().copied()? {
         "crate" => {
-            whole.clear();
+            resolved.clear();
             rest.remove(0);
         }
         "super" => {
             while rest.first() == Some(&"super") {
                 rest.remove(0);
-                whole.pop();
+                resolved.pop();
             }
         }
         first if modules.contains(&format!("{module}::{first}")) => {}
         _ => return None,
     }
-    whole.extend(rest);
-    while !whole.is_empty() && !modules.contains(&whole.join("::")) {
-        whole.pop();
+    resolved.extend(rest);
+    while !resolved.is_empty() && !modules.contains(&resolved.join("::")) {
+        resolved.pop();
     }
-    if whole.is_empty() {
+    if resolved.is_empty() {
         return Some(ROOT.to_string());
     }
-    Some(whole.join("::"))
+    Some(resolved.join("::"))
 }
--- a/crates/sched/tests/floors/table.rs
+++ b/crates/sched/tests/floors/table.rs
@@ -1,7 +1,7 @@
-//! The floors of the crate, the lowest first. A module names only modules that stand before it here, on its
-//! own floor or on a lower one. `docs/DESIGN.md` says what each floor is for.
+//! The layers of the crate, the lowest first. A module may use only modules that come before it here, in its
+//! own layer or in a lower one. `docs/DESIGN.md` says what each layer is for.
 
-/// The floors by name with their modules.
+/// The layers, each with its name and its modules.
 pub const LAYERS: &[(&str, &[&str])] = &[
     (
         "interface",
@@ -110,5 +110,6 @@
     ("context", &["context"]),
 ];
 
-/// What still names a higher module. Nothing is added here; what is mended is taken out.
-pub const UPWARD: &[(&str, &str)] = &[];
+/// Modules that still use a module at the same or a higher position, each with that module. Nothing may be
+/// added here, and an entry is removed once the import is gone.
+pub const UPWARD_IMPORTS: &[(&str, &str)] = &[];
