--- a/crates/sched/tests/fleet/main.rs
+++ b/crates/sched/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! The scheduler on virtual time, with a fleet that goes wrong in all the ways that workers do.
+//! Tests of the scheduler against a simulated fleet on virtual time. [`world`] simulates the workers, the
+//! store, the calls between them and their faults; each other module holds the tests of one subject.
 
 mod backlogs;
 mod bursts;
