--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/world/mod.rs
@@ -1,13 +1,23 @@
-//! A fleet on virtual time: workers with leases and lists of ends, a store, and calls that arrive
-//! late, get lost, or are carried out after newer ones. It checks the promises while it runs.
+//! The simulation: a fleet on virtual time, with workers that hold leases and list the ends of their runs,
+//! a store, and calls that arrive late, get lost, or are carried out after newer ones. It checks the
+//! scheduler's guarantees while it runs and collects violations.
 //!
-//! This file holds the world's state, what a test does to it, and the passing of time. [`calls`]
-//! carries what the leader sends, [`worker`] carries it out and answers [`renewals`], [`writes`] go to the
-//! [`store`], which keeps what a successor learns, [`evacuations`] are asked for by the operators, the
-//! [`directory`] is read late,
-//! [`hosts`] lie beneath the workers, [`crashes`] take them down, [`checkpoints`] are what runs save and starts
-//! bring, [`checks`] and [`cancellations`] look for broken promises, and [`views`] tells a test what came of it
-//! all.
+//! This file holds the state of the simulation, the actions of tests, and the loop that advances the time.
+//! The other modules:
+//!
+//! - [`calls`] transports what the leader sends to workers, and the answers.
+//! - [`worker`] carries out calls at a worker; [`renewals`] answers renewals of leases.
+//! - [`writes`] transports the leader's commits to the [`store`], from which a successor restores its state.
+//! - [`evacuations`] holds which failure domains the operators have evacuated.
+//! - [`directory`] delays the leader's view of the directory of workers.
+//! - [`hosts`] holds the hosts of the workers, which go down for maintenance.
+//! - [`crashes`] crashes workers.
+//! - [`checkpoints`] records what runs save and which checkpoint a start carries.
+//! - [`checks`] and [`cancellations`] check the guarantees.
+//! - [`views`] returns state to tests.
+//! - [`builders`] builds configurations and jobs, and [`log`] prints the scheduler's log.
+//!
+//! In all these modules, `at` is the position of a worker in the list of simulated workers.
 
 mod builders;
 mod calls;
@@ -62,97 +72,111 @@
 /// The queue that every job goes to.
 pub const QUEUE: &str = "checks";
 
-/// How many failed runs a task may have.
+/// A job fails once this many runs of one of its tasks have failed.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// The wall clock when a world begins, in milliseconds since 1970; any time would do.
+/// The wall clock at the start of a simulation, in milliseconds since 1970; any time would do.
 const UNIX_BASE: u64 = 1_700_000_000_000;
 
-/// The virtual clock when a world begins, in milliseconds: above 0, so that "never" lies in the
-/// past.
+/// The virtual clock at the start of a simulation, in milliseconds: above 0, so that a time of 0, which stands
+/// for "never", lies in the past.
 const START_MS: u64 = 10_000;
 
-/// What goes wrong, each as a share of calls in a thousand.
+/// The faults of calls to workers and of runs, each as its share of calls or runs in a thousand.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     /// Calls that never arrive and get no answer.
     pub lost_per_mille: u32,
     /// Calls whose answer is lost.
     pub unanswered_per_mille: u32,
-    /// Calls without an answer that arrive seconds later.
+    /// Calls that get no answer and arrive seconds late.
     pub late_per_mille: u32,
     /// Runs that fail.
     pub failing_per_mille: u32,
-    /// Calls that a worker refuses because it is unwell.
+    /// Calls that a worker refuses because it is unhealthy.
     pub unwell_per_mille: u32,
 }
 
-/// The whole world.
+/// The simulated fleet, its store, and the leader under test.
 pub struct World {
+    /// The virtual clock, in milliseconds.
     pub now: u64,
+    /// The present leader, if there is one.
     pub cx: Option<Context>,
     pub workers: Vec<SimWorker>,
     pub faults: Faults,
     pub write_faults: WriteFaults,
     pub settings: Settings,
-    /// Broken promises, in words.
+    /// Descriptions of violated guarantees.
     pub violations: Vec<String>,
     /// When each renewal was sent, and to which worker.
     pub renewals: Vec<(u64, usize)>,
-    /// Orders of pace that were sent.
+    /// How many orders to change the pace of a run were sent.
     pub paces_ordered: u64,
-    /// Starts that workers carried out.
+    /// How many starts workers have carried out.
     pub starts: u64,
     /// Whether commits are refused.
     pub store_down: bool,
-    /// The length of each task's work.
+    /// How long each task's work takes, in milliseconds.
     pub work_ms: u64,
-    /// How the service that says where steps may run is asked, if at all.
+    /// The settings for asking the advice service on which workers steps may run, if it is used.
     pub advice: Option<Advice>,
-    /// What a successor finds stored of how images disturb each other.
+    /// The learned interference model that a successor finds in the store.
     pub learnt: Learned,
-    /// What workers read of each job's tasks.
+    /// The tail reading that workers report of each job's tasks.
     pub readings: BTreeMap<JobKey, u32>,
-    /// What lies beneath the workers.
+    /// The hosts on which the workers run.
     pub hosts: Hosts,
     /// Which tasks crash their workers.
     pub crashes: Crashes,
-    /// What tasks save, and what starts bring.
+    /// The checkpoints that tasks save and that starts carry.
     pub checkpoints: Checkpoints,
-    /// How the leader reads the directory.
+    /// The directory of workers as the leader reads it.
     pub directory: Directory,
     /// Which failure domains the operators have evacuated.
     evacuation_requests: EvacuationRequests,
     rng: ChaCha8Rng,
+    /// The term of the present or the last leader.
     term: u64,
+    /// The fencing token of that leader.
     token: u64,
+    /// What happens later, ordered by time and then by a serial number.
     deliveries: BTreeMap<(u64, u64), Delivery>,
+    /// The serial number of the last delivery.
     next_delivery: u64,
+    /// All jobs that were ever submitted.
     jobs: BTreeMap<JobKey, Arc<Job>>,
     cancelled: BTreeSet<JobKey>,
-    /// Jobs that the store no longer holds; calls may still name them.
+    /// Jobs that the store no longer holds; calls may still refer to them.
     forgotten: BTreeSet<JobKey>,
-    /// What is judged of cancellations.
+    /// What the checks of cancellations need to know.
     cancellations: Cancellations,
+    /// The stored progress of each job.
     progress: BTreeMap<JobKey, Progress>,
-    /// Jobs whose stored progress cannot be read.
+    /// Jobs whose stored progress is unreadable.
     unreadable: BTreeSet<JobKey>,
+    /// The stored roster of workers.
     roster: BTreeMap<ids::WorkerId, RosterEntry>,
+    /// The stored progress of each maintenance wave.
     wave_progress: BTreeMap<WaveNumber, WaveProgress>,
     writes: Writes,
+    /// Tasks whose successful end the leader has acknowledged as stored.
     recorded_done: BTreeSet<TaskKey>,
     /// When each task was last started.
     started_at: BTreeMap<TaskKey, u64>,
+    /// Tasks that have ended successfully at a worker.
     done: BTreeSet<TaskKey>,
+    /// How many failed runs of each task the leader has acknowledged as stored.
     recorded_failed: BTreeMap<TaskKey, u32>,
+    /// How many runs of each task have failed at workers.
     failed: BTreeMap<TaskKey, u32>,
 }
 
 impl World {
-    /// Builds a world of `workers` workers of 8 cores, led from the start.
+    /// Builds a simulation of `workers` workers with 8 cores each, which has a leader from the start.
     pub fn open(seed: u64, workers: usize) -> Self {
         log::open();
-        let mut world = Self {
+        let mut simulation = Self {
             now: START_MS,
             cx: None,
             workers: Vec::new(),
@@ -194,13 +218,13 @@
             failed: BTreeMap::new(),
         };
         for n in 0..workers {
-            world.add_worker(&format!("w{n}"));
+            simulation.add_worker(&format!("w{n}"));
         }
-        world.take_over();
-        world
+        simulation.take_over();
+        simulation
     }
 
-    /// Adds a worker and lists it.
+    /// Adds a worker and lists it in the directory.
     pub fn add_worker(&mut self, id: &str) -> usize {
         let at = self.add_unlisted_worker(id);
         let info = self.workers[at].info.clone();
@@ -208,7 +232,7 @@
         at
     }
 
-    /// Adds a worker that is not listed yet.
+    /// Adds a worker that the directory does not list yet.
     fn add_unlisted_worker(&mut self, id: &str) -> usize {
         let at = self.workers.len();
         self.workers.push(SimWorker::new(id, at));
@@ -221,7 +245,7 @@
         self.cx = None;
     }
 
-    /// Hands in a job.
+    /// Submits a job.
     pub fn submit(&mut self, job: Job) {
         let job = Arc::new(job);
         self.jobs.insert(job.key, Arc::clone(&job));
@@ -235,21 +259,21 @@
         self.notify_leader(Event::Cancel(JobKey(key)));
     }
 
-    /// Crashes a worker; nothing says so but its silence.
+    /// Crashes a worker. The leader can tell only from missing answers.
     pub fn crash(&mut self, worker: usize) {
         self.workers[worker].up = false;
         self.workers[worker].running.clear();
     }
 
-    /// Hands the leader an account that a worker gave before, as the answer to a renewal of that time.
-    pub fn hear_of(&mut self, worker: usize, sent: Instant, account: WorkerReport) {
+    /// Delivers an earlier worker report to the leader, as the answer to a renewal that was sent at `sent`.
+    pub fn hear_of(&mut self, worker: usize, sent: Instant, report: WorkerReport) {
         let id = &self.workers[worker].info.id;
         let ix = self.cx.as_ref().and_then(|cx| cx.by_id.get(id).copied());
-        let worker = ix.expect("the leader knows the worker");
-        self.notify_leader(Event::Renewed { worker, sent, outcome: Outcome::Done(account) });
+        let worker = ix.expect("the leader knows the worker whose report arrives");
+        self.notify_leader(Event::Renewed { worker, sent, outcome: Outcome::Done(report) });
     }
 
-    /// Takes a worker off the directory.
+    /// Removes a worker from the directory.
     pub fn unlist(&mut self, worker: usize) {
         let id = self.workers[worker].info.id.clone();
         self.notify_leader(Event::Unlisted(id));
@@ -262,47 +286,47 @@
         self.list_again(at);
     }
 
-    /// Puts a configuration into force that names one more pool.
+    /// Sends the leader a configuration with one more pool.
     pub fn name_pool(&mut self, pool: &str) {
         let mut config = Config::clone(&builders::config(self.advice));
         config.version += 1;
-        let named = Pool { service: pool.into(), guards_capacity: true, headroom: false };
-        config.pools.push(named);
+        let added = Pool { service: pool.into(), guards_capacity: true, headroom: false };
+        config.pools.push(added);
         self.notify_leader(Event::Config(Arc::new(config)));
     }
 
-    /// Changes a worker's room, and lists it so.
+    /// Changes a worker's capacity and lists the worker with it.
     pub fn resize(&mut self, worker: usize, capacity: Resources) {
         self.workers[worker].info.capacity = capacity;
         self.workers[worker].resized = self.now;
         self.list_again(worker);
     }
 
-    /// Puts something else into a worker's entry.
+    /// Makes a worker's entry in the directory unreadable.
     pub fn spoil_entry(&mut self, worker: usize) {
         let id = self.workers[worker].info.id.clone();
         self.notify_leader(Event::Unreadable(id));
     }
 
-    /// Lists a worker at another address, as another writer may do.
+    /// Lists a worker at another address, as another process that writes to the directory may do.
     pub fn list_at(&mut self, worker: usize, addr: &str) {
         let mut info = self.workers[worker].info.clone();
         info.addr = addr.to_string();
         self.notify_leader(Event::Listed(info));
     }
 
-    /// Lists a worker again as it was.
+    /// Lists a worker again with its present entry.
     pub fn list_again(&mut self, worker: usize) {
         let info = self.workers[worker].info.clone();
         self.notify_leader(Event::Listed(info));
     }
 
-    /// Says that the directory can be read again after an outage.
+    /// Notifies the leader that the directory is readable again after an outage.
     pub fn directory_back(&mut self) {
         self.notify_leader(Event::DirectoryRecovered);
     }
 
-    /// Lists a worker as draining.
+    /// Lists a worker as draining, with `remaining` milliseconds left.
     pub fn drain(&mut self, worker: usize, remaining: u64) {
         let info = &mut self.workers[worker].info;
         info.draining = true;
@@ -311,9 +335,9 @@
         self.notify_leader(Event::Listed(info));
     }
 
-    /// Draws a number below `most`.
-    pub fn draw(&mut self, most: u64) -> u64 {
-        self.rng.random_range(0..most)
+    /// Draws a random number below `bound`.
+    pub fn draw(&mut self, bound: u64) -> u64 {
+        self.rng.random_range(0..bound)
     }
 
     /// Lets `ms` milliseconds pass.
@@ -341,14 +365,17 @@
         }
     }
 
+    /// Returns the virtual time as the leader sees it.
     fn instant(&self) -> Instant {
         Instant(self.now)
     }
 
+    /// Returns the wall clock in milliseconds since 1970.
     fn unix(&self) -> u64 {
         UNIX_BASE + self.now - START_MS
     }
 
+    /// Hands an event to the leader, if there is one, and carries out the actions that follow.
     fn notify_leader(&mut self, event: Event) {
         let (now, unix) = (self.instant(), self.unix());
         if let Some(cx) = &mut self.cx {
