--- a/crates/sched/tests/fleet/world/builders.rs
+++ b/crates/sched/tests/fleet/world/builders.rs
@@ -1,4 +1,4 @@
-//! The configuration and the jobs that tests hand to a world.
+//! Builders of the configuration and the jobs that tests use.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
     })
 }
 
-/// Builds a step of `count` tasks of one core each.
+/// Builds a step of `count` tasks of one core each, which may start when the steps `after` are done.
 pub fn step(count: u32, after: &[u16]) -> Step {
     Step {
         count,
@@ -40,12 +40,12 @@
     }
 }
 
-/// Builds a step of `count` such tasks that last until their job is cancelled.
+/// Builds a step of `count` long-running tasks, which run until their job is cancelled.
 pub fn lasting(count: u32) -> Step {
     Step { lasting: true, ..step(count, &[]) }
 }
 
-/// Builds a job.
+/// Builds a job of the given steps with the key `key`.
 pub fn job(key: u64, steps: Vec<Step>) -> Job {
     Job {
         key: JobKey(key),
