--- a/crates/sched/tests/fleet/world/log.rs
+++ b/crates/sched/tests/fleet/world/log.rs
@@ -1,5 +1,5 @@
-//! The scheduler's log lines on virtual time, for a look at one seed: `FLEET_LOG=1 cargo test -p
-//! gaplock-sched --test fleet NAME -- --nocapture`.
+//! Prints the scheduler's log lines with virtual times, to debug a test or a seed:
+//! `FLEET_LOG=1 cargo test -p gaplock-sched --test fleet NAME -- --nocapture`.
 
 use std::cell::Cell;
 use std::fmt;
@@ -11,7 +11,7 @@
     static NOW: Cell<u64> = const { Cell::new(0) };
 }
 
-/// The virtual clock of the world that runs in this thread.
+/// The virtual clock of the simulation that runs in this thread.
 struct VirtualTime;
 
 impl FormatTime for VirtualTime {
@@ -20,15 +20,15 @@
     }
 }
 
-/// Prints log lines from now on, if that is asked for.
+/// Prints log lines from now on if `FLEET_LOG` is set.
 pub fn open() {
     if std::env::var_os("FLEET_LOG").is_some() {
-        // Another world of this process may have done so before.
+        // Fails if another simulation of this process has installed a subscriber already, which is fine.
         tracing_subscriber::fmt().with_timer(VirtualTime).with_ansi(false).try_init().ok();
     }
 }
 
-/// Sets the time of the lines that follow.
+/// Sets the virtual time of the log lines that follow.
 pub fn set_now(now: u64) {
     NOW.set(now);
 }
