--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/world/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between the leader and its workers, and what may go wrong with each of them.
+//! The calls between the leader and its workers: their transport, and the faults of the transport.
 
 use gaplock_jobs::TaskKey;
 use gaplock_policy::attempts::Execution;
@@ -17,7 +17,7 @@
 use super::writes::{Write, WriteNotice};
 use super::World;
 
-/// What a leader asks of a worker.
+/// A call of the leader to a worker.
 #[derive(Debug, Clone)]
 pub enum Call {
     Renew(Renewal),
@@ -29,80 +29,86 @@
 /// A renewal on its way to a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct Renewal {
+    /// Ends up to this number are stored, so the worker need not list them any more.
     pub stored: EndSeq,
+    /// The end of the new lease by the worker's clock, if the renewal extends the lease.
     pub until: Option<WorkerClock>,
-    /// How long the worker may wait for an end, in milliseconds.
+    /// How long the worker may hold its answer back while it has no end to report, in milliseconds.
     pub wait: u64,
+    /// When the leader sent it.
     pub sent: Instant,
 }
 
 /// What a started task does.
 #[derive(Debug, Clone, Copy)]
 pub struct Work {
+    /// The resources that it uses.
     pub takes: Resources,
+    /// Whether it is long-running and ends only when it is stopped.
     pub lasting: bool,
     /// When the leader sent the start.
     pub sent: u64,
-    /// How long the task runs unless it lasts, in milliseconds.
+    /// How long the task runs unless it is long-running, in milliseconds.
     pub ms: u64,
 }
 
-/// Whose call it is, where it goes, and whether its answer arrives.
+/// Where a call comes from, where it goes, and whether its answer arrives.
 #[derive(Debug, Clone, Copy)]
 pub struct CallRoute {
+    /// The position of the simulated worker.
     pub worker: usize,
-    /// The leader's position for the worker.
-    pub asked: WorkerIx,
-    /// The number of the term in which the call was sent; a later leader gets no answer to it.
+    /// The position of the worker in the leader's table.
+    pub ix: WorkerIx,
+    /// The term in which the call was sent; the leader of a later term does not get the answer.
     pub leader: u64,
-    /// Unset where the leader has been told already that no answer comes.
+    /// Whether the answer arrives; if not, the leader is notified of a timeout separately.
     pub answered: bool,
 }
 
-/// What happens at a later time.
+/// An event that is scheduled for a later time.
 #[derive(Debug, Clone)]
 pub enum Delivery {
-    /// A call arrives.
+    /// A call arrives at a worker.
     ToWorker { route: CallRoute, call: Call, token: u64 },
-    /// An answer arrives.
+    /// An event, such as the answer to a call, arrives at the leader.
     ToLeader { event: Event, leader: u64 },
-    /// A worker has waited long enough with its answer to a renewal.
+    /// A worker answers a renewal that it has held back.
     RenewalAnswerDue { route: CallRoute, sent: Instant },
-    /// An order that a host goes down arrives; its leader may have ended meanwhile.
+    /// A maintenance order arrives at a host; the term of its leader may have ended meanwhile.
     ToHost { order: HostOrder, answered: bool },
-    /// A write of the leader arrives at the store.
+    /// A commit of the leader arrives at the store.
     ToStore { write: Write, answered: bool },
-    /// The directory drops the entry of a worker that has crashed.
+    /// The directory removes the entry of a crashed worker.
     Unlisted { at: usize },
-    /// The host of a worker that has crashed has another one.
+    /// The host of a crashed worker gets a replacement.
     Replaced { at: usize },
-    /// The directory shows the entry of a worker that has started again under its name.
+    /// The directory lists a worker that has restarted under its name; `id` is the previous incarnation.
     RestartListed { at: usize, id: ids::WorkerId },
-    /// The leader hears of its write, or has waited before it goes on.
-    FromStore { mark: CommitId, heard: WriteNotice },
+    /// The leader is notified about the commit in flight.
+    FromStore { id: CommitId, notice: WriteNotice },
 }
 
-/// How long a leader waits for an answer, in milliseconds: as long as the product waits for the
+/// How long a leader waits for the answer to a call, in milliseconds: as long as the product waits for the
 /// answer to an order.
-const CALL_LIMIT_MS: u64 = 400;
+const CALL_TIMEOUT_MS: u64 = 400;
 
-/// How long the service that says where steps may run takes, in milliseconds.
+/// How long the advice service takes to answer on which workers a step may run, in milliseconds.
 const ADVICE_MS: u64 = 40;
 
-/// How long an answer of that service holds.
+/// How long an answer of the advice service is valid.
 const ADVICE_VALID: Millis = Millis(3_000);
 
-/// How late a call without an answer may arrive, in milliseconds: some after every lease is over.
+/// How late a call without an answer may arrive, in milliseconds. Some arrive after every lease has ended.
 const LATE_MS: std::ops::Range<u64> = 2_000..12_000;
 
 impl World {
-    /// Lets something happen after so many milliseconds.
+    /// Schedules a delivery after so many milliseconds.
     pub(super) fn send(&mut self, after: u64, delivery: Delivery) {
         self.next_delivery += 1;
         self.deliveries.insert((self.now + after, self.next_delivery), delivery);
     }
 
-    /// Carries out what the leader asks for.
+    /// Carries out the actions that the leader has asked for.
     pub(super) fn carry_out_actions(&mut self) {
         let Some(cx) = &mut self.cx else { return };
         let actions = cx.take_actions();
@@ -144,7 +150,7 @@
         }
     }
 
-    /// Answers which workers may run a step: those with an even position.
+    /// Answers on which workers a step may run: those with an even position.
     fn answer_advice(&mut self, step: StepKey, asked: Vec<WorkerIx>) {
         let even = asked.iter().filter(|ix| ix.0 % 2 == 0);
         let permits = even.map(|&worker| Permit { worker, ticket: "t".into() }).collect();
@@ -179,7 +185,7 @@
         let unanswered = lost || late || self.rng.random_range(0..1_000) < f.unanswered_per_mille;
         if unanswered {
             let event = no_answer(ix, &call);
-            self.send(CALL_LIMIT_MS, Delivery::ToLeader { event, leader });
+            self.send(CALL_TIMEOUT_MS, Delivery::ToLeader { event, leader });
         }
         if lost {
             return self.record_fault(worker, 0);
@@ -192,11 +198,11 @@
         if unanswered {
             self.record_fault(worker, after);
         }
-        let route = CallRoute { worker, asked: ix, leader, answered: !unanswered };
+        let route = CallRoute { worker, ix, leader, answered: !unanswered };
         self.send(after, Delivery::ToWorker { route, call, token });
     }
 
-    /// Lets what is due happen.
+    /// Carries out a delivery that is due.
     pub(super) fn deliver(&mut self, delivery: Delivery) {
         match delivery {
             Delivery::ToLeader { event, leader } if leader == self.term => {
@@ -204,7 +210,7 @@
             }
             Delivery::ToLeader { .. } => {}
             Delivery::ToStore { write, answered } => self.write_arrives(write, answered),
-            Delivery::FromStore { mark, heard } => self.notify_of_write(mark, heard),
+            Delivery::FromStore { id, notice } => self.notify_of_write(id, notice),
             Delivery::ToWorker { route, call, token } => self.call_arrives(route, call, token),
             Delivery::ToHost { order, answered } => self.carry_out_maintenance(order, answered),
             Delivery::RenewalAnswerDue { route, sent } => self.answer_renewal(route, sent),
@@ -214,12 +220,12 @@
         }
     }
 
-    /// Lets a call end without an answer that lost its worker on the way.
+    /// Lets a call time out whose worker is down or partitioned when it arrives.
     pub(super) fn time_out(&mut self, route: CallRoute, call: &Call) {
         self.record_fault(route.worker, 0);
         if let Some(ix) = self.answer_target(route) {
             let event = no_answer(ix, call);
-            self.send(CALL_LIMIT_MS, Delivery::ToLeader { event, leader: route.leader });
+            self.send(CALL_TIMEOUT_MS, Delivery::ToLeader { event, leader: route.leader });
         }
     }
 
@@ -228,20 +234,20 @@
         self.send(1, Delivery::ToLeader { event, leader: route.leader });
     }
 
-    /// Returns the leader's position for the worker of a call whose answer arrives.
+    /// Returns the worker's position in the leader's table if the answer to the call arrives.
     pub(super) fn answer_target(&self, route: CallRoute) -> Option<WorkerIx> {
-        route.answered.then_some(route.asked)
+        route.answered.then_some(route.ix)
     }
 
-    /// Finds the simulated worker behind a position in the leader's table.
+    /// Returns the simulated worker for a position in the leader's table.
     fn worker_of(&self, ix: WorkerIx) -> usize {
-        let name = self.cx.as_ref().expect("only a leader calls").worker(ix).info.id.name();
+        let name = self.cx.as_ref().expect("only a leader sends calls").worker(ix).info.id.name();
         let is_named = |w: &SimWorker| w.info.id.name() == name;
-        self.workers.iter().position(is_named).expect("workers are never removed")
+        self.workers.iter().position(is_named).expect("the simulation never removes a worker")
     }
 }
 
-/// Builds what the leader is told of a call that got no answer.
+/// Builds the event for a call that got no answer.
 fn no_answer(worker: WorkerIx, call: &Call) -> Event {
     match call {
         Call::Renew(renewal) => {
@@ -251,7 +257,7 @@
     }
 }
 
-/// Builds the answer of another incarnation than the one that is meant.
+/// Builds the event for a call that reached another incarnation of the worker than the one it is meant for.
 fn other_incarnation(worker: WorkerIx, call: &Call) -> Event {
     match call {
         Call::Renew(renewal) => {
@@ -262,7 +268,7 @@
     }
 }
 
-/// Builds the answer to an order.
+/// Builds the event for the answer to an order.
 pub fn answer(worker: WorkerIx, call: &Call, outcome: Outcome<WorkerClock>) -> Event {
     match call {
         Call::Start { task, run, .. } => Event::Started { worker, task: *task, run: *run, outcome },
@@ -278,6 +284,8 @@
                 Outcome::Unclear => Execution::Unknown,
             },
         },
-        Call::Renew(_) => unreachable!("a renewal is answered with an account"),
+        Call::Renew(_) => {
+            unreachable!("a renewal is answered with a worker report, not with a clock")
+        }
     }
 }
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -1,6 +1,6 @@
-//! The leader's writes on their way to the store: lost, late, refused, without an answer, or in
-//! conflict with those of a newer leader. `gaplock_sched::writing` decides what follows, as in the
-//! product.
+//! The leader's commits on their way to the store: they may be lost, late, refused, unanswered, or in
+//! conflict with those of a newer leader. `gaplock_sched::commit_writer` decides what follows, as in
+//! the product.
 
 use gaplock_sched::commit_writer::{
     self, CommitAnswer, CommitId, CommitRevision, CommitWriter, NextStep, StoreView,
@@ -12,38 +12,37 @@
 use super::calls::Delivery;
 use super::World;
 
-/// How long a call to the store takes, in milliseconds; the users' store answers in some 4 ms.
+/// How long a call to the store takes, in milliseconds; the store in production answers in some 4 ms.
 const CALL_MS: u64 = 4;
 
-/// How long it takes until the leader hears that a commit was refused, in milliseconds.
+/// How long it takes until the leader is notified that a commit was refused, in milliseconds.
 const REFUSED_MS: u64 = 200;
 
-/// How long the leader waits for the answer to a write, in milliseconds, as in the product.
-const LIMIT_MS: u64 = 900;
+/// How long the leader waits for the answer to a commit, in milliseconds, as in the product.
+const WRITE_TIMEOUT_MS: u64 = 900;
 
-/// The pause before a write whose fate is unknown is sent again, in milliseconds, as in the
-/// product.
-const PAUSE_MS: u64 = 100;
+/// The pause before a commit with an unknown outcome is sent again, in milliseconds, as in the product.
+const REPEAT_PAUSE_MS: u64 = 100;
 
-/// How late a write without an answer may be carried out, in milliseconds: before and after its
-/// repeat.
+/// How late a commit without an answer may be carried out, in milliseconds: before or after its repeat.
 const LATE_MS: std::ops::Range<u64> = 500..8_000;
 
-/// What goes wrong with writes, each as a share of them in a thousand.
+/// The faults of commits, each as its share of commits in a thousand.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WriteFaults {
-    /// Writes that never arrive and get no answer.
+    /// Commits that never arrive and get no answer.
     pub lost_per_mille: u32,
-    /// Writes whose answer is lost.
+    /// Commits whose answer is lost.
     pub unanswered_per_mille: u32,
-    /// Writes without an answer that are carried out seconds later, if what they expect still
-    /// holds.
+    /// Commits without an answer that are carried out seconds later, if the last commit is still the one that
+    /// they expect.
     pub late_per_mille: u32,
-    /// Writes that the store refuses.
+    /// Commits that the store refuses.
     pub refused_per_mille: u32,
 }
 
 impl WriteFaults {
+    /// Returns whether any faults are set.
     fn any(&self) -> bool {
         self.lost_per_mille
             + self.unanswered_per_mille
@@ -53,79 +52,89 @@
     }
 }
 
-/// One transaction. Its serial number tells it from every other one, whatever its mark.
+/// A commit: one transaction. Its serial number distinguishes it from every other one, even if their IDs are
+/// equal by mistake.
 #[derive(Debug, Clone)]
 pub struct Write {
-    mark: CommitId,
+    id: CommitId,
+    /// The revision that the last commit must have.
     expects: CommitRevision,
     serial: u64,
     records: Vec<Record>,
 }
 
-/// What the leader hears of the write in flight.
+/// What the leader is notified of while a commit is in flight.
 #[derive(Debug, Clone, Copy)]
 pub enum WriteNotice {
+    /// The answer to an attempt has come, or its timeout has passed.
     Answer(CommitAnswer),
+    /// The store has been read.
     ReadStore,
+    /// The pause before the next attempt has passed.
     Waited,
 }
 
-/// The leader's writes and what the store holds of them.
+/// The leader's commits, and the last one that the store holds.
 #[derive(Debug)]
 pub struct Writes {
     writer: CommitWriter,
     in_flight: Option<Write>,
-    mark: CommitId,
+    /// The ID of the last commit or claim in the store.
+    id: CommitId,
+    /// Its revision.
     revision: CommitRevision,
+    /// The serial number of the last commit that was sent.
     serial: u64,
+    /// The serial number of the last commit in the store.
     last_serial: u64,
 }
 
 impl Default for Writes {
     fn default() -> Self {
-        let (mark, revision) = (CommitId { term: 0, number: 0 }, CommitRevision(0));
-        let writer = commit_writer::open(mark, revision);
-        Self { writer, in_flight: None, mark, revision, serial: 0, last_serial: 0 }
+        let (id, revision) = (CommitId { term: 0, number: 0 }, CommitRevision(0));
+        let writer = commit_writer::open(id, revision);
+        Self { writer, in_flight: None, id, revision, serial: 0, last_serial: 0 }
     }
 }
 
 impl Writes {
-    /// Stores a claim: whatever expects an earlier commit is never carried out from here on.
+    /// Stores the claim of a new leader. From here on, a commit that expects an earlier revision is never
+    /// carried out.
     pub fn claim(&mut self, term: u64) {
-        self.mark = CommitId { term, number: 0 };
+        self.id = CommitId { term, number: 0 };
         self.revision.0 += 1;
-        self.writer = commit_writer::open(self.mark, self.revision);
+        self.writer = commit_writer::open(self.id, self.revision);
         self.in_flight = None;
     }
 
-    /// Carries a write out if what it expects holds.
+    /// Carries a commit out if the last commit is the one that it expects.
     fn carry_out(&mut self, write: &Write) -> CommitAnswer {
         if write.expects != self.revision {
             return CommitAnswer::Conflict;
         }
         self.revision.0 += 1;
-        self.mark = write.mark;
+        self.id = write.id;
         self.last_serial = write.serial;
         CommitAnswer::Stored(self.revision)
     }
 }
 
 impl World {
-    /// Begins to write the records of a commit.
+    /// Begins to commit records.
     pub(super) fn write(&mut self, records: Vec<Record>) {
         let writes = &mut self.writes;
         writes.serial += 1;
-        let (mark, expects) = (writes.writer.begin(), writes.writer.last());
-        writes.in_flight = Some(Write { mark, expects, serial: writes.serial, records });
+        let (id, expects) = (writes.writer.begin(), writes.writer.last());
+        writes.in_flight = Some(Write { id, expects, serial: writes.serial, records });
         self.carry_out_step(NextStep::Send);
     }
 
-    /// Does what the leader's writer asks for.
+    /// Carries out the step that the leader's commit writer asks for.
     fn carry_out_step(&mut self, next: NextStep) {
         match next {
             NextStep::Send => self.send_write(),
             NextStep::ReadStore => self.notify_later(CALL_MS, WriteNotice::ReadStore),
-            NextStep::Wait => self.notify_later(PAUSE_MS, WriteNotice::Waited),
+            NextStep::Wait => self.notify_later(REPEAT_PAUSE_MS, WriteNotice::Waited),
             NextStep::Stored => {
                 self.check_stored();
                 self.writes.in_flight = None;
@@ -138,23 +147,28 @@
             NextStep::LeadershipOver => {
                 self.writes.in_flight = None;
                 if self.cx.is_some() {
-                    self.violations.push(format!("{}: a leader lost its term", self.now));
+                    self.violations.push(format!(
+                        "{}: the commit writer ended the term of a leader that has no successor",
+                        self.now
+                    ));
                 }
             }
         }
     }
 
-    /// Checks that the write that the leader takes for stored is what the store holds.
+    /// Checks that a commit that the leader considers stored is the last one that the store holds.
     fn check_stored(&mut self) {
         let serial = self.writes.in_flight.as_ref().map(|w| w.serial);
         if serial != Some(self.writes.last_serial) {
-            let violation =
-                format!("{}: a commit that is not stored was taken for stored", self.now);
+            let violation = format!(
+                "{}: the leader considers a commit stored that the store does not hold",
+                self.now
+            );
             self.violations.push(violation);
         }
     }
 
-    /// Sends a try of the write in flight, with all that may become of it.
+    /// Sends an attempt of the commit in flight, subject to the faults of writes.
     fn send_write(&mut self) {
         let Some(write) = self.writes.in_flight.clone() else { return };
         self.writes.writer.sent();
@@ -162,66 +176,67 @@
             return self.notify_later(REFUSED_MS, WriteNotice::Answer(CommitAnswer::Refused));
         }
         let f = self.write_faults;
-        // Worlds without such faults draw nothing, so that their seeds play as they always have.
+        // Simulations without such faults draw no number here, so that their seeds keep giving the same runs.
         let roll = if f.any() { self.rng.random_range(0..1_000) } else { 1_000 };
-        let mut most = 0;
-        let mut falls = |share: u32| {
-            most += share;
-            roll < most
+        let mut bound = 0;
+        let mut falls_below = |share: u32| {
+            bound += share;
+            roll < bound
         };
-        if falls(f.refused_per_mille) {
+        if falls_below(f.refused_per_mille) {
             return self.notify_later(REFUSED_MS, WriteNotice::Answer(CommitAnswer::Refused));
         }
-        if falls(f.lost_per_mille) {
-            return self.notify_later(LIMIT_MS, WriteNotice::Answer(CommitAnswer::Silent));
+        if falls_below(f.lost_per_mille) {
+            return self.notify_later(WRITE_TIMEOUT_MS, WriteNotice::Answer(CommitAnswer::Silent));
         }
-        let late = falls(f.late_per_mille);
-        let answered = !late && !falls(f.unanswered_per_mille);
+        let late = falls_below(f.late_per_mille);
+        let answered = !late && !falls_below(f.unanswered_per_mille);
         if !answered {
-            self.notify_later(LIMIT_MS, WriteNotice::Answer(CommitAnswer::Silent));
+            self.notify_later(WRITE_TIMEOUT_MS, WriteNotice::Answer(CommitAnswer::Silent));
         }
         let after = if late { self.rng.random_range(LATE_MS) } else { CALL_MS };
         self.send(after, Delivery::ToStore { write, answered });
     }
 
-    fn notify_later(&mut self, after: u64, heard: WriteNotice) {
-        let Some(mark) = self.writes.in_flight.as_ref().map(|w| w.mark) else { return };
-        self.send(after, Delivery::FromStore { mark, heard });
+    /// Schedules a notification about the commit in flight.
+    fn notify_later(&mut self, after: u64, notice: WriteNotice) {
+        let Some(id) = self.writes.in_flight.as_ref().map(|w| w.id) else { return };
+        self.send(after, Delivery::FromStore { id, notice });
     }
 
-    /// Lets a write arrive at the store.
+    /// Carries out a commit that has arrived at the store.
     pub(super) fn write_arrives(&mut self, write: Write, answered: bool) {
         let answer = self.writes.carry_out(&write);
-        let mark = write.mark;
+        let id = write.id;
         if matches!(answer, CommitAnswer::Stored(_)) {
             self.store(write.records);
         }
         if answered {
-            self.notify_of_write(mark, WriteNotice::Answer(answer));
+            self.notify_of_write(id, WriteNotice::Answer(answer));
         }
     }
 
-    /// Lets the leader hear of its write; an answer to an earlier one goes nowhere.
-    pub(super) fn notify_of_write(&mut self, mark: CommitId, heard: WriteNotice) {
-        if self.writes.in_flight.as_ref().is_none_or(|w| w.mark != mark) {
+    /// Notifies the leader about the commit in flight; a notification about an earlier one is dropped.
+    pub(super) fn notify_of_write(&mut self, id: CommitId, notice: WriteNotice) {
+        if self.writes.in_flight.as_ref().is_none_or(|w| w.id != id) {
             return;
         }
-        let (leads, sight) = (self.cx.is_some(), self.store_view());
+        let (leads, view) = (self.cx.is_some(), self.store_view());
         let writer = &mut self.writes.writer;
-        let next = match heard {
+        let next = match notice {
             WriteNotice::Answer(answer) => writer.answered(answer),
-            WriteNotice::ReadStore => writer.store_read(sight),
+            WriteNotice::ReadStore => writer.store_read(view),
             WriteNotice::Waited => writer.waited(leads),
         };
         self.carry_out_step(next);
     }
 
-    /// Returns what a look at the store shows.
+    /// Returns what a read of the store shows.
     fn store_view(&self) -> StoreView {
         if self.store_down {
             return StoreView::Nothing;
         }
-        let (mark, revision) = (Some(self.writes.mark), self.writes.revision);
+        let (mark, revision) = (Some(self.writes.id), self.writes.revision);
         StoreView::Last { mark, revision, leads: true }
     }
 }
