--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/world/cancellations.rs
@@ -1,5 +1,5 @@
-//! What a cancellation promises: no leader that knows of it starts a task of the job, and whatever runs of the job
-//! is gone soon, wherever it is and however it came there.
+//! Checks the guarantees of a cancellation: a leader that knows of it starts no task of the job, and every
+//! run of the job is stopped soon, on whichever worker it is and however it got there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,60 +12,70 @@
 use super::checks::end_faults_and_settle;
 use super::World;
 
-/// How long a run of a cancelled job may be there where nothing goes wrong: the time of a stop, and of the account
-/// that shows the run.
+/// How long a run of a cancelled job may go on without any faults, in milliseconds: the time for the worker
+/// report that shows the run, and for a stop.
 const STOPPED_WITHIN_MS: u64 = 2_000;
 
-/// How often runs are looked at, in milliseconds.
+/// The time between two checks of all runs, in milliseconds.
 const CHECK_EVERY_MS: u64 = 20;
 
 /// A cancellation that is stored.
 #[derive(Debug, Clone, Copy)]
 struct Cancellation {
+    /// When it was stored.
     at: u64,
-    /// The first term whose leader knows of it.
+    /// The first term whose leader knows of the cancellation.
     known_from_term: u64,
 }
 
-/// The cancellations of a world, and what hinders its leaders from carrying them out.
+/// The stored cancellations, and the faults that delay their execution.
 #[derive(Debug, Default)]
 pub struct Cancellations {
-    made: BTreeMap<JobKey, Cancellation>,
-    /// Until when something went wrong with the calls to a worker, or with the worker.
+    stored: BTreeMap<JobKey, Cancellation>,
+    /// The end of the last fault of each worker, or of calls to it.
     faulty_until: BTreeMap<usize, u64>,
-    /// When the present leader began.
+    /// When the present leader began, or, without a leader, the present time.
     led_since: u64,
-    /// Runs that were found going on.
+    /// Runs that have been reported as a violation.
     reported: BTreeSet<(usize, TaskKey, Run)>,
-    /// Broken promises of cancellations, in words.
-    broken: Vec<String>,
+    /// Descriptions of violated guarantees of cancellations.
+    violations: Vec<String>,
 }
 
-/// Ends all faults and, once it has been quiet for a while, fails the test if a promise of a cancellation was broken,
-/// whatever else went wrong.
-pub fn assert_cancellations_kept(world: &mut World) {
-    end_faults_and_settle(world);
-    assert!(world.cancellations.broken.is_empty(), "{:#?}", world.cancellations.broken);
-    assert_no_runs_of_finished_jobs(world);
+/// Ends all faults, lets the simulation settle, and fails the test if a guarantee of a cancellation was
+/// violated; other violations are not considered.
+pub fn assert_cancellations_kept(simulation: &mut World) {
+    end_faults_and_settle(simulation);
+    assert!(
+        simulation.cancellations.violations.is_empty(),
+        "{:#?}",
+        simulation.cancellations.violations
+    );
+    assert_no_runs_of_finished_jobs(simulation);
 }
 
-/// Fails the test if something runs whose job is over.
-pub(super) fn assert_no_runs_of_finished_jobs(world: &World) {
-    let left = world.runs_of_finished_jobs();
-    assert!(left.is_empty(), "{} runs of jobs that are over go on: {left:?}", left.len());
+/// Fails the test if a run goes on whose job has ended.
+pub(super) fn assert_no_runs_of_finished_jobs(simulation: &World) {
+    let left = simulation.runs_of_finished_jobs();
+    assert!(
+        left.is_empty(),
+        "{} runs of jobs that have ended go on (worker, task, run): {left:?}",
+        left.len()
+    );
 }
 
 impl Cancellations {
-    /// Returns by when the runs of a job at a worker must be gone. What went wrong there may have left a lease.
+    /// Returns the time by which the runs of a cancelled job at a worker must be stopped. After a fault there,
+    /// a run may go on until its lease ends.
     fn stopped_by(&self, job: JobKey, at: usize, lease_ms: u64) -> Option<u64> {
-        let made = self.made.get(&job)?;
-        let calm = self.faulty_until.get(&at).map_or(0, |until| until + lease_ms);
-        Some(made.at.max(calm).max(self.led_since) + STOPPED_WITHIN_MS)
+        let cancellation = self.stored.get(&job)?;
+        let leases_over_at = self.faulty_until.get(&at).map_or(0, |until| until + lease_ms);
+        Some(cancellation.at.max(leases_over_at).max(self.led_since) + STOPPED_WITHIN_MS)
     }
 }
 
 impl World {
-    /// Cancels a job of which the leader hears so many milliseconds after its cancellation.
+    /// Cancels a job that is submitted to the leader only `gap` milliseconds after its cancellation.
     pub fn cancel_ahead(&mut self, job: Job, gap: u64) {
         let key = job.key;
         let job = Arc::new(job);
@@ -75,84 +85,85 @@
         self.notify_leader(Event::Job(job));
     }
 
-    /// Notes that a cancellation is stored: the leader that is told of it knows it, or else its successor.
+    /// Records that a cancellation is stored. The present leader knows of it or, without a leader, the next.
     pub(super) fn record_cancelled(&mut self, key: JobKey) {
         let known_from = if self.cx.is_some() { self.term } else { self.term + 1 };
-        let made = Cancellation { at: self.now, known_from_term: known_from };
+        let cancellation = Cancellation { at: self.now, known_from_term: known_from };
         self.cancelled.insert(key);
-        self.cancellations.made.entry(key).or_insert(made);
+        self.cancellations.stored.entry(key).or_insert(cancellation);
     }
 
-    /// Notes that something goes wrong at a worker, or with calls to it, for so many milliseconds.
+    /// Records a fault of a worker, or of calls to it, that lasts for so many milliseconds.
     pub(super) fn record_fault(&mut self, at: usize, for_ms: u64) {
         let until = self.cancellations.faulty_until.entry(at).or_default();
         *until = (*until).max(self.now + for_ms);
     }
 
-    /// Notes that another leader begins, or that there is none.
+    /// Records that another leader begins, or that there is none.
     pub(super) fn record_leader_change(&mut self) {
         self.cancellations.led_since = self.now;
     }
 
-    /// Checks that a start which the leader sends is not one of a job that it knows to be cancelled.
+    /// Checks that the leader does not send a start of a job that it knows to be cancelled.
     pub(super) fn check_sent(&mut self, at: usize, task: TaskKey, run: Run) {
-        let made = self.cancellations.made.get(&task.job).copied();
-        let Some(made) = made.filter(|made| made.known_from_term <= self.term) else { return };
-        let (now, ago) = (self.now, self.now - made.at);
-        let said = format!(
-            "{now}: start of {task}, run {}, sent to {at} {ago} ms after its cancel",
+        let known = self.cancellations.stored.get(&task.job).copied();
+        let Some(known) = known.filter(|c| c.known_from_term <= self.term) else { return };
+        let (now, ago) = (self.now, self.now - known.at);
+        let text = format!(
+            "{now}: start of {task}, run {}, sent to worker {at} {ago} ms after its cancellation",
             run.0
         );
-        self.broken(said);
+        self.record_violation(text);
     }
 
-    /// Checks that no run of a cancelled job goes on where nothing hinders its stop.
+    /// Checks that no run of a cancelled job goes on longer than faults explain.
     pub(super) fn check_runs(&mut self) {
         if self.cx.is_none() {
             return self.record_leader_change();
         }
-        if self.cancellations.made.is_empty() || !self.now.is_multiple_of(CHECK_EVERY_MS) {
+        if self.cancellations.stored.is_empty() || !self.now.is_multiple_of(CHECK_EVERY_MS) {
             return;
         }
         let lease = self.settings.lease_max.0;
-        let mut over = Vec::new();
+        let mut overdue = Vec::new();
         for (at, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.up) {
-            for (task, sim) in &worker.running {
-                let gone_by = self.cancellations.stopped_by(task.job, at, lease);
-                if gone_by.is_some_and(|by| by + worker.stop_ms < self.now) {
-                    over.push((at, *task, sim.run));
+            for (task, sim_run) in &worker.running {
+                let stopped_by = self.cancellations.stopped_by(task.job, at, lease);
+                if stopped_by.is_some_and(|by| by + worker.stop_ms < self.now) {
+                    overdue.push((at, *task, sim_run.run));
                 }
             }
         }
-        for (at, task, run) in over {
+        for (at, task, run) in overdue {
             if self.cancellations.reported.insert((at, task, run)) {
-                let ago = self.now - self.cancellations.made[&task.job].at;
+                let ago = self.now - self.cancellations.stored[&task.job].at;
                 let now = self.now;
-                let said = format!(
-                    "{now}: {task}, run {}, goes on at {at} {ago} ms after its cancel",
+                let text = format!(
+                    "{now}: {task}, run {}, goes on at worker {at} {ago} ms after its cancellation",
                     run.0
                 );
-                self.broken(said);
+                self.record_violation(text);
             }
         }
     }
 
-    fn broken(&mut self, said: String) {
-        self.cancellations.broken.push(said.clone());
-        self.violations.push(said);
+    fn record_violation(&mut self, text: String) {
+        self.cancellations.violations.push(text.clone());
+        self.violations.push(text);
     }
 
-    /// Tells whether a job is cancelled, has ended otherwise, or is forgotten.
+    /// Returns whether a job is cancelled, has ended otherwise, or has been removed from the store.
     pub(super) fn is_over(&self, job: JobKey) -> bool {
         let state = self.progress.get(&job).map(|progress| progress.state);
         let ended = self.cancelled.contains(&job) || state.is_some_and(JobState::is_final);
         ended || self.forgotten.contains(&job)
     }
 
-    /// Lists what runs of jobs that are over, with its workers.
+    /// Lists the runs of jobs that have ended, with the workers on which they go on.
     fn runs_of_finished_jobs(&self) -> Vec<(usize, TaskKey, Run)> {
         let up = self.workers.iter().enumerate().filter(|(_, w)| w.up);
-        let runs = up.flat_map(|(at, w)| w.running.iter().map(move |(t, sim)| (at, *t, sim.run)));
+        let runs =
+            up.flat_map(|(at, w)| w.running.iter().map(move |(t, sim_run)| (at, *t, sim_run.run)));
         runs.filter(|(_, task, _)| self.is_over(task.job)).collect()
     }
 }
