--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/world/worker.rs
@@ -1,5 +1,5 @@
-//! What a worker does: it carries orders out under leases and a fencing token, lists its ends until
-//! they are acknowledged, and ends what its lease no longer covers.
+//! The simulated worker: it carries out orders under leases and a fencing token, lists the ends of its runs
+//! until they are acknowledged, and ends all runs when its lease lapses.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,34 +16,38 @@
 use super::checkpoints::{CheckpointState, StartCheckpoint};
 use super::{World, SERVICE};
 
-/// How long after a room has changed a start may still be sent by the former one, in milliseconds: the
-/// users count a room that has shrunk 3 s and a heartbeat later.
+/// How long after a change of a worker's capacity a start may still be sent by the previous capacity, in
+/// milliseconds: the users of the platform count a reduced capacity as in force 3 s and a heartbeat later.
 const RESIZE_EFFECTIVE_MS: u64 = 3_000;
 
-/// How long the directory still shows the former start of a worker, in milliseconds.
+/// How long the directory still lists the previous incarnation of a worker that has restarted, in milliseconds.
 const RESTART_LISTED_AFTER_MS: u64 = 800;
 
+/// A run at a simulated worker.
 #[derive(Debug, Clone)]
 pub(super) struct SimRun {
-    /// What it takes of the worker's room.
+    /// The resources that it uses.
     takes: Resources,
+    /// Its run number.
     pub(super) run: Run,
     /// When its work began.
     pub(super) began: u64,
-    /// When its work is over, by the virtual clock; unset for a lasting task.
+    /// When its work ends, by the virtual clock; unset for a long-running task.
     ends_at: Option<u64>,
-    /// What it has saved.
+    /// Its state that concerns checkpoints.
     pub(super) checkpoint_state: CheckpointState,
+    /// Whether it ends as failed.
     fails: bool,
-    /// When its stop is over; unset while it is not being stopped.
+    /// When its stop is complete; unset while it is not being stopped.
     stops_at: Option<u64>,
     /// When it crashes its worker, if it does.
     crashes_at: Option<u64>,
+    /// Its pace in percent.
     pub(super) pace: u32,
 }
 
 impl SimRun {
-    /// Returns how far the work has come at `now`, in percent; a lasting task is at work at once.
+    /// Returns the progress of the work at `now`, in percent; a long-running task is ready at once.
     pub(super) fn percent(&self, now: u64) -> u32 {
         let Some(end) = self.ends_at else { return 100 };
         let whole = (end - self.began).max(1);
@@ -51,7 +55,7 @@
     }
 }
 
-/// How many workers lie in one failure domain: two racks.
+/// How many workers there are in one failure domain: two racks.
 const DOMAIN_WORKERS: usize = 8;
 
 /// Returns the failure domain of the worker at a position.
@@ -59,55 +63,64 @@
     ids::DomainId(format!("hall-{}", at / DOMAIN_WORKERS))
 }
 
-/// One worker's incarnation.
+/// One incarnation of a worker.
 #[derive(Debug)]
 pub struct SimWorker {
+    /// Its entry in the directory.
     pub info: WorkerInfo,
+    /// Whether it runs: unset after a crash.
     pub up: bool,
-    /// It starts what it is told to, whatever room it has.
+    /// Whether it carries out starts beyond its capacity.
     pub unguarded: bool,
-    /// When its room last changed.
+    /// When its capacity last changed.
     pub(super) resized: u64,
-    /// Another incarnation answers at its address.
+    /// Whether another incarnation answers at its address.
     pub replaced: bool,
-    /// No call gets through, in either direction.
+    /// Whether it is partitioned: no call gets through in either direction.
     pub cut: bool,
-    /// Every run fails.
+    /// Whether every run fails.
     pub failing: bool,
-    /// Every order is refused, and nothing is done.
+    /// Whether it refuses every call as unhealthy, without carrying it out.
     pub unwell: bool,
-    /// A start is too late by the worker's own leases, not by the end of the lease that it carries.
+    /// Whether it refuses a start as late by its own lease instead of the lease that the start carries.
     pub late_by_own_lease: bool,
-    /// Calls that it refuses, in a thousand.
+    /// How many of a thousand calls it refuses as unhealthy.
     pub refuses_per_mille: u32,
-    /// Stops are refused, and nothing else.
+    /// Whether it refuses all stops as unhealthy.
     pub refuses_stops: bool,
-    /// Starts that bring a checkpoint are refused as invalid.
+    /// Whether it refuses starts that carry a checkpoint as invalid.
     pub refuses_checkpoints: bool,
-    /// All starts are refused as invalid.
+    /// Whether it refuses all starts as invalid.
     pub refuses_starts: bool,
-    /// Starts that were refused as invalid.
+    /// How many starts it has refused as invalid.
     pub invalid_starts: u64,
     /// How long a stop takes, in milliseconds.
     pub stop_ms: u64,
-    /// Stops that arrived.
+    /// How many stops have arrived.
     pub stops: u64,
-    /// The next start gets no answer and arrives after so many milliseconds.
+    /// If set, the next start gets no answer and arrives after so many milliseconds.
     pub delays_start: Option<u64>,
-    /// The next orders of pace get no answer and arrive after so many milliseconds.
+    /// The next orders to change a pace get no answer, and each arrives after so many milliseconds.
     pub delays_paces: VecDeque<u64>,
     /// How many times as long as elsewhere work takes.
     pub slowness: u64,
+    /// The runs that go on.
     pub(super) running: BTreeMap<TaskKey, SimRun>,
+    /// The ends that the leader has not acknowledged yet.
     pub(super) ends: Vec<RunEnd>,
+    /// The number of the next end.
     pub(super) next_seq: u64,
-    /// When each end came, and when its lease was last over.
+    /// When each run ended.
     pub(super) ended_at: BTreeMap<EndSeq, u64>,
+    /// When its lease was last over.
     pub(super) lease_lapsed_at: u64,
+    /// The highest fencing token of any call so far.
     token: u64,
+    /// The end of its lease by its own clock.
     lease_until: u64,
+    /// The last run of each task that has ended or was stopped here; older ones are refused.
     pub(super) last_ended: BTreeMap<TaskKey, Run>,
-    /// How far its clock is ahead of the virtual one, in milliseconds.
+    /// How far its clock is ahead of the virtual clock, in milliseconds.
     pub(super) clock_offset: u64,
 }
 
@@ -159,7 +172,7 @@
 }
 
 impl SimWorker {
-    /// Ends what a test has set to go wrong here, but for a crash.
+    /// Ends all faults that a test has set for this worker, except a crash.
     pub(super) fn recover(&mut self) {
         (self.cut, self.failing, self.unwell, self.late_by_own_lease) =
             (false, false, false, false);
@@ -168,7 +181,7 @@
         self.delays_start = None;
     }
 
-    /// Tells whether a task of a step has room here, in a worker that is there and stays.
+    /// Returns whether a task of a step fits here, and the worker is up, not replaced and not draining.
     pub(super) fn has_capacity_for(&self, step: &Step) -> bool {
         let taken = self.running.values().fold(Resources::default(), |sum, r| sum.plus(&r.takes));
         let stays = self.up && !self.replaced && !self.info.draining;
@@ -177,33 +190,35 @@
 }
 
 impl World {
-    /// Starts a worker over under its name: it holds nothing, and its ends and its clock begin afresh. Calls that it
-    /// left unanswered go with it. The directory shows the start some time later.
+    /// Restarts a worker under its name: it has no runs, and its list of ends and its clock are reset. Calls on
+    /// their way to it that get no answer are dropped. The directory lists the new incarnation some time later.
     pub fn start_over(&mut self, at: usize) {
-        let goes = |route: &CallRoute| route.worker == at && !route.answered;
+        let is_dropped = |route: &CallRoute| route.worker == at && !route.answered;
         self.deliveries
-            .retain(|_, d| !matches!(d, Delivery::ToWorker { route, .. } if goes(route)));
+            .retain(|_, d| !matches!(d, Delivery::ToWorker { route, .. } if is_dropped(route)));
         self.start_over_before_calls(at);
     }
 
-    /// Starts a worker over under its name, whose next start gets the calls that this one left unanswered.
+    /// Restarts a worker under its name; its new incarnation receives the unanswered calls that are on their
+    /// way to the previous one.
     pub fn start_over_before_calls(&mut self, at: usize) {
         self.record_fault(at, RESTART_LISTED_AFTER_MS);
         let mut info = self.workers[at].info.clone();
-        let former = info.id.clone();
-        info.id = ids::WorkerId::of(&former.name(), Some(self.now));
+        let previous = info.id.clone();
+        info.id = ids::WorkerId::of(&previous.name(), Some(self.now));
         (info.draining, info.remaining) = (false, None);
         self.workers[at] = SimWorker { info, ..SimWorker::new("", at) };
-        self.send(RESTART_LISTED_AFTER_MS, Delivery::RestartListed { at, id: former });
+        self.send(RESTART_LISTED_AFTER_MS, Delivery::RestartListed { at, id: previous });
     }
 
-    /// Lists a worker that has started again in place of its former start.
-    pub(super) fn list_restarted(&mut self, at: usize, former: &ids::WorkerId) {
-        self.notify_leader(Event::Unlisted(former.clone()));
+    /// Lists a worker that has restarted, in place of its previous incarnation.
+    pub(super) fn list_restarted(&mut self, at: usize, previous: &ids::WorkerId) {
+        self.notify_leader(Event::Unlisted(previous.clone()));
         self.list_again(at);
     }
 
-    /// Ends the runs whose work or lease is over.
+    /// Crashes workers whose crashing tasks are due to crash them, and ends the runs whose work, stop or
+    /// lease is over.
     pub(super) fn step_workers(&mut self) {
         for at in 0..self.workers.len() {
             let worker = &self.workers[at];
@@ -211,8 +226,9 @@
                 continue;
             }
             let crash = |r: &SimRun| r.crashes_at.is_some_and(|at| at <= self.now);
-            let culprit = worker.running.iter().find(|(_, r)| crash(r)).map(|(task, _)| *task);
-            if let Some(task) = culprit {
+            let crashing_task =
+                worker.running.iter().find(|(_, r)| crash(r)).map(|(task, _)| *task);
+            if let Some(task) = crashing_task {
                 self.crash_by_task(at, task);
                 continue;
             }
@@ -221,31 +237,31 @@
                 self.workers[at].lease_lapsed_at = self.now;
             }
             let worker = &self.workers[at];
-            let over = worker.running.iter().filter(|(_, r)| {
+            let ended = worker.running.iter().filter(|(_, r)| {
                 let due = |at: Option<u64>| at.is_some_and(|at| at <= self.now);
                 lapsed || due(r.ends_at) || due(r.stops_at)
             });
             let now = self.now;
             let stopped = |r: &SimRun| r.stops_at.is_some_and(|at| at <= now);
-            let over: Vec<(TaskKey, bool, bool)> =
-                over.map(|(t, r)| (*t, r.fails, stopped(r))).collect();
-            let waited = !over.is_empty();
-            for (task, fails, stopped) in over {
-                let how = match (lapsed, fails) {
+            let ended: Vec<(TaskKey, bool, bool)> =
+                ended.map(|(t, r)| (*t, r.fails, stopped(r))).collect();
+            let any_ended = !ended.is_empty();
+            for (task, fails, stopped) in ended {
+                let cause = match (lapsed, fails) {
                     (true, _) => EndCause::Lapsed,
                     _ if stopped => EndCause::Stopped,
                     (false, true) => EndCause::Failed,
                     (false, false) => EndCause::Done,
                 };
-                self.end(at, task, how);
+                self.end(at, task, cause);
             }
-            if waited {
+            if any_ended {
                 self.wake_renewal(at);
             }
         }
     }
 
-    /// Takes in a call that has arrived.
+    /// Handles a call that has arrived at a worker.
     pub(super) fn call_arrives(&mut self, route: CallRoute, call: Call, token: u64) {
         let at = route.worker;
         if !self.workers[at].up || self.workers[at].cut {
@@ -272,14 +288,14 @@
         self.reply(route, calls::answer(ix, &call, outcome));
     }
 
-    /// Tells whether an unwell worker refuses the call in hand. What is carried out late was taken
-    /// in before.
+    /// Returns whether a worker refuses a call as unhealthy. This does not concern calls that are carried out
+    /// late without an answer: the worker accepted these before.
     fn refuses_call(&mut self, at: usize) -> bool {
         let per_mille = self.faults.unwell_per_mille.max(self.workers[at].refuses_per_mille);
         self.workers[at].unwell || per_mille > 0 && self.rng.random_range(0..1_000) < per_mille
     }
 
-    /// Answers that nothing was done.
+    /// Refuses a call as unhealthy, without carrying it out.
     fn refuse(&mut self, route: CallRoute, call: &Call) {
         self.record_fault(route.worker, 0);
         let Some(worker) = self.answer_target(route) else { return };
@@ -293,13 +309,15 @@
         self.reply(route, event);
     }
 
+    /// Extends a worker's lease to `until`, but not beyond the longest lease.
     pub(super) fn extend_lease(&mut self, at: usize, until: WorkerClock) {
         let worker = &mut self.workers[at];
         let clock = self.now + worker.clock_offset;
-        let most = clock + self.settings.lease_max.0;
-        worker.lease_until = worker.lease_until.max(until.0.min(most));
+        let latest = clock + self.settings.lease_max.0;
+        worker.lease_until = worker.lease_until.max(until.0.min(latest));
     }
 
+    /// Carries out a start, a stop or a change of pace at a worker.
     fn carry_out_order(&mut self, at: usize, call: &Call, clock: u64) -> Result<(), Refusal> {
         match call {
             Call::Start { task, run, until, work, checkpoint } => {
@@ -332,6 +350,7 @@
         }
     }
 
+    /// Carries out a start, or returns why the worker refuses it.
     fn start(
         &mut self,
         at: usize,
@@ -351,22 +370,23 @@
         if worker.running.get(&task).is_some_and(|r| r.run == run) {
             return Ok(());
         }
-        let ends = if worker.late_by_own_lease { worker.lease_until } else { until.0 };
-        if ends <= clock {
+        let lease_end = if worker.late_by_own_lease { worker.lease_until } else { until.0 };
+        if lease_end <= clock {
             return Err(Refusal::Late);
         }
-        let old = worker.last_ended.get(&task).is_some_and(|last| run <= *last);
-        if old || worker.running.contains_key(&task) {
+        let is_old = worker.last_ended.get(&task).is_some_and(|last| run <= *last);
+        if is_old || worker.running.contains_key(&task) {
             return Err(Refusal::OldRun);
         }
         let taken: u32 = worker.running.values().map(|r| r.takes.cpu.0).sum();
         let cores = taken + work.takes.cpu.0;
-        let beyond = cores > worker.info.capacity.cpu.0;
-        if beyond && !worker.unguarded {
+        let exceeds_capacity = cores > worker.info.capacity.cpu.0;
+        if exceeds_capacity && !worker.unguarded {
             return Err(Refusal::Room);
         }
-        if beyond && work.sent >= worker.resized + RESIZE_EFFECTIVE_MS {
-            self.violations.push(format!("{}: {task} starts beyond the room of {at}", self.now));
+        if exceeds_capacity && work.sent >= worker.resized + RESIZE_EFFECTIVE_MS {
+            self.violations
+                .push(format!("{}: {task} starts beyond the capacity of worker {at}", self.now));
         }
         self.check_start(at, task);
         self.check_evacuated(at, task, work.sent);
@@ -375,39 +395,40 @@
         self.starts += 1;
         let fails = self.workers[at].failing
             || self.rng.random_range(0..1_000) < self.faults.failing_per_mille;
-        let saves = self.resume(task, checkpoint, self.workers[at].slowness);
-        let left = work.ms.saturating_sub(saves.from_ms) * self.workers[at].slowness;
+        let checkpoint_state = self.resume(task, checkpoint, self.workers[at].slowness);
+        let left = work.ms.saturating_sub(checkpoint_state.from_ms) * self.workers[at].slowness;
         let ends_at = if work.lasting { None } else { Some(self.now + left) };
         let ends_at = if fails { Some(self.now + 50) } else { ends_at };
         let began = self.now;
         let (takes, stops_at) = (work.takes, None);
-        let crashes_at = self.crashes.after(task).map(|ms| began + ms);
-        let sim = SimRun {
+        let crashes_at = self.crashes.crash_after_ms(task).map(|ms| began + ms);
+        let sim_run = SimRun {
             takes,
             run,
             began,
             ends_at,
-            checkpoint_state: saves,
+            checkpoint_state,
             fails,
             stops_at,
             crashes_at,
             pace: 100,
         };
-        self.workers[at].running.insert(task, sim);
+        self.workers[at].running.insert(task, sim_run);
         Ok(())
     }
 
-    fn end(&mut self, at: usize, task: TaskKey, how: EndCause) {
-        let Some(sim) = self.workers[at].running.remove(&task) else { return };
-        let checkpoint = self.last_checkpoint(task, &sim, how);
+    /// Ends a run and adds the end to the worker's list.
+    fn end(&mut self, at: usize, task: TaskKey, cause: EndCause) {
+        let Some(sim_run) = self.workers[at].running.remove(&task) else { return };
+        let checkpoint = self.last_checkpoint(task, &sim_run, cause);
         let worker = &mut self.workers[at];
         let last = worker.last_ended.entry(task).or_default();
-        *last = (*last).max(sim.run);
+        *last = (*last).max(sim_run.run);
         let seq = EndSeq(worker.next_seq);
         worker.next_seq += 1;
         worker.ended_at.insert(seq, self.now);
-        worker.ends.push(RunEnd { seq, task, run: sim.run, cause: how, checkpoint });
-        match how {
+        worker.ends.push(RunEnd { seq, task, run: sim_run.run, cause, checkpoint });
+        match cause {
             EndCause::Done => {
                 self.done.insert(task);
             }
