--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/world/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: what runs save, and whether each start brings one of its own task's.
+//! Simulates the checkpoints that runs save, and checks that each start carries one of its own task or none.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,50 +9,51 @@
 use super::worker::SimRun;
 use super::World;
 
-/// What a start brings.
+/// The checkpoint that a start carries, if any.
 pub type StartCheckpoint = Option<String>;
 
 /// How much work lies between two checkpoints of a run, in milliseconds.
 const CHECKPOINT_EVERY_MS: u64 = 200;
 
-/// How many digits of a checkpoint tell how far the work had come.
+/// The length of the progress at the head of a checkpoint's text, in hexadecimal digits.
 const PROGRESS_DIGITS: usize = 8;
 
-/// What a run has to do with checkpoints.
+/// The part of a run's state that concerns checkpoints.
 #[derive(Debug, Clone)]
 pub(super) struct CheckpointState {
-    /// How much of the work was done when the run began, in milliseconds.
+    /// How much of the work was done already when the run began, in milliseconds.
     pub(super) from_ms: u64,
-    /// What its start brought.
-    brought: StartCheckpoint,
-    /// How many milliseconds one millisecond of work takes.
+    /// The checkpoint that its start carried.
+    start_checkpoint: StartCheckpoint,
+    /// How many milliseconds one millisecond of work takes on its worker.
     slowness: u64,
 }
 
-/// What all tasks have saved, and what starts brought.
+/// The checkpoints that tasks have saved and that starts have carried.
 #[derive(Debug, Default)]
 pub struct Checkpoints {
-    /// Workers list a text also for tasks of steps that save no progress.
+    /// Workers list a checkpoint also for tasks of steps that save no progress.
     pub lists_all: bool,
-    /// How much work was saved and listed and is done again, in milliseconds.
+    /// How much work that was saved and listed to a leader is done again, in milliseconds.
     pub thrown_away_ms: u64,
-    /// How many starts brought a checkpoint.
+    /// How many starts carried a checkpoint.
     pub brought: u64,
-    made: BTreeMap<TaskKey, BTreeSet<String>>,
-    /// The text that each run was first started with.
-    of_first_start: BTreeMap<(TaskKey, Run), StartCheckpoint>,
-    /// How far each task had come by what was listed.
+    /// All checkpoints that each task has saved.
+    saved: BTreeMap<TaskKey, BTreeSet<String>>,
+    /// The checkpoint that the starts of each run carried; it must be the same for all of them.
+    by_run: BTreeMap<(TaskKey, Run), StartCheckpoint>,
+    /// The progress of the furthest checkpoint of each task that was listed to a leader.
     furthest_ms: BTreeMap<TaskKey, u64>,
 }
 
-/// Builds the text that a task saves after so much work; no other task saves the same.
+/// Builds the checkpoint that a task saves after so much work; no other task saves the same text.
 fn text(task: TaskKey, done_ms: u64) -> String {
     let mut hasher = DefaultHasher::new();
     (task, done_ms).hash(&mut hasher);
     format!("{done_ms:08x}{:08x}", hasher.finish() as u32)
 }
 
-/// Reads from a text how much work was done.
+/// Returns how much work was done according to a checkpoint, in milliseconds.
 fn done_ms(text: &str) -> u64 {
     text.get(..PROGRESS_DIGITS).and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or(0)
 }
@@ -69,7 +70,7 @@
         &self.jobs[&task.job].steps[usize::from(task.step)]
     }
 
-    /// Returns the tasks whose checkpoints serve for a task: its own, or those of its gang.
+    /// Returns the tasks whose checkpoints a start of a task may carry: the task itself or all of its gang.
     fn checkpoint_sources(&self, task: TaskKey) -> Vec<TaskKey> {
         let step = self.step_of(task);
         if !step.gang {
@@ -78,67 +79,72 @@
         (0..step.count).map(|index| TaskKey { index, ..task }).collect()
     }
 
-    /// Checks that a start brings nothing, or what its task has saved, and the same as every other
-    /// start under its run number.
+    /// Checks that a start carries no checkpoint or one that its task or gang has saved, and the same one as
+    /// every other start of the task or gang under its run number.
     pub(super) fn check_start_checkpoint(
         &mut self,
         task: TaskKey,
         run: Run,
-        brought: &StartCheckpoint,
+        carried: &StartCheckpoint,
     ) {
         let now = self.now;
         for member in self.checkpoint_sources(task) {
-            let first = self.checkpoints.of_first_start.get(&(member, run));
-            if let Some(first) = first.filter(|first| *first != brought) {
-                let text =
-                    format!("{now}: {task} run {run:?} brings {brought:?}, {member} {first:?}");
+            let first = self.checkpoints.by_run.get(&(member, run));
+            if let Some(first) = first.filter(|first| *first != carried) {
+                let text = format!(
+                    "{now}: {task}, {run:?}: starts carry {carried:?} and, of {member}, {first:?}"
+                );
                 self.violations.push(text);
             }
         }
-        self.checkpoints.of_first_start.insert((task, run), brought.clone());
-        let Some(text) = brought else { return };
+        self.checkpoints.by_run.insert((task, run), carried.clone());
+        let Some(text) = carried else { return };
         self.checkpoints.brought += 1;
-        let served_by = self.checkpoint_sources(task);
-        let made = served_by.iter().filter_map(|member| self.checkpoints.made.get(member));
-        if !self.step_of(task).checkpoints || !made.into_iter().any(|texts| texts.contains(text)) {
-            self.violations.push(format!("{now}: {task} run {run:?} brings {text}, not its own"));
+        let sources = self.checkpoint_sources(task);
+        let saved = sources.iter().filter_map(|member| self.checkpoints.saved.get(member));
+        if !self.step_of(task).checkpoints || !saved.into_iter().any(|texts| texts.contains(text)) {
+            self.violations.push(format!(
+                "{now}: start of {task}, {run:?}, carries {text}, which the task has not saved"
+            ));
         }
     }
 
-    /// Begins a run where its checkpoint says, and counts the listed work that it does again.
+    /// Begins a run at the progress of its checkpoint, and counts the listed work that it does again.
     pub(super) fn resume(
         &mut self,
         task: TaskKey,
-        brought: &StartCheckpoint,
+        carried: &StartCheckpoint,
         slowness: u64,
     ) -> CheckpointState {
-        let from_ms = brought.as_deref().map_or(0, done_ms);
+        let from_ms = carried.as_deref().map_or(0, done_ms);
         let furthest = self.checkpoints.furthest_ms.get(&task).copied().unwrap_or(0);
         self.checkpoints.thrown_away_ms += furthest.saturating_sub(from_ms);
-        CheckpointState { from_ms, brought: brought.clone(), slowness }
+        CheckpointState { from_ms, start_checkpoint: carried.clone(), slowness }
     }
 
-    /// Returns the checkpoint that a worker lists of a run, and notes what was saved.
-    pub(super) fn listed_checkpoint(&mut self, task: TaskKey, sim: &SimRun) -> StartCheckpoint {
-        let done = sim.checkpoint_state.done_ms(sim.began, self.now);
+    /// Returns the checkpoint that a worker lists for a run, and records it as saved.
+    pub(super) fn listed_checkpoint(&mut self, task: TaskKey, sim_run: &SimRun) -> StartCheckpoint {
+        let done = sim_run.checkpoint_state.done_ms(sim_run.began, self.now);
         let saved = done / CHECKPOINT_EVERY_MS * CHECKPOINT_EVERY_MS;
-        if saved <= sim.checkpoint_state.from_ms {
-            return sim.checkpoint_state.brought.clone();
+        if saved <= sim_run.checkpoint_state.from_ms {
+            return sim_run.checkpoint_state.start_checkpoint.clone();
         }
         self.save(task, saved)
     }
 
-    /// Returns the checkpoint that a worker lists with an end; a stop saves all that was done.
+    /// Returns the checkpoint that a worker lists with the end of a run; a stop saves all work that was done.
     pub(super) fn last_checkpoint(
         &mut self,
         task: TaskKey,
-        sim: &SimRun,
-        how: EndCause,
+        sim_run: &SimRun,
+        cause: EndCause,
     ) -> StartCheckpoint {
-        match how {
+        match cause {
             EndCause::Done => None,
-            EndCause::Stopped => self.save(task, sim.checkpoint_state.done_ms(sim.began, self.now)),
-            _ => self.listed_checkpoint(task, sim),
+            EndCause::Stopped => {
+                self.save(task, sim_run.checkpoint_state.done_ms(sim_run.began, self.now))
+            }
+            _ => self.listed_checkpoint(task, sim_run),
         }
     }
 
@@ -147,11 +153,11 @@
         if !self.step_of(task).checkpoints {
             return self.checkpoints.lists_all.then_some(text);
         }
-        self.checkpoints.made.entry(task).or_default().insert(text.clone());
+        self.checkpoints.saved.entry(task).or_default().insert(text.clone());
         Some(text)
     }
 
-    /// Takes in that a leader is told of a checkpoint.
+    /// Records that a checkpoint is listed to a leader.
     pub(super) fn record_listed(&mut self, task: TaskKey, checkpoint: &StartCheckpoint) {
         let furthest = self.checkpoints.furthest_ms.entry(task).or_default();
         *furthest = (*furthest).max(checkpoint.as_deref().map_or(0, done_ms));
