--- a/crates/sched/tests/fleet/world/directory.rs
+++ b/crates/sched/tests/fleet/world/directory.rs
@@ -1,5 +1,5 @@
-//! The directory of workers as the leader reads it: late, where a test says so, while the store answers its
-//! other calls at once.
+//! Simulates how the leader reads the directory of workers. A test can make the answers stale or missing while
+//! the store answers all other calls at once.
 
 use std::collections::BTreeMap;
 
@@ -10,34 +10,36 @@
 
 use super::World;
 
-/// The time between two readings of the directory, in milliseconds.
+/// The time between two reads of the directory, in milliseconds.
 const READ_EVERY_MS: u64 = 100;
 
 /// The time between two answers of the store to other calls, in milliseconds.
 const ANSWERED_EVERY_MS: u64 = 500;
 
-/// How the leader reads the directory.
+/// What the leader's reads of the directory return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reading {
-    /// Each answer leaves something out: it holds what was written until so many milliseconds ago.
+    /// Each answer is incomplete: it holds only what was written until so many milliseconds ago.
     Late(u64),
-    /// Each answer is whole, and there is nothing new in it.
+    /// Each answer is complete and contains nothing new.
     Quiet,
     /// No answer comes.
     Silent,
 }
 
-/// The directory; the store's revision is the time of the last write in milliseconds.
+/// The directory. The store's revision is the time of the last write in milliseconds.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// How it is read; tests that say nothing have it read at once, without a word of its age.
+    /// What reads return. If unset, the leader sees each change at once and learns nothing of the directory's
+    /// age.
     pub reading: Option<Reading>,
-    /// Workers that said that they leave: when, and whether the leader has read it.
+    /// Workers that have announced that they drain: when, and whether the leader has read it.
     leaving: BTreeMap<usize, (u64, bool)>,
 }
 
 impl World {
-    /// Lets a worker say that it leaves, and stays for `remaining` milliseconds; the leader reads it late.
+    /// Lets a worker announce in the directory that it drains and stays for `remaining` milliseconds. The
+    /// leader learns of it only from a later read.
     pub fn says_it_leaves(&mut self, worker: usize, remaining: u64) {
         let info = &mut self.workers[worker].info;
         info.draining = true;
@@ -45,7 +47,7 @@
         self.directory.leaving.insert(worker, (self.now, false));
     }
 
-    /// Lets the leader read the directory, and the store answer other calls, when that is due.
+    /// Lets the leader read the directory, and the store answer the leader's other calls, when these are due.
     pub(super) fn read_directory(&mut self) {
         let Some(reading) = self.directory.reading else { return };
         if self.store_down {
@@ -70,27 +72,28 @@
         self.notify_leader(Event::DirectoryRead(read));
     }
 
-    /// Tells the leader which workers have said until then that they leave.
+    /// Lists to the leader the workers that had announced until then that they drain.
     fn deliver_drain_notices(&mut self, until: u64) {
-        let mut heard = Vec::new();
-        for (&worker, (since, is_heard)) in &mut self.directory.leaving {
-            if *since <= until && !*is_heard {
-                *is_heard = true;
-                heard.push(worker);
+        let mut read = Vec::new();
+        for (&worker, (since, is_read)) in &mut self.directory.leaving {
+            if *since <= until && !*is_read {
+                *is_read = true;
+                read.push(worker);
             }
         }
-        for worker in heard {
+        for worker in read {
             self.list_again(worker);
         }
     }
 
-    /// Checks that a start which a worker carries out was not sent long after the worker had said that it
-    /// leaves.
+    /// Checks that a start that a worker carries out was not sent too long after the worker had announced
+    /// that it drains.
     pub(super) fn check_leaving(&mut self, at: usize, task: TaskKey, sent: u64) {
         let Some(&(since, _)) = self.directory.leaving.get(&at) else { return };
         if sent > since + self.settings.min_drain.0 {
             let late = sent - since;
-            let violation = format!("{sent}: {task} starts {late} ms after {at} said it leaves");
+            let violation =
+                format!("{sent}: {task} starts {late} ms after worker {at} announced its drain");
             self.violations.push(violation);
         }
     }
