--- a/crates/sched/tests/fleet/world/evacuations.rs
+++ b/crates/sched/tests/fleet/world/evacuations.rs
@@ -1,5 +1,5 @@
-//! Failure domains that the operators evacuate: the word lies in the store, and the leader reads it anew
-//! every now and then, as its driver does.
+//! Failure domains that the operators evacuate. The store holds the operators' instruction, and the leader
+//! reads it periodically, as its driver does in the product.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +11,23 @@
 use super::worker::domain_of;
 use super::World;
 
-/// The time between two readings of the operators' word, in milliseconds.
+/// The time between two reads of the operators' instruction, in milliseconds.
 const READ_EVERY_MS: u64 = 500;
 
-/// How long after the word a start may still be sent, in milliseconds: one reading may be lost.
+/// How long after the instruction a start may still be sent to the domain, in milliseconds: one read may be lost.
 const EFFECTIVE_WITHIN_MS: u64 = 2 * READ_EVERY_MS;
 
-/// The operators' word, and when the leader last read it.
+/// The operators' instruction, and when the leader last read it.
 #[derive(Debug, Default)]
 pub struct EvacuationRequests {
-    /// The evacuated domains, with the time of the word.
+    /// The evacuated domains, with the time of the instruction.
     since: BTreeMap<ids::DomainId, u64>,
-    /// Rises with every word.
+    /// The number of changes to the instruction.
     revision: u64,
+    /// When a read was last due.
     last_read: u64,
-    /// When the store last came back.
-    store_recovered_at: u64,
+    /// The last time at which the store was down.
+    store_down_until: u64,
 }
 
 impl World {
@@ -37,27 +38,27 @@
         self.evacuation_requests.since.entry(domain_of(worker)).or_insert(now);
     }
 
-    /// Takes the failure domain of a worker back.
+    /// Ends the evacuation of a worker's failure domain.
     pub fn take_back(&mut self, worker: usize) {
         self.evacuation_requests.revision += 1;
         self.evacuation_requests.since.remove(&domain_of(worker));
     }
 
-    /// Returns the operators' word as it lies in the store.
+    /// Returns the operators' instruction as the store holds it.
     pub fn evacuated(&self) -> Evacuated {
         let domains = self.evacuation_requests.since.keys().cloned().collect();
         Evacuated { revision: self.evacuation_requests.revision, domains }
     }
 
-    /// Tells the leader what the store said, be it long ago.
+    /// Delivers an instruction that was read from the store, perhaps long ago, to the leader.
     pub fn hear_evacuated(&mut self, evacuated: Evacuated) {
         self.notify_leader(Event::Evacuated(evacuated));
     }
 
-    /// Lets the leader read the word when that is due and the store answers.
+    /// Lets the leader read the instruction if a read is due and the store answers.
     pub(super) fn read_evacuations(&mut self) {
         if self.store_down {
-            self.evacuation_requests.store_recovered_at = self.now;
+            self.evacuation_requests.store_down_until = self.now;
         }
         if self.now < self.evacuation_requests.last_read + READ_EVERY_MS {
             return;
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Checks that a start which a worker carries out was not sent after the word; one that is carried out
-    /// late was sent before.
+    /// Checks that a start that a worker carries out was not sent after the evacuation took effect. A start
+    /// that was sent before may still be carried out late.
     pub(super) fn check_evacuated(&mut self, at: usize, task: TaskKey, sent: u64) {
         let domain = &self.workers[at].info.domain;
         let Some(&since) = self.evacuation_requests.since.get(domain) else { return };
-        let heeded = since.max(self.evacuation_requests.store_recovered_at) + EFFECTIVE_WITHIN_MS;
-        if sent > heeded {
-            let violation = format!("{}: {task} starts in evacuated {domain}", self.now);
+        let effective = since.max(self.evacuation_requests.store_down_until) + EFFECTIVE_WITHIN_MS;
+        if sent > effective {
+            let violation = format!("{}: {task} starts in the evacuated domain {domain}", self.now);
             self.violations.push(violation);
         }
     }
