--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/world/hosts.rs
@@ -1,5 +1,5 @@
-//! The hosts beneath the workers: they are listed, go down for upkeep, and come back with a new
-//! worker.
+//! The hosts on which the workers run: the platform lists them, takes them down for maintenance, and they come
+//! back with a new worker.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,38 +18,38 @@
 /// How long a call to the platform takes, in milliseconds.
 const CALL_MS: u64 = 5;
 
-/// How long a host is down for its upkeep, in milliseconds.
+/// How long a host is down for its maintenance, in milliseconds.
 const MAINTENANCE_MS: u64 = 2_000;
 
-/// How long a leader waits for the answer to an order, in milliseconds: as long as the product.
-const ORDER_LIMIT_MS: u64 = 2_000;
+/// How long a leader waits for the answer to a maintenance order, in milliseconds, as in the product.
+const ORDER_TIMEOUT_MS: u64 = 2_000;
 
-/// How late an order without an answer may arrive, in milliseconds.
+/// How late a maintenance order without an answer may arrive, in milliseconds.
 const LATE_MS: std::ops::Range<u64> = 2_000..12_000;
 
-/// What becomes of an order that a host goes down.
+/// The outcome of a maintenance order, which takes a host down.
 #[derive(Debug, Clone, Copy)]
 pub enum OrderFate {
-    /// It is carried out after so many milliseconds, and answered.
+    /// It is carried out after so many milliseconds and answered.
     Answered(u64),
-    /// It is carried out after so many milliseconds, and gets no answer.
+    /// It is carried out after so many milliseconds and gets no answer.
     Unanswered(u64),
     /// It never arrives and gets no answer.
     Lost,
-    /// Nothing is done, and that is the answer.
+    /// It is not carried out, and the given answer says so.
     Refused(MaintenanceAnswer),
 }
 
-/// An order on its way to the platform.
+/// A maintenance order on its way to the platform.
 #[derive(Debug, Clone)]
 pub struct HostOrder {
     pub wave: WaveNumber,
     pub host: ids::HostId,
-    /// The term of the leader that gave it.
+    /// The term of the leader that sent it.
     pub leader: u64,
 }
 
-/// Waves and hosts.
+/// The hosts, and the maintenance waves that the operators have requested.
 #[derive(Debug, Default)]
 pub struct Hosts {
     /// The host of each worker, by the worker's position.
@@ -57,15 +57,15 @@
     /// When each host that is down comes back.
     down_until: BTreeMap<ids::HostId, u64>,
     waves: BTreeMap<WaveNumber, WaveRequest>,
-    /// How many upkeeps each host has had.
+    /// How often each host has gone down for maintenance.
     pub upkeeps: BTreeMap<ids::HostId, u32>,
-    /// The most hosts that were down at one time.
+    /// The largest number of hosts that were down at one time.
     pub most_down: usize,
-    /// What becomes of the next orders; of any further one what the world's faults say.
+    /// The outcomes of the next orders. That of any further order is drawn by the faults of the simulation.
     pub fates: VecDeque<OrderFate>,
-    /// The orders that were given, in their turn.
+    /// The hosts whose maintenance was ordered, in the order of sending.
     pub ordered: Vec<ids::HostId>,
-    /// How much longer than an order's answer a list takes, in milliseconds.
+    /// How much longer than the answer to an order a list of hosts takes, in milliseconds.
     pub list_slow_ms: u64,
 }
 
@@ -85,12 +85,12 @@
         self.hosts.of_worker[worker].clone()
     }
 
-    /// Says on which host a worker is.
+    /// Sets the host of a worker.
     pub(super) fn set_host(&mut self, worker: usize, host: ids::HostId) {
         self.hosts.of_worker[worker] = host;
     }
 
-    /// Asks for a wave of upkeep of the first `hosts` hosts.
+    /// Requests a maintenance wave for the first `hosts` hosts.
     pub fn ask_wave(&mut self, number: u64, hosts: usize, within: u64, at_once: u32) {
         let number = WaveNumber(number);
         let hosts = (0..hosts).map(host_name).collect();
@@ -99,12 +99,12 @@
         self.notify_leader(Event::Wave(wave));
     }
 
-    /// Lists waves to a new leader, as its first reading of the store does.
+    /// Returns all requested waves, as a new leader's first read of the store does.
     pub(super) fn waves(&self) -> Vec<WaveRequest> {
         self.hosts.waves.values().cloned().collect()
     }
 
-    /// Answers a question for all hosts.
+    /// Answers the leader's request for a list of all hosts.
     pub(super) fn list_hosts(&mut self) {
         let (sent, leader) = (self.instant(), self.term);
         let mut hosts: BTreeMap<ids::HostId, HostInfo> = BTreeMap::new();
@@ -119,26 +119,26 @@
         self.send(CALL_MS + self.hosts.list_slow_ms, Delivery::ToLeader { event, leader });
     }
 
-    /// Sends the order that a host goes down.
+    /// Sends a maintenance order for a host to the platform.
     pub(super) fn send_maintenance_order(&mut self, wave: WaveNumber, host: ids::HostId) {
         self.hosts.ordered.push(host.clone());
-        let fate = self.hosts.fates.pop_front().unwrap_or_else(|| self.draw_order_outcome());
+        let outcome = self.hosts.fates.pop_front().unwrap_or_else(|| self.draw_order_outcome());
         let order = HostOrder { wave, host, leader: self.term };
-        let (after, answered) = match fate {
+        let (after, answered) = match outcome {
             OrderFate::Answered(ms) => (Some(ms), true),
             OrderFate::Unanswered(ms) => (Some(ms), false),
             OrderFate::Lost => (None, false),
             OrderFate::Refused(answer) => return self.answer_order(&order, CALL_MS, answer),
         };
         if !answered {
-            self.answer_order(&order, ORDER_LIMIT_MS, MaintenanceAnswer::Unclear);
+            self.answer_order(&order, ORDER_TIMEOUT_MS, MaintenanceAnswer::Unclear);
         }
         if let Some(ms) = after {
             self.send(ms, Delivery::ToHost { order, answered });
         }
     }
 
-    /// Draws what becomes of an order.
+    /// Draws the outcome of an order by the faults of the simulation.
     fn draw_order_outcome(&mut self) -> OrderFate {
         let f = self.faults;
         let roll = self.rng.random_range(0..1_000);
@@ -160,14 +160,19 @@
         self.send(after, Delivery::ToLeader { event, leader });
     }
 
-    /// Takes a host down unless that was done before; what runs there dies at once. A token is not
-    /// looked at: the platform does not check it everywhere.
+    /// Takes a host down unless that was done before, which ends all runs there at once. The fencing token of
+    /// the order is not considered, since the platform does not check it everywhere.
     pub(super) fn carry_out_maintenance(&mut self, order: HostOrder, answered: bool) {
         let of_wave =
             self.hosts.waves.get(&order.wave).is_some_and(|w| w.hosts.contains(&order.host));
         let host = &order.host;
         if of_wave && !self.hosts.upkeeps.contains_key(host) {
-            let at = self.hosts.of_worker.iter().rposition(|h| h == host).expect("it has one");
+            let at = self
+                .hosts
+                .of_worker
+                .iter()
+                .rposition(|h| h == host)
+                .expect("a host of a wave has had a worker");
             self.check_tasks_away(at, host);
             self.crash(at);
             self.unlist(at);
@@ -182,8 +187,8 @@
         }
     }
 
-    /// Notes lasting tasks that go down with their host although too many others of their step are
-    /// away.
+    /// Records a violation if long-running tasks go down with their host although too many others of their step
+    /// are away.
     fn check_tasks_away(&mut self, at: usize, host: &ids::HostId) {
         for job in self.jobs.values().filter(|job| !self.cancelled.contains(&job.key)) {
             let Some(may_miss) = job.steps[0].may_miss else { continue };
@@ -192,26 +197,29 @@
             let ending = of(&self.workers[at]);
             let away = job.steps[0].count as usize - (running - ending);
             if ending > 0 && away > may_miss as usize {
-                let said = format!(
-                    "{}: {host} takes {ending} lasting tasks down, {away} are away",
+                let text = format!(
+                    "{}: {host} takes {ending} tasks down, {away} are away, {may_miss} allowed",
                     self.now
                 );
-                self.violations.push(said);
+                self.violations.push(text);
             }
         }
     }
 
-    /// Notes a wave that is reported as completed although a host of it has not begun.
+    /// Records a violation if a wave is stored as completed although the maintenance of one of its hosts has
+    /// not begun.
     pub(super) fn check_wave(&mut self, progress: &WaveProgress) {
         let Some(wave) = self.hosts.waves.get(&progress.number) else { return };
-        let waits = |h: &&ids::HostId| !self.hosts.upkeeps.contains_key(*h);
-        if let Some(host) = wave.hosts.iter().find(waits).filter(|_| progress.completed) {
-            let said = format!("a wave is completed, and {host} has not begun");
-            self.violations.push(said);
+        let has_not_begun = |h: &&ids::HostId| !self.hosts.upkeeps.contains_key(*h);
+        if let Some(host) = wave.hosts.iter().find(has_not_begun).filter(|_| progress.completed) {
+            let text = format!(
+                "a wave is stored as completed, and the maintenance of {host} has not begun"
+            );
+            self.violations.push(text);
         }
     }
 
-    /// Crashes the worker of the n-th host and lets it come back at once as another one.
+    /// Crashes the worker of the n-th host, which gets another worker at once.
     pub fn replace_worker(&mut self, host: usize) -> usize {
         self.crash(host);
         self.unlist(host);
@@ -220,7 +228,7 @@
         at
     }
 
-    /// Brings hosts back whose upkeep is over, each with a new worker.
+    /// Brings back hosts whose maintenance is over, each with a new worker.
     pub(super) fn step_hosts(&mut self) {
         let due = self.hosts.down_until.iter().filter(|(_, until)| **until <= self.now);
         let back: Vec<ids::HostId> = due.map(|(host, _)| host.clone()).collect();
