--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/world/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals at a worker: they extend leases, acknowledge ends, and are answered with an account.
+//! Renewals at a worker: they extend its lease, acknowledge ends, and are answered with a worker report.
 
 use gaplock_jobs::TaskKey;
 use gaplock_sched::message::{
@@ -12,7 +12,7 @@
 use super::World;
 
 impl World {
-    /// Lets a waiting renewal answer now.
+    /// Answers a renewal that a worker holds back, if there is one, at once.
     pub(super) fn wake_renewal(&mut self, at: usize) {
         let waiting = self.deliveries.iter().find(
             |(_, d)| matches!(d, Delivery::RenewalAnswerDue { route, .. } if route.worker == at),
@@ -23,6 +23,7 @@
         }
     }
 
+    /// Carries out a renewal at a worker; `fenced` says that a newer leader has called the worker before.
     pub(super) fn renew(&mut self, route: CallRoute, renewal: Renewal, fenced: bool) {
         let Renewal { stored, until, wait, sent } = renewal;
         let at = route.worker;
@@ -41,21 +42,23 @@
         self.send(wait, Delivery::RenewalAnswerDue { route, sent });
     }
 
+    /// Removes the ends that are stored from a worker's list, and checks that none of their tasks was started
+    /// again after it was done, unless the worker's lease lapsed or speculative copies are allowed.
     fn acknowledge(&mut self, at: usize, stored: EndSeq) {
         let ends = std::mem::take(&mut self.workers[at].ends);
-        let (noted, left): (Vec<RunEnd>, Vec<RunEnd>) =
+        let (recorded, left): (Vec<RunEnd>, Vec<RunEnd>) =
             ends.into_iter().partition(|e| e.seq <= stored);
         self.workers[at].ends = left;
-        for end in noted {
+        for end in recorded {
             match end.cause {
                 EndCause::Done => {
-                    let came = self.workers[at].ended_at.get(&end.seq).copied().unwrap_or(0);
-                    let lapsed = self.workers[at].lease_lapsed_at >= came;
-                    let again = self.started_at.get(&end.task).is_some_and(|s| *s > came);
+                    let ended = self.workers[at].ended_at.get(&end.seq).copied().unwrap_or(0);
+                    let lapsed = self.workers[at].lease_lapsed_at >= ended;
+                    let again = self.started_at.get(&end.task).is_some_and(|s| *s > ended);
                     if again && !lapsed && !self.allows_copies(end.task) {
                         let now = self.now;
                         let text = format!(
-                            "{now}: {} started after its end at {came}, noted later",
+                            "{now}: {} started after its end at {ended}, which was recorded later",
                             end.task
                         );
                         self.violations.push(text);
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Answers a renewal with the worker's account of itself.
+    /// Answers a renewal with the worker's report.
     pub(super) fn answer_renewal(&mut self, route: CallRoute, sent: Instant) {
         let worker = &self.workers[route.worker];
         if !worker.up || worker.cut {
@@ -80,7 +83,7 @@
         self.reply(route, Event::Renewed { worker, sent, outcome });
     }
 
-    /// Returns a worker's account of itself.
+    /// Returns the report of a worker: its clock, its runs and its ends.
     pub fn account(&mut self, at: usize) -> WorkerReport {
         let runs: Vec<(TaskKey, SimRun)> =
             self.workers[at].running.iter().map(|(task, r)| (*task, r.clone())).collect();
@@ -94,7 +97,7 @@
         WorkerReport { worker: Some(worker.info.id.clone()), clock, running, ends }
     }
 
-    /// Returns the line of a worker's account for one of its runs.
+    /// Returns the entry of a worker's report for one of its runs.
     fn listed(&mut self, at: usize, task: TaskKey, r: &SimRun) -> RunningTask {
         let reading = self.readings.get(&task.job).copied();
         RunningTask {
