--- a/crates/sched/tests/fleet/world/store.rs
+++ b/crates/sched/tests/fleet/world/store.rs
@@ -1,4 +1,4 @@
-//! The store: it takes commits in, and a successor begins with what it holds.
+//! The store: it holds what the leader has committed, and a new leader restores its state from it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::World;
 
 impl World {
-    /// Replaces the leader by a new one that knows only the store.
+    /// Replaces the leader by a new one that knows only what the store and the directory hold.
     pub fn take_over(&mut self) {
         self.term += 1;
         self.record_leader_change();
@@ -45,24 +45,24 @@
         self.carry_out_actions();
     }
 
-    /// Returns all jobs that are not forgotten.
+    /// Returns all jobs that the store still holds.
     fn stored_jobs(&self) -> Vec<Arc<Job>> {
         let stored = self.jobs.values().filter(|job| !self.forgotten.contains(&job.key));
         stored.cloned().collect()
     }
 
-    /// Returns the progress of all jobs whose record can be read.
+    /// Returns the progress of all jobs whose stored progress is readable.
     fn readable_progress(&self) -> BTreeMap<JobKey, Progress> {
         let records = self.progress.iter().filter(|(key, _)| !self.unreadable.contains(key));
         records.map(|(key, progress)| (*key, progress.clone())).collect()
     }
 
-    /// Spoils the stored progress of a job.
+    /// Makes the stored progress of a job unreadable.
     pub fn spoil_progress(&mut self, key: u64) {
         self.unreadable.insert(JobKey(key));
     }
 
-    /// Ends the leader and, after so many milliseconds without one, lets a successor take over.
+    /// Ends the leader and, after `gap` milliseconds without one, lets a successor take over.
     pub fn change_leader(&mut self, gap: u64) {
         self.lose_leader();
         self.run(gap);
@@ -77,7 +77,7 @@
         self.write(records);
     }
 
-    /// Keeps what a commit holds.
+    /// Stores the records of a commit.
     pub(super) fn store(&mut self, records: Vec<Record>) {
         for record in records {
             match record {
