--- a/crates/sched/tests/fleet/world/views.rs
+++ b/crates/sched/tests/fleet/world/views.rs
@@ -1,4 +1,4 @@
-//! What a test asks of a world: the stored states and what runs where.
+//! Queries of tests: the stored states, what runs where, and parts of the leader's state.
 
 use std::collections::BTreeSet;
 
@@ -11,13 +11,13 @@
 use super::World;
 
 impl World {
-    /// Tells whether a job is stored as completed.
+    /// Returns whether a job is stored as completed.
     pub fn is_completed(&self, key: u64) -> bool {
         let state = self.progress.get(&JobKey(key)).map(|p| p.state);
         state == Some(JobState::Completed)
     }
 
-    /// Tells whether a wave is stored as completed.
+    /// Returns whether a maintenance wave is stored as completed.
     pub fn is_wave_completed(&self, number: u64) -> bool {
         self.wave_progress.get(&WaveNumber(number)).is_some_and(|w| w.completed)
     }
@@ -27,7 +27,7 @@
         self.progress.get(&JobKey(key)).map(|p| p.state)
     }
 
-    /// Lets `ms` milliseconds pass and returns how many renewals were sent meanwhile.
+    /// Lets `ms` milliseconds pass and returns how many renewals were sent in that time.
     pub fn renewals_within(&mut self, ms: u64) -> usize {
         let before = self.renewals.len();
         self.run(ms);
@@ -39,17 +39,17 @@
         self.cx.as_ref().map_or(0, |cx| cx.renewal_queue.examined())
     }
 
-    /// Returns how many renewals were ever sent to a worker.
+    /// Returns how many renewals were sent to a worker since the start.
     pub fn renewals_to(&self, worker: usize) -> usize {
         self.renewals.iter().filter(|(_, to)| *to == worker).count()
     }
 
-    /// Returns how many looks at a worker the last dispatch pass took.
+    /// Returns how many candidate evaluations the last dispatch pass took.
     pub fn looks(&self) -> usize {
         self.cx.as_ref().map_or(0, |cx| cx.pass_evaluations)
     }
 
-    /// Returns how many searches the last look for better places made.
+    /// Returns how many searches for better workers the last rebalancing check made.
     pub fn places_searched(&self) -> usize {
         self.cx.as_ref().map_or(0, |cx| cx.rebalance_searches)
     }
@@ -63,11 +63,11 @@
     pub fn crashes_counted(&self, key: u64) -> usize {
         let Some(cx) = &self.cx else { return 0 };
         let of_job = cx.crashes.suspects.iter().filter(|task| task.job == JobKey(key));
-        let suspicions = of_job.filter_map(|task| cx.task(*task)?.crash_evidence.as_ref());
-        suspicions.map(|s| s.crashed.len()).sum()
+        let evidence = of_job.filter_map(|task| cx.task(*task)?.crash_evidence.as_ref());
+        evidence.map(|e| e.crashed.len()).sum()
     }
 
-    /// Returns how many tasks of a job the leader knows a checkpoint of.
+    /// Returns for how many tasks of a job the leader knows a checkpoint.
     pub fn checkpoints_known(&self, key: u64) -> usize {
         let Some(cx) = &self.cx else { return 0 };
         let steps = cx.jobs[&JobKey(key)].rounds.iter().flat_map(|r| &r.steps);
@@ -84,23 +84,23 @@
         self.cx.as_ref().map_or(0, |cx| cx.jobs[&JobKey(key)].finished_rounds.len())
     }
 
-    /// Returns how many starts wait for their answer.
+    /// Returns how many starts have not been answered yet.
     pub fn starts_under_way(&self) -> usize {
         let starting = |w: &Worker| w.slots.values().filter(|s| s.phase == Phase::Starting).count();
         self.cx.as_ref().map_or(0, |cx| cx.workers.iter().map(starting).sum())
     }
 
-    /// Returns how many runs the leader holds to be at workers.
+    /// Returns how many slots the leader holds: runs that may be on a worker.
     pub fn slots_held(&self) -> usize {
         self.cx.as_ref().map_or(0, |cx| cx.workers.iter().map(|w| w.slots.len()).sum())
     }
 
-    /// Tells whether the leader still searches for runs of its predecessors.
+    /// Returns whether the leader's recovery scan for runs of its predecessors is still under way.
     pub fn in_survey(&self) -> bool {
         self.cx.as_ref().is_some_and(|cx| cx.recovery_scan.is_some())
     }
 
-    /// Returns the worker at which the n-th run of a job's only task ended.
+    /// Returns the worker on which the n-th run of a job's only task ended.
     pub fn worker_of_run(&self, key: u64, n: usize) -> usize {
         let task = TaskKey { job: JobKey(key), round: 0, step: 0, index: 0 };
         let ended = self.workers.iter().enumerate();
@@ -117,37 +117,38 @@
         notes.map(|n| n.failed).sum()
     }
 
-    /// Returns how many crashes are stored against a job's tasks.
+    /// Returns how many crashes the store counts against a job's tasks.
     pub fn stored_crashes(&self, key: u64) -> usize {
         self.stored_notes(key).map(|note| note.crashed.len()).sum()
     }
 
-    /// Returns at how many workers tasks of a job are stored as started.
+    /// Returns on how many workers tasks of a job are stored as started.
     pub fn stored_starts(&self, key: u64) -> usize {
         self.stored_notes(key).filter_map(|note| note.started.as_ref()).map(Vec::len).sum()
     }
 
+    /// Returns the stored records of a job's tasks.
     fn stored_notes(&self, key: u64) -> impl Iterator<Item = &TaskRecord> {
         let rounds = self.progress.get(&JobKey(key)).into_iter().flat_map(|p| &p.rounds);
         rounds.flat_map(|r| &r.steps).flat_map(|s| &s.notes)
     }
 
-    /// Returns how many runs, ended or not, a worker was ever given.
+    /// Returns how many tasks a worker has had a run of, whether it has ended or not.
     pub fn runs_given_to(&self, worker: usize) -> usize {
         let worker = &self.workers[worker];
         let running = worker.running.keys().filter(|task| !worker.last_ended.contains_key(task));
         worker.last_ended.len() + running.count()
     }
 
-    /// Returns how many runs of a task's job are at a worker.
+    /// Returns how many runs go on at a worker.
     pub fn running_at(&self, worker: usize) -> usize {
         self.workers[worker].running.len()
     }
 
-    /// Returns the first worker at which anything runs.
+    /// Returns the first worker on which a run goes on.
     pub fn busy_worker(&self) -> usize {
         let busy = |worker: &SimWorker| !worker.running.is_empty();
-        self.workers.iter().position(busy).expect("something runs somewhere")
+        self.workers.iter().position(busy).expect("a run goes on at some worker")
     }
 
     /// Returns how many ends a worker still lists.
@@ -155,14 +156,13 @@
         self.workers[worker].ends.len()
     }
 
-    /// Returns on how many workers that are up a job's tasks run.
+    /// Returns how many runs of a job's tasks go on.
     pub fn running_of(&self, key: u64) -> usize {
         let of = |w: &SimWorker| w.running.keys().filter(|t| t.job == JobKey(key)).count();
         self.workers.iter().map(of).sum()
     }
 
-    /// Returns for how long the longest run on a worker that is up has run since `from`, in
-    /// milliseconds.
+    /// Returns for how many milliseconds since `from` the longest run on a worker that is up has gone on.
     pub fn longest_run_since(&self, from: u64) -> u64 {
         let runs = self.workers.iter().filter(|w| w.up).flat_map(|w| w.running.values());
         runs.map(|r| self.now - r.began.max(from)).max().unwrap_or(0)
