--- a/crates/sched/tests/fleet/world/views.rs
+++ b/crates/sched/tests/fleet/world/views.rs
@@ -113,22 +113,25 @@
     /// Returns how many failures of a job's tasks are stored.
     pub fn stored_failures(&self, key: u64) -> u32 {
         let rounds = self.progress.get(&JobKey(key)).into_iter().flat_map(|p| &p.rounds);
-        let notes = rounds.flat_map(|r| &r.steps).flat_map(|s| &s.notes);
-        notes.map(|n| n.failed).sum()
+        let records = rounds.flat_map(|r| &r.steps).flat_map(|s| &s.notes);
+        records.map(|r| r.failed).sum()
     }
 
     /// Returns how many crashes the store counts against a job's tasks.
     pub fn stored_crashes(&self, key: u64) -> usize {
-        self.stored_notes(key).map(|note| note.crashed.len()).sum()
+        self.stored_task_records(key).map(|record| record.crashed.len()).sum()
     }
 
     /// Returns on how many workers tasks of a job are stored as started.
     pub fn stored_starts(&self, key: u64) -> usize {
-        self.stored_notes(key).filter_map(|note| note.started.as_ref()).map(Vec::len).sum()
+        self.stored_task_records(key)
+            .filter_map(|record| record.started.as_ref())
+            .map(Vec::len)
+            .sum()
     }
 
     /// Returns the stored records of a job's tasks.
-    fn stored_notes(&self, key: u64) -> impl Iterator<Item = &TaskRecord> {
+    fn stored_task_records(&self, key: u64) -> impl Iterator<Item = &TaskRecord> {
         let rounds = self.progress.get(&JobKey(key)).into_iter().flat_map(|p| &p.rounds);
         rounds.flat_map(|r| &r.steps).flat_map(|s| &s.notes)
     }
