--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -29,7 +29,7 @@
 use crate::records::Record;
 use crate::state::PartState;
 
-const HISTORY_PER_JOB: usize = 40;
+const MAX_HISTORY_LINES_PER_JOB: usize = 40;
 const HISTORY_JOBS: usize = 2_000;
 
 /// One partition as one entry sees it.
@@ -318,7 +318,7 @@
 
     fn remember(&mut self, cx: &Context, job: ids::JobId, what: String) {
         let lines = self.history.entry(job).or_default();
-        if lines.len() == HISTORY_PER_JOB {
+        if lines.len() == MAX_HISTORY_LINES_PER_JOB {
             lines.pop_front();
         }
         lines.push_back(format!("{} {what}", cx.unix_ms));
