--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -30,7 +30,7 @@
 use crate::state::PartState;
 
 const MAX_HISTORY_LINES_PER_JOB: usize = 40;
-const HISTORY_JOBS: usize = 2_000;
+const MAX_HISTORY_JOBS: usize = 2_000;
 
 /// One partition as one entry sees it.
 pub struct Partition {
@@ -322,7 +322,7 @@
             lines.pop_front();
         }
         lines.push_back(format!("{} {what}", cx.unix_ms));
-        if self.history.len() > HISTORY_JOBS {
+        if self.history.len() > MAX_HISTORY_JOBS {
             self.history.pop_first();
         }
     }
