--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -209,7 +209,7 @@
         for task in waiting {
             let attempt = self.state.task(task).map(|t| t.attempt).unwrap_or_default();
             let run = wire::Run { task, attempt };
-            let checked = self.check.check(&gaplock_verify::Fact::Ended(run));
+            let checked = self.verifier.check(&gaplock_verify::Fact::Ended(run));
             cx.allowed(checked);
         }
         self.remember(cx, job, "cancelled by its owner".to_string());
--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -100,7 +100,7 @@
         let worker = ids::WorkerId(to.to_string());
         let fact =
             Fact::Assigned { run, worker: &worker, demand: reserve, capacity: None, resume_ms };
-        let checked = self.check.check(&fact);
+        let checked = self.verifier.check(&fact);
         if !cx.allowed(checked) {
             return;
         }
@@ -174,7 +174,7 @@
     }
 
     fn loan_ended(&mut self, cx: &mut Context, run: wire::Run, record: Record) {
-        let checked = self.check.check(&Fact::Ended(run));
+        let checked = self.verifier.check(&Fact::Ended(run));
         if cx.allowed(checked) {
             self.remember(cx, run.task.job, format!("{} ended where it was lent to", run.task));
             self.record(cx, record, None);
@@ -194,7 +194,7 @@
             return;
         }
         let checkpoint_ms = told.checkpoint_ms.max(t.checkpoint_ms);
-        let checked = self.check.check(&Fact::Requeued { run, checkpoint_ms });
+        let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
         if cx.allowed(checked) {
             let why = "it came back from where it was lent to".to_string();
             let record =
@@ -225,7 +225,7 @@
         };
         self.record(cx, record, None);
         let task = state::task_id(self.id, number, 0);
-        self.check.start_from(task, wanted.resume_ms);
+        self.verifier.start_from(task, wanted.resume_ms);
         let start = Record::ResumeFrom { task, checkpoint_ms: wanted.resume_ms };
         if wanted.stop {
             // Stored as cancelled, so that a late copy of the question cannot start it.
@@ -254,7 +254,7 @@
         if begin_stop {
             let run = wire::Run { task: state::task_id(self.id, number, 0), attempt: t.attempt };
             if t.is == task::Is::Queued {
-                let checked = self.check.check(&Fact::Ended(run));
+                let checked = self.verifier.check(&Fact::Ended(run));
                 cx.allowed(checked);
             }
             self.record(cx, Record::Cancel { number, index: None }, None);
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -40,7 +40,7 @@
     journal: Journal,
     /// Committed and pending records together.
     state: PartState,
-    check: PartitionCheck,
+    verifier: PartitionCheck,
     links: BTreeMap<ids::WorkerId, Link>,
     health: health::HealthTracker,
     shares: Shares,
@@ -62,7 +62,7 @@
             journal: Journal::open(id, me.clone()),
             me,
             state: PartState::default(),
-            check: PartitionCheck::default(),
+            verifier: PartitionCheck::default(),
             links: BTreeMap::new(),
             health: health::HealthTracker::default(),
             shares: Shares::default(),
@@ -195,10 +195,10 @@
 
     fn claimed(&mut self, cx: &mut Context) {
         self.state = self.journal.committed.clone();
-        self.check.restart();
+        self.verifier.restart();
         self.restore_check();
         let epoch = self.journal.epoch();
-        let checked = self.check.check(&Fact::Owned(epoch));
+        let checked = self.verifier.check(&Fact::Owned(epoch));
         cx.allowed(checked);
         self.claimed_at = cx.now;
         // A stored release does not say that its writer knows of it and has stopped renewing.
@@ -225,7 +225,7 @@
                 let run = wire::Run { task, attempt: t.attempt };
                 let worker = t.place.as_ref().map(|p| &p.worker);
                 let reserve = t.place.as_ref().map(|p| p.reserve).unwrap_or_default();
-                self.check.restore(run, worker, reserve, t.is.is_final(), t.checkpoint_ms);
+                self.verifier.restore(run, worker, reserve, t.is.is_final(), t.checkpoint_ms);
             }
         }
     }
@@ -233,7 +233,7 @@
     fn committed_records(&mut self, cx: &mut Context, records: &[Record]) {
         for record in records {
             if let Record::Assign { run, .. } = record {
-                let checked = self.check.check(&Fact::Stored(*run));
+                let checked = self.verifier.check(&Fact::Stored(*run));
                 cx.allowed(checked);
             }
         }
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -208,7 +208,7 @@
     }
 
     fn finish(&mut self, cx: &mut Context, worker: &ids::WorkerId, run: wire::Run) {
-        let checked = self.check.check(&Fact::Ended(run));
+        let checked = self.verifier.check(&Fact::Ended(run));
         if !cx.allowed(checked) {
             return;
         }
@@ -228,7 +228,7 @@
         let Some(t) = self.state.task(run.task) else { return };
         let (unwanted, kept, crashes) = (t.unwanted, t.checkpoint_ms, t.crashes);
         if unwanted {
-            let checked = self.check.check(&Fact::Ended(run));
+            let checked = self.verifier.check(&Fact::Ended(run));
             if cx.allowed(checked) {
                 self.record(cx, Record::Cancelled { run }, None);
             }
@@ -254,7 +254,7 @@
             return self.give_up(cx, run, format!("{MOST_CRASHES} workers booted anew under it"));
         }
         let checkpoint_ms = how.checkpoint_ms.max(kept);
-        let checked = self.check.check(&Fact::Requeued { run, checkpoint_ms });
+        let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
         if !cx.allowed(checked) {
             return;
         }
@@ -268,7 +268,7 @@
 
     /// Gives up the task of a run that is proven to have stopped.
     fn give_up(&mut self, cx: &mut Context, run: wire::Run, why: String) {
-        let checked = self.check.check(&Fact::Ended(run));
+        let checked = self.verifier.check(&Fact::Ended(run));
         if cx.allowed(checked) {
             self.remember(cx, run.task.job, format!("{} given up: {why}", run.task));
             self.record(cx, Record::GiveUp { task: run.task, why }, None);
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -177,7 +177,7 @@
         for number in old_jobs {
             let count = self.state.jobs.get(&number).map_or(0, |j| j.tasks.len() as u32);
             for i in 0..count {
-                self.check.forget(crate::state::task_id(self.id, number, i));
+                self.verifier.forget(crate::state::task_id(self.id, number, i));
             }
             self.record(cx, Record::JobForget { number }, None);
         }
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -215,7 +215,7 @@
         let Some(boot) = link.boot else { return false };
         let capacity = Some(link.host.capacity);
         let fact = Fact::Assigned { run, worker, demand: reserve, capacity, resume_ms };
-        let checked = self.check.check(&fact);
+        let checked = self.verifier.check(&fact);
         if !cx.allowed(checked) {
             return false;
         }
--- a/crates/coord/src/partition/starting.rs
+++ b/crates/coord/src/partition/starting.rs
@@ -50,7 +50,7 @@
         }
         let epoch = self.journal.epoch();
         let fact = Fact::StartSent { run, worker, epoch, leaving_and_new };
-        let checked = self.check.check(&fact);
+        let checked = self.verifier.check(&fact);
         if !cx.allowed(checked) {
             return;
         }
