--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -40,7 +40,7 @@
         let mut round = Round::default();
         for _ in 0..MOST_PER_TICK {
             let mut shares = self.shares_of_partners(cx, &round.skip);
-            if round.urgent.is_some() && self.hold.blocks_ordinary_work(cx.now) {
+            if round.urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
                 shares.retain(|s| s.next.is_some_and(|(_, urgent)| urgent));
             }
             let Some(turn) = fair::next_partner(&shares, &self.shares.capacity) else { break };
@@ -53,8 +53,8 @@
                 round.skip.push(partner);
             }
         }
-        self.hold.record(cx.now, round.urgent.is_some());
-        if let Some(task) = round.urgent.filter(|_| self.hold.should_evict(cx.now)) {
+        self.urgent_hold.record(cx.now, round.urgent.is_some());
+        if let Some(task) = round.urgent.filter(|_| self.urgent_hold.should_evict(cx.now)) {
             self.make_room(cx, task);
         }
         self.explain_waiting(cx, &round.skip);
