--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -47,7 +47,7 @@
     urgent_hold: fair::UrgentHold,
     loans: BTreeMap<wire::Run, lending::Loan>,
     claimed_at: time::Instant,
-    fence_wait: time::Millis,
+    previous_owner_grace: time::Millis,
     history: BTreeMap<ids::JobId, VecDeque<String>>,
     offers: BTreeMap<ids::WorkerId, (Vec<ids::ServiceId>, bool)>,
     /// Whether requests still go to the workers after a release.
@@ -69,7 +69,7 @@
             urgent_hold: fair::UrgentHold::default(),
             loans: BTreeMap::new(),
             claimed_at: time::Instant(0),
-            fence_wait: time::Millis(0),
+            previous_owner_grace: time::Millis(0),
             history: BTreeMap::new(),
             offers: BTreeMap::new(),
             lingering: false,
@@ -202,7 +202,7 @@
         cx.allowed(checked);
         self.claimed_at = cx.now;
         // A stored release does not say that its writer knows of it and has stopped renewing.
-        self.fence_wait = cx.certain(match self.journal.was_released {
+        self.previous_owner_grace = cx.certain(match self.journal.was_released {
             true => cx.timing.release_right(),
             false => cx.timing.renew_right,
         });
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -400,7 +400,7 @@
             return cx.now;
         }
         let ttl = cx.certain(cx.timing.task_ttl);
-        let former_owners = self.claimed_at + self.fence_wait + ttl;
+        let former_owners = self.claimed_at + self.previous_owner_grace + ttl;
         // A worker that the host list shows may only be cut off, with finished work to tell of.
         let listed = |link: &Link, leases_end: time::Instant| match (link.is, link.missing_since) {
             (upstream::Is::Gone, _) => leases_end,
