--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -51,7 +51,7 @@
     history: BTreeMap<ids::JobId, VecDeque<String>>,
     offers: BTreeMap<ids::WorkerId, (Vec<ids::ServiceId>, bool)>,
     /// Whether requests still go to the workers after a release.
-    lingering: bool,
+    routed_after_release: bool,
 }
 
 impl Partition {
@@ -72,7 +72,7 @@
             previous_owner_grace: time::Millis(0),
             history: BTreeMap::new(),
             offers: BTreeMap::new(),
-            lingering: false,
+            routed_after_release: false,
         }
     }
 
@@ -117,7 +117,7 @@
             return;
         }
         self.fence(cx);
-        if std::mem::take(&mut self.lingering) {
+        if std::mem::take(&mut self.routed_after_release) {
             cx.actions.push(Action::ClosePartition(self.id));
         }
     }
@@ -186,7 +186,7 @@
             Outcome::Committed(records) => self.committed_records(cx, &records),
             Outcome::Released => {
                 // Requests still go to the workers until the successor's epoch fences them there.
-                self.lingering = true;
+                self.routed_after_release = true;
                 self.forget_ownership(cx);
             }
             Outcome::Fenced => self.lost(cx),
@@ -213,7 +213,7 @@
         self.health = health::HealthTracker::default();
         self.loans.clear();
         self.offers.clear();
-        self.lingering = false;
+        self.routed_after_release = false;
         cx.note("claimed", self.id.to_string(), format!("under {epoch}"));
         self.tick(cx);
     }
