--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -141,12 +141,12 @@
                 link.step(cx, upstream::On::Drop, "the host list does not show it any more");
             }
         }
-        self.drop_gone(cx);
+        self.remove_gone_links(cx);
     }
 
     /// Forgets workers that the host list does not show any more, once nothing of theirs is left
     /// and no order under way can be carried out there: the worker may be shown again before that.
-    fn drop_gone(&mut self, cx: &Context) {
+    fn remove_gone_links(&mut self, cx: &Context) {
         let state = &self.state;
         self.links.retain(|worker, link| {
             let open = cx.now < link.alive_until || state.on_worker(worker).next().is_some();
@@ -165,7 +165,7 @@
             return;
         }
         self.reconcile(cx);
-        self.drop_gone(cx);
+        self.remove_gone_links(cx);
         if self.journal.healthy(cx) {
             self.keep_replicas(cx);
             self.schedule(cx);
