--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -182,7 +182,7 @@
     pub fn store_answered(&mut self, cx: &mut Context, call: CallId, answer: &StoreAnswer) {
         match self.journal.answered(cx, call, answer) {
             Outcome::Nothing => {}
-            Outcome::Claimed => self.claimed(cx),
+            Outcome::Claimed => self.handle_claimed(cx),
             Outcome::Committed(records) => self.committed_records(cx, &records),
             Outcome::Released => {
                 // Requests still go to the workers until the successor's epoch fences them there.
@@ -193,7 +193,7 @@
         }
     }
 
-    fn claimed(&mut self, cx: &mut Context) {
+    fn handle_claimed(&mut self, cx: &mut Context) {
         self.state = self.journal.committed.clone();
         self.verifier.restart();
         self.restore_check();
