--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -183,7 +183,7 @@
         match self.journal.answered(cx, call, answer) {
             Outcome::Nothing => {}
             Outcome::Claimed => self.handle_claimed(cx),
-            Outcome::Committed(records) => self.committed_records(cx, &records),
+            Outcome::Committed(records) => self.handle_committed(cx, &records),
             Outcome::Released => {
                 // Requests still go to the workers until the successor's epoch fences them there.
                 self.routed_after_release = true;
@@ -230,7 +230,7 @@
         }
     }
 
-    fn committed_records(&mut self, cx: &mut Context, records: &[Record]) {
+    fn handle_committed(&mut self, cx: &mut Context, records: &[Record]) {
         for record in records {
             if let Record::Assign { run, .. } = record {
                 let checked = self.verifier.check(&Fact::Stored(*run));
