--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -189,7 +189,7 @@
                 self.routed_after_release = true;
                 self.forget_ownership(cx);
             }
-            Outcome::Fenced => self.lost(cx),
+            Outcome::Fenced => self.lose_ownership(cx),
         }
     }
 
@@ -240,7 +240,7 @@
         self.send_starts(cx);
     }
 
-    fn lost(&mut self, cx: &mut Context) {
+    fn lose_ownership(&mut self, cx: &mut Context) {
         cx.actions.push(Action::ClosePartition(self.id));
         self.forget_ownership(cx);
     }
@@ -256,7 +256,7 @@
         if self.journal.is() == ownership::Is::Owner || self.journal.is() == ownership::Is::Draining
         {
             self.journal.give_up(cx, ownership::On::Fenced);
-            self.lost(cx);
+            self.lose_ownership(cx);
         }
     }
 
