--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -187,7 +187,7 @@
             Outcome::Released => {
                 // Requests still go to the workers until the successor's epoch fences them there.
                 self.routed_after_release = true;
-                self.forget_ownership(cx);
+                self.clear_owner_state(cx);
             }
             Outcome::Fenced => self.lose_ownership(cx),
         }
@@ -242,10 +242,10 @@
 
     fn lose_ownership(&mut self, cx: &mut Context) {
         cx.actions.push(Action::ClosePartition(self.id));
-        self.forget_ownership(cx);
+        self.clear_owner_state(cx);
     }
 
-    fn forget_ownership(&mut self, cx: &mut Context) {
+    fn clear_owner_state(&mut self, cx: &mut Context) {
         cx.note("lost", self.id.to_string(), "another entry owns it, or it was released");
         self.offers.clear();
         self.state = PartState::default();
