--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -138,7 +138,7 @@
             urgent: spec.urgent,
             at_unix_ms: cx.unix_ms,
         };
-        self.remember(cx, job, format!("submitted with {} tasks", spec.tasks));
+        self.append_history(cx, job, format!("submitted with {} tasks", spec.tasks));
         self.record(cx, record, Some(After::Reply(id, api::Reply::Submitted(job))));
         self.schedule(cx);
     }
@@ -212,7 +212,7 @@
             let checked = self.verifier.check(&gaplock_verify::Fact::Ended(run));
             cx.allowed(checked);
         }
-        self.remember(cx, job, "cancelled by its owner".to_string());
+        self.append_history(cx, job, "cancelled by its owner".to_string());
         let record = Record::Cancel { number: job.number, index: None };
         self.record(cx, record, Some(After::Reply(id, api::Reply::Done)));
     }
--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -183,7 +183,7 @@
         }
         cx.note("evict", run.task.to_string(), why.clone());
         view.evicting = Some(why.clone());
-        self.remember(cx, run.task.job, format!("{} is evicted: {why}", run.task));
+        self.append_history(cx, run.task.job, format!("{} is evicted: {why}", run.task));
         self.control(cx, worker, boot, run, wire::Control::CheckpointAndStop);
     }
 }
--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -105,7 +105,7 @@
             return;
         }
         cx.note("lend", id.to_string(), format!("{to} has room"));
-        self.remember(cx, id.job, format!("{id} is lent to {to}, which has room"));
+        self.append_history(cx, id.job, format!("{id} is lent to {to}, which has room"));
         self.record(cx, Record::Lend { run, to, reserve }, None);
     }
 
@@ -176,7 +176,11 @@
     fn loan_ended(&mut self, cx: &mut Context, run: wire::Run, record: Record) {
         let checked = self.verifier.check(&Fact::Ended(run));
         if cx.allowed(checked) {
-            self.remember(cx, run.task.job, format!("{} ended where it was lent to", run.task));
+            self.append_history(
+                cx,
+                run.task.job,
+                format!("{} ended where it was lent to", run.task),
+            );
             self.record(cx, record, None);
         }
     }
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -316,7 +316,7 @@
         }
     }
 
-    fn remember(&mut self, cx: &Context, job: ids::JobId, what: String) {
+    fn append_history(&mut self, cx: &Context, job: ids::JobId, what: String) {
         let lines = self.history.entry(job).or_default();
         if lines.len() == MAX_HISTORY_LINES_PER_JOB {
             lines.pop_front();
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -213,7 +213,7 @@
             return;
         }
         self.health.record_success(worker, run.task.job);
-        self.remember(cx, run.task.job, format!("{} finished on {worker}", run.task));
+        self.append_history(cx, run.task.job, format!("{} finished on {worker}", run.task));
         self.record(cx, Record::Finish { run }, None);
     }
 
@@ -260,7 +260,7 @@
         }
         let view = self.links.get(worker).and_then(|l| l.runs.get(&run));
         let evicted = view.is_some_and(|v| v.evicting.is_some());
-        self.remember(cx, run.task.job, format!("{} waits again: {}", run.task, how.why));
+        self.append_history(cx, run.task.job, format!("{} waits again: {}", run.task, how.why));
         let Stopped { failed, crashed, why, .. } = how;
         let record = Record::Requeue { run, checkpoint_ms, evicted, failed, crashed, why };
         self.record(cx, record, None);
@@ -270,7 +270,7 @@
     fn give_up(&mut self, cx: &mut Context, run: wire::Run, why: String) {
         let checked = self.verifier.check(&Fact::Ended(run));
         if cx.allowed(checked) {
-            self.remember(cx, run.task.job, format!("{} given up: {why}", run.task));
+            self.append_history(cx, run.task.job, format!("{} given up: {why}", run.task));
             self.record(cx, Record::GiveUp { task: run.task, why }, None);
         }
     }
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -225,7 +225,11 @@
             ..RunView::default()
         };
         link.runs.insert(run, view);
-        self.remember(cx, id.job, format!("{id} goes to {worker} as attempt {}", run.attempt.0));
+        self.append_history(
+            cx,
+            id.job,
+            format!("{id} goes to {worker} as attempt {}", run.attempt.0),
+        );
         let worker = worker.clone();
         self.record(cx, Record::Assign { run, worker, boot, reserve }, None);
         true
@@ -294,7 +298,7 @@
             );
             let said = self.history.get(&first.job).and_then(|lines| lines.back());
             if !said.is_some_and(|line| line.ends_with(&why)) {
-                self.remember(cx, first.job, why);
+                self.append_history(cx, first.job, why);
             }
         }
     }
