--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -196,7 +196,7 @@
     fn handle_claimed(&mut self, cx: &mut Context) {
         self.state = self.journal.committed.clone();
         self.verifier.restart();
-        self.restore_check();
+        self.restore_verifier();
         let epoch = self.journal.epoch();
         let checked = self.verifier.check(&Fact::Owned(epoch));
         cx.allowed(checked);
@@ -218,7 +218,7 @@
         self.tick(cx);
     }
 
-    fn restore_check(&mut self) {
+    fn restore_verifier(&mut self) {
         for (number, job) in &self.state.jobs {
             for (i, t) in job.tasks.iter().enumerate() {
                 let task = crate::state::task_id(self.id, *number, i as u32);
