--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -129,7 +129,7 @@
             let link =
                 self.links.entry(host.worker.clone()).or_insert_with(|| Link::open(host.clone()));
             if link.is == upstream::Is::Gone {
-                *link = renew_link(link, host);
+                *link = reopen_link(link, host);
             }
             link.host = host.clone();
             if host.leaving {
@@ -397,7 +397,7 @@
 }
 
 /// Builds a fresh link to a worker that came back, keeping what bounds its runs.
-fn renew_link(old: &Link, host: &wire::Host) -> Link {
+fn reopen_link(old: &Link, host: &wire::Host) -> Link {
     let mut link = Link::open(host.clone());
     link.boot = old.boot;
     link.boot_since = old.boot_since;
