--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -13,7 +13,7 @@
 mod replicas;
 mod schedule;
 mod starting;
-mod survey;
+mod status;
 
 use std::collections::{BTreeMap, VecDeque};
 
