--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -13,7 +13,7 @@
 use crate::state::{Job, Once};
 
 /// The largest kept answer, in bytes of base 64.
-const ANSWER_MAX_KEPT: usize = 2_048;
+const MAX_STORED_ANSWER_BYTES: usize = 2_048;
 /// After this long a claim without an end will not get one; longer than any request may take.
 const CLAIM_RUNS_MS: u64 = 60_000;
 /// The most claims that one partition keeps; further ones are refused, not run.
@@ -263,7 +263,7 @@
             return;
         }
         if let api::OnceEnd::Ran { body, .. } = &mut end {
-            if body.as_ref().is_some_and(|b| b.len() > ANSWER_MAX_KEPT) {
+            if body.as_ref().is_some_and(|b| b.len() > MAX_STORED_ANSWER_BYTES) {
                 *body = None;
             }
         }
