--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -15,7 +15,7 @@
 /// The largest kept answer, in bytes of base 64.
 const MAX_STORED_ANSWER_BYTES: usize = 2_048;
 /// After this long a claim without an end will not get one; longer than any request may take.
-const CLAIM_RUNS_MS: u64 = 60_000;
+const CLAIM_TIMEOUT_MS: u64 = 60_000;
 /// The most claims that one partition keeps; further ones are refused, not run.
 const MOST_CLAIMS: usize = 4_000;
 /// The most waiting tasks in one partition; further jobs are refused, not run.
@@ -226,7 +226,7 @@
         claimer: String,
     ) {
         if let Some(once) = self.state.once.get(name) {
-            let expired = once.at_unix_ms + CLAIM_RUNS_MS < cx.unix_ms;
+            let expired = once.at_unix_ms + CLAIM_TIMEOUT_MS < cx.unix_ms;
             let reply = match &once.end {
                 _ if once.digest != digest => {
                     refused(codes::Code::KeyReused, "The key belongs to another request")
