--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -17,7 +17,7 @@
 /// After this long a claim without an end will not get one; longer than any request may take.
 const CLAIM_TIMEOUT_MS: u64 = 60_000;
 /// The most claims that one partition keeps; further ones are refused, not run.
-const MOST_CLAIMS: usize = 4_000;
+const MAX_CLAIMS: usize = 4_000;
 /// The most waiting tasks in one partition; further jobs are refused, not run.
 const MOST_WAITING: usize = 20_000;
 
@@ -240,7 +240,7 @@
             self.reply_after_commit(cx, id, reply);
             return;
         }
-        if self.state.once.len() >= MOST_CLAIMS {
+        if self.state.once.len() >= MAX_CLAIMS {
             cx.reply(id, refused(codes::Code::Overloaded, "Too many claims are kept"));
             return;
         }
