--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -19,7 +19,7 @@
 /// The most claims that one partition keeps; further ones are refused, not run.
 const MAX_CLAIMS: usize = 4_000;
 /// The most waiting tasks in one partition; further jobs are refused, not run.
-const MOST_WAITING: usize = 20_000;
+const MAX_WAITING_TASKS: usize = 20_000;
 
 impl Once {
     /// Tells whether an answer's body is kept.
@@ -172,7 +172,7 @@
         }
         let waiting: usize =
             self.state.waiting_partners().map(|p| self.state.waiting(p).count()).sum();
-        if waiting + spec.tasks as usize > MOST_WAITING {
+        if waiting + spec.tasks as usize > MAX_WAITING_TASKS {
             return Some(refused(codes::Code::Overloaded, "The queue is full"));
         }
         None
