--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -23,7 +23,7 @@
 
 impl Once {
     /// Tells whether an answer's body is kept.
-    pub(super) fn keeps_answer(&self) -> bool {
+    pub(super) fn has_stored_answer(&self) -> bool {
         matches!(&self.end, Some(api::OnceEnd::Ran { body: Some(_), .. }))
     }
 }
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -188,7 +188,7 @@
             .iter()
             .filter(|(_, o)| o.at_unix_ms + ANSWER_KEEP_MS.min(once_keep_ms) < cx.unix_ms)
             .map(|(id, o)| (id, o, o.at_unix_ms + once_keep_ms < cx.unix_ms))
-            .filter(|(_, o, whole)| *whole || o.keeps_answer())
+            .filter(|(_, o, whole)| *whole || o.has_stored_answer())
             .map(|(id, _, whole)| (id.clone(), whole))
             .take(FORGET_PER_TICK)
             .collect();
