--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -42,7 +42,7 @@
         let writes = !matches!(command, api::Command::Status { .. } | api::Command::Survey);
         if writes && !self.journal.healthy(cx) {
             // A refusal speaks of this try, and an earlier one may be stored.
-            let reply = match self.has_begun(&command) {
+            let reply = match self.is_recorded(&command) {
                 true => journal::begun_reply(),
                 false => refused(codes::Code::StoreDown, ""),
             };
@@ -78,7 +78,7 @@
     }
 
     /// Tells whether an earlier try of a command has been recorded, stored or not.
-    fn has_begun(&self, command: &api::Command) -> bool {
+    fn is_recorded(&self, command: &api::Command) -> bool {
         match command {
             api::Command::Submit { partner, key, .. } => {
                 self.state.job_by_key(partner, key).is_some()
