--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -120,7 +120,7 @@
             self.reply_after_commit(cx, id, reply);
             return;
         }
-        if let Some(reply) = self.submission_fault(cx, &partner, spec) {
+        if let Some(reply) = self.validate_submission(cx, &partner, spec) {
             cx.reply(id, reply);
             return;
         }
@@ -147,7 +147,7 @@
         self.journal.reply_after_commit(cx, id, reply);
     }
 
-    fn submission_fault(
+    fn validate_submission(
         &self,
         cx: &Context,
         partner: &ids::PartnerId,
