--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -287,7 +287,7 @@
             cx.reply(id, refused(codes::Code::BadRequest, why));
             return;
         }
-        if self.boots_at(&worker).any(|b| Some(b) != boot) {
+        if self.known_boots(&worker).any(|b| Some(b) != boot) {
             let why = "The worker has booted anew since it was declared dead";
             cx.reply(id, refused(codes::Code::BadRequest, why));
             return;
--- a/crates/coord/src/partition/status.rs
+++ b/crates/coord/src/partition/status.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the boots of a worker that this owner has heard or that tasks are stored for.
-    pub(super) fn boots_at<'a>(
+    pub(super) fn known_boots<'a>(
         &'a self,
         worker: &'a ids::WorkerId,
     ) -> impl Iterator<Item = wire::Boot> + 'a {
@@ -72,7 +72,7 @@
     pub fn survey(&self) -> api::PartitionSummary {
         let workers = self.links.iter().map(|(worker, link)| api::WorkerRow {
             worker: worker.clone(),
-            boot: self.boots_at(worker).next(),
+            boot: self.known_boots(worker).next(),
             domain: link.host.domain.clone(),
             partition: self.id,
             owner: self.me.entry.clone(),
