--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -9,7 +9,7 @@
 use crate::records::Record;
 
 /// The partner that owns service replicas.
-const OWN_PARTNER: &str = "gaplock";
+const SERVICE_PARTNER: &str = "gaplock";
 /// After this long only the fact that a request ran is kept, not its answer.
 const ANSWER_KEEP_MS: u64 = 600_000;
 /// Forgotten jobs and claims in one tick.
@@ -30,7 +30,7 @@
     }
 
     fn service_job(&self, service: &ids::ServiceId) -> Option<u64> {
-        let partner = ids::PartnerId::from(OWN_PARTNER);
+        let partner = ids::PartnerId::from(SERVICE_PARTNER);
         self.state.job_by_key(&partner, &ids::RequestKey(service.0.clone()))
     }
 
@@ -57,7 +57,7 @@
     fn add_service_job(&mut self, cx: &mut Context, service: &config::Service) {
         let record = Record::JobAdd {
             number: self.state.next_job,
-            partner: ids::PartnerId::from(OWN_PARTNER),
+            partner: ids::PartnerId::from(SERVICE_PARTNER),
             key: ids::RequestKey(service.id.0.clone()),
             digest: String::new(),
             kind: wire::TaskKind::Service(service.id.clone()),
