--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -11,7 +11,7 @@
 /// The partner that owns service replicas.
 const SERVICE_PARTNER: &str = "gaplock";
 /// After this long only the fact that a request ran is kept, not its answer.
-const ANSWER_KEEP_MS: u64 = 600_000;
+const ANSWER_RETENTION_MS: u64 = 600_000;
 /// Forgotten jobs and claims in one tick.
 const FORGET_PER_TICK: usize = 50;
 
@@ -186,7 +186,7 @@
             .state
             .once
             .iter()
-            .filter(|(_, o)| o.at_unix_ms + ANSWER_KEEP_MS.min(once_keep_ms) < cx.unix_ms)
+            .filter(|(_, o)| o.at_unix_ms + ANSWER_RETENTION_MS.min(once_keep_ms) < cx.unix_ms)
             .map(|(id, o)| (id, o, o.at_unix_ms + once_keep_ms < cx.unix_ms))
             .filter(|(_, o, whole)| *whole || o.has_stored_answer())
             .map(|(id, _, whole)| (id.clone(), whole))
