--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -13,7 +13,7 @@
 /// After this long only the fact that a request ran is kept, not its answer.
 const ANSWER_RETENTION_MS: u64 = 600_000;
 /// Forgotten jobs and claims in one tick.
-const FORGET_PER_TICK: usize = 50;
+const MAX_REMOVALS_PER_TICK: usize = 50;
 
 impl Partition {
     /// Starts missing replicas and stops surplus ones.
@@ -172,7 +172,7 @@
                 job.at_unix_ms + keep_ms < cx.unix_ms
             })
             .map(|(number, _)| *number)
-            .take(FORGET_PER_TICK)
+            .take(MAX_REMOVALS_PER_TICK)
             .collect();
         for number in old_jobs {
             let count = self.state.jobs.get(&number).map_or(0, |j| j.tasks.len() as u32);
@@ -190,7 +190,7 @@
             .map(|(id, o)| (id, o, o.at_unix_ms + once_keep_ms < cx.unix_ms))
             .filter(|(_, o, whole)| *whole || o.has_stored_answer())
             .map(|(id, _, whole)| (id.clone(), whole))
-            .take(FORGET_PER_TICK)
+            .take(MAX_REMOVALS_PER_TICK)
             .collect();
         for (id, whole) in old_claims {
             self.record(cx, Record::OnceForget { id, whole }, None);
