--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -167,7 +167,7 @@
         self.reconcile(cx);
         self.remove_gone_links(cx);
         if self.journal.healthy(cx) {
-            self.keep_replicas(cx);
+            self.reconcile_replicas(cx);
             self.schedule(cx);
             self.lend(cx);
             self.forget_old(cx);
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -17,7 +17,7 @@
 
 impl Partition {
     /// Starts missing replicas and stops surplus ones.
-    pub(super) fn keep_replicas(&mut self, cx: &mut Context) {
+    pub(super) fn reconcile_replicas(&mut self, cx: &mut Context) {
         let config = cx.config.clone();
         let mut wanted: Vec<(&config::Service, u32)> = Vec::new();
         for s in config.placements.iter().flat_map(|p| p.services.iter()) {
