--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -24,7 +24,7 @@
             wanted.push((s, self.shares.replicas.get(&s.id).copied().unwrap_or(0)));
         }
         for (service, count) in &wanted {
-            self.keep_service(cx, service, *count);
+            self.reconcile_service(cx, service, *count);
         }
         self.drop_unwanted_services(cx, &wanted);
     }
@@ -34,7 +34,7 @@
         self.state.job_by_key(&partner, &ids::RequestKey(service.0.clone()))
     }
 
-    fn keep_service(&mut self, cx: &mut Context, service: &config::Service, count: u32) {
+    fn reconcile_service(&mut self, cx: &mut Context, service: &config::Service, count: u32) {
         let Some(number) = self.service_job(&service.id) else {
             if count > 0 {
                 self.add_service_job(cx, service);
