--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -26,7 +26,7 @@
         for (service, count) in &wanted {
             self.reconcile_service(cx, service, *count);
         }
-        self.drop_unwanted_services(cx, &wanted);
+        self.cancel_removed_services(cx, &wanted);
     }
 
     fn service_job(&self, service: &ids::ServiceId) -> Option<u64> {
@@ -141,7 +141,7 @@
         }
     }
 
-    fn drop_unwanted_services(&mut self, cx: &mut Context, wanted: &[(&config::Service, u32)]) {
+    fn cancel_removed_services(&mut self, cx: &mut Context, wanted: &[(&config::Service, u32)]) {
         let gone: Vec<u64> = self
             .state
             .jobs
