--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -170,7 +170,7 @@
             self.reconcile_replicas(cx);
             self.schedule(cx);
             self.lend(cx);
-            self.forget_old(cx);
+            self.remove_expired(cx);
         }
         self.call_workers(cx);
         self.ask_loans(cx);
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -159,7 +159,7 @@
     }
 
     /// Forgets ended jobs, old answers and old claims, a few at a time.
-    pub(super) fn forget_old(&mut self, cx: &mut Context) {
+    pub(super) fn remove_expired(&mut self, cx: &mut Context) {
         let keep_ms = cx.timing.job_keep.0;
         let old_jobs: Vec<u64> = self
             .state
