--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -19,7 +19,7 @@
 
 /// A task that has waited this long may be lent; at once where no worker is usable.
 const LEND_AFTER_MS: u64 = 2_000;
-const LOANS_PER_TICK: usize = 8;
+const MAX_LOANS_PER_TICK: usize = 8;
 const ASK_EVERY: time::Millis = time::Millis(1_000);
 /// An unanswered question hinders the next one this long.
 const ASK_LIMIT: time::Millis = time::Millis(5_000);
@@ -72,7 +72,7 @@
                 let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
                 let patient = usable && cx.unix_ms < job.at_unix_ms + LEND_AFTER_MS;
                 let batch = matches!(job.kind, wire::TaskKind::Batch(_));
-                if patient || !batch || job.borrowed() || lent >= LOANS_PER_TICK {
+                if patient || !batch || job.borrowed() || lent >= MAX_LOANS_PER_TICK {
                     continue;
                 }
                 let demand = job.demand;
