--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -20,7 +20,7 @@
 /// A task that has waited this long may be lent; at once where no worker is usable.
 const LEND_AFTER_MS: u64 = 2_000;
 const MAX_LOANS_PER_TICK: usize = 8;
-const ASK_EVERY: time::Millis = time::Millis(1_000);
+const LOAN_POLL_INTERVAL: time::Millis = time::Millis(1_000);
 /// An unanswered question hinders the next one this long.
 const ASK_LIMIT: time::Millis = time::Millis(5_000);
 /// A lent task that waits this long at the other partition is called back.
@@ -157,7 +157,7 @@
             return;
         }
         let Some(loan) = self.loans.get_mut(&run) else { return };
-        loan.next_ask = cx.now + ASK_EVERY;
+        loan.next_ask = cx.now + LOAN_POLL_INTERVAL;
         let api::Reply::Loan(told) = reply else { return };
         if told.state == api::LoanState::Waiting {
             loan.waiting_since.get_or_insert(cx.now);
