--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -22,7 +22,7 @@
 const MAX_LOANS_PER_TICK: usize = 8;
 const LOAN_POLL_INTERVAL: time::Millis = time::Millis(1_000);
 /// An unanswered question hinders the next one this long.
-const ASK_LIMIT: time::Millis = time::Millis(5_000);
+const LOAN_POLL_TIMEOUT: time::Millis = time::Millis(5_000);
 /// A lent task that waits this long at the other partition is called back.
 const RECALL_AFTER: time::Millis = time::Millis(10_000);
 /// Failures after which a lent task is given up.
@@ -127,7 +127,7 @@
             if cx.now < loan.next_ask {
                 continue;
             }
-            loan.next_ask = cx.now + ASK_LIMIT;
+            loan.next_ask = cx.now + LOAN_POLL_TIMEOUT;
             let waits_long = |since: time::Instant| cx.now.since(since) >= RECALL_AFTER;
             let stop = unwanted || loan.waiting_since.is_some_and(waits_long);
             let wanted = api::Loan {
