--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -26,7 +26,7 @@
 /// A lent task that waits this long at the other partition is called back.
 const RECALL_AFTER: time::Millis = time::Millis(10_000);
 /// Failures after which a lent task is given up.
-const MOST_FAILURES: u32 = 3;
+const MAX_LENT_TASK_FAILURES: u32 = 3;
 /// The first part of a borrowed job's key.
 const LENT: &str = "lent";
 
@@ -192,7 +192,7 @@
             self.loan_ended(cx, run, Record::Cancelled { run });
             return;
         }
-        if failed && t.failures + 1 >= MOST_FAILURES {
+        if failed && t.failures + 1 >= MAX_LENT_TASK_FAILURES {
             let why = "it failed in several partitions".to_string();
             self.loan_ended(cx, run, Record::GiveUp { task: run.task, why });
             return;
