--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -28,7 +28,7 @@
 /// Failures after which a lent task is given up.
 const MAX_LENT_TASK_FAILURES: u32 = 3;
 /// The first part of a borrowed job's key.
-const LENT: &str = "lent";
+const LOAN_KEY_PREFIX: &str = "lent";
 
 /// What an owner knows of one loan.
 #[derive(Debug, Clone, Default)]
@@ -40,13 +40,13 @@
 impl Job {
     /// Tells whether another partition lent this job's task.
     pub fn borrowed(&self) -> bool {
-        self.key.as_str().starts_with(LENT)
+        self.key.as_str().starts_with(LOAN_KEY_PREFIX)
     }
 }
 
 /// Returns the key under which a lent run is stored at the other partition.
 pub fn loan_key(run: wire::Run) -> ids::RequestKey {
-    ids::RequestKey(format!("{LENT}:{}:{}", run.task, run.attempt))
+    ids::RequestKey(format!("{LOAN_KEY_PREFIX}:{}:{}", run.task, run.attempt))
 }
 
 impl Partition {
