--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -32,7 +32,7 @@
 
 /// What an owner knows of one loan.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Loan {
+pub(super) struct LoanPoll {
     next_ask: time::Instant,
     waiting_since: Option<time::Instant>,
 }
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -45,7 +45,7 @@
     health: health::HealthTracker,
     shares: Shares,
     urgent_hold: fair::UrgentHold,
-    loans: BTreeMap<wire::Run, lending::Loan>,
+    loans: BTreeMap<wire::Run, lending::LoanPoll>,
     claimed_at: time::Instant,
     previous_owner_grace: time::Millis,
     history: BTreeMap<ids::JobId, VecDeque<String>>,
