--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -33,7 +33,7 @@
 /// What an owner knows of one loan.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LoanPoll {
-    next_ask: time::Instant,
+    next_poll: time::Instant,
     waiting_since: Option<time::Instant>,
 }
 
@@ -124,10 +124,10 @@
             let (resume_ms, unwanted) = (t.checkpoint_ms, t.unwanted);
             let Some(job) = self.journal.committed.jobs.get(&id.job.number) else { continue };
             let loan = self.loans.entry(run).or_default();
-            if cx.now < loan.next_ask {
+            if cx.now < loan.next_poll {
                 continue;
             }
-            loan.next_ask = cx.now + LOAN_POLL_TIMEOUT;
+            loan.next_poll = cx.now + LOAN_POLL_TIMEOUT;
             let waits_long = |since: time::Instant| cx.now.since(since) >= RECALL_AFTER;
             let stop = unwanted || loan.waiting_since.is_some_and(waits_long);
             let wanted = api::Loan {
@@ -157,7 +157,7 @@
             return;
         }
         let Some(loan) = self.loans.get_mut(&run) else { return };
-        loan.next_ask = cx.now + LOAN_POLL_INTERVAL;
+        loan.next_poll = cx.now + LOAN_POLL_INTERVAL;
         let api::Reply::Loan(told) = reply else { return };
         if told.state == api::LoanState::Waiting {
             loan.waiting_since.get_or_insert(cx.now);
