--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -82,12 +82,12 @@
                     *free = free.minus(&demand);
                 }
                 lent += 1;
-                self.lend_one(cx, id, to, demand);
+                self.lend_task(cx, id, to, demand);
             }
         }
     }
 
-    fn lend_one(
+    fn lend_task(
         &mut self,
         cx: &mut Context,
         id: ids::TaskId,
