--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -110,7 +110,7 @@
     }
 
     /// Asks how stored loans stand; the first question hands the task over.
-    pub(super) fn ask_loans(&mut self, cx: &mut Context) {
+    pub(super) fn poll_loans(&mut self, cx: &mut Context) {
         let lent: Vec<ids::TaskId> = self.state.lent().collect();
         self.loans.retain(|run, _| lent.contains(&run.task));
         for id in lent {
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -173,7 +173,7 @@
             self.remove_expired(cx);
         }
         self.call_workers(cx);
-        self.ask_loans(cx);
+        self.poll_loans(cx);
         self.offer_slots(cx);
         self.journal.poll(cx);
     }
