--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -168,7 +168,7 @@
             api::LoanState::Waiting | api::LoanState::Running => {}
             api::LoanState::Done => self.loan_ended(cx, run, Record::Finish { run }),
             api::LoanState::Failed | api::LoanState::Stopped => {
-                self.loan_came_back(cx, run, told);
+                self.return_lent_task(cx, run, told);
             }
         }
     }
@@ -185,7 +185,7 @@
         }
     }
 
-    fn loan_came_back(&mut self, cx: &mut Context, run: wire::Run, told: &api::LoanReport) {
+    fn return_lent_task(&mut self, cx: &mut Context, run: wire::Run, told: &api::LoanReport) {
         let Some(t) = self.state.task(run.task) else { return };
         let failed = told.state == api::LoanState::Failed;
         if t.unwanted {
