--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -166,14 +166,14 @@
         loan.waiting_since = None;
         match told.state {
             api::LoanState::Waiting | api::LoanState::Running => {}
-            api::LoanState::Done => self.loan_ended(cx, run, Record::Finish { run }),
+            api::LoanState::Done => self.record_loan_end(cx, run, Record::Finish { run }),
             api::LoanState::Failed | api::LoanState::Stopped => {
                 self.return_lent_task(cx, run, told);
             }
         }
     }
 
-    fn loan_ended(&mut self, cx: &mut Context, run: wire::Run, record: Record) {
+    fn record_loan_end(&mut self, cx: &mut Context, run: wire::Run, record: Record) {
         let checked = self.verifier.check(&Fact::Ended(run));
         if cx.allowed(checked) {
             self.append_history(
@@ -189,12 +189,12 @@
         let Some(t) = self.state.task(run.task) else { return };
         let failed = told.state == api::LoanState::Failed;
         if t.unwanted {
-            self.loan_ended(cx, run, Record::Cancelled { run });
+            self.record_loan_end(cx, run, Record::Cancelled { run });
             return;
         }
         if failed && t.failures + 1 >= MAX_LENT_TASK_FAILURES {
             let why = "it failed in several partitions".to_string();
-            self.loan_ended(cx, run, Record::GiveUp { task: run.task, why });
+            self.record_loan_end(cx, run, Record::GiveUp { task: run.task, why });
             return;
         }
         let checkpoint_ms = told.checkpoint_ms.max(t.checkpoint_ms);
