--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -211,7 +211,7 @@
     pub(super) fn borrow(&mut self, cx: &mut Context, id: ReplyId, wanted: &api::Loan) {
         let key = loan_key(wanted.run);
         if let Some(number) = self.state.job_by_key(&wanted.partner, &key) {
-            self.borrowed_before(cx, id, number, wanted.stop);
+            self.answer_repeated_loan(cx, id, number, wanted.stop);
             return;
         }
         let number = self.state.next_job;
@@ -244,7 +244,7 @@
         self.schedule(cx);
     }
 
-    fn borrowed_before(&mut self, cx: &mut Context, id: ReplyId, number: u64, stop: bool) {
+    fn answer_repeated_loan(&mut self, cx: &mut Context, id: ReplyId, number: u64, stop: bool) {
         let Some(t) = self.state.jobs.get(&number).and_then(|j| j.tasks.first()) else { return };
         let stands = match t.is {
             task::Is::Queued => api::LoanState::Waiting,
