--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -234,12 +234,12 @@
         if wanted.stop {
             // Stored as cancelled, so that a late copy of the question cannot start it.
             self.record(cx, start, None);
-            let told = report(api::LoanState::Stopped, wanted.resume_ms);
+            let told = loan_report(api::LoanState::Stopped, wanted.resume_ms);
             let after = After::Reply(id, api::Reply::Loan(told));
             self.record(cx, Record::Cancel { number, index: None }, Some(after));
             return;
         }
-        let told = report(api::LoanState::Running, wanted.resume_ms);
+        let told = loan_report(api::LoanState::Running, wanted.resume_ms);
         self.record(cx, start, Some(After::Reply(id, api::Reply::Loan(told))));
         self.schedule(cx);
     }
@@ -253,7 +253,7 @@
             task::Is::Failed => api::LoanState::Failed,
             task::Is::Cancelled => api::LoanState::Stopped,
         };
-        let told = report(stands, t.checkpoint_ms);
+        let told = loan_report(stands, t.checkpoint_ms);
         let begin_stop = stop && !t.is.is_final() && !t.unwanted;
         if begin_stop {
             let run = wire::Run { task: state::task_id(self.id, number, 0), attempt: t.attempt };
@@ -268,6 +268,6 @@
     }
 }
 
-fn report(state: api::LoanState, checkpoint_ms: u64) -> api::LoanReport {
+fn loan_report(state: api::LoanState, checkpoint_ms: u64) -> api::LoanReport {
     api::LoanReport { state, checkpoint_ms }
 }
