--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -11,7 +11,7 @@
 use crate::records::Record;
 
 /// Assignments decided in one tick; the rest follows in the next.
-const MOST_PER_TICK: usize = 200;
+const MAX_ASSIGNMENTS_PER_TICK: usize = 200;
 /// Below this share of its slots a service counts as idle and does not limit batch.
 const IDLE_LOAD: f64 = 0.01;
 /// Waiting tasks of one partner that a tick looks at.
@@ -38,7 +38,7 @@
         }
         let workers = self.build_candidates(cx);
         let mut round = Round::default();
-        for _ in 0..MOST_PER_TICK {
+        for _ in 0..MAX_ASSIGNMENTS_PER_TICK {
             let mut shares = self.shares_of_partners(cx, &round.skip);
             if round.urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
                 shares.retain(|s| s.next.is_some_and(|(_, urgent)| urgent));
