--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -15,7 +15,7 @@
 /// Below this share of its slots a service counts as idle and does not limit batch.
 const IDLE_LOAD: f64 = 0.01;
 /// Waiting tasks of one partner that a tick looks at.
-const QUEUE_SHOWN: usize = 256;
+const MAX_QUEUE_SCAN: usize = 256;
 /// Tasks that are moved away at once to make room for urgent ones.
 const MOST_MOVING: usize = 4;
 
@@ -136,7 +136,7 @@
         round: &mut Round,
     ) -> bool {
         let waiting = self.state.waiting(partner).filter(|id| self.is_batch(*id));
-        let shown: Vec<ids::TaskId> = waiting.take(QUEUE_SHOWN).collect();
+        let shown: Vec<ids::TaskId> = waiting.take(MAX_QUEUE_SCAN).collect();
         for id in shown {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             let (kind, demand) = (job.kind.clone(), job.demand);
