--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -17,7 +17,7 @@
 /// Waiting tasks of one partner that a tick looks at.
 const MAX_QUEUE_SCAN: usize = 256;
 /// Tasks that are moved away at once to make room for urgent ones.
-const MOST_MOVING: usize = 4;
+const MAX_CONCURRENT_EVICTIONS: usize = 4;
 
 /// What one round of assignments has found so far.
 #[derive(Default)]
@@ -69,7 +69,7 @@
         let Some(job) = self.state.jobs.get(&task.job.number) else { return };
         let demand = job.demand;
         let moving = self.links.values().flat_map(|l| l.runs.values());
-        if moving.filter(|v| v.evicting.is_some()).count() >= MOST_MOVING {
+        if moving.filter(|v| v.evicting.is_some()).count() >= MAX_CONCURRENT_EVICTIONS {
             return;
         }
         let mut runs = Vec::new();
