--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -21,7 +21,7 @@
 
 /// What one round of assignments has found so far.
 #[derive(Default)]
-struct Round {
+struct SchedulingRound {
     /// Partners none of whose waiting tasks fits now.
     skip: Vec<ids::PartnerId>,
     /// Shapes that found no worker: at least this much of this kind, for this partner.
@@ -37,7 +37,7 @@
             return;
         }
         let workers = self.build_candidates(cx);
-        let mut round = Round::default();
+        let mut round = SchedulingRound::default();
         for _ in 0..MAX_ASSIGNMENTS_PER_TICK {
             let mut shares = self.shares_of_partners(cx, &round.skip);
             if round.urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
@@ -133,7 +133,7 @@
         cx: &mut Context,
         workers: &[ids::WorkerId],
         partner: &ids::PartnerId,
-        round: &mut Round,
+        round: &mut SchedulingRound,
     ) -> bool {
         let waiting = self.state.waiting(partner).filter(|id| self.is_batch(*id));
         let shown: Vec<ids::TaskId> = waiting.take(MAX_QUEUE_SCAN).collect();
