--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -23,7 +23,7 @@
 #[derive(Default)]
 struct SchedulingRound {
     /// Partners none of whose waiting tasks fits now.
-    skip: Vec<ids::PartnerId>,
+    exhausted_partners: Vec<ids::PartnerId>,
     /// Shapes that found no worker: at least this much of this kind, for this partner.
     failed: Vec<(ids::PartnerId, wire::TaskKind, sizes::Resources)>,
     /// The first urgent task that found no worker.
@@ -39,7 +39,7 @@
         let workers = self.build_candidates(cx);
         let mut round = SchedulingRound::default();
         for _ in 0..MAX_ASSIGNMENTS_PER_TICK {
-            let mut shares = self.shares_of_partners(cx, &round.skip);
+            let mut shares = self.shares_of_partners(cx, &round.exhausted_partners);
             if round.urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
                 shares.retain(|s| s.next.is_some_and(|(_, urgent)| urgent));
             }
@@ -50,14 +50,14 @@
                 if urgent && round.urgent.is_none() {
                     round.urgent = self.first_batch(&partner);
                 }
-                round.skip.push(partner);
+                round.exhausted_partners.push(partner);
             }
         }
         self.urgent_hold.record(cx.now, round.urgent.is_some());
         if let Some(task) = round.urgent.filter(|_| self.urgent_hold.should_evict(cx.now)) {
             self.make_room(cx, task);
         }
-        self.explain_waiting(cx, &round.skip);
+        self.explain_waiting(cx, &round.exhausted_partners);
     }
 
     fn first_batch(&self, partner: &ids::PartnerId) -> Option<ids::TaskId> {
