--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -25,7 +25,7 @@
     /// Partners none of whose waiting tasks fits now.
     exhausted_partners: Vec<ids::PartnerId>,
     /// Shapes that found no worker: at least this much of this kind, for this partner.
-    failed: Vec<(ids::PartnerId, wire::TaskKind, sizes::Resources)>,
+    unplaceable: Vec<(ids::PartnerId, wire::TaskKind, sizes::Resources)>,
     /// The first urgent task that found no worker.
     urgent: Option<ids::TaskId>,
 }
@@ -143,13 +143,13 @@
             let known = |(p, k, d): &(ids::PartnerId, wire::TaskKind, sizes::Resources)| {
                 p == partner && *k == kind && demand.holds(d)
             };
-            if round.failed.iter().any(known) {
+            if round.unplaceable.iter().any(known) {
                 continue;
             }
             if self.assign_batch(cx, workers, id) {
                 return true;
             }
-            round.failed.push((partner.clone(), kind, demand));
+            round.unplaceable.push((partner.clone(), kind, demand));
         }
         false
     }
