--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -27,7 +27,7 @@
     /// Shapes that found no worker: at least this much of this kind, for this partner.
     unplaceable: Vec<(ids::PartnerId, wire::TaskKind, sizes::Resources)>,
     /// The first urgent task that found no worker.
-    urgent: Option<ids::TaskId>,
+    blocked_urgent: Option<ids::TaskId>,
 }
 
 impl Partition {
@@ -40,21 +40,21 @@
         let mut round = SchedulingRound::default();
         for _ in 0..MAX_ASSIGNMENTS_PER_TICK {
             let mut shares = self.shares_of_partners(cx, &round.exhausted_partners);
-            if round.urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
+            if round.blocked_urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
                 shares.retain(|s| s.next.is_some_and(|(_, urgent)| urgent));
             }
             let Some(turn) = fair::next_partner(&shares, &self.shares.capacity) else { break };
             let partner = shares[turn].partner.clone();
             if !self.assign_one(cx, &workers, &partner, &mut round) {
                 let urgent = shares[turn].next.is_some_and(|(_, urgent)| urgent);
-                if urgent && round.urgent.is_none() {
-                    round.urgent = self.first_batch(&partner);
+                if urgent && round.blocked_urgent.is_none() {
+                    round.blocked_urgent = self.first_batch(&partner);
                 }
                 round.exhausted_partners.push(partner);
             }
         }
-        self.urgent_hold.record(cx.now, round.urgent.is_some());
-        if let Some(task) = round.urgent.filter(|_| self.urgent_hold.should_evict(cx.now)) {
+        self.urgent_hold.record(cx.now, round.blocked_urgent.is_some());
+        if let Some(task) = round.blocked_urgent.filter(|_| self.urgent_hold.should_evict(cx.now)) {
             self.make_room(cx, task);
         }
         self.explain_waiting(cx, &round.exhausted_partners);
