--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -55,7 +55,7 @@
         }
         self.urgent_hold.record(cx.now, round.blocked_urgent.is_some());
         if let Some(task) = round.blocked_urgent.filter(|_| self.urgent_hold.should_evict(cx.now)) {
-            self.make_room(cx, task);
+            self.evict_for_urgent_task(cx, task);
         }
         self.explain_waiting(cx, &round.exhausted_partners);
     }
@@ -65,7 +65,7 @@
     }
 
     /// Moves the cheapest ordinary task away from a worker that could then hold the urgent one.
-    fn make_room(&mut self, cx: &mut Context, task: ids::TaskId) {
+    fn evict_for_urgent_task(&mut self, cx: &mut Context, task: ids::TaskId) {
         let Some(job) = self.state.jobs.get(&task.job.number) else { return };
         let demand = job.demand;
         let moving = self.links.values().flat_map(|l| l.runs.values());
