--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -100,10 +100,10 @@
 
     fn shares_of_partners(&self, cx: &Context, skip: &[ids::PartnerId]) -> Vec<fair::PartnerShare> {
         let partners = self.state.waiting_partners().filter(|p| !skip.contains(p));
-        partners.filter_map(|p| self.share_of(cx, p)).collect()
+        partners.filter_map(|p| self.partner_share(cx, p)).collect()
     }
 
-    fn share_of(&self, cx: &Context, partner: &ids::PartnerId) -> Option<fair::PartnerShare> {
+    fn partner_share(&self, cx: &Context, partner: &ids::PartnerId) -> Option<fair::PartnerShare> {
         let first = self.first_batch(partner)?;
         let job = self.state.jobs.get(&first.job.number)?;
         let held = self.state.held(partner);
