--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -39,7 +39,7 @@
         let workers = self.build_candidates(cx);
         let mut round = SchedulingRound::default();
         for _ in 0..MAX_ASSIGNMENTS_PER_TICK {
-            let mut shares = self.shares_of_partners(cx, &round.exhausted_partners);
+            let mut shares = self.partner_shares(cx, &round.exhausted_partners);
             if round.blocked_urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
                 shares.retain(|s| s.next.is_some_and(|(_, urgent)| urgent));
             }
@@ -98,7 +98,7 @@
         }
     }
 
-    fn shares_of_partners(&self, cx: &Context, skip: &[ids::PartnerId]) -> Vec<fair::PartnerShare> {
+    fn partner_shares(&self, cx: &Context, skip: &[ids::PartnerId]) -> Vec<fair::PartnerShare> {
         let partners = self.state.waiting_partners().filter(|p| !skip.contains(p));
         partners.filter_map(|p| self.partner_share(cx, p)).collect()
     }
