--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -178,7 +178,7 @@
             };
             let at = allowed.0[choice];
             if self.assign(cx, &workers[at].clone(), id, reserve) {
-                note_assigned(&mut cx.candidates[at], &class, &reserve, &cx.pairing);
+                add_batch_reservation(&mut cx.candidates[at], &class, &reserve, &cx.pairing);
                 return true;
             }
         }
@@ -279,7 +279,7 @@
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             let Some(place) = self.state.task(id).and_then(|t| t.place.as_ref()) else { continue };
             if let wire::TaskKind::Batch(class) = &job.kind {
-                note_assigned(&mut c, class, &place.reserve, &cx.pairing);
+                add_batch_reservation(&mut c, class, &place.reserve, &cx.pairing);
                 c.used = c.used.minus(&place.reserve);
             }
         }
@@ -305,7 +305,7 @@
 }
 
 /// Adds a batch reservation to a candidate.
-fn note_assigned(
+fn add_batch_reservation(
     c: &mut placement::Candidate,
     class: &ids::BatchClass,
     reserve: &sizes::Resources,
