--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -57,7 +57,7 @@
         if let Some(task) = round.blocked_urgent.filter(|_| self.urgent_hold.should_evict(cx.now)) {
             self.evict_for_urgent_task(cx, task);
         }
-        self.explain_waiting(cx, &round.exhausted_partners);
+        self.record_wait_reasons(cx, &round.exhausted_partners);
     }
 
     fn first_batch(&self, partner: &ids::PartnerId) -> Option<ids::TaskId> {
@@ -287,7 +287,7 @@
     }
 
     /// Keeps the reason why the first waiting tasks wait, for `gaplock why`.
-    fn explain_waiting(&mut self, cx: &Context, skipped: &[ids::PartnerId]) {
+    fn record_wait_reasons(&mut self, cx: &Context, skipped: &[ids::PartnerId]) {
         for partner in skipped {
             let Some(first) = self.state.waiting(partner).next() else { continue };
             let usable = self.links.values().filter(|l| l.usable()).count();
