--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -7,7 +7,7 @@
 use crate::context::Context;
 
 /// The window over which workers measure.
-const WINDOW: time::Millis = time::Millis(1_000);
+const MEASUREMENT_WINDOW: time::Millis = time::Millis(1_000);
 const LOAD_SMOOTHING: f64 = 0.2;
 
 impl Partition {
@@ -30,7 +30,7 @@
         let busy = f64::from(reply.slots_busy) / slots;
         link.load += LOAD_SMOOTHING * (busy - link.load);
         let band = interference::LoadBand::of(link.load);
-        if let Some(shares) = link.exposures.during(usage.taken, WINDOW.0) {
+        if let Some(shares) = link.exposures.during(usage.taken, MEASUREMENT_WINDOW.0) {
             for s in usage.services.iter().filter(|s| s.requests > 0) {
                 cx.pairing.observe(&s.service, shares, band, s.p99_us as f64);
             }
@@ -104,7 +104,7 @@
             link.guard.speed = guard::FULL_SPEED_PER_MILLE;
             return;
         }
-        match link.guard.evaluate(clock, usage.taken, WINDOW, seen) {
+        match link.guard.evaluate(clock, usage.taken, MEASUREMENT_WINDOW, seen) {
             guard::GuardAction::Nothing => self.repeat_speed(cx, worker, &batch_runs),
             guard::GuardAction::Speed(speed) => {
                 cx.note(
