--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -12,7 +12,7 @@
 
 impl Partition {
     /// Takes in a measurement that came with a lease answer.
-    pub(super) fn take_in_usage(
+    pub(super) fn handle_usage(
         &mut self,
         cx: &mut Context,
         worker: &ids::WorkerId,
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -63,7 +63,7 @@
             self.run_reported(cx, worker, report);
         }
         self.find_missing(cx, worker, sent_at, reply);
-        self.take_in_usage(cx, worker, reply);
+        self.handle_usage(cx, worker, reply);
         self.send_starts(cx);
     }
 
