--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -39,12 +39,12 @@
             observe_tail(cx, s);
         }
         for r in &usage.runs {
-            self.learn_use(cx, r);
+            self.observe_cpu_use(cx, r);
         }
         self.guard(cx, worker, reply.clock, usage);
     }
 
-    fn learn_use(&self, cx: &mut Context, used: &wire::RunUsage) {
+    fn observe_cpu_use(&self, cx: &mut Context, used: &wire::RunUsage) {
         let Some(job) = self.state.jobs.get(&used.run.task.job.number) else { return };
         if let wire::TaskKind::Batch(class) = &job.kind {
             cx.estimator.observe(class, job.demand.cpu, used.cpu);
