--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -105,21 +105,21 @@
             return;
         }
         match link.guard.evaluate(clock, usage.taken, MEASUREMENT_WINDOW, seen) {
-            guard::GuardAction::Nothing => self.repeat_speed(cx, worker, &batch_runs),
+            guard::GuardAction::Nothing => self.send_speed(cx, worker, &batch_runs),
             guard::GuardAction::Speed(speed) => {
                 cx.note(
                     "throttle",
                     worker.to_string(),
                     format!("batch to {speed}, worst {worst:.2}"),
                 );
-                self.repeat_speed(cx, worker, &batch_runs);
+                self.send_speed(cx, worker, &batch_runs);
             }
             guard::GuardAction::EvictOne => self.evict_one(cx, worker, &batch_runs, worst),
         }
     }
 
     /// Sends the guard's speed to every run that has not confirmed it.
-    fn repeat_speed(&mut self, cx: &mut Context, worker: &ids::WorkerId, runs: &[wire::Run]) {
+    fn send_speed(&mut self, cx: &mut Context, worker: &ids::WorkerId, runs: &[wire::Run]) {
         let Some(link) = self.links.get(worker) else { return };
         let (speed, boot) = (link.guard.speed, link.boot.unwrap_or_default());
         let differs = |run: &&wire::Run| link.runs.get(run).is_some_and(|v| v.speed != speed);
