--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -139,7 +139,8 @@
         let Some(link) = self.links.get(worker) else { return };
         let band = interference::LoadBand::of(link.load);
         let whole = f64::from(link.host.capacity.cpu.0.max(1));
-        let services: Vec<ids::ServiceId> = runs_services(&self.state, link.runs.keys().copied());
+        let services: Vec<ids::ServiceId> =
+            services_of_runs(&self.state, link.runs.keys().copied());
         let mut victims = Vec::new();
         for run in runs {
             let view = &link.runs[run];
@@ -196,7 +197,7 @@
     tail.observe(now, s.p50_us as f64, s.p99_us as f64, objective_us);
 }
 
-fn runs_services(
+fn services_of_runs(
     state: &crate::state::PartState,
     runs: impl Iterator<Item = wire::Run>,
 ) -> Vec<ids::ServiceId> {
