--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -18,7 +18,7 @@
 
 /// How many boots of workers in a row may end soon after a task's start before it is given up: a third
 /// one may be chance, or the doing of a neighbour.
-const MOST_CRASHES: u32 = 4;
+const MAX_CRASHES: u32 = 4;
 
 /// How much work a run must have done to speak for its task when its worker boots anew: longer than
 /// anything that goes wrong at a start.
@@ -250,8 +250,8 @@
                 format!("it failed on {} workers", health::JOB_FAILED_WORKER_LIMIT),
             );
         }
-        if how.crashed && crashes + 1 >= MOST_CRASHES {
-            return self.give_up(cx, run, format!("{MOST_CRASHES} workers booted anew under it"));
+        if how.crashed && crashes + 1 >= MAX_CRASHES {
+            return self.give_up(cx, run, format!("{MAX_CRASHES} workers booted anew under it"));
         }
         let checkpoint_ms = how.checkpoint_ms.max(kept);
         let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
