--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -22,7 +22,7 @@
 
 /// How much work a run must have done to speak for its task when its worker boots anew: longer than
 /// anything that goes wrong at a start.
-const CLEARED_AFTER_MS: u64 = 30_000;
+const CRASH_WINDOW_WORK_MS: u64 = 30_000;
 
 /// How a run is proven to have stopped.
 pub(super) struct Stopped {
@@ -423,6 +423,6 @@
 fn ended_soon(link: &Link, run: wire::Run, boot: wire::Boot) -> bool {
     let rebooted = link.boot.is_some_and(|b| b != boot) && link.is != upstream::Is::Leaving;
     let began = |v: &RunView| v.started || v.valid_until > time::Instant::default();
-    let soon = |v: &RunView| began(v) && v.progress_ms < CLEARED_AFTER_MS;
+    let soon = |v: &RunView| began(v) && v.progress_ms < CRASH_WINDOW_WORK_MS;
     rebooted && link.runs.get(&run).is_some_and(soon)
 }
