--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -25,7 +25,7 @@
 const CRASH_WINDOW_WORK_MS: u64 = 30_000;
 
 /// How a run is proven to have stopped.
-pub(super) struct Stopped {
+pub(super) struct StoppedRun {
     pub(super) checkpoint_ms: u64,
     pub(super) failed: bool,
     /// Whether its worker booted anew soon after its start.
@@ -104,7 +104,7 @@
                     cx,
                     worker,
                     run,
-                    Stopped { checkpoint_ms, failed: true, crashed: false, why },
+                    StoppedRun { checkpoint_ms, failed: true, crashed: false, why },
                 );
             }
             wire::RunState::Stopped => {
@@ -114,7 +114,7 @@
                     cx,
                     worker,
                     run,
-                    Stopped { checkpoint_ms, failed: false, crashed: false, why },
+                    StoppedRun { checkpoint_ms, failed: false, crashed: false, why },
                 );
             }
         }
@@ -223,7 +223,7 @@
         cx: &mut Context,
         worker: &ids::WorkerId,
         run: wire::Run,
-        how: Stopped,
+        how: StoppedRun,
     ) {
         let Some(t) = self.state.task(run.task) else { return };
         let (unwanted, kept, crashes) = (t.unwanted, t.checkpoint_ms, t.crashes);
@@ -261,7 +261,7 @@
         let view = self.links.get(worker).and_then(|l| l.runs.get(&run));
         let evicted = view.is_some_and(|v| v.evicting.is_some());
         self.append_history(cx, run.task.job, format!("{} waits again: {}", run.task, how.why));
-        let Stopped { failed, crashed, why, .. } = how;
+        let StoppedRun { failed, crashed, why, .. } = how;
         let record = Record::Requeue { run, checkpoint_ms, evicted, failed, crashed, why };
         self.record(cx, record, None);
     }
@@ -312,7 +312,7 @@
                     cx,
                     worker,
                     run,
-                    Stopped { checkpoint_ms, failed, crashed: false, why },
+                    StoppedRun { checkpoint_ms, failed, crashed: false, why },
                 );
             } else if view.started && sent_at >= view.started_at {
                 let why = format!("{worker} does not know it any more");
@@ -320,7 +320,7 @@
                     cx,
                     worker,
                     run,
-                    Stopped { checkpoint_ms, failed: false, crashed: false, why },
+                    StoppedRun { checkpoint_ms, failed: false, crashed: false, why },
                 );
             }
         }
@@ -385,7 +385,7 @@
         }
         let crashed = link.is_some_and(|l| ended_soon(l, run, place.boot));
         let why = format!("{worker} is gone and its leases have ended");
-        self.stopped(cx, worker, run, Stopped { checkpoint_ms, failed: false, crashed, why });
+        self.stopped(cx, worker, run, StoppedRun { checkpoint_ms, failed: false, crashed, why });
     }
 
     /// Returns from when on no run of `boot` on `worker` can be alive.
