--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -100,7 +100,7 @@
             wire::RunState::Failed => {
                 let why = format!("it failed on {worker}");
                 let checkpoint_ms = report.checkpoint_ms;
-                self.stopped(
+                self.handle_stopped(
                     cx,
                     worker,
                     run,
@@ -110,7 +110,7 @@
             wire::RunState::Stopped => {
                 let why = why.unwrap_or_else(|| format!("its lease on {worker} lapsed"));
                 let checkpoint_ms = report.checkpoint_ms;
-                self.stopped(
+                self.handle_stopped(
                     cx,
                     worker,
                     run,
@@ -218,7 +218,7 @@
     }
 
     /// Requeues, gives up or cancels the task of a run that is proven to have stopped.
-    pub(super) fn stopped(
+    pub(super) fn handle_stopped(
         &mut self,
         cx: &mut Context,
         worker: &ids::WorkerId,
@@ -308,7 +308,7 @@
             if refused_for_good {
                 let why = format!("{worker} refused it: {:?}", view.refused);
                 let failed = view.refused == Some(wire::CommandOutcome::Failed);
-                self.stopped(
+                self.handle_stopped(
                     cx,
                     worker,
                     run,
@@ -316,7 +316,7 @@
                 );
             } else if view.started && sent_at >= view.started_at {
                 let why = format!("{worker} does not know it any more");
-                self.stopped(
+                self.handle_stopped(
                     cx,
                     worker,
                     run,
@@ -385,7 +385,12 @@
         }
         let crashed = link.is_some_and(|l| ended_soon(l, run, place.boot));
         let why = format!("{worker} is gone and its leases have ended");
-        self.stopped(cx, worker, run, StoppedRun { checkpoint_ms, failed: false, crashed, why });
+        self.handle_stopped(
+            cx,
+            worker,
+            run,
+            StoppedRun { checkpoint_ms, failed: false, crashed, why },
+        );
     }
 
     /// Returns from when on no run of `boot` on `worker` can be alive.
