--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -60,7 +60,7 @@
         });
         self.adopt_runs(worker);
         for report in &reply.runs {
-            self.run_reported(cx, worker, report);
+            self.handle_run_report(cx, worker, report);
         }
         self.find_missing(cx, worker, sent_at, reply);
         self.handle_usage(cx, worker, reply);
@@ -81,7 +81,12 @@
         }
     }
 
-    fn run_reported(&mut self, cx: &mut Context, worker: &ids::WorkerId, report: &wire::RunReport) {
+    fn handle_run_report(
+        &mut self,
+        cx: &mut Context,
+        worker: &ids::WorkerId,
+        report: &wire::RunReport,
+    ) {
         let run = report.run;
         if !self.assigned_here(run, worker) {
             self.stray_run(cx, worker, report);
