--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -89,7 +89,7 @@
     ) {
         let run = report.run;
         if !self.assigned_here(run, worker) {
-            self.stray_run(cx, worker, report);
+            self.handle_orphaned_run(cx, worker, report);
             return;
         }
         let Some(link) = self.links.get_mut(worker) else { return };
@@ -133,7 +133,12 @@
 
     /// Handles a run that the journal does not place here: an ended one is acknowledged once its
     /// end is committed, a running one is stopped.
-    fn stray_run(&mut self, cx: &mut Context, worker: &ids::WorkerId, report: &wire::RunReport) {
+    fn handle_orphaned_run(
+        &mut self,
+        cx: &mut Context,
+        worker: &ids::WorkerId,
+        report: &wire::RunReport,
+    ) {
         let run = report.run;
         let committed = self.journal.committed.task(run.task);
         let settled = !committed.is_some_and(|t| t.attempt == run.attempt && t.place.is_some());
