--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -62,7 +62,7 @@
         for report in &reply.runs {
             self.handle_run_report(cx, worker, report);
         }
-        self.find_missing(cx, worker, sent_at, reply);
+        self.handle_unreported_runs(cx, worker, sent_at, reply);
         self.handle_usage(cx, worker, reply);
         self.send_starts(cx);
     }
@@ -286,7 +286,7 @@
     }
 
     /// Judges the runs that a worker's report does not mention.
-    fn find_missing(
+    fn handle_unreported_runs(
         &mut self,
         cx: &mut Context,
         worker: &ids::WorkerId,
