--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -351,7 +351,7 @@
                 self.reconcile_task(cx, &worker, id);
             }
         }
-        self.empty_leaving(cx);
+        self.evict_from_leaving_workers(cx);
         for link in self.links.values_mut() {
             let probation = link.is == upstream::Is::Quarantined
                 && self.health.end_quarantine_if_due(cx.now, &link.host.worker);
@@ -363,7 +363,7 @@
 
     /// Moves batch tasks away from workers that are leaving; services go on until a replica
     /// elsewhere has taken over.
-    fn empty_leaving(&mut self, cx: &mut Context) {
+    fn evict_from_leaving_workers(&mut self, cx: &mut Context) {
         let leaving = self.links.iter().filter(|(_, l)| l.is == upstream::Is::Leaving);
         let mut found = Vec::new();
         for (worker, link) in leaving {
