--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -386,7 +386,7 @@
         let run = wire::Run { task: id, attempt: t.attempt };
         let mut checkpoint_ms = t.checkpoint_ms;
         let link = self.links.get(worker);
-        let dead_since = self.certainly_dead_since(cx, worker, link, place.boot);
+        let dead_since = self.runs_ended_at(cx, worker, link, place.boot);
         if cx.now < dead_since {
             return;
         }
@@ -404,7 +404,7 @@
     }
 
     /// Returns from when on no run of `boot` on `worker` can be alive.
-    fn certainly_dead_since(
+    fn runs_ended_at(
         &self,
         cx: &Context,
         worker: &ids::WorkerId,
