--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -393,7 +393,7 @@
         if let Some(view) = link.and_then(|l| l.runs.get(&run)) {
             checkpoint_ms = checkpoint_ms.max(view.checkpoint_ms);
         }
-        let crashed = link.is_some_and(|l| ended_soon(l, run, place.boot));
+        let crashed = link.is_some_and(|l| crashed_after_start(l, run, place.boot));
         let why = format!("{worker} is gone and its leases have ended");
         self.handle_stopped(
             cx,
@@ -435,7 +435,7 @@
 
 /// Tells whether a worker booted anew soon after the start of a run that its former boot may have begun.
 /// A worker that is leaving ends as it said.
-fn ended_soon(link: &Link, run: wire::Run, boot: wire::Boot) -> bool {
+fn crashed_after_start(link: &Link, run: wire::Run, boot: wire::Boot) -> bool {
     let rebooted = link.boot.is_some_and(|b| b != boot) && link.is != upstream::Is::Leaving;
     let began = |v: &RunView| v.started || v.valid_until > time::Instant::default();
     let soon = |v: &RunView| began(v) && v.progress_ms < CRASH_WINDOW_WORK_MS;
