--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -254,14 +254,14 @@
             }
         }
         if finding == health::FailureAction::FailJob {
-            return self.give_up(
+            return self.fail_task(
                 cx,
                 run,
                 format!("it failed on {} workers", health::JOB_FAILED_WORKER_LIMIT),
             );
         }
         if how.crashed && crashes + 1 >= MAX_CRASHES {
-            return self.give_up(cx, run, format!("{MAX_CRASHES} workers booted anew under it"));
+            return self.fail_task(cx, run, format!("{MAX_CRASHES} workers booted anew under it"));
         }
         let checkpoint_ms = how.checkpoint_ms.max(kept);
         let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
@@ -277,7 +277,7 @@
     }
 
     /// Gives up the task of a run that is proven to have stopped.
-    fn give_up(&mut self, cx: &mut Context, run: wire::Run, why: String) {
+    fn fail_task(&mut self, cx: &mut Context, run: wire::Run, why: String) {
         let checked = self.verifier.check(&Fact::Ended(run));
         if cx.allowed(checked) {
             self.append_history(cx, run.task.job, format!("{} given up: {why}", run.task));
