--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -309,7 +309,7 @@
                 }
                 continue;
             }
-            if self.on_other_boot(run, reply.boot) {
+            if self.assigned_to_other_boot(run, reply.boot) {
                 continue;
             }
             let checkpoint_ms = view.checkpoint_ms;
@@ -336,7 +336,7 @@
         }
     }
 
-    fn on_other_boot(&self, run: wire::Run, boot: wire::Boot) -> bool {
+    fn assigned_to_other_boot(&self, run: wire::Run, boot: wire::Boot) -> bool {
         self.state.task(run.task).and_then(|t| t.place.as_ref()).is_some_and(|p| p.boot != boot)
     }
 
