--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -20,7 +20,7 @@
 
 /// What a state does on an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum Transition {
     /// Go to a state.
     Go(State),
     /// Stay; the event means nothing here.
@@ -37,7 +37,7 @@
     pub(crate) finals: Vec<bool>,
     pub(crate) events: Vec<String>,
     /// One step for each state and event, state-major.
-    pub(crate) steps: Vec<Step>,
+    pub(crate) steps: Vec<Transition>,
     pub(crate) start: State,
 }
 
@@ -87,9 +87,9 @@
     /// Returns [`Forbidden`] where the chart says `never`.
     pub fn step(&self, state: State, event: Event) -> std::result::Result<State, Forbidden> {
         match self.steps[usize::from(state.0) * self.events.len() + usize::from(event.0)] {
-            Step::Go(next) => Ok(next),
-            Step::Keep => Ok(state),
-            Step::Never => Err(Forbidden {
+            Transition::Go(next) => Ok(next),
+            Transition::Keep => Ok(state),
+            Transition::Never => Err(Forbidden {
                 chart: self.name.clone(),
                 state: self.state_name(state).to_string(),
                 event: self.events[usize::from(event.0)].clone(),
--- a/crates/chart/src/parse.rs
+++ b/crates/chart/src/parse.rs
@@ -1,6 +1,6 @@
 //! Reads the chart language and checks what was read.
 
-use crate::{Chart, ChartError, Event, Result, State, Step};
+use crate::{Chart, ChartError, Event, Result, State, Transition};
 
 #[derive(Default)]
 struct Draft {
@@ -70,16 +70,16 @@
         return fail(0, "the chart has no state");
     }
     let width = draft.events.len();
-    let mut steps: Vec<Option<Step>> = vec![None; draft.states.len() * width];
+    let mut steps: Vec<Option<Transition>> = vec![None; draft.states.len() * width];
     for (line, state, event, target) in &draft.rules {
         let Some(column) = draft.events.iter().position(|e| e == event) else {
             return fail(*line, format!("event `{event}` is not declared"));
         };
         let step = match target.as_deref() {
-            None => Step::Keep,
-            Some(NEVER) => Step::Never,
+            None => Transition::Keep,
+            Some(NEVER) => Transition::Never,
             Some(name) => match draft.states.iter().position(|s| s == name) {
-                Some(i) => Step::Go(State(i as u8)),
+                Some(i) => Transition::Go(State(i as u8)),
                 None => return fail(*line, format!("state `{name}` does not exist")),
             },
         };
@@ -102,7 +102,7 @@
                 ),
             })
         })
-        .collect::<Result<Vec<Step>>>()?;
+        .collect::<Result<Vec<Transition>>>()?;
     Ok(Chart {
         name: draft.name,
         states: draft.states,
