--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -37,7 +37,7 @@
     pub(crate) finals: Vec<bool>,
     pub(crate) events: Vec<String>,
     /// One step for each state and event, state-major.
-    pub(crate) steps: Vec<Transition>,
+    pub(crate) transitions: Vec<Transition>,
     pub(crate) start: State,
 }
 
@@ -86,7 +86,7 @@
     /// # Errors
     /// Returns [`Forbidden`] where the chart says `never`.
     pub fn step(&self, state: State, event: Event) -> std::result::Result<State, Forbidden> {
-        match self.steps[usize::from(state.0) * self.events.len() + usize::from(event.0)] {
+        match self.transitions[usize::from(state.0) * self.events.len() + usize::from(event.0)] {
             Transition::Go(next) => Ok(next),
             Transition::Keep => Ok(state),
             Transition::Never => Err(Forbidden {
--- a/crates/chart/src/parse.rs
+++ b/crates/chart/src/parse.rs
@@ -108,7 +108,7 @@
         states: draft.states,
         finals: draft.finals,
         events: draft.events,
-        steps,
+        transitions: steps,
         start: State(0),
     })
 }
