--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -54,7 +54,7 @@
 /// An event came in a state that the chart marks `never` for it.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("chart {chart}: `{event}` must not come in state `{state}`")]
-pub struct Forbidden {
+pub struct ForbiddenEvent {
     /// The chart.
     pub chart: String,
     /// The state.
@@ -85,11 +85,11 @@
     ///
     /// # Errors
     /// Returns [`Forbidden`] where the chart says `never`.
-    pub fn step(&self, state: State, event: Event) -> std::result::Result<State, Forbidden> {
+    pub fn step(&self, state: State, event: Event) -> std::result::Result<State, ForbiddenEvent> {
         match self.transitions[usize::from(state.0) * self.events.len() + usize::from(event.0)] {
             Transition::Go(next) => Ok(next),
             Transition::Keep => Ok(state),
-            Transition::Never => Err(Forbidden {
+            Transition::Never => Err(ForbiddenEvent {
                 chart: self.name.clone(),
                 state: self.state_name(state).to_string(),
                 event: self.events[usize::from(event.0)].clone(),
--- a/crates/chart/src/table.rs
+++ b/crates/chart/src/table.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync;
 
-use crate::{Chart, Event, Forbidden, State};
+use crate::{Chart, Event, ForbiddenEvent, State};
 
 /// Declares a typed view on one chart file.
 macro_rules! chart {
@@ -62,7 +62,7 @@
                 ///
                 /// # Errors
                 /// Returns [`Forbidden`] where the file says `never`.
-                pub fn step(self, event: On) -> Result<Self, Forbidden> {
+                pub fn step(self, event: On) -> Result<Self, ForbiddenEvent> {
                     let next = chart().step(self.id(), event.id())?;
                     let name = chart().state_name(next);
                     Ok(Self::from_name(name).unwrap_or_else(|| panic!("untyped state `{name}`")))
