--- a/crates/chart/src/parse.rs
+++ b/crates/chart/src/parse.rs
@@ -3,7 +3,7 @@
 use crate::{Chart, ChartError, Event, Result, State, Transition};
 
 #[derive(Default)]
-struct Draft {
+struct ChartDraft {
     name: String,
     events: Vec<String>,
     states: Vec<String>,
@@ -19,7 +19,7 @@
 }
 
 pub(crate) fn parse(text: &str) -> Result<Chart> {
-    let mut draft = Draft::default();
+    let mut draft = ChartDraft::default();
     for (i, raw) in text.lines().enumerate() {
         let line = raw.split('#').next().unwrap_or_default();
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -30,7 +30,7 @@
     Ok(chart)
 }
 
-fn read_line(draft: &mut Draft, line: usize, words: &[&str]) -> Result<()> {
+fn read_line(draft: &mut ChartDraft, line: usize, words: &[&str]) -> Result<()> {
     match words {
         [] => {}
         ["chart", name] => draft.name = (*name).to_string(),
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-fn add_state(draft: &mut Draft, line: usize, name: &str, is_final: bool) -> Result<()> {
+fn add_state(draft: &mut ChartDraft, line: usize, name: &str, is_final: bool) -> Result<()> {
     if draft.states.iter().any(|s| s == name) {
         return fail(line, format!("state `{name}` stands twice"));
     }
@@ -54,7 +54,12 @@
     Ok(())
 }
 
-fn add_rules(draft: &mut Draft, line: usize, events: &[&str], target: Option<&str>) -> Result<()> {
+fn add_rules(
+    draft: &mut ChartDraft,
+    line: usize,
+    events: &[&str],
+    target: Option<&str>,
+) -> Result<()> {
     let Some(state) = draft.states.len().checked_sub(1) else {
         return fail(line, "a rule stands before the first state");
     };
@@ -65,7 +70,7 @@
     Ok(())
 }
 
-fn build(draft: Draft) -> Result<Chart> {
+fn build(draft: ChartDraft) -> Result<Chart> {
     if draft.states.is_empty() {
         return fail(0, "the chart has no state");
     }
