--- a/crates/chart/src/parse.rs
+++ b/crates/chart/src/parse.rs
@@ -12,7 +12,7 @@
     rules: Vec<(usize, usize, String, Option<String>)>,
 }
 
-const NEVER: &str = "!";
+const NEVER_TARGET: &str = "!";
 
 fn fail<T>(line: usize, why: impl Into<String>) -> Result<T> {
     Err(ChartError { line, why: why.into() })
@@ -39,7 +39,7 @@
         ["final", name] => add_state(draft, line, name, true)?,
         ["on", events @ .., "->", target] => add_rules(draft, line, events, Some(target))?,
         ["keep", events @ ..] => add_rules(draft, line, events, None)?,
-        ["never", events @ ..] => add_rules(draft, line, events, Some(NEVER))?,
+        ["never", events @ ..] => add_rules(draft, line, events, Some(NEVER_TARGET))?,
         _ => return fail(line, format!("`{}` is not understood", words.join(" "))),
     }
     Ok(())
@@ -82,7 +82,7 @@
         };
         let step = match target.as_deref() {
             None => Transition::Keep,
-            Some(NEVER) => Transition::Never,
+            Some(NEVER_TARGET) => Transition::Never,
             Some(name) => match draft.states.iter().position(|s| s == name) {
                 Some(i) => Transition::Go(State(i as u8)),
                 None => return fail(*line, format!("state `{name}` does not exist")),
