--- a/crates/chart/src/parse.rs
+++ b/crates/chart/src/parse.rs
@@ -1,17 +1,20 @@
-//! Reads the chart language and checks what was read.
+//! Parses the chart language and checks that the chart is complete and every state reachable.
 
 use crate::{Chart, ChartError, Event, Result, State, Transition};
 
+/// The lines of a chart as parsed, before names are resolved.
 #[derive(Default)]
 struct ChartDraft {
     name: String,
     events: Vec<String>,
     states: Vec<String>,
     finals: Vec<bool>,
-    /// Line, state, event, and the target (`None` is `keep`; `Some("!")` is `never`).
+    /// Line, state, event and target. The target `None` means `keep`, and [`NEVER_TARGET`] means
+    /// `never`.
     rules: Vec<(usize, usize, String, Option<String>)>,
 }
 
+/// Stands for `never` as the target of a rule.
 const NEVER_TARGET: &str = "!";
 
 fn fail<T>(line: usize, why: impl Into<String>) -> Result<T> {
@@ -40,14 +43,14 @@
         ["on", events @ .., "->", target] => add_rules(draft, line, events, Some(target))?,
         ["keep", events @ ..] => add_rules(draft, line, events, None)?,
         ["never", events @ ..] => add_rules(draft, line, events, Some(NEVER_TARGET))?,
-        _ => return fail(line, format!("`{}` is not understood", words.join(" "))),
+        _ => return fail(line, format!("cannot parse `{}`", words.join(" "))),
     }
     Ok(())
 }
 
 fn add_state(draft: &mut ChartDraft, line: usize, name: &str, is_final: bool) -> Result<()> {
     if draft.states.iter().any(|s| s == name) {
-        return fail(line, format!("state `{name}` stands twice"));
+        return fail(line, format!("state `{name}` is declared twice"));
     }
     draft.states.push(name.to_string());
     draft.finals.push(is_final);
@@ -61,7 +64,7 @@
     target: Option<&str>,
 ) -> Result<()> {
     let Some(state) = draft.states.len().checked_sub(1) else {
-        return fail(line, "a rule stands before the first state");
+        return fail(line, "rule before the first state");
     };
     for event in events {
         let rule = (line, state, (*event).to_string(), target.map(str::to_string));
@@ -75,33 +78,33 @@
         return fail(0, "the chart has no state");
     }
     let width = draft.events.len();
-    let mut steps: Vec<Option<Transition>> = vec![None; draft.states.len() * width];
+    let mut transitions: Vec<Option<Transition>> = vec![None; draft.states.len() * width];
     for (line, state, event, target) in &draft.rules {
         let Some(column) = draft.events.iter().position(|e| e == event) else {
             return fail(*line, format!("event `{event}` is not declared"));
         };
-        let step = match target.as_deref() {
+        let transition = match target.as_deref() {
             None => Transition::Keep,
             Some(NEVER_TARGET) => Transition::Never,
             Some(name) => match draft.states.iter().position(|s| s == name) {
                 Some(i) => Transition::Go(State(i as u8)),
-                None => return fail(*line, format!("state `{name}` does not exist")),
+                None => return fail(*line, format!("state `{name}` is not declared")),
             },
         };
-        let slot = &mut steps[state * width + column];
+        let slot = &mut transitions[state * width + column];
         if slot.is_some() {
-            return fail(*line, format!("event `{event}` stands twice in one state"));
+            return fail(*line, format!("event `{event}` has two rules in one state"));
         }
-        *slot = Some(step);
+        *slot = Some(transition);
     }
-    let steps = steps
+    let transitions = transitions
         .into_iter()
         .enumerate()
-        .map(|(i, step)| {
-            step.ok_or_else(|| ChartError {
+        .map(|(i, transition)| {
+            transition.ok_or_else(|| ChartError {
                 line: 0,
                 why: format!(
-                    "state `{}` does not mention event `{}`",
+                    "state `{}` has no rule for event `{}`",
                     draft.states[i / width],
                     draft.events[i % width]
                 ),
@@ -113,26 +116,26 @@
         states: draft.states,
         finals: draft.finals,
         events: draft.events,
-        transitions: steps,
+        transitions,
         start: State(0),
     })
 }
 
 fn check_reachable(chart: &Chart) -> Result<()> {
     let mut reached = vec![false; chart.states.len()];
-    let mut open = vec![chart.start];
-    while let Some(state) = open.pop() {
+    let mut to_visit = vec![chart.start];
+    while let Some(state) = to_visit.pop() {
         if std::mem::replace(&mut reached[usize::from(state.0)], true) {
             continue;
         }
         for event in 0..chart.events.len() {
             if let Ok(next) = chart.step(state, Event(event as u8)) {
-                open.push(next);
+                to_visit.push(next);
             }
         }
     }
     match reached.iter().position(|r| !r) {
-        Some(i) => fail(0, format!("state `{}` cannot be reached", chart.states[i])),
+        Some(i) => fail(0, format!("state `{}` is unreachable", chart.states[i])),
         None => Ok(()),
     }
 }
--- a/crates/chart/tests/charts.rs
+++ b/crates/chart/tests/charts.rs
@@ -1,47 +1,53 @@
-//! Charts that must be refused, and the shipped charts.
+//! Tests that invalid charts are rejected and that the charts of the daemons are valid.
 
 use expect_test::expect;
 use gaplock_chart::table::{intent, ownership, task, upstream};
 use gaplock_chart::Chart;
 
-fn refusal(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     Chart::parse(text).map(|c| c.to_string()).unwrap_err().to_string()
 }
 
 #[test]
-fn faulty_charts_are_refused() {
-    let found = [
-        refusal("chart a\nevents go\nstate x\n  never go\nstate y\n  keep go\n"),
-        refusal("chart a\nevents go stop\nstate x\n  on go -> x\n"),
-        refusal("chart a\nevents go\nstate x\n  on go -> nowhere\n"),
-        refusal("chart a\nevents go\nstate x\n  on run -> x\n"),
-        refusal("chart a\nevents go\nstate x\n  keep go\n  never go\n"),
-        refusal("chart a\nevents go\n  keep go\n"),
-        refusal("chart a\nstate x\nstate x\n"),
-        refusal("chart a\nnonsense\n"),
+fn invalid_charts_are_rejected() {
+    let errors = [
+        parse_error("chart a\nevents go\nstate x\n  never go\nstate y\n  keep go\n"),
+        parse_error("chart a\nevents go stop\nstate x\n  on go -> x\n"),
+        parse_error("chart a\nevents go\nstate x\n  on go -> nowhere\n"),
+        parse_error("chart a\nevents go\nstate x\n  on run -> x\n"),
+        parse_error("chart a\nevents go\nstate x\n  keep go\n  never go\n"),
+        parse_error("chart a\nevents go\n  keep go\n"),
+        parse_error("chart a\nstate x\nstate x\n"),
+        parse_error("chart a\nnonsense\n"),
     ];
     expect![[r#"
-        line 0: state `y` cannot be reached
-        line 0: state `x` does not mention event `stop`
-        line 4: state `nowhere` does not exist
+        line 0: state `y` is unreachable
+        line 0: state `x` has no rule for event `stop`
+        line 4: state `nowhere` is not declared
         line 4: event `run` is not declared
-        line 5: event `go` stands twice in one state
-        line 3: a rule stands before the first state
-        line 3: state `x` stands twice
-        line 2: `nonsense` is not understood"#]]
-    .assert_eq(&found.join("\n"));
+        line 5: event `go` has two rules in one state
+        line 3: rule before the first state
+        line 3: state `x` is declared twice
+        line 2: cannot parse `nonsense`"#]]
+    .assert_eq(&errors.join("\n"));
 }
 
 #[test]
-fn shipped_charts_load_and_match_their_types() {
+fn daemon_charts_parse_and_every_state_has_a_variant() {
     for chart in [task::chart(), upstream::chart(), ownership::chart(), intent::chart()] {
-        assert!(chart.state_names().count() > 1, "{chart}");
+        assert!(chart.state_names().count() > 1, "expected more than one state: {chart}");
     }
     for name in task::chart().state_names() {
-        assert!(task::Is::from_name(name).is_some(), "task state {name} has no type");
+        assert!(
+            task::Is::from_name(name).is_some(),
+            "state {name} of the task chart has no variant"
+        );
     }
     for name in upstream::chart().state_names() {
-        assert!(upstream::Is::from_name(name).is_some(), "upstream state {name} has no type");
+        assert!(
+            upstream::Is::from_name(name).is_some(),
+            "state {name} of the upstream chart has no variant"
+        );
     }
 }
 
