--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -1,31 +1,31 @@
 //! Loads, checks and interprets the state charts under `charts/`.
 //!
-//! A chart is a small text file. Keeping it outside the code lets a newcomer read every state of a
-//! task or a worker in one place, and lets [`Chart::parse`] refuse a chart with an unreachable
-//! state or an event that some state does not mention. The language is described in
-//! `docs/DESIGN.md`, section State charts.
+//! A chart is a small text file that defines a state machine. Keeping charts outside the code puts
+//! every state of a task or a worker in one place for the reader, and lets [`Chart::parse`] reject
+//! a chart with an unreachable state or with an event that some state does not handle. The language
+//! is described in `docs/DESIGN.md`, section State charts.
 
 mod parse;
 pub mod table;
 
 use std::fmt;
 
-/// A state by its position in the chart.
+/// A state, as its index in the chart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct State(pub(crate) u8);
 
-/// An event by its position in the chart.
+/// An event, as its index in the chart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Event(pub(crate) u8);
 
-/// What a state does on an event.
+/// The effect of an event in one state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Transition {
-    /// Go to a state.
+    /// Changes to the given state.
     Go(State),
-    /// Stay; the event means nothing here.
+    /// Keeps the state; the event has no effect.
     Keep,
-    /// The event must not come here.
+    /// The event is forbidden in this state.
     Never,
 }
 
@@ -36,30 +36,30 @@
     pub(crate) states: Vec<String>,
     pub(crate) finals: Vec<bool>,
     pub(crate) events: Vec<String>,
-    /// One step for each state and event, state-major.
+    /// One transition for each pair of state and event, in state-major order.
     pub(crate) transitions: Vec<Transition>,
     pub(crate) start: State,
 }
 
-/// Why a chart was refused.
+/// Why a chart was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("line {line}: {why}")]
 pub struct ChartError {
-    /// The line, counted from one; 0 where the whole chart is meant.
+    /// The line number, starting at 1; 0 if the error concerns the whole chart.
     pub line: usize,
     /// What is wrong.
     pub why: String,
 }
 
-/// An event came in a state that the chart marks `never` for it.
+/// The error for an event in a state whose chart marks the event as `never`.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("chart {chart}: `{event}` must not come in state `{state}`")]
 pub struct ForbiddenEvent {
-    /// The chart.
+    /// The chart's name.
     pub chart: String,
-    /// The state.
+    /// The state's name.
     pub state: String,
-    /// The event.
+    /// The event's name.
     pub event: String,
 }
 
@@ -70,13 +70,13 @@
     /// Parses and checks a chart.
     ///
     /// # Errors
-    /// Returns the first fault: a line that cannot be read, a state that cannot be reached, or a
-    /// state that does not mention an event.
+    /// Returns the first error found: a line that cannot be parsed, an unreachable state, or a
+    /// state that does not handle an event.
     pub fn parse(text: &str) -> Result<Self> {
         parse::parse(text)
     }
 
-    /// Returns the state in which everything begins.
+    /// Returns the initial state.
     pub fn start(&self) -> State {
         self.start
     }
@@ -84,7 +84,7 @@
     /// Returns the state that follows `state` on `event`.
     ///
     /// # Errors
-    /// Returns [`Forbidden`] where the chart says `never`.
+    /// Returns [`ForbiddenEvent`] if the chart marks `event` as `never` in `state`.
     pub fn step(&self, state: State, event: Event) -> std::result::Result<State, ForbiddenEvent> {
         match self.transitions[usize::from(state.0) * self.events.len() + usize::from(event.0)] {
             Transition::Go(next) => Ok(next),
@@ -112,7 +112,7 @@
         &self.states[usize::from(state.0)]
     }
 
-    /// Tells whether nothing follows `state`.
+    /// Returns whether `state` is final, which means that it has no successor.
     pub fn is_final(&self, state: State) -> bool {
         self.finals[usize::from(state.0)]
     }
