--- a/crates/chart/src/table.rs
+++ b/crates/chart/src/table.rs
@@ -1,14 +1,14 @@
-//! The charts that the daemons run on, with their states and events as typed constants.
+//! The charts that the daemons use, with an enum for the states and one for the events of each.
 //!
-//! The typed names are bound to the files once, at the first use; a name that the file does not
-//! have is a fault of the build and stops the program there.
+//! Each chart file is compiled in and parsed once, at first use. An enum value whose name is not in
+//! the file is a programming error and panics when it is looked up.
 
 use std::fmt;
 use std::sync;
 
 use crate::{Chart, Event, ForbiddenEvent, State};
 
-/// Declares a typed view on one chart file.
+/// Declares the typed states and events of one chart file.
 macro_rules! chart {
     ($(#[$doc:meta])* $module:ident, $file:literal,
      states { $($state:ident = $state_name:literal),* $(,)? }
@@ -17,7 +17,7 @@
         pub mod $module {
             use super::*;
 
-            /// Returns the chart as loaded from its file.
+            /// Returns the chart, parsed from its file at the first call.
             pub fn chart() -> &'static Chart {
                 static CHART: sync::OnceLock<Chart> = sync::OnceLock::new();
                 CHART.get_or_init(|| {
@@ -41,41 +41,43 @@
             impl Is {
                 const ALL: &'static [Self] = &[$(Self::$state,)*];
 
-                /// Returns the state's name in the file.
+                /// Returns the state's name in the chart file.
                 pub fn name(self) -> &'static str {
                     match self {
                         $(Self::$state => $state_name,)*
                     }
                 }
 
-                /// Finds a state by its name in the file.
+                /// Finds a state by its name in the chart file.
                 pub fn from_name(name: &str) -> Option<Self> {
                     Self::ALL.iter().copied().find(|s| s.name() == name)
                 }
 
                 fn id(self) -> State {
                     let name = self.name();
-                    chart().state(name).unwrap_or_else(|| panic!("no state `{name}` in {}", $file))
+                    chart()
+                        .state(name)
+                        .unwrap_or_else(|| panic!("no state `{name}` in charts/{}", $file))
                 }
 
-                /// Returns the state that follows on `event`, as the file says.
+                /// Returns the state that follows on `event` according to the chart.
                 ///
                 /// # Errors
-                /// Returns [`Forbidden`] where the file says `never`.
+                /// Returns [`ForbiddenEvent`] if the chart marks `event` as `never` in this state.
                 pub fn step(self, event: On) -> Result<Self, ForbiddenEvent> {
                     let next = chart().step(self.id(), event.id())?;
                     let name = chart().state_name(next);
-                    Ok(Self::from_name(name).unwrap_or_else(|| panic!("untyped state `{name}`")))
+                    Ok(Self::from_name(name).unwrap_or_else(|| panic!("no variant for `{name}`")))
                 }
 
-                /// Tells whether nothing follows.
+                /// Returns whether this state is final, which means that it has no successor.
                 pub fn is_final(self) -> bool {
                     chart().is_final(self.id())
                 }
             }
 
             impl On {
-                /// Returns the event's name in the file.
+                /// Returns the event's name in the chart file.
                 pub fn name(self) -> &'static str {
                     match self {
                         $(Self::$event => $event_name,)*
@@ -84,7 +86,9 @@
 
                 fn id(self) -> Event {
                     let name = self.name();
-                    chart().event(name).unwrap_or_else(|| panic!("no event `{name}` in {}", $file))
+                    chart()
+                        .event(name)
+                        .unwrap_or_else(|| panic!("no event `{name}` in charts/{}", $file))
                 }
             }
 
@@ -98,7 +102,7 @@
 }
 
 chart!(
-    /// A task from its submission to its end, as the journal keeps it.
+    /// A task from its submission to its end, as recorded in the journal.
     task, "task.chart",
     states {
         Queued = "queued", Assigned = "assigned", Done = "done", Failed = "failed",
@@ -111,7 +115,7 @@
 );
 
 chart!(
-    /// A worker as the owner of its partition sees it.
+    /// A worker from the point of view of its partition's owner.
     upstream, "upstream.chart",
     states {
         Unknown = "unknown", Usable = "usable", Silent = "silent", Quarantined = "quarantined",
@@ -124,7 +128,7 @@
 );
 
 chart!(
-    /// A partition as one entry sees it.
+    /// A partition from the point of view of one entry.
     ownership, "ownership.chart",
     states {
         Other = "other", Loading = "loading", Claiming = "claiming", Owner = "owner",
@@ -137,7 +141,7 @@
 );
 
 chart!(
-    /// An operator's plan at the entry that made it.
+    /// An operator's plan at the entry that created it.
     intent, "intent.chart",
     states {
         Planned = "planned", Confirming = "confirming", Accepted = "accepted",
