--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -1,4 +1,4 @@
-//! Handles callers' and operators' commands to a partition's owner.
+//! Handles the commands that callers and operators send to a partition's owner.
 
 use gaplock_chart::table::{task, upstream};
 use gaplock_policy::placement;
@@ -12,17 +12,19 @@
 use crate::records::Record;
 use crate::state::{Job, Once};
 
-/// The largest kept answer, in bytes of base 64.
+/// The largest answer body that is stored, in bytes of base64; longer ones are left out, to
+/// keep the state small.
 const MAX_STORED_ANSWER_BYTES: usize = 2_048;
-/// After this long a claim without an end will not get one; longer than any request may take.
+/// A claim without a stored end is answered as unknown after this time, which is longer than any
+/// request may take.
 const CLAIM_TIMEOUT_MS: u64 = 60_000;
-/// The most claims that one partition keeps; further ones are refused, not run.
+/// Claims that one partition stores; further requests are refused without being run.
 const MAX_CLAIMS: usize = 4_000;
-/// The most waiting tasks in one partition; further jobs are refused, not run.
+/// Waiting tasks in one partition; further jobs are refused without being run.
 const MAX_WAITING_TASKS: usize = 20_000;
 
 impl Once {
-    /// Tells whether an answer's body is kept.
+    /// Returns whether the answer's body is stored.
     pub(super) fn has_stored_answer(&self) -> bool {
         matches!(&self.end, Some(api::OnceEnd::Ran { body: Some(_), .. }))
     }
@@ -33,7 +35,7 @@
 }
 
 impl Partition {
-    /// Handles a command; its reply follows at once or with a commit.
+    /// Handles a command. The reply is sent at once or after a commit.
     pub fn command(&mut self, cx: &mut Context, id: ReplyId, command: api::Command) {
         if !self.journal.owns() {
             cx.reply(id, journal::not_owner_reply());
@@ -41,7 +43,7 @@
         }
         let writes = !matches!(command, api::Command::Status { .. } | api::Command::Survey);
         if writes && !self.journal.healthy(cx) {
-            // A refusal speaks of this try, and an earlier one may be stored.
+            // The refusal is only about this attempt; an earlier attempt may be stored.
             let reply = match self.is_recorded(&command) {
                 true => journal::begun_reply(),
                 false => refused(codes::Code::StoreDown, ""),
@@ -77,7 +79,7 @@
         self.journal.poll(cx);
     }
 
-    /// Tells whether an earlier try of a command has been recorded, stored or not.
+    /// Returns whether an earlier attempt of a command has been recorded, committed or not.
     fn is_recorded(&self, command: &api::Command) -> bool {
         match command {
             api::Command::Submit { partner, key, .. } => {
@@ -93,7 +95,7 @@
             api::Command::Borrow(wanted) => {
                 self.state.job_by_key(&wanted.partner, &loan_key(wanted.run)).is_some()
             }
-            // Whoever stores an end repeats it until that is confirmed.
+            // The sender of an end repeats it until it is confirmed.
             api::Command::OnceDone { .. } | api::Command::Status { .. } | api::Command::Survey => {
                 false
             }
@@ -108,15 +110,17 @@
         key: ids::RequestKey,
         spec: &api::JobSpec,
     ) {
-        let digest = serde_json::to_string(spec).expect("plain data serialises");
+        let digest =
+            serde_json::to_string(spec).expect("a job specification always serializes to JSON");
         if let Some(number) = self.state.job_by_key(&partner, &key) {
-            let known = self.state.jobs.get(&number).is_some_and(|j| j.digest == digest);
-            let reply = if known {
+            let same_job = self.state.jobs.get(&number).is_some_and(|j| j.digest == digest);
+            let reply = if same_job {
                 api::Reply::Submitted(ids::JobId { home: self.id, number })
             } else {
                 refused(codes::Code::KeyReused, "The key belongs to another job")
             };
-            // The first submission may still wait for its commit, so the repeat waits with it.
+            // The first submission may not be committed yet; the repeat must not be answered
+            // before it.
             self.reply_after_commit(cx, id, reply);
             return;
         }
@@ -233,7 +237,7 @@
                 }
                 Some(end) => api::Reply::Ended(end.clone()),
                 None if once.claimer == claimer => api::Reply::Granted,
-                // The claimer's entry must have died: nobody will store how it ended.
+                // The claimer's entry must have died, so the end will never be stored.
                 None if expired => api::Reply::Ended(api::OnceEnd::Unknown),
                 None => refused(codes::Code::InProgress, "The request was claimed before"),
             };
