--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -1,4 +1,8 @@
-//! Takes in workers' late measurements: learns from them, and guards the services.
+//! Handles the measurements that workers report with their lease answers.
+//!
+//! The measurements train the interference model and the estimate of processor use. They also drive
+//! the guard, which slows or evicts batch tasks on a worker whose services exceed their latency
+//! ceiling. Measurements arrive late, so they are matched with what ran during their window.
 
 use gaplock_policy::{guard, interference};
 use gaplock_types::{ids, sizes, time, wire};
@@ -6,12 +10,13 @@
 use super::Partition;
 use crate::context::Context;
 
-/// The window over which workers measure.
+/// The window over which workers measure usage and latency.
 const MEASUREMENT_WINDOW: time::Millis = time::Millis(1_000);
+/// The weight of the latest measurement in a worker's smoothed load.
 const LOAD_SMOOTHING: f64 = 0.2;
 
 impl Partition {
-    /// Takes in a measurement that came with a lease answer.
+    /// Handles a measurement that came with a lease answer.
     pub(super) fn handle_usage(
         &mut self,
         cx: &mut Context,
@@ -51,16 +56,18 @@
         }
     }
 
+    /// Returns the share of a worker's processors that each batch class has reserved, scaled by the
+    /// runs' current speeds.
     fn running_shares(&self, worker: &ids::WorkerId) -> interference::BatchCpuShares {
         let Some(link) = self.links.get(worker) else { return Vec::new() };
-        let whole = f64::from(link.host.capacity.cpu.0.max(1));
+        let total_cpu = f64::from(link.host.capacity.cpu.0.max(1));
         let mut shares = interference::BatchCpuShares::new();
         for (run, view) in link.runs.iter().filter(|(_, view)| view.started) {
             let Some(job) = self.state.jobs.get(&run.task.job.number) else { continue };
             let place = self.state.task(run.task).and_then(|t| t.place.as_ref());
             let (wire::TaskKind::Batch(class), Some(place)) = (&job.kind, place) else { continue };
             let speed = f64::from(view.speed) / f64::from(guard::FULL_SPEED_PER_MILLE);
-            let share = f64::from(place.reserve.cpu.0) * speed / whole;
+            let share = f64::from(place.reserve.cpu.0) * speed / total_cpu;
             match shares.iter_mut().find(|(known, _)| known == class) {
                 Some((_, sum)) => *sum += share,
                 None => shares.push((class.clone(), share)),
@@ -69,6 +76,8 @@
         shares
     }
 
+    /// Applies the guard's decision for the worst service on a worker: sets the speed of batch tasks
+    /// or evicts one of them.
     fn guard(
         &mut self,
         cx: &mut Context,
@@ -78,19 +87,21 @@
     ) {
         let Some(link) = self.links.get_mut(worker) else { return };
         let band = interference::LoadBand::of(link.load);
-        let judged = |s: &wire::ServiceUsage| {
+        let to_measurement = |s: &wire::ServiceUsage| {
             let ceiling_us = cx.ceiling_us(&s.service)?;
-            let alone_us = cx.pairing.baseline_us(&s.service, band).unwrap_or(0.0);
+            let baseline_us = cx.pairing.baseline_us(&s.service, band).unwrap_or(0.0);
             Some(guard::TailMeasurement {
                 worst: s.p99_us as f64 / ceiling_us,
-                baseline: alone_us / ceiling_us,
+                baseline: baseline_us / ceiling_us,
             })
         };
         let measured = usage.services.iter().filter(|s| s.requests > 0);
         let worst =
-            measured.filter_map(judged).reduce(|a, b| if a.worst >= b.worst { a } else { b });
-        let Some(seen) = worst else { return };
-        let worst = seen.worst;
+            measured
+                .filter_map(to_measurement)
+                .reduce(|a, b| if a.worst >= b.worst { a } else { b });
+        let Some(measurement) = worst else { return };
+        let worst = measurement.worst;
         let batch_runs: Vec<wire::Run> = link
             .runs
             .iter()
@@ -104,7 +115,7 @@
             link.guard.speed = guard::FULL_SPEED_PER_MILLE;
             return;
         }
-        match link.guard.evaluate(clock, usage.taken, MEASUREMENT_WINDOW, seen) {
+        match link.guard.evaluate(clock, usage.taken, MEASUREMENT_WINDOW, measurement) {
             guard::GuardAction::Nothing => self.send_speed(cx, worker, &batch_runs),
             guard::GuardAction::Speed(speed) => {
                 cx.note(
@@ -118,17 +129,18 @@
         }
     }
 
-    /// Sends the guard's speed to every run that has not confirmed it.
+    /// Sends the guard's speed to every run that has not yet confirmed it.
     fn send_speed(&mut self, cx: &mut Context, worker: &ids::WorkerId, runs: &[wire::Run]) {
         let Some(link) = self.links.get(worker) else { return };
         let (speed, boot) = (link.guard.speed, link.boot.unwrap_or_default());
         let differs = |run: &&wire::Run| link.runs.get(run).is_some_and(|v| v.speed != speed);
-        let late: Vec<wire::Run> = runs.iter().filter(differs).copied().collect();
-        for run in late {
+        let unconfirmed: Vec<wire::Run> = runs.iter().filter(differs).copied().collect();
+        for run in unconfirmed {
             self.control(cx, worker, boot, run, wire::Control::Throttle(speed));
         }
     }
 
+    /// Evicts the batch run that costs the least to move and interferes the most.
     fn evict_one(
         &mut self,
         cx: &mut Context,
@@ -138,7 +150,7 @@
     ) {
         let Some(link) = self.links.get(worker) else { return };
         let band = interference::LoadBand::of(link.load);
-        let whole = f64::from(link.host.capacity.cpu.0.max(1));
+        let total_cpu = f64::from(link.host.capacity.cpu.0.max(1));
         let services: Vec<ids::ServiceId> =
             services_of_runs(&self.state, link.runs.keys().copied());
         let mut victims = Vec::new();
@@ -148,7 +160,7 @@
             let Some(t) = self.state.task(run.task) else { continue };
             let wire::TaskKind::Batch(class) = &job.kind else { continue };
             let cpu = t.place.as_ref().map_or(sizes::MilliCores(0), |p| p.reserve.cpu);
-            let shares = vec![(class.clone(), f64::from(cpu.0) / whole)];
+            let shares = vec![(class.clone(), f64::from(cpu.0) / total_cpu)];
             let slowdowns = services.iter().map(|s| cx.pairing.slowdown(s, &shares, band));
             victims.push(guard::Victim {
                 unsaved_ms: view.progress_ms.saturating_sub(view.checkpoint_ms),
@@ -168,7 +180,8 @@
         self.evict(cx, worker, run, why);
     }
 
-    /// Moves a run away: checkpoint, stop, and wait for another worker.
+    /// Evicts a run from its worker: the worker takes a checkpoint and stops the run, and the task
+    /// then waits for another worker.
     pub(super) fn evict(
         &mut self,
         cx: &mut Context,
