--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -1,10 +1,11 @@
-//! Lends waiting tasks to partitions that have room, and runs what others lend.
+//! Lends waiting tasks to partitions with free capacity, and runs tasks that others lend.
 //!
-//! A job lives in the partition that its key hashes to, which may have no worker left or none with
-//! room. Its owner then lends single tasks: the loan is an assignment in its journal, and the other
-//! partition stores the task as a job of its own under a key that names the run. The one command,
-//! [`api::Command::Borrow`], may be repeated at will: it stores the task once and then only tells
-//! how it stands, so neither a lost message nor a new owner on either side runs it twice.
+//! A job is stored in the partition that its key hashes to. That partition may have no worker, or
+//! none with enough free capacity. Its owner then lends single tasks: it records the loan as an
+//! assignment in its own journal, and the borrowing partition stores the task as a job of its own
+//! under a key that names the run. The only command, [`api::Command::Borrow`], is idempotent: it
+//! stores the task once and afterwards only reports the task's state. Neither a lost message nor a
+//! new owner on either side can therefore run the task twice.
 
 use gaplock_chart::table::task;
 use gaplock_types::{api, ids, sizes, time, wire};
@@ -17,40 +18,44 @@
 use crate::records::Record;
 use crate::state::{self, Job};
 
-/// A task that has waited this long may be lent; at once where no worker is usable.
+/// A task may be lent after it has waited this long; at once if the partition has no usable worker.
 const LEND_AFTER_MS: u64 = 2_000;
+/// Further loans are left to later ticks.
 const MAX_LOANS_PER_TICK: usize = 8;
+/// Time from the answer about a loan to the next request.
 const LOAN_POLL_INTERVAL: time::Millis = time::Millis(1_000);
-/// An unanswered question hinders the next one this long.
+/// A request about a loan that gets no answer is repeated after this time.
 const LOAN_POLL_TIMEOUT: time::Millis = time::Millis(5_000);
-/// A lent task that waits this long at the other partition is called back.
+/// A lent task is recalled after it has waited this long in the borrowing partition.
 const RECALL_AFTER: time::Millis = time::Millis(10_000);
-/// Failures after which a lent task is given up.
+/// A lent task that has failed this many times, here or elsewhere, ends as failed.
 const MAX_LENT_TASK_FAILURES: u32 = 3;
-/// The first part of a borrowed job's key.
+/// The prefix of a borrowed job's key.
 const LOAN_KEY_PREFIX: &str = "lent";
 
-/// What an owner knows of one loan.
+/// When the owner next asks about one loan, and what the answers have shown.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LoanPoll {
     next_poll: time::Instant,
+    /// Since when the task has waited in the borrowing partition without starting.
     waiting_since: Option<time::Instant>,
 }
 
 impl Job {
-    /// Tells whether another partition lent this job's task.
+    /// Returns whether another partition lent this job's task.
     pub fn borrowed(&self) -> bool {
         self.key.as_str().starts_with(LOAN_KEY_PREFIX)
     }
 }
 
-/// Returns the key under which a lent run is stored at the other partition.
+/// Returns the key under which a lent run is stored in the borrowing partition.
 pub fn loan_key(run: wire::Run) -> ids::RequestKey {
     ids::RequestKey(format!("{LOAN_KEY_PREFIX}:{}:{}", run.task, run.attempt))
 }
 
 impl Partition {
-    /// Returns the most that one worker has free, if nothing waits here for it.
+    /// Returns the largest free capacity of one worker. Returns `None` if tasks of this partition
+    /// wait, or if this entry does not own it.
     pub fn room(&self) -> Option<sizes::Resources> {
         if !self.owns() || self.state.waiting_partners().next().is_some() {
             return None;
@@ -61,18 +66,18 @@
             .max_by_key(|free| free.cpu)
     }
 
-    /// Lends tasks that have waited for a while to partitions with room.
+    /// Lends tasks that have waited for [`LEND_AFTER_MS`] to partitions with free capacity.
     pub(super) fn lend(&mut self, cx: &mut Context) {
         let usable = self.links.values().any(|l| l.usable());
         let partners: Vec<ids::PartnerId> = self.state.waiting_partners().cloned().collect();
-        let mut lent = 0;
+        let mut loans = 0;
         for partner in partners {
             let waiting: Vec<ids::TaskId> = self.state.waiting(&partner).take(64).collect();
             for id in waiting {
                 let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
-                let patient = usable && cx.unix_ms < job.at_unix_ms + LEND_AFTER_MS;
+                let waits_for_worker = usable && cx.unix_ms < job.at_unix_ms + LEND_AFTER_MS;
                 let batch = matches!(job.kind, wire::TaskKind::Batch(_));
-                if patient || !batch || job.borrowed() || lent >= MAX_LOANS_PER_TICK {
+                if waits_for_worker || !batch || job.borrowed() || loans >= MAX_LOANS_PER_TICK {
                     continue;
                 }
                 let demand = job.demand;
@@ -81,7 +86,7 @@
                 if let Some(free) = cx.rooms.get_mut(&to) {
                     *free = free.minus(&demand);
                 }
-                lent += 1;
+                loans += 1;
                 self.lend_task(cx, id, to, demand);
             }
         }
@@ -109,7 +114,8 @@
         self.record(cx, Record::Lend { run, to, reserve }, None);
     }
 
-    /// Asks how stored loans stand; the first question hands the task over.
+    /// Asks the borrowing partitions for the state of committed loans. The first request submits
+    /// the task there.
     pub(super) fn poll_loans(&mut self, cx: &mut Context) {
         let lent: Vec<ids::TaskId> = self.state.lent().collect();
         self.loans.retain(|run, _| lent.contains(&run.task));
@@ -145,7 +151,7 @@
         }
     }
 
-    /// Takes in how a loan stands at the other partition.
+    /// Handles the borrowing partition's answer about a loan.
     pub fn loan_told(&mut self, cx: &mut Context, run: wire::Run, reply: &api::Reply) {
         if !self.owns() {
             return;
@@ -158,17 +164,17 @@
         }
         let Some(loan) = self.loans.get_mut(&run) else { return };
         loan.next_poll = cx.now + LOAN_POLL_INTERVAL;
-        let api::Reply::Loan(told) = reply else { return };
-        if told.state == api::LoanState::Waiting {
+        let api::Reply::Loan(report) = reply else { return };
+        if report.state == api::LoanState::Waiting {
             loan.waiting_since.get_or_insert(cx.now);
             return;
         }
         loan.waiting_since = None;
-        match told.state {
+        match report.state {
             api::LoanState::Waiting | api::LoanState::Running => {}
             api::LoanState::Done => self.record_loan_end(cx, run, Record::Finish { run }),
             api::LoanState::Failed | api::LoanState::Stopped => {
-                self.return_lent_task(cx, run, told);
+                self.return_lent_task(cx, run, report);
             }
         }
     }
@@ -185,9 +191,10 @@
         }
     }
 
-    fn return_lent_task(&mut self, cx: &mut Context, run: wire::Run, told: &api::LoanReport) {
+    /// Ends or requeues a lent task that failed or was stopped in the borrowing partition.
+    fn return_lent_task(&mut self, cx: &mut Context, run: wire::Run, report: &api::LoanReport) {
         let Some(t) = self.state.task(run.task) else { return };
-        let failed = told.state == api::LoanState::Failed;
+        let failed = report.state == api::LoanState::Failed;
         if t.unwanted {
             self.record_loan_end(cx, run, Record::Cancelled { run });
             return;
@@ -197,7 +204,7 @@
             self.record_loan_end(cx, run, Record::GiveUp { task: run.task, why });
             return;
         }
-        let checkpoint_ms = told.checkpoint_ms.max(t.checkpoint_ms);
+        let checkpoint_ms = report.checkpoint_ms.max(t.checkpoint_ms);
         let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
         if cx.allowed(checked) {
             let why = "it came back from where it was lent to".to_string();
@@ -207,7 +214,8 @@
         }
     }
 
-    /// Stores a task that another partition lends, or tells how it stands.
+    /// Stores a task that another partition lends, or reports the state of one that is stored
+    /// already.
     pub(super) fn borrow(&mut self, cx: &mut Context, id: ReplyId, wanted: &api::Loan) {
         let key = loan_key(wanted.run);
         if let Some(number) = self.state.job_by_key(&wanted.partner, &key) {
@@ -232,28 +240,28 @@
         self.verifier.start_from(task, wanted.resume_ms);
         let start = Record::ResumeFrom { task, checkpoint_ms: wanted.resume_ms };
         if wanted.stop {
-            // Stored as cancelled, so that a late copy of the question cannot start it.
+            // Stored as cancelled, so that a late duplicate of the request cannot start it.
             self.record(cx, start, None);
-            let told = loan_report(api::LoanState::Stopped, wanted.resume_ms);
-            let after = After::Reply(id, api::Reply::Loan(told));
+            let report = loan_report(api::LoanState::Stopped, wanted.resume_ms);
+            let after = After::Reply(id, api::Reply::Loan(report));
             self.record(cx, Record::Cancel { number, index: None }, Some(after));
             return;
         }
-        let told = loan_report(api::LoanState::Running, wanted.resume_ms);
-        self.record(cx, start, Some(After::Reply(id, api::Reply::Loan(told))));
+        let report = loan_report(api::LoanState::Running, wanted.resume_ms);
+        self.record(cx, start, Some(After::Reply(id, api::Reply::Loan(report))));
         self.schedule(cx);
     }
 
     fn answer_repeated_loan(&mut self, cx: &mut Context, id: ReplyId, number: u64, stop: bool) {
         let Some(t) = self.state.jobs.get(&number).and_then(|j| j.tasks.first()) else { return };
-        let stands = match t.is {
+        let state = match t.is {
             task::Is::Queued => api::LoanState::Waiting,
             task::Is::Assigned => api::LoanState::Running,
             task::Is::Done => api::LoanState::Done,
             task::Is::Failed => api::LoanState::Failed,
             task::Is::Cancelled => api::LoanState::Stopped,
         };
-        let told = loan_report(stands, t.checkpoint_ms);
+        let report = loan_report(state, t.checkpoint_ms);
         let begin_stop = stop && !t.is.is_final() && !t.unwanted;
         if begin_stop {
             let run = wire::Run { task: state::task_id(self.id, number, 0), attempt: t.attempt };
@@ -263,8 +271,8 @@
             }
             self.record(cx, Record::Cancel { number, index: None }, None);
         }
-        // An end is told only once it is stored.
-        self.reply_after_commit(cx, id, api::Reply::Loan(told));
+        // An end is reported only after it is committed.
+        self.reply_after_commit(cx, id, api::Reply::Loan(report));
     }
 }
 
