--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -1,9 +1,9 @@
-//! Decides for one partition: its workers, its tasks, its claims of requests.
+//! Makes the decisions for one partition: its workers, its tasks and its claims of requests.
 //!
-//! The partition holds two folds of its journal: what is committed, and what is committed plus
-//! what waits to be. Decisions read the second; commands to workers and answers to callers leave
-//! only after the commit. Every transition is stated to the verifier first, and a contradicted
-//! one is left out.
+//! The partition keeps two states folded from its journal: one from the committed records, and one
+//! from the committed and the pending records. Decisions read the second one. Commands to workers
+//! and answers to callers are sent only after the commit. Every transition is checked by the
+//! verifier first, and is not made if it violates an invariant.
 
 mod commands;
 mod guarding;
@@ -29,16 +29,19 @@
 use crate::records::Record;
 use crate::state::PartState;
 
+/// Older lines of a job's history are dropped, which bounds memory.
 const MAX_HISTORY_LINES_PER_JOB: usize = 40;
+/// The history of the job with the lowest id is dropped above this, which bounds memory.
 const MAX_HISTORY_JOBS: usize = 2_000;
 
-/// One partition as one entry sees it.
+/// One partition from the point of view of one entry, whether that entry owns it or not.
 pub struct Partition {
-    /// Its id.
+    /// The partition's id.
     pub id: ids::PartitionId,
+    /// This entry.
     me: ids::Member,
     journal: Journal,
-    /// Committed and pending records together.
+    /// The state from the committed and the pending records.
     state: PartState,
     verifier: PartitionCheck,
     links: BTreeMap<ids::WorkerId, Link>,
@@ -47,15 +50,17 @@
     urgent_hold: fair::UrgentHold,
     loans: BTreeMap<wire::Run, lending::LoanPoll>,
     claimed_at: time::Instant,
+    /// How long after the claim the previous owner may still renew leases.
     previous_owner_grace: time::Millis,
     history: BTreeMap<ids::JobId, VecDeque<String>>,
+    /// The services and the availability last reported to the router, by worker.
     offers: BTreeMap<ids::WorkerId, (Vec<ids::ServiceId>, bool)>,
-    /// Whether requests still go to the workers after a release.
+    /// Whether requests are still routed to the workers after a release.
     routed_after_release: bool,
 }
 
 impl Partition {
-    /// Builds a partition that `me` does not own.
+    /// Creates a partition that `me` does not own.
     pub fn open(id: ids::PartitionId, me: ids::Member) -> Self {
         Self {
             id,
@@ -76,12 +81,12 @@
         }
     }
 
-    /// Returns the state in `charts/ownership.chart`.
+    /// Returns the ownership state, one of `charts/ownership.chart`.
     pub fn is(&self) -> ownership::Is {
         self.journal.is()
     }
 
-    /// Tells whether this entry owns the partition.
+    /// Returns whether this entry owns the partition.
     pub fn owns(&self) -> bool {
         self.journal.owns()
     }
@@ -91,27 +96,27 @@
         self.journal.epoch()
     }
 
-    /// Tells whether commits go through.
+    /// Returns whether the journal can commit records at present.
     pub fn healthy(&self, cx: &Context) -> bool {
         self.journal.healthy(cx)
     }
 
-    /// Returns the committed state, for tests and surveys.
+    /// Returns the state from the committed records only, for tests and status reports.
     pub fn committed(&self) -> &PartState {
         &self.journal.committed
     }
 
-    /// Begins to take the partition over.
+    /// Starts to claim the partition for this entry.
     pub fn want(&mut self, cx: &mut Context) {
         self.journal.want(cx);
     }
 
-    /// Begins to give the partition up.
+    /// Starts to release the partition.
     pub fn release(&mut self, cx: &mut Context) {
         self.journal.release(cx);
     }
 
-    /// Takes in that a peer owns the partition under `epoch`.
+    /// Handles the news that a peer owns the partition under `epoch`.
     pub fn successor_seen(&mut self, cx: &mut Context, epoch: ids::Epoch) {
         if epoch <= self.epoch() {
             return;
@@ -122,7 +127,7 @@
         }
     }
 
-    /// Takes in the partition's hosts and what it is to run.
+    /// Updates the partition's hosts and its share of the fleet's work.
     pub fn set_hosts(&mut self, cx: &mut Context, hosts: &[wire::Host], shares: Shares) {
         self.shares = shares;
         for host in hosts {
@@ -144,21 +149,22 @@
         self.remove_gone_links(cx);
     }
 
-    /// Forgets workers that the host list does not show any more, once nothing of theirs is left
-    /// and no order under way can be carried out there: the worker may be shown again before that.
+    /// Removes links to workers that are no longer in the host list. A link stays until no task is
+    /// assigned to the worker and no command in flight can still take effect there, since the
+    /// worker may return to the host list before that.
     fn remove_gone_links(&mut self, cx: &Context) {
         let state = &self.state;
         self.links.retain(|worker, link| {
-            let open = cx.now < link.alive_until || state.on_worker(worker).next().is_some();
-            link.is != upstream::Is::Gone || open
+            let in_use = cx.now < link.alive_until || state.on_worker(worker).next().is_some();
+            link.is != upstream::Is::Gone || in_use
         });
     }
 
-    /// Does what is due.
+    /// Runs all periodic work that is due.
     pub fn tick(&mut self, cx: &mut Context) {
         self.journal.poll(cx);
         if self.journal.is() == ownership::Is::Draining {
-            // Until the release is stored nobody else renews the workers' leases.
+            // No other entry renews the workers' leases until the release is stored.
             self.renew_leases(cx);
         }
         if !self.journal.owns() {
@@ -178,14 +184,15 @@
         self.journal.poll(cx);
     }
 
-    /// Takes in the answer to a store call, if it was this partition's.
+    /// Handles the answer to a store call; answers to other partitions' calls are ignored.
     pub fn store_answered(&mut self, cx: &mut Context, call: CallId, answer: &StoreAnswer) {
         match self.journal.answered(cx, call, answer) {
             Outcome::Nothing => {}
             Outcome::Claimed => self.handle_claimed(cx),
             Outcome::Committed(records) => self.handle_committed(cx, &records),
             Outcome::Released => {
-                // Requests still go to the workers until the successor's epoch fences them there.
+                // Requests are still routed to the workers until the successor's epoch fences
+                // them there.
                 self.routed_after_release = true;
                 self.clear_owner_state(cx);
             }
@@ -201,7 +208,8 @@
         let checked = self.verifier.check(&Fact::Owned(epoch));
         cx.allowed(checked);
         self.claimed_at = cx.now;
-        // A stored release does not say that its writer knows of it and has stopped renewing.
+        // The previous owner may not know that its release is stored, and may still be renewing
+        // leases.
         self.previous_owner_grace = cx.certain(match self.journal.was_released {
             true => cx.timing.release_right(),
             false => cx.timing.renew_right,
@@ -251,7 +259,7 @@
         self.state = PartState::default();
     }
 
-    /// Stops being owner at once, as when a worker or peer shows a higher epoch.
+    /// Ends ownership at once, for example when a worker or a peer reports a higher epoch.
     pub fn fence(&mut self, cx: &mut Context) {
         if self.journal.is() == ownership::Is::Owner || self.journal.is() == ownership::Is::Draining
         {
@@ -260,7 +268,7 @@
         }
     }
 
-    /// Takes in a worker's answer to a call that was sent at `sent_at`.
+    /// Handles a worker's answer to a call that was sent at `sent_at`.
     pub fn worker_answered(
         &mut self,
         cx: &mut Context,
@@ -300,7 +308,7 @@
         self.send_starts(cx);
     }
 
-    /// Applies a record to the pending fold and hands it to the journal.
+    /// Applies a record to the pending state and appends it to the journal.
     fn record(&mut self, cx: &mut Context, record: Record, after: Option<After>) {
         let epoch = self.journal.epoch();
         match self.state.apply(self.id, epoch, &self.me, &record) {
@@ -316,18 +324,19 @@
         }
     }
 
-    fn append_history(&mut self, cx: &Context, job: ids::JobId, what: String) {
+    fn append_history(&mut self, cx: &Context, job: ids::JobId, event: String) {
         let lines = self.history.entry(job).or_default();
         if lines.len() == MAX_HISTORY_LINES_PER_JOB {
             lines.pop_front();
         }
-        lines.push_back(format!("{} {what}", cx.unix_ms));
+        lines.push_back(format!("{} {event}", cx.unix_ms));
         if self.history.len() > MAX_HISTORY_JOBS {
             self.history.pop_first();
         }
     }
 
-    /// Tells the router which services' replicas run on which usable worker, on change.
+    /// Reports to the router which services each worker runs and whether the worker is usable,
+    /// when either has changed.
     fn offer_slots(&mut self, cx: &mut Context) {
         let epoch = self.journal.epoch();
         for (worker, link) in &self.links {
@@ -356,14 +365,14 @@
         }
     }
 
-    /// Takes in that a worker refused a request because it is leaving or has no owner here.
+    /// Handles a worker's refusal of a request, because it is leaving or knows a higher epoch.
     pub fn worker_refused(
         &mut self,
         cx: &mut Context,
         worker: &ids::WorkerId,
-        v: wire::CommandOutcome,
+        outcome: wire::CommandOutcome,
     ) {
-        match v {
+        match outcome {
             wire::CommandOutcome::StaleEpoch => self.fence(cx),
             wire::CommandOutcome::Leaving => {
                 if let Some(link) = self.links.get_mut(worker) {
@@ -374,12 +383,12 @@
         }
     }
 
-    /// Returns the workers' addresses, for requests.
+    /// Returns the address for requests to a worker.
     pub fn addr_of(&self, worker: &ids::WorkerId) -> Option<&str> {
         self.links.get(worker).map(|l| l.host.addr.as_str())
     }
 
-    /// Returns the capacity of the workers that are not gone.
+    /// Returns the total capacity of the workers that have not been removed from the host list.
     pub fn capacity(&self) -> sizes::Resources {
         self.links
             .values()
@@ -396,7 +405,8 @@
     }
 }
 
-/// Builds a fresh link to a worker that came back, keeping what bounds its runs.
+/// Creates a new link to a worker that returned to the host list. Keeps its runs, its boot and the
+/// bound on how long its leases may last.
 fn reopen_link(old: &Link, host: &wire::Host) -> Link {
     let mut link = Link::open(host.clone());
     link.boot = old.boot;
