--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -1,7 +1,8 @@
-//! Brings what the journal says and what workers report together.
+//! Reconciles the assignments in the journal with the runs that workers report.
 //!
-//! A task leaves its worker only on proof that its run has stopped: the worker's own word under
-//! this epoch, or the certain end of every lease that could keep it alive.
+//! A task is taken off its worker only on proof that its run has stopped. The proof is either a
+//! report of the worker under this epoch, or the certain expiry of every lease that could keep the
+//! run alive.
 
 use gaplock_chart::table::upstream;
 use gaplock_policy::health;
@@ -14,27 +15,28 @@
 use crate::link::{Link, RunView};
 use crate::records::Record;
 
+/// Time from a stop command to its repetition, if the run is still reported as running.
 const STOP_RETRY: time::Millis = time::Millis(1_000);
 
-/// How many boots of workers in a row may end soon after a task's start before it is given up: a third
-/// one may be chance, or the doing of a neighbour.
+/// A task ends as failed when this many workers in a row reboot soon after starting it. The third
+/// crash may still be chance, or caused by another task on the worker.
 const MAX_CRASHES: u32 = 4;
 
-/// How much work a run must have done to speak for its task when its worker boots anew: longer than
-/// anything that goes wrong at a start.
+/// A reboot of the worker counts as a crash of the task only if the run has done less work than
+/// this, which is longer than anything that goes wrong at a start.
 const CRASH_WINDOW_WORK_MS: u64 = 30_000;
 
-/// How a run is proven to have stopped.
+/// The outcome of a run that is proven to have stopped.
 pub(super) struct StoppedRun {
     pub(super) checkpoint_ms: u64,
     pub(super) failed: bool,
-    /// Whether its worker booted anew soon after its start.
+    /// Whether the worker rebooted soon after the run's start.
     pub(super) crashed: bool,
     pub(super) why: String,
 }
 
 impl Partition {
-    /// Takes in a worker's answer to a lease request.
+    /// Handles a worker's answer to a lease request.
     pub(super) fn lease_answered(
         &mut self,
         cx: &mut Context,
@@ -67,7 +69,7 @@
         self.send_starts(cx);
     }
 
-    /// Makes sure that each task assigned to the worker has its view.
+    /// Creates the missing [`RunView`]s of tasks that are assigned to the worker.
     fn adopt_runs(&mut self, worker: &ids::WorkerId) {
         let Some(link) = self.links.get_mut(worker) else { return };
         for id in self.state.on_worker(worker) {
@@ -131,8 +133,8 @@
         })
     }
 
-    /// Handles a run that the journal does not place here: an ended one is acknowledged once its
-    /// end is committed, a running one is stopped.
+    /// Handles a reported run that the journal does not assign to this worker. An ended run is
+    /// acknowledged once its end is committed; a running one is stopped.
     fn handle_orphaned_run(
         &mut self,
         cx: &mut Context,
@@ -141,11 +143,12 @@
     ) {
         let run = report.run;
         let committed = self.journal.committed.task(run.task);
-        let settled = !committed.is_some_and(|t| t.attempt == run.attempt && t.place.is_some());
+        let end_committed =
+            !committed.is_some_and(|t| t.attempt == run.attempt && t.place.is_some());
         let Some(link) = self.links.get_mut(worker) else { return };
         let may_start = link.runs.get(&run).is_some_and(|v| cx.now < v.valid_until);
         if report.state != wire::RunState::Running {
-            if settled && !may_start {
+            if end_committed && !may_start {
                 link.acks.push(run);
                 link.runs.remove(&run);
             }
@@ -175,6 +178,7 @@
         self.control(cx, worker, boot, run, control);
     }
 
+    /// Sends a control command for a run to its worker.
     pub(super) fn control(
         &mut self,
         cx: &mut Context,
@@ -193,20 +197,21 @@
         });
     }
 
+    /// Handles a worker's answer to a control command.
     pub(super) fn control_answered(
         &mut self,
         cx: &mut Context,
         worker: &ids::WorkerId,
         control: &wire::ControlRequest,
-        verdict: wire::CommandOutcome,
+        outcome: wire::CommandOutcome,
     ) {
-        if verdict == wire::CommandOutcome::StaleEpoch {
+        if outcome == wire::CommandOutcome::StaleEpoch {
             self.fence(cx);
             return;
         }
-        let done = verdict == wire::CommandOutcome::Done;
+        let done = outcome == wire::CommandOutcome::Done;
         if let (true, Some(link)) = (done, self.links.get_mut(worker)) {
-            // The report of a stopped run frees its room, so it is fetched at once.
+            // The report of the stopped run frees its reservation, so it is requested at once.
             if !matches!(control.control, wire::Control::Throttle(_)) {
                 link.next_lease = cx.now;
             }
@@ -227,16 +232,16 @@
         self.record(cx, Record::Finish { run }, None);
     }
 
-    /// Requeues, gives up or cancels the task of a run that is proven to have stopped.
+    /// Requeues, fails or cancels the task of a run that is proven to have stopped.
     pub(super) fn handle_stopped(
         &mut self,
         cx: &mut Context,
         worker: &ids::WorkerId,
         run: wire::Run,
-        how: StoppedRun,
+        stopped: StoppedRun,
     ) {
         let Some(t) = self.state.task(run.task) else { return };
-        let (unwanted, kept, crashes) = (t.unwanted, t.checkpoint_ms, t.crashes);
+        let (unwanted, last_checkpoint_ms, crashes) = (t.unwanted, t.checkpoint_ms, t.crashes);
         if unwanted {
             let checked = self.verifier.check(&Fact::Ended(run));
             if cx.allowed(checked) {
@@ -244,39 +249,39 @@
             }
             return;
         }
-        let mut finding = health::FailureAction::None;
-        if how.failed {
-            finding = self.health.record_failure(cx.now, worker, run.task.job);
+        let mut action = health::FailureAction::None;
+        if stopped.failed {
+            action = self.health.record_failure(cx.now, worker, run.task.job);
         }
-        if finding == health::FailureAction::Quarantine {
+        if action == health::FailureAction::Quarantine {
             if let Some(link) = self.links.get_mut(worker) {
                 link.step(cx, upstream::On::Bad, "it fails what it starts");
             }
         }
-        if finding == health::FailureAction::FailJob {
+        if action == health::FailureAction::FailJob {
             return self.fail_task(
                 cx,
                 run,
                 format!("it failed on {} workers", health::JOB_FAILED_WORKER_LIMIT),
             );
         }
-        if how.crashed && crashes + 1 >= MAX_CRASHES {
+        if stopped.crashed && crashes + 1 >= MAX_CRASHES {
             return self.fail_task(cx, run, format!("{MAX_CRASHES} workers booted anew under it"));
         }
-        let checkpoint_ms = how.checkpoint_ms.max(kept);
+        let checkpoint_ms = stopped.checkpoint_ms.max(last_checkpoint_ms);
         let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
         if !cx.allowed(checked) {
             return;
         }
         let view = self.links.get(worker).and_then(|l| l.runs.get(&run));
         let evicted = view.is_some_and(|v| v.evicting.is_some());
-        self.append_history(cx, run.task.job, format!("{} waits again: {}", run.task, how.why));
-        let StoppedRun { failed, crashed, why, .. } = how;
+        self.append_history(cx, run.task.job, format!("{} waits again: {}", run.task, stopped.why));
+        let StoppedRun { failed, crashed, why, .. } = stopped;
         let record = Record::Requeue { run, checkpoint_ms, evicted, failed, crashed, why };
         self.record(cx, record, None);
     }
 
-    /// Gives up the task of a run that is proven to have stopped.
+    /// Ends the task of a run that is proven to have stopped as failed.
     fn fail_task(&mut self, cx: &mut Context, run: wire::Run, why: String) {
         let checked = self.verifier.check(&Fact::Ended(run));
         if cx.allowed(checked) {
@@ -285,7 +290,9 @@
         }
     }
 
-    /// Judges the runs that a worker's report does not mention.
+    /// Handles the runs that are missing from a worker's report. The task of a run that the worker
+    /// has refused or lost is requeued. The view of a run that is not assigned here any more is
+    /// removed once no start command for it can take effect.
     fn handle_unreported_runs(
         &mut self,
         cx: &mut Context,
@@ -302,9 +309,9 @@
             .collect();
         for (run, view) in missing {
             if !self.assigned_here(run, worker) {
-                let forget = cx.now >= view.valid_until && !view.in_flight;
+                let removable = cx.now >= view.valid_until && !view.in_flight;
                 let link = self.links.get_mut(worker);
-                if let (true, Some(link)) = (forget, link) {
+                if let (true, Some(link)) = (removable, link) {
                     link.runs.remove(&run);
                 }
                 continue;
@@ -313,9 +320,9 @@
                 continue;
             }
             let checkpoint_ms = view.checkpoint_ms;
-            let refused_for_good =
+            let finally_refused =
                 view.refused.is_some() && sent_at >= view.valid_until && !view.in_flight;
-            if refused_for_good {
+            if finally_refused {
                 let why = format!("{worker} refused it: {:?}", view.refused);
                 let failed = view.refused == Some(wire::CommandOutcome::Failed);
                 self.handle_stopped(
@@ -340,8 +347,9 @@
         self.state.task(run.task).and_then(|t| t.place.as_ref()).is_some_and(|p| p.boot != boot)
     }
 
-    /// Requeues tasks whose worker has booted anew or cannot be reached, once every lease that
-    /// could keep their runs alive has certainly ended.
+    /// Requeues the tasks of workers that have rebooted or cannot be reached, once every lease that
+    /// could keep their runs alive has certainly expired. Also evicts from leaving workers and ends
+    /// quarantines that are over.
     pub(super) fn reconcile(&mut self, cx: &mut Context) {
         let workers: Vec<ids::WorkerId> = self.state.workers().cloned().collect();
         for worker in workers {
@@ -361,11 +369,11 @@
         }
     }
 
-    /// Moves batch tasks away from workers that are leaving; services go on until a replica
-    /// elsewhere has taken over.
+    /// Evicts batch tasks from workers that are leaving. Service replicas run on until a replica on
+    /// another worker has taken over.
     fn evict_from_leaving_workers(&mut self, cx: &mut Context) {
         let leaving = self.links.iter().filter(|(_, l)| l.is == upstream::Is::Leaving);
-        let mut found = Vec::new();
+        let mut evictions = Vec::new();
         for (worker, link) in leaving {
             let runs = link.runs.iter().filter(|(_, v)| v.started && v.evicting.is_none());
             let batch = runs.filter(|(run, _)| {
@@ -373,9 +381,9 @@
                 self.assigned_here(**run, worker)
                     && job.is_some_and(|j| matches!(j.kind, wire::TaskKind::Batch(_)))
             });
-            found.extend(batch.map(|(run, _)| (worker.clone(), *run)));
+            evictions.extend(batch.map(|(run, _)| (worker.clone(), *run)));
         }
-        for (worker, run) in found {
+        for (worker, run) in evictions {
             self.evict(cx, &worker, run, format!("{worker} is leaving"));
         }
     }
@@ -386,8 +394,8 @@
         let run = wire::Run { task: id, attempt: t.attempt };
         let mut checkpoint_ms = t.checkpoint_ms;
         let link = self.links.get(worker);
-        let dead_since = self.runs_ended_at(cx, worker, link, place.boot);
-        if cx.now < dead_since {
+        let ended_at = self.runs_ended_at(cx, worker, link, place.boot);
+        if cx.now < ended_at {
             return;
         }
         if let Some(view) = link.and_then(|l| l.runs.get(&run)) {
@@ -403,7 +411,7 @@
         );
     }
 
-    /// Returns from when on no run of `boot` on `worker` can be alive.
+    /// Returns the time from which no run of `boot` on `worker` can be alive.
     fn runs_ended_at(
         &self,
         cx: &Context,
@@ -415,29 +423,30 @@
             return cx.now;
         }
         let ttl = cx.certain(cx.timing.task_ttl);
-        let former_owners = self.claimed_at + self.previous_owner_grace + ttl;
-        // A worker that the host list shows may only be cut off, with finished work to tell of.
+        let previous_owner_leases_end = self.claimed_at + self.previous_owner_grace + ttl;
+        // A worker that is still in the host list may just be partitioned from the network, with
+        // finished work still to report.
         let listed = |link: &Link, leases_end: time::Instant| match (link.is, link.missing_since) {
             (upstream::Is::Gone, _) => leases_end,
             (_, Some(since)) => leases_end.max(since + cx.timing.silent_limit),
             (_, None) => time::Instant(u64::MAX),
         };
         match link {
-            None => former_owners,
-            // Nothing renewed that boot after the other one was seen; `alive_until` would also
-            // count the renewals of the new boot.
+            None => previous_owner_leases_end,
+            // No lease of that boot was renewed after another boot was seen; `alive_until` also
+            // covers renewals of the new boot.
             Some(link) if link.boot.is_some_and(|b| b != boot) => link.boot_since + ttl,
             Some(link) if link.heard => listed(link, link.alive_until),
-            Some(link) => listed(link, former_owners),
+            Some(link) => listed(link, previous_owner_leases_end),
         }
     }
 }
 
-/// Tells whether a worker booted anew soon after the start of a run that its former boot may have begun.
-/// A worker that is leaving ends as it said.
+/// Returns whether a worker rebooted soon after its previous boot may have started a run. A leaving
+/// worker's shutdown was announced and does not count.
 fn crashed_after_start(link: &Link, run: wire::Run, boot: wire::Boot) -> bool {
     let rebooted = link.boot.is_some_and(|b| b != boot) && link.is != upstream::Is::Leaving;
-    let began = |v: &RunView| v.started || v.valid_until > time::Instant::default();
-    let soon = |v: &RunView| began(v) && v.progress_ms < CRASH_WINDOW_WORK_MS;
+    let may_have_started = |v: &RunView| v.started || v.valid_until > time::Instant::default();
+    let soon = |v: &RunView| may_have_started(v) && v.progress_ms < CRASH_WINDOW_WORK_MS;
     rebooted && link.runs.get(&run).is_some_and(soon)
 }
