--- a/crates/coord/src/partition/renewing.rs
+++ b/crates/coord/src/partition/renewing.rs
@@ -1,4 +1,5 @@
-//! Renews the leases of a partition's workers for as long as a successor reckons with it.
+//! Renews the leases of a partition's workers, and stops before a successor may assume that the
+//! renewals have ended.
 
 use gaplock_chart::table::upstream;
 use gaplock_types::ids;
@@ -9,17 +10,19 @@
 use crate::link::Link;
 
 impl Partition {
-    /// Tells whether this owner may still renew leases and start work: its ownership was confirmed
-    /// not too long ago, so that a successor can reckon when its renewals have ended.
+    /// Returns whether this owner may still renew leases and start work. Its ownership must have
+    /// been confirmed recently, and its release must not have been sent too long ago. These limits
+    /// let a successor calculate when the renewals have ended.
     pub(super) fn may_renew(&self, cx: &Context) -> bool {
-        let release_may_stand = self
+        let release_limit_passed = self
             .journal
             .release_sent_at()
             .is_some_and(|at| cx.now.since(at) >= cx.timing.release_right());
-        !release_may_stand && cx.now.since(self.journal.confirmed_at) < cx.timing.renew_right
+        !release_limit_passed && cx.now.since(self.journal.confirmed_at) < cx.timing.renew_right
     }
 
-    /// Takes in only what further renewals need; nothing is recorded any more.
+    /// Handles a worker's answer while the release is in flight. Updates only what further renewals
+    /// need; no more records are written.
     pub(super) fn answered_while_draining(
         &mut self,
         cx: &mut Context,
@@ -34,6 +37,7 @@
         }
     }
 
+    /// Sends the lease requests that are due.
     pub(super) fn renew_leases(&mut self, cx: &mut Context) {
         if !self.may_renew(cx) {
             self.links.values_mut().for_each(Link::pause);
