--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -1,4 +1,5 @@
-//! Keeps the partition's part of every service's replicas running, and forgets what is old.
+//! Keeps the partition's share of every service's replicas running, and removes expired jobs and
+//! claims from the state.
 
 use gaplock_chart::table::upstream;
 use gaplock_policy::placement;
@@ -10,9 +11,10 @@
 
 /// The partner that owns service replicas.
 const SERVICE_PARTNER: &str = "gaplock";
-/// After this long only the fact that a request ran is kept, not its answer.
+/// After this time the stored answer of a request is removed, and only the fact that the request
+/// ran is kept.
 const ANSWER_RETENTION_MS: u64 = 600_000;
-/// Forgotten jobs and claims in one tick.
+/// Jobs, and also claims, that one tick removes at most; the rest is left to later ticks.
 const MAX_REMOVALS_PER_TICK: usize = 50;
 
 impl Partition {
@@ -70,7 +72,8 @@
         self.record(cx, record, None);
     }
 
-    /// Returns the replicas on workers that may serve, and those that wait for a worker.
+    /// Returns the replicas on workers that can serve requests, and the replicas that wait for a
+    /// worker.
     fn live_replicas(&self, number: u64) -> (Vec<ids::TaskId>, Vec<ids::TaskId>) {
         let (mut live, mut unplaced) = (Vec::new(), Vec::new());
         let Some(job) = self.state.jobs.get(&number) else { return (live, unplaced) };
@@ -142,7 +145,7 @@
     }
 
     fn cancel_removed_services(&mut self, cx: &mut Context, wanted: &[(&config::Service, u32)]) {
-        let gone: Vec<u64> = self
+        let removed: Vec<u64> = self
             .state
             .jobs
             .iter()
@@ -153,12 +156,13 @@
             .filter(|(_, job)| job.tasks.iter().any(|t| !t.is.is_final() && !t.unwanted))
             .map(|(number, _)| *number)
             .collect();
-        for number in gone {
+        for number in removed {
             self.record(cx, Record::Cancel { number, index: None }, None);
         }
     }
 
-    /// Forgets ended jobs, old answers and old claims, a few at a time.
+    /// Removes ended jobs, stored answers and claims after their retention times, at most
+    /// [`MAX_REMOVALS_PER_TICK`] jobs and as many claims at a time.
     pub(super) fn remove_expired(&mut self, cx: &mut Context) {
         let keep_ms = cx.timing.job_keep.0;
         let old_jobs: Vec<u64> = self
@@ -167,7 +171,7 @@
             .iter()
             .filter(|(_, job)| matches!(job.kind, wire::TaskKind::Batch(_)) && job.ended())
             .filter(|(_, job)| {
-                // A lender asks after its task for as long as it has not stored its end.
+                // The lender polls a lent task until it has stored the task's end.
                 let keep_ms = if job.borrowed() { cx.timing.once_keep.0 } else { keep_ms };
                 job.at_unix_ms + keep_ms < cx.unix_ms
             })
