--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -1,4 +1,4 @@
-//! Assigns waiting tasks to workers: whose task goes next, and where.
+//! Assigns waiting tasks to workers. Decides which partner's task is next and which worker gets it.
 
 use gaplock_chart::table::upstream;
 use gaplock_policy::{fair, guard, interference, placement};
@@ -10,23 +10,24 @@
 use crate::link::RunView;
 use crate::records::Record;
 
-/// Assignments decided in one tick; the rest follows in the next.
+/// Assignments made in one tick; the rest is left to the next tick.
 const MAX_ASSIGNMENTS_PER_TICK: usize = 200;
-/// Below this share of its slots a service counts as idle and does not limit batch.
+/// Below this share of busy slots a worker's services count as idle and do not limit batch tasks.
 const IDLE_LOAD: f64 = 0.01;
-/// Waiting tasks of one partner that a tick looks at.
+/// Waiting tasks of one partner that one scan of its queue considers.
 const MAX_QUEUE_SCAN: usize = 256;
-/// Tasks that are moved away at once to make room for urgent ones.
+/// No further task is evicted for an urgent one while this many evictions are in progress.
 const MAX_CONCURRENT_EVICTIONS: usize = 4;
 
-/// What one round of assignments has found so far.
+/// What one scheduling round has found so far.
 #[derive(Default)]
 struct SchedulingRound {
-    /// Partners none of whose waiting tasks fits now.
+    /// Partners with no waiting task that fits now.
     exhausted_partners: Vec<ids::PartnerId>,
-    /// Shapes that found no worker: at least this much of this kind, for this partner.
+    /// Demands that fit no worker. A task of the same partner and kind that demands at least as
+    /// much does not fit either.
     unplaceable: Vec<(ids::PartnerId, wire::TaskKind, sizes::Resources)>,
-    /// The first urgent task that found no worker.
+    /// The first urgent task that fits no worker.
     blocked_urgent: Option<ids::TaskId>,
 }
 
@@ -64,12 +65,13 @@
         self.state.waiting(partner).find(|id| self.is_batch(*id))
     }
 
-    /// Moves the cheapest ordinary task away from a worker that could then hold the urgent one.
+    /// Evicts the cheapest non-urgent task whose worker then has enough free capacity for the
+    /// urgent task.
     fn evict_for_urgent_task(&mut self, cx: &mut Context, task: ids::TaskId) {
         let Some(job) = self.state.jobs.get(&task.job.number) else { return };
         let demand = job.demand;
-        let moving = self.links.values().flat_map(|l| l.runs.values());
-        if moving.filter(|v| v.evicting.is_some()).count() >= MAX_CONCURRENT_EVICTIONS {
+        let views = self.links.values().flat_map(|l| l.runs.values());
+        if views.filter(|v| v.evicting.is_some()).count() >= MAX_CONCURRENT_EVICTIONS {
             return;
         }
         let mut runs = Vec::new();
@@ -107,12 +109,12 @@
         let first = self.first_batch(partner)?;
         let job = self.state.jobs.get(&first.job.number)?;
         let held = self.state.held(partner);
-        let (weight, whole_quota) = cx
+        let (weight, fleet_quota) = cx
             .config
             .partner(partner)
             .map_or((1, sizes::Resources::default()), |p| (p.weight, p.quota));
         let quota = fair::partition_quota(
-            &whole_quota,
+            &fleet_quota,
             &self.shares.capacity,
             &cx.fleet_capacity,
             &job.demand,
@@ -126,8 +128,9 @@
         job.is_some_and(|j| matches!(j.kind, wire::TaskKind::Batch(_)))
     }
 
-    /// Tries a partner's waiting tasks in their order, but no shape twice; returns whether one was
-    /// assigned. A task that fits nowhere does not block those behind it.
+    /// Tries to assign one of a partner's waiting tasks, in queue order. Skips tasks whose demand
+    /// is known not to fit. Returns whether a task was assigned. A task that fits no worker does
+    /// not block the tasks behind it.
     fn assign_one(
         &mut self,
         cx: &mut Context,
@@ -136,14 +139,15 @@
         round: &mut SchedulingRound,
     ) -> bool {
         let waiting = self.state.waiting(partner).filter(|id| self.is_batch(*id));
-        let shown: Vec<ids::TaskId> = waiting.take(MAX_QUEUE_SCAN).collect();
-        for id in shown {
+        let scanned: Vec<ids::TaskId> = waiting.take(MAX_QUEUE_SCAN).collect();
+        for id in scanned {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             let (kind, demand) = (job.kind.clone(), job.demand);
-            let known = |(p, k, d): &(ids::PartnerId, wire::TaskKind, sizes::Resources)| {
-                p == partner && *k == kind && demand.holds(d)
-            };
-            if round.unplaceable.iter().any(known) {
+            let known_unplaceable =
+                |(p, k, d): &(ids::PartnerId, wire::TaskKind, sizes::Resources)| {
+                    p == partner && *k == kind && demand.holds(d)
+                };
+            if round.unplaceable.iter().any(known_unplaceable) {
                 continue;
             }
             if self.assign_batch(cx, workers, id) {
@@ -185,6 +189,7 @@
         false
     }
 
+    /// Returns the candidates in the failure domains of a placement, with their indices.
     fn allowed_candidates(
         &self,
         cx: &Context,
@@ -200,7 +205,8 @@
         (at, candidates)
     }
 
-    /// Records an assignment; its start follows the commit.
+    /// Records an assignment. The start command is sent after the commit. Returns whether the
+    /// assignment was made.
     pub(super) fn assign(
         &mut self,
         cx: &mut Context,
@@ -235,14 +241,15 @@
         true
     }
 
-    /// Fills the context's candidates with the usable workers and returns their names in order.
+    /// Fills `cx.candidates` with the workers that can take a task and returns their ids in the
+    /// same order. A worker on probation takes one task at a time.
     pub(super) fn build_candidates(&self, cx: &mut Context) -> Vec<ids::WorkerId> {
         cx.candidates.clear();
         let mut names = Vec::new();
         for (worker, link) in &self.links {
-            let trial = self.health.on_probation(worker);
+            let on_probation = self.health.on_probation(worker);
             let occupied = self.state.on_worker(worker).next().is_some();
-            if !link.usable() || (trial && occupied) {
+            if !link.usable() || (on_probation && occupied) {
                 continue;
             }
             names.push(worker.clone());
@@ -286,7 +293,7 @@
         c
     }
 
-    /// Keeps the reason why the first waiting tasks wait, for `gaplock why`.
+    /// Records in the history why each skipped partner's first task waits, for `gaplock why`.
     fn record_wait_reasons(&mut self, cx: &Context, skipped: &[ids::PartnerId]) {
         for partner in skipped {
             let Some(first) = self.state.waiting(partner).next() else { continue };
@@ -296,15 +303,15 @@
                 "{first} waits: none of {usable} usable workers ({bad} quarantined) has room for \
                  it beside the services there"
             );
-            let said = self.history.get(&first.job).and_then(|lines| lines.back());
-            if !said.is_some_and(|line| line.ends_with(&why)) {
+            let last_line = self.history.get(&first.job).and_then(|lines| lines.back());
+            if !last_line.is_some_and(|line| line.ends_with(&why)) {
                 self.append_history(cx, first.job, why);
             }
         }
     }
 }
 
-/// Adds a batch reservation to a candidate.
+/// Adds a batch task's reservation to a candidate.
 fn add_batch_reservation(
     c: &mut placement::Candidate,
     class: &ids::BatchClass,
