--- a/crates/coord/src/partition/starting.rs
+++ b/crates/coord/src/partition/starting.rs
@@ -1,4 +1,5 @@
-//! Sends the start commands of stored assignments until their workers have answered.
+//! Sends the start commands of committed assignments, and repeats them until the workers have
+//! accepted or refused them.
 
 use gaplock_chart::table::{task, upstream};
 use gaplock_types::{ids, time, wire};
@@ -8,10 +9,11 @@
 use crate::action::{Action, WorkerAnswer, WorkerCall};
 use crate::context::Context;
 
+/// Time from a start command's answer or failure to its repetition.
 const START_RETRY: time::Millis = time::Millis(250);
 
 impl Partition {
-    /// Sends start commands for stored assignments that are not known to run.
+    /// Sends start commands for committed assignments whose runs are not known to have started.
     pub(super) fn send_starts(&mut self, cx: &mut Context) {
         if !self.may_renew(cx) || !self.journal.owns() {
             return;
@@ -29,7 +31,7 @@
         let Some(t) = self.journal.committed.task(id) else { return };
         let Some(place) = &t.place else { return };
         let run = wire::Run { task: id, attempt: t.attempt };
-        // What is pending may already have moved on from what is committed.
+        // A pending record may already have ended this attempt.
         let pending = self.state.task(id).map(|t| t.attempt);
         if t.is != task::Is::Assigned || place.worker != *worker || pending != Some(t.attempt) {
             return;
@@ -39,8 +41,8 @@
         let (Some((seen, _)), true) = (link.seen, link.heard) else { return };
         let (leaving, boot) = (link.is == upstream::Is::Leaving, link.boot);
         let Some(view) = link.runs.get_mut(&run) else { return };
-        let open = !view.started && !view.in_flight && view.refused.is_none();
-        if !open || boot != Some(place.boot) || cx.now < view.retry_at {
+        let may_send = !view.started && !view.in_flight && view.refused.is_none();
+        if !may_send || boot != Some(place.boot) || cx.now < view.retry_at {
             return;
         }
         let leaving_and_new = leaving && view.valid_until == time::Instant(0);
@@ -73,6 +75,7 @@
         });
     }
 
+    /// Handles a worker's answer to a start command, or the failure of the call.
     pub(super) fn start_answered(
         &mut self,
         cx: &mut Context,
