--- a/crates/coord/src/partition/status.rs
+++ b/crates/coord/src/partition/status.rs
@@ -1,4 +1,4 @@
-//! Shows a partition's jobs and workers to callers and operators.
+//! Reports the status of a partition's jobs and workers to callers and operators.
 
 use gaplock_chart::table::task;
 use gaplock_types::{api, ids, wire};
@@ -7,7 +7,7 @@
 use crate::state::{Job, Task};
 
 impl Partition {
-    /// Returns where a job stands.
+    /// Returns the status of a job and of each of its tasks.
     pub(super) fn status_of(&self, id: ids::JobId, job: &Job) -> api::JobStatus {
         let row = |(i, t): (usize, &Task)| api::TaskStatus {
             task: ids::TaskId { job: id, index: i as u32 },
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Tells how an assigned task stands at its worker; for others, why they wait or ended.
+    /// Returns the state of an assigned task on its worker, or why another task waits or has ended.
     pub fn why_assigned(&self, id: ids::TaskId, t: &Task) -> String {
         let Some(place) = &t.place else { return t.why.clone() };
         if let Some(to) = place.lent {
@@ -52,23 +52,24 @@
         }
     }
 
-    /// Counts the waiting tasks by partner.
+    /// Returns the number of waiting tasks of each partner that has any.
     pub fn waiting_counts(&self) -> impl Iterator<Item = (&ids::PartnerId, usize)> {
         self.state.waiting_partners().map(|p| (p, self.state.waiting(p).count()))
     }
 
-    /// Returns the boots of a worker that this owner has heard or that tasks are stored for.
+    /// Returns the boots of a worker that this owner knows: the one the worker reported, and those
+    /// that tasks are assigned to.
     pub(super) fn known_boots<'a>(
         &'a self,
         worker: &'a ids::WorkerId,
     ) -> impl Iterator<Item = wire::Boot> + 'a {
-        let heard = self.links.get(worker).and_then(|l| l.boot);
+        let reported = self.links.get(worker).and_then(|l| l.boot);
         let place = |id| self.state.task(id).and_then(|t| t.place.as_ref());
         let stored = self.state.on_worker(worker).filter_map(place).map(|p| p.boot);
-        heard.into_iter().chain(stored)
+        reported.into_iter().chain(stored)
     }
 
-    /// Lists the partition's jobs and workers.
+    /// Returns a summary of the partition's jobs and workers.
     pub fn survey(&self) -> api::PartitionSummary {
         let workers = self.links.iter().map(|(worker, link)| api::WorkerRow {
             worker: worker.clone(),
