--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -60,7 +60,7 @@
             busy: reply.slots_busy,
             asked_at: sent_at,
         });
-        self.adopt_runs(worker);
+        self.add_missing_run_views(worker);
         for report in &reply.runs {
             self.handle_run_report(cx, worker, report);
         }
@@ -70,7 +70,7 @@
     }
 
     /// Creates the missing [`RunView`]s of tasks that are assigned to the worker.
-    fn adopt_runs(&mut self, worker: &ids::WorkerId) {
+    fn add_missing_run_views(&mut self, worker: &ids::WorkerId) {
         let Some(link) = self.links.get_mut(worker) else { return };
         for id in self.state.on_worker(worker) {
             let Some(t) = self.state.task(id) else { continue };
@@ -353,7 +353,7 @@
     pub(super) fn reconcile(&mut self, cx: &mut Context) {
         let workers: Vec<ids::WorkerId> = self.state.workers().cloned().collect();
         for worker in workers {
-            self.adopt_runs(&worker);
+            self.add_missing_run_views(&worker);
             let tasks: Vec<ids::TaskId> = self.state.on_worker(&worker).collect();
             for id in tasks {
                 self.reconcile_task(cx, &worker, id);
