--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -44,10 +44,10 @@
             if round.blocked_urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
                 shares.retain(|s| s.next.is_some_and(|(_, urgent)| urgent));
             }
-            let Some(turn) = fair::next_partner(&shares, &self.shares.capacity) else { break };
-            let partner = shares[turn].partner.clone();
+            let Some(chosen) = fair::next_partner(&shares, &self.shares.capacity) else { break };
+            let partner = shares[chosen].partner.clone();
             if !self.assign_one(cx, &workers, &partner, &mut round) {
-                let urgent = shares[turn].next.is_some_and(|(_, urgent)| urgent);
+                let urgent = shares[chosen].next.is_some_and(|(_, urgent)| urgent);
                 if urgent && round.blocked_urgent.is_none() {
                     round.blocked_urgent = self.first_batch(&partner);
                 }
