--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -1,4 +1,4 @@
-//! Handles callers' and operators' commands to a partition's owner.
+//! Handles the commands that callers and operators send to a partition's owner.
 
 use gaplock_chart::table::{task, upstream};
 use gaplock_policy::placement;
@@ -12,18 +12,20 @@
 use crate::records::Record;
 use crate::state::{Job, Once};
 
-/// The largest kept answer, in bytes of base 64.
-const ANSWER_MAX_KEPT: usize = 2_048;
-/// After this long a claim without an end will not get one; longer than any request may take.
-const CLAIM_RUNS_MS: u64 = 60_000;
-/// The most claims that one partition keeps; further ones are refused, not run.
-const MOST_CLAIMS: usize = 4_000;
-/// The most waiting tasks in one partition; further jobs are refused, not run.
-const MOST_WAITING: usize = 20_000;
+/// The largest answer body that is stored, in bytes of base64; longer ones are left out, to
+/// keep the state small.
+const MAX_STORED_ANSWER_BYTES: usize = 2_048;
+/// A claim without a stored end is answered as unknown after this time, which is longer than any
+/// request may take.
+const CLAIM_TIMEOUT_MS: u64 = 60_000;
+/// Claims that one partition stores; further requests are refused without being run.
+const MAX_CLAIMS: usize = 4_000;
+/// Waiting tasks in one partition; further jobs are refused without being run.
+const MAX_WAITING_TASKS: usize = 20_000;
 
 impl Once {
-    /// Tells whether an answer's body is kept.
-    pub(super) fn keeps_answer(&self) -> bool {
+    /// Returns whether the answer's body is stored.
+    pub(super) fn has_stored_answer(&self) -> bool {
         matches!(&self.end, Some(api::OnceEnd::Ran { body: Some(_), .. }))
     }
 }
@@ -33,7 +35,7 @@
 }
 
 impl Partition {
-    /// Handles a command; its reply follows at once or with a commit.
+    /// Handles a command. The reply is sent at once or after a commit.
     pub fn command(&mut self, cx: &mut Context, id: ReplyId, command: api::Command) {
         if !self.journal.owns() {
             cx.reply(id, journal::not_owner_reply());
@@ -41,8 +43,8 @@
         }
         let writes = !matches!(command, api::Command::Status { .. } | api::Command::Survey);
         if writes && !self.journal.healthy(cx) {
-            // A refusal speaks of this try, and an earlier one may be stored.
-            let reply = match self.has_begun(&command) {
+            // The refusal is only about this attempt; an earlier attempt may be stored.
+            let reply = match self.is_recorded(&command) {
                 true => journal::begun_reply(),
                 false => refused(codes::Code::StoreDown, ""),
             };
@@ -77,8 +79,8 @@
         self.journal.poll(cx);
     }
 
-    /// Tells whether an earlier try of a command has been recorded, stored or not.
-    fn has_begun(&self, command: &api::Command) -> bool {
+    /// Returns whether an earlier attempt of a command has been recorded, committed or not.
+    fn is_recorded(&self, command: &api::Command) -> bool {
         match command {
             api::Command::Submit { partner, key, .. } => {
                 self.state.job_by_key(partner, key).is_some()
@@ -93,7 +95,7 @@
             api::Command::Borrow(wanted) => {
                 self.state.job_by_key(&wanted.partner, &loan_key(wanted.run)).is_some()
             }
-            // Whoever stores an end repeats it until that is confirmed.
+            // The sender of an end repeats it until it is confirmed.
             api::Command::OnceDone { .. } | api::Command::Status { .. } | api::Command::Survey => {
                 false
             }
@@ -108,19 +110,21 @@
         key: ids::RequestKey,
         spec: &api::JobSpec,
     ) {
-        let digest = serde_json::to_string(spec).expect("plain data serialises");
+        let digest =
+            serde_json::to_string(spec).expect("a job specification always serializes to JSON");
         if let Some(number) = self.state.job_by_key(&partner, &key) {
-            let known = self.state.jobs.get(&number).is_some_and(|j| j.digest == digest);
-            let reply = if known {
+            let same_job = self.state.jobs.get(&number).is_some_and(|j| j.digest == digest);
+            let reply = if same_job {
                 api::Reply::Submitted(ids::JobId { home: self.id, number })
             } else {
                 refused(codes::Code::KeyReused, "The key belongs to another job")
             };
-            // The first submission may still wait for its commit, so the repeat waits with it.
+            // The first submission may not be committed yet; the repeat must not be answered
+            // before it.
             self.reply_after_commit(cx, id, reply);
             return;
         }
-        if let Some(reply) = self.submission_fault(cx, &partner, spec) {
+        if let Some(reply) = self.validate_submission(cx, &partner, spec) {
             cx.reply(id, reply);
             return;
         }
@@ -138,7 +142,7 @@
             urgent: spec.urgent,
             at_unix_ms: cx.unix_ms,
         };
-        self.remember(cx, job, format!("submitted with {} tasks", spec.tasks));
+        self.append_history(cx, job, format!("submitted with {} tasks", spec.tasks));
         self.record(cx, record, Some(After::Reply(id, api::Reply::Submitted(job))));
         self.schedule(cx);
     }
@@ -147,7 +151,7 @@
         self.journal.reply_after_commit(cx, id, reply);
     }
 
-    fn submission_fault(
+    fn validate_submission(
         &self,
         cx: &Context,
         partner: &ids::PartnerId,
@@ -172,7 +176,7 @@
         }
         let waiting: usize =
             self.state.waiting_partners().map(|p| self.state.waiting(p).count()).sum();
-        if waiting + spec.tasks as usize > MOST_WAITING {
+        if waiting + spec.tasks as usize > MAX_WAITING_TASKS {
             return Some(refused(codes::Code::Overloaded, "The queue is full"));
         }
         None
@@ -209,10 +213,10 @@
         for task in waiting {
             let attempt = self.state.task(task).map(|t| t.attempt).unwrap_or_default();
             let run = wire::Run { task, attempt };
-            let checked = self.check.check(&gaplock_verify::Fact::Ended(run));
+            let checked = self.verifier.check(&gaplock_verify::Fact::Ended(run));
             cx.allowed(checked);
         }
-        self.remember(cx, job, "cancelled by its owner".to_string());
+        self.append_history(cx, job, "cancelled by its owner".to_string());
         let record = Record::Cancel { number: job.number, index: None };
         self.record(cx, record, Some(After::Reply(id, api::Reply::Done)));
     }
@@ -226,21 +230,21 @@
         claimer: String,
     ) {
         if let Some(once) = self.state.once.get(name) {
-            let expired = once.at_unix_ms + CLAIM_RUNS_MS < cx.unix_ms;
+            let expired = once.at_unix_ms + CLAIM_TIMEOUT_MS < cx.unix_ms;
             let reply = match &once.end {
                 _ if once.digest != digest => {
                     refused(codes::Code::KeyReused, "The key belongs to another request")
                 }
                 Some(end) => api::Reply::Ended(end.clone()),
                 None if once.claimer == claimer => api::Reply::Granted,
-                // The claimer's entry must have died: nobody will store how it ended.
+                // The claimer's entry must have died, so the end will never be stored.
                 None if expired => api::Reply::Ended(api::OnceEnd::Unknown),
                 None => refused(codes::Code::InProgress, "The request was claimed before"),
             };
             self.reply_after_commit(cx, id, reply);
             return;
         }
-        if self.state.once.len() >= MOST_CLAIMS {
+        if self.state.once.len() >= MAX_CLAIMS {
             cx.reply(id, refused(codes::Code::Overloaded, "Too many claims are kept"));
             return;
         }
@@ -263,7 +267,7 @@
             return;
         }
         if let api::OnceEnd::Ran { body, .. } = &mut end {
-            if body.as_ref().is_some_and(|b| b.len() > ANSWER_MAX_KEPT) {
+            if body.as_ref().is_some_and(|b| b.len() > MAX_STORED_ANSWER_BYTES) {
                 *body = None;
             }
         }
@@ -287,7 +291,7 @@
             cx.reply(id, refused(codes::Code::BadRequest, why));
             return;
         }
-        if self.boots_at(&worker).any(|b| Some(b) != boot) {
+        if self.known_boots(&worker).any(|b| Some(b) != boot) {
             let why = "The worker has booted anew since it was declared dead";
             cx.reply(id, refused(codes::Code::BadRequest, why));
             return;
--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -1,10 +1,11 @@
-//! Lends waiting tasks to partitions that have room, and runs what others lend.
+//! Lends waiting tasks to partitions with free capacity, and runs tasks that others lend.
 //!
-//! A job lives in the partition that its key hashes to, which may have no worker left or none with
-//! room. Its owner then lends single tasks: the loan is an assignment in its journal, and the other
-//! partition stores the task as a job of its own under a key that names the run. The one command,
-//! [`api::Command::Borrow`], may be repeated at will: it stores the task once and then only tells
-//! how it stands, so neither a lost message nor a new owner on either side runs it twice.
+//! A job is stored in the partition that its key hashes to. That partition may have no worker, or
+//! none with enough free capacity. Its owner then lends single tasks: it records the loan as an
+//! assignment in its own journal, and the borrowing partition stores the task as a job of its own
+//! under a key that names the run. The only command, [`api::Command::Borrow`], is idempotent: it
+//! stores the task once and afterwards only reports the task's state. Neither a lost message nor a
+//! new owner on either side can therefore run the task twice.
 
 use gaplock_chart::table::task;
 use gaplock_types::{api, ids, sizes, time, wire};
@@ -17,40 +18,44 @@
 use crate::records::Record;
 use crate::state::{self, Job};
 
-/// A task that has waited this long may be lent; at once where no worker is usable.
+/// A task may be lent after it has waited this long; at once if the partition has no usable worker.
 const LEND_AFTER_MS: u64 = 2_000;
-const LOANS_PER_TICK: usize = 8;
-const ASK_EVERY: time::Millis = time::Millis(1_000);
-/// An unanswered question hinders the next one this long.
-const ASK_LIMIT: time::Millis = time::Millis(5_000);
-/// A lent task that waits this long at the other partition is called back.
+/// Further loans are left to later ticks.
+const MAX_LOANS_PER_TICK: usize = 8;
+/// Time from the answer about a loan to the next request.
+const LOAN_POLL_INTERVAL: time::Millis = time::Millis(1_000);
+/// A request about a loan that gets no answer is repeated after this time.
+const LOAN_POLL_TIMEOUT: time::Millis = time::Millis(5_000);
+/// A lent task is recalled after it has waited this long in the borrowing partition.
 const RECALL_AFTER: time::Millis = time::Millis(10_000);
-/// Failures after which a lent task is given up.
-const MOST_FAILURES: u32 = 3;
-/// The first part of a borrowed job's key.
-const LENT: &str = "lent";
+/// A lent task that has failed this many times, here or elsewhere, ends as failed.
+const MAX_LENT_TASK_FAILURES: u32 = 3;
+/// The prefix of a borrowed job's key.
+const LOAN_KEY_PREFIX: &str = "lent";
 
-/// What an owner knows of one loan.
+/// When the owner next asks about one loan, and what the answers have shown.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Loan {
-    next_ask: time::Instant,
+pub(super) struct LoanPoll {
+    next_poll: time::Instant,
+    /// Since when the task has waited in the borrowing partition without starting.
     waiting_since: Option<time::Instant>,
 }
 
 impl Job {
-    /// Tells whether another partition lent this job's task.
+    /// Returns whether another partition lent this job's task.
     pub fn borrowed(&self) -> bool {
-        self.key.as_str().starts_with(LENT)
+        self.key.as_str().starts_with(LOAN_KEY_PREFIX)
     }
 }
 
-/// Returns the key under which a lent run is stored at the other partition.
+/// Returns the key under which a lent run is stored in the borrowing partition.
 pub fn loan_key(run: wire::Run) -> ids::RequestKey {
-    ids::RequestKey(format!("{LENT}:{}:{}", run.task, run.attempt))
+    ids::RequestKey(format!("{LOAN_KEY_PREFIX}:{}:{}", run.task, run.attempt))
 }
 
 impl Partition {
-    /// Returns the most that one worker has free, if nothing waits here for it.
+    /// Returns the largest free capacity of one worker. Returns `None` if tasks of this partition
+    /// wait, or if this entry does not own it.
     pub fn room(&self) -> Option<sizes::Resources> {
         if !self.owns() || self.state.waiting_partners().next().is_some() {
             return None;
@@ -61,18 +66,18 @@
             .max_by_key(|free| free.cpu)
     }
 
-    /// Lends tasks that have waited for a while to partitions with room.
+    /// Lends tasks that have waited for [`LEND_AFTER_MS`] to partitions with free capacity.
     pub(super) fn lend(&mut self, cx: &mut Context) {
         let usable = self.links.values().any(|l| l.usable());
         let partners: Vec<ids::PartnerId> = self.state.waiting_partners().cloned().collect();
-        let mut lent = 0;
+        let mut loans = 0;
         for partner in partners {
             let waiting: Vec<ids::TaskId> = self.state.waiting(&partner).take(64).collect();
             for id in waiting {
                 let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
-                let patient = usable && cx.unix_ms < job.at_unix_ms + LEND_AFTER_MS;
+                let waits_for_worker = usable && cx.unix_ms < job.at_unix_ms + LEND_AFTER_MS;
                 let batch = matches!(job.kind, wire::TaskKind::Batch(_));
-                if patient || !batch || job.borrowed() || lent >= LOANS_PER_TICK {
+                if waits_for_worker || !batch || job.borrowed() || loans >= MAX_LOANS_PER_TICK {
                     continue;
                 }
                 let demand = job.demand;
@@ -81,13 +86,13 @@
                 if let Some(free) = cx.rooms.get_mut(&to) {
                     *free = free.minus(&demand);
                 }
-                lent += 1;
-                self.lend_one(cx, id, to, demand);
+                loans += 1;
+                self.lend_task(cx, id, to, demand);
             }
         }
     }
 
-    fn lend_one(
+    fn lend_task(
         &mut self,
         cx: &mut Context,
         id: ids::TaskId,
@@ -100,17 +105,18 @@
         let worker = ids::WorkerId(to.to_string());
         let fact =
             Fact::Assigned { run, worker: &worker, demand: reserve, capacity: None, resume_ms };
-        let checked = self.check.check(&fact);
+        let checked = self.verifier.check(&fact);
         if !cx.allowed(checked) {
             return;
         }
         cx.note("lend", id.to_string(), format!("{to} has room"));
-        self.remember(cx, id.job, format!("{id} is lent to {to}, which has room"));
+        self.append_history(cx, id.job, format!("{id} is lent to {to}, which has room"));
         self.record(cx, Record::Lend { run, to, reserve }, None);
     }
 
-    /// Asks how stored loans stand; the first question hands the task over.
-    pub(super) fn ask_loans(&mut self, cx: &mut Context) {
+    /// Asks the borrowing partitions for the state of committed loans. The first request submits
+    /// the task there.
+    pub(super) fn poll_loans(&mut self, cx: &mut Context) {
         let lent: Vec<ids::TaskId> = self.state.lent().collect();
         self.loans.retain(|run, _| lent.contains(&run.task));
         for id in lent {
@@ -124,10 +130,10 @@
             let (resume_ms, unwanted) = (t.checkpoint_ms, t.unwanted);
             let Some(job) = self.journal.committed.jobs.get(&id.job.number) else { continue };
             let loan = self.loans.entry(run).or_default();
-            if cx.now < loan.next_ask {
+            if cx.now < loan.next_poll {
                 continue;
             }
-            loan.next_ask = cx.now + ASK_LIMIT;
+            loan.next_poll = cx.now + LOAN_POLL_TIMEOUT;
             let waits_long = |since: time::Instant| cx.now.since(since) >= RECALL_AFTER;
             let stop = unwanted || loan.waiting_since.is_some_and(waits_long);
             let wanted = api::Loan {
@@ -145,7 +151,7 @@
         }
     }
 
-    /// Takes in how a loan stands at the other partition.
+    /// Handles the borrowing partition's answer about a loan.
     pub fn loan_told(&mut self, cx: &mut Context, run: wire::Run, reply: &api::Reply) {
         if !self.owns() {
             return;
@@ -157,44 +163,49 @@
             return;
         }
         let Some(loan) = self.loans.get_mut(&run) else { return };
-        loan.next_ask = cx.now + ASK_EVERY;
-        let api::Reply::Loan(told) = reply else { return };
-        if told.state == api::LoanState::Waiting {
+        loan.next_poll = cx.now + LOAN_POLL_INTERVAL;
+        let api::Reply::Loan(report) = reply else { return };
+        if report.state == api::LoanState::Waiting {
             loan.waiting_since.get_or_insert(cx.now);
             return;
         }
         loan.waiting_since = None;
-        match told.state {
+        match report.state {
             api::LoanState::Waiting | api::LoanState::Running => {}
-            api::LoanState::Done => self.loan_ended(cx, run, Record::Finish { run }),
+            api::LoanState::Done => self.record_loan_end(cx, run, Record::Finish { run }),
             api::LoanState::Failed | api::LoanState::Stopped => {
-                self.loan_came_back(cx, run, told);
+                self.return_lent_task(cx, run, report);
             }
         }
     }
 
-    fn loan_ended(&mut self, cx: &mut Context, run: wire::Run, record: Record) {
-        let checked = self.check.check(&Fact::Ended(run));
+    fn record_loan_end(&mut self, cx: &mut Context, run: wire::Run, record: Record) {
+        let checked = self.verifier.check(&Fact::Ended(run));
         if cx.allowed(checked) {
-            self.remember(cx, run.task.job, format!("{} ended where it was lent to", run.task));
+            self.append_history(
+                cx,
+                run.task.job,
+                format!("{} ended where it was lent to", run.task),
+            );
             self.record(cx, record, None);
         }
     }
 
-    fn loan_came_back(&mut self, cx: &mut Context, run: wire::Run, told: &api::LoanReport) {
+    /// Ends or requeues a lent task that failed or was stopped in the borrowing partition.
+    fn return_lent_task(&mut self, cx: &mut Context, run: wire::Run, report: &api::LoanReport) {
         let Some(t) = self.state.task(run.task) else { return };
-        let failed = told.state == api::LoanState::Failed;
+        let failed = report.state == api::LoanState::Failed;
         if t.unwanted {
-            self.loan_ended(cx, run, Record::Cancelled { run });
+            self.record_loan_end(cx, run, Record::Cancelled { run });
             return;
         }
-        if failed && t.failures + 1 >= MOST_FAILURES {
+        if failed && t.failures + 1 >= MAX_LENT_TASK_FAILURES {
             let why = "it failed in several partitions".to_string();
-            self.loan_ended(cx, run, Record::GiveUp { task: run.task, why });
+            self.record_loan_end(cx, run, Record::GiveUp { task: run.task, why });
             return;
         }
-        let checkpoint_ms = told.checkpoint_ms.max(t.checkpoint_ms);
-        let checked = self.check.check(&Fact::Requeued { run, checkpoint_ms });
+        let checkpoint_ms = report.checkpoint_ms.max(t.checkpoint_ms);
+        let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
         if cx.allowed(checked) {
             let why = "it came back from where it was lent to".to_string();
             let record =
@@ -203,11 +214,12 @@
         }
     }
 
-    /// Stores a task that another partition lends, or tells how it stands.
+    /// Stores a task that another partition lends, or reports the state of one that is stored
+    /// already.
     pub(super) fn borrow(&mut self, cx: &mut Context, id: ReplyId, wanted: &api::Loan) {
         let key = loan_key(wanted.run);
         if let Some(number) = self.state.job_by_key(&wanted.partner, &key) {
-            self.borrowed_before(cx, id, number, wanted.stop);
+            self.answer_repeated_loan(cx, id, number, wanted.stop);
             return;
         }
         let number = self.state.next_job;
@@ -225,45 +237,45 @@
         };
         self.record(cx, record, None);
         let task = state::task_id(self.id, number, 0);
-        self.check.start_from(task, wanted.resume_ms);
+        self.verifier.start_from(task, wanted.resume_ms);
         let start = Record::ResumeFrom { task, checkpoint_ms: wanted.resume_ms };
         if wanted.stop {
-            // Stored as cancelled, so that a late copy of the question cannot start it.
+            // Stored as cancelled, so that a late duplicate of the request cannot start it.
             self.record(cx, start, None);
-            let told = report(api::LoanState::Stopped, wanted.resume_ms);
-            let after = After::Reply(id, api::Reply::Loan(told));
+            let report = loan_report(api::LoanState::Stopped, wanted.resume_ms);
+            let after = After::Reply(id, api::Reply::Loan(report));
             self.record(cx, Record::Cancel { number, index: None }, Some(after));
             return;
         }
-        let told = report(api::LoanState::Running, wanted.resume_ms);
-        self.record(cx, start, Some(After::Reply(id, api::Reply::Loan(told))));
+        let report = loan_report(api::LoanState::Running, wanted.resume_ms);
+        self.record(cx, start, Some(After::Reply(id, api::Reply::Loan(report))));
         self.schedule(cx);
     }
 
-    fn borrowed_before(&mut self, cx: &mut Context, id: ReplyId, number: u64, stop: bool) {
+    fn answer_repeated_loan(&mut self, cx: &mut Context, id: ReplyId, number: u64, stop: bool) {
         let Some(t) = self.state.jobs.get(&number).and_then(|j| j.tasks.first()) else { return };
-        let stands = match t.is {
+        let state = match t.is {
             task::Is::Queued => api::LoanState::Waiting,
             task::Is::Assigned => api::LoanState::Running,
             task::Is::Done => api::LoanState::Done,
             task::Is::Failed => api::LoanState::Failed,
             task::Is::Cancelled => api::LoanState::Stopped,
         };
-        let told = report(stands, t.checkpoint_ms);
+        let report = loan_report(state, t.checkpoint_ms);
         let begin_stop = stop && !t.is.is_final() && !t.unwanted;
         if begin_stop {
             let run = wire::Run { task: state::task_id(self.id, number, 0), attempt: t.attempt };
             if t.is == task::Is::Queued {
-                let checked = self.check.check(&Fact::Ended(run));
+                let checked = self.verifier.check(&Fact::Ended(run));
                 cx.allowed(checked);
             }
             self.record(cx, Record::Cancel { number, index: None }, None);
         }
-        // An end is told only once it is stored.
-        self.reply_after_commit(cx, id, api::Reply::Loan(told));
+        // An end is reported only after it is committed.
+        self.reply_after_commit(cx, id, api::Reply::Loan(report));
     }
 }
 
-fn report(state: api::LoanState, checkpoint_ms: u64) -> api::LoanReport {
+fn loan_report(state: api::LoanState, checkpoint_ms: u64) -> api::LoanReport {
     api::LoanReport { state, checkpoint_ms }
 }
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -1,4 +1,5 @@
-//! Keeps the partition's part of every service's replicas running, and forgets what is old.
+//! Keeps the partition's share of every service's replicas running, and removes expired jobs and
+//! claims from the state.
 
 use gaplock_chart::table::upstream;
 use gaplock_policy::placement;
@@ -9,32 +10,33 @@
 use crate::records::Record;
 
 /// The partner that owns service replicas.
-const OWN_PARTNER: &str = "gaplock";
-/// After this long only the fact that a request ran is kept, not its answer.
-const ANSWER_KEEP_MS: u64 = 600_000;
-/// Forgotten jobs and claims in one tick.
-const FORGET_PER_TICK: usize = 50;
+const SERVICE_PARTNER: &str = "gaplock";
+/// After this time the stored answer of a request is removed, and only the fact that the request
+/// ran is kept.
+const ANSWER_RETENTION_MS: u64 = 600_000;
+/// Jobs, and also claims, that one tick removes at most; the rest is left to later ticks.
+const MAX_REMOVALS_PER_TICK: usize = 50;
 
 impl Partition {
     /// Starts missing replicas and stops surplus ones.
-    pub(super) fn keep_replicas(&mut self, cx: &mut Context) {
+    pub(super) fn reconcile_replicas(&mut self, cx: &mut Context) {
         let config = cx.config.clone();
         let mut wanted: Vec<(&config::Service, u32)> = Vec::new();
         for s in config.placements.iter().flat_map(|p| p.services.iter()) {
             wanted.push((s, self.shares.replicas.get(&s.id).copied().unwrap_or(0)));
         }
         for (service, count) in &wanted {
-            self.keep_service(cx, service, *count);
+            self.reconcile_service(cx, service, *count);
         }
-        self.drop_unwanted_services(cx, &wanted);
+        self.cancel_removed_services(cx, &wanted);
     }
 
     fn service_job(&self, service: &ids::ServiceId) -> Option<u64> {
-        let partner = ids::PartnerId::from(OWN_PARTNER);
+        let partner = ids::PartnerId::from(SERVICE_PARTNER);
         self.state.job_by_key(&partner, &ids::RequestKey(service.0.clone()))
     }
 
-    fn keep_service(&mut self, cx: &mut Context, service: &config::Service, count: u32) {
+    fn reconcile_service(&mut self, cx: &mut Context, service: &config::Service, count: u32) {
         let Some(number) = self.service_job(&service.id) else {
             if count > 0 {
                 self.add_service_job(cx, service);
@@ -57,7 +59,7 @@
     fn add_service_job(&mut self, cx: &mut Context, service: &config::Service) {
         let record = Record::JobAdd {
             number: self.state.next_job,
-            partner: ids::PartnerId::from(OWN_PARTNER),
+            partner: ids::PartnerId::from(SERVICE_PARTNER),
             key: ids::RequestKey(service.id.0.clone()),
             digest: String::new(),
             kind: wire::TaskKind::Service(service.id.clone()),
@@ -70,7 +72,8 @@
         self.record(cx, record, None);
     }
 
-    /// Returns the replicas on workers that may serve, and those that wait for a worker.
+    /// Returns the replicas on workers that can serve requests, and the replicas that wait for a
+    /// worker.
     fn live_replicas(&self, number: u64) -> (Vec<ids::TaskId>, Vec<ids::TaskId>) {
         let (mut live, mut unplaced) = (Vec::new(), Vec::new());
         let Some(job) = self.state.jobs.get(&number) else { return (live, unplaced) };
@@ -141,8 +144,8 @@
         }
     }
 
-    fn drop_unwanted_services(&mut self, cx: &mut Context, wanted: &[(&config::Service, u32)]) {
-        let gone: Vec<u64> = self
+    fn cancel_removed_services(&mut self, cx: &mut Context, wanted: &[(&config::Service, u32)]) {
+        let removed: Vec<u64> = self
             .state
             .jobs
             .iter()
@@ -153,13 +156,14 @@
             .filter(|(_, job)| job.tasks.iter().any(|t| !t.is.is_final() && !t.unwanted))
             .map(|(number, _)| *number)
             .collect();
-        for number in gone {
+        for number in removed {
             self.record(cx, Record::Cancel { number, index: None }, None);
         }
     }
 
-    /// Forgets ended jobs, old answers and old claims, a few at a time.
-    pub(super) fn forget_old(&mut self, cx: &mut Context) {
+    /// Removes ended jobs, stored answers and claims after their retention times, at most
+    /// [`MAX_REMOVALS_PER_TICK`] jobs and as many claims at a time.
+    pub(super) fn remove_expired(&mut self, cx: &mut Context) {
         let keep_ms = cx.timing.job_keep.0;
         let old_jobs: Vec<u64> = self
             .state
@@ -167,17 +171,17 @@
             .iter()
             .filter(|(_, job)| matches!(job.kind, wire::TaskKind::Batch(_)) && job.ended())
             .filter(|(_, job)| {
-                // A lender asks after its task for as long as it has not stored its end.
+                // The lender polls a lent task until it has stored the task's end.
                 let keep_ms = if job.borrowed() { cx.timing.once_keep.0 } else { keep_ms };
                 job.at_unix_ms + keep_ms < cx.unix_ms
             })
             .map(|(number, _)| *number)
-            .take(FORGET_PER_TICK)
+            .take(MAX_REMOVALS_PER_TICK)
             .collect();
         for number in old_jobs {
             let count = self.state.jobs.get(&number).map_or(0, |j| j.tasks.len() as u32);
             for i in 0..count {
-                self.check.forget(crate::state::task_id(self.id, number, i));
+                self.verifier.forget(crate::state::task_id(self.id, number, i));
             }
             self.record(cx, Record::JobForget { number }, None);
         }
@@ -186,11 +190,11 @@
             .state
             .once
             .iter()
-            .filter(|(_, o)| o.at_unix_ms + ANSWER_KEEP_MS.min(once_keep_ms) < cx.unix_ms)
+            .filter(|(_, o)| o.at_unix_ms + ANSWER_RETENTION_MS.min(once_keep_ms) < cx.unix_ms)
             .map(|(id, o)| (id, o, o.at_unix_ms + once_keep_ms < cx.unix_ms))
-            .filter(|(_, o, whole)| *whole || o.keeps_answer())
+            .filter(|(_, o, whole)| *whole || o.has_stored_answer())
             .map(|(id, _, whole)| (id.clone(), whole))
-            .take(FORGET_PER_TICK)
+            .take(MAX_REMOVALS_PER_TICK)
             .collect();
         for (id, whole) in old_claims {
             self.record(cx, Record::OnceForget { id, whole }, None);
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -1,4 +1,4 @@
-//! Assigns waiting tasks to workers: whose task goes next, and where.
+//! Assigns waiting tasks to workers. Decides which partner's task is next and which worker gets it.
 
 use gaplock_chart::table::upstream;
 use gaplock_policy::{fair, guard, interference, placement};
@@ -10,24 +10,25 @@
 use crate::link::RunView;
 use crate::records::Record;
 
-/// Assignments decided in one tick; the rest follows in the next.
-const MOST_PER_TICK: usize = 200;
-/// Below this share of its slots a service counts as idle and does not limit batch.
+/// Assignments made in one tick; the rest is left to the next tick.
+const MAX_ASSIGNMENTS_PER_TICK: usize = 200;
+/// Below this share of busy slots a worker's services count as idle and do not limit batch tasks.
 const IDLE_LOAD: f64 = 0.01;
-/// Waiting tasks of one partner that a tick looks at.
-const QUEUE_SHOWN: usize = 256;
-/// Tasks that are moved away at once to make room for urgent ones.
-const MOST_MOVING: usize = 4;
+/// Waiting tasks of one partner that one scan of its queue considers.
+const MAX_QUEUE_SCAN: usize = 256;
+/// No further task is evicted for an urgent one while this many evictions are in progress.
+const MAX_CONCURRENT_EVICTIONS: usize = 4;
 
-/// What one round of assignments has found so far.
+/// What one scheduling round has found so far.
 #[derive(Default)]
-struct Round {
-    /// Partners none of whose waiting tasks fits now.
-    skip: Vec<ids::PartnerId>,
-    /// Shapes that found no worker: at least this much of this kind, for this partner.
-    failed: Vec<(ids::PartnerId, wire::TaskKind, sizes::Resources)>,
-    /// The first urgent task that found no worker.
-    urgent: Option<ids::TaskId>,
+struct SchedulingRound {
+    /// Partners with no waiting task that fits now.
+    exhausted_partners: Vec<ids::PartnerId>,
+    /// Demands that fit no worker. A task of the same partner and kind that demands at least as
+    /// much does not fit either.
+    unplaceable: Vec<(ids::PartnerId, wire::TaskKind, sizes::Resources)>,
+    /// The first urgent task that fits no worker.
+    blocked_urgent: Option<ids::TaskId>,
 }
 
 impl Partition {
@@ -37,39 +38,40 @@
             return;
         }
         let workers = self.build_candidates(cx);
-        let mut round = Round::default();
-        for _ in 0..MOST_PER_TICK {
-            let mut shares = self.shares_of_partners(cx, &round.skip);
-            if round.urgent.is_some() && self.hold.blocks_ordinary_work(cx.now) {
+        let mut round = SchedulingRound::default();
+        for _ in 0..MAX_ASSIGNMENTS_PER_TICK {
+            let mut shares = self.partner_shares(cx, &round.exhausted_partners);
+            if round.blocked_urgent.is_some() && self.urgent_hold.blocks_ordinary_work(cx.now) {
                 shares.retain(|s| s.next.is_some_and(|(_, urgent)| urgent));
             }
-            let Some(turn) = fair::next_partner(&shares, &self.shares.capacity) else { break };
-            let partner = shares[turn].partner.clone();
+            let Some(chosen) = fair::next_partner(&shares, &self.shares.capacity) else { break };
+            let partner = shares[chosen].partner.clone();
             if !self.assign_one(cx, &workers, &partner, &mut round) {
-                let urgent = shares[turn].next.is_some_and(|(_, urgent)| urgent);
-                if urgent && round.urgent.is_none() {
-                    round.urgent = self.first_batch(&partner);
+                let urgent = shares[chosen].next.is_some_and(|(_, urgent)| urgent);
+                if urgent && round.blocked_urgent.is_none() {
+                    round.blocked_urgent = self.first_batch(&partner);
                 }
-                round.skip.push(partner);
+                round.exhausted_partners.push(partner);
             }
         }
-        self.hold.record(cx.now, round.urgent.is_some());
-        if let Some(task) = round.urgent.filter(|_| self.hold.should_evict(cx.now)) {
-            self.make_room(cx, task);
+        self.urgent_hold.record(cx.now, round.blocked_urgent.is_some());
+        if let Some(task) = round.blocked_urgent.filter(|_| self.urgent_hold.should_evict(cx.now)) {
+            self.evict_for_urgent_task(cx, task);
         }
-        self.explain_waiting(cx, &round.skip);
+        self.record_wait_reasons(cx, &round.exhausted_partners);
     }
 
     fn first_batch(&self, partner: &ids::PartnerId) -> Option<ids::TaskId> {
         self.state.waiting(partner).find(|id| self.is_batch(*id))
     }
 
-    /// Moves the cheapest ordinary task away from a worker that could then hold the urgent one.
-    fn make_room(&mut self, cx: &mut Context, task: ids::TaskId) {
+    /// Evicts the cheapest non-urgent task whose worker then has enough free capacity for the
+    /// urgent task.
+    fn evict_for_urgent_task(&mut self, cx: &mut Context, task: ids::TaskId) {
         let Some(job) = self.state.jobs.get(&task.job.number) else { return };
         let demand = job.demand;
-        let moving = self.links.values().flat_map(|l| l.runs.values());
-        if moving.filter(|v| v.evicting.is_some()).count() >= MOST_MOVING {
+        let views = self.links.values().flat_map(|l| l.runs.values());
+        if views.filter(|v| v.evicting.is_some()).count() >= MAX_CONCURRENT_EVICTIONS {
             return;
         }
         let mut runs = Vec::new();
@@ -98,21 +100,21 @@
         }
     }
 
-    fn shares_of_partners(&self, cx: &Context, skip: &[ids::PartnerId]) -> Vec<fair::PartnerShare> {
+    fn partner_shares(&self, cx: &Context, skip: &[ids::PartnerId]) -> Vec<fair::PartnerShare> {
         let partners = self.state.waiting_partners().filter(|p| !skip.contains(p));
-        partners.filter_map(|p| self.share_of(cx, p)).collect()
+        partners.filter_map(|p| self.partner_share(cx, p)).collect()
     }
 
-    fn share_of(&self, cx: &Context, partner: &ids::PartnerId) -> Option<fair::PartnerShare> {
+    fn partner_share(&self, cx: &Context, partner: &ids::PartnerId) -> Option<fair::PartnerShare> {
         let first = self.first_batch(partner)?;
         let job = self.state.jobs.get(&first.job.number)?;
         let held = self.state.held(partner);
-        let (weight, whole_quota) = cx
+        let (weight, fleet_quota) = cx
             .config
             .partner(partner)
             .map_or((1, sizes::Resources::default()), |p| (p.weight, p.quota));
         let quota = fair::partition_quota(
-            &whole_quota,
+            &fleet_quota,
             &self.shares.capacity,
             &cx.fleet_capacity,
             &job.demand,
@@ -126,30 +128,32 @@
         job.is_some_and(|j| matches!(j.kind, wire::TaskKind::Batch(_)))
     }
 
-    /// Tries a partner's waiting tasks in their order, but no shape twice; returns whether one was
-    /// assigned. A task that fits nowhere does not block those behind it.
+    /// Tries to assign one of a partner's waiting tasks, in queue order. Skips tasks whose demand
+    /// is known not to fit. Returns whether a task was assigned. A task that fits no worker does
+    /// not block the tasks behind it.
     fn assign_one(
         &mut self,
         cx: &mut Context,
         workers: &[ids::WorkerId],
         partner: &ids::PartnerId,
-        round: &mut Round,
+        round: &mut SchedulingRound,
     ) -> bool {
         let waiting = self.state.waiting(partner).filter(|id| self.is_batch(*id));
-        let shown: Vec<ids::TaskId> = waiting.take(QUEUE_SHOWN).collect();
-        for id in shown {
+        let scanned: Vec<ids::TaskId> = waiting.take(MAX_QUEUE_SCAN).collect();
+        for id in scanned {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             let (kind, demand) = (job.kind.clone(), job.demand);
-            let known = |(p, k, d): &(ids::PartnerId, wire::TaskKind, sizes::Resources)| {
-                p == partner && *k == kind && demand.holds(d)
-            };
-            if round.failed.iter().any(known) {
+            let known_unplaceable =
+                |(p, k, d): &(ids::PartnerId, wire::TaskKind, sizes::Resources)| {
+                    p == partner && *k == kind && demand.holds(d)
+                };
+            if round.unplaceable.iter().any(known_unplaceable) {
                 continue;
             }
             if self.assign_batch(cx, workers, id) {
                 return true;
             }
-            round.failed.push((partner.clone(), kind, demand));
+            round.unplaceable.push((partner.clone(), kind, demand));
         }
         false
     }
@@ -178,13 +182,14 @@
             };
             let at = allowed.0[choice];
             if self.assign(cx, &workers[at].clone(), id, reserve) {
-                note_assigned(&mut cx.candidates[at], &class, &reserve, &cx.pairing);
+                add_batch_reservation(&mut cx.candidates[at], &class, &reserve, &cx.pairing);
                 return true;
             }
         }
         false
     }
 
+    /// Returns the candidates in the failure domains of a placement, with their indices.
     fn allowed_candidates(
         &self,
         cx: &Context,
@@ -200,7 +205,8 @@
         (at, candidates)
     }
 
-    /// Records an assignment; its start follows the commit.
+    /// Records an assignment. The start command is sent after the commit. Returns whether the
+    /// assignment was made.
     pub(super) fn assign(
         &mut self,
         cx: &mut Context,
@@ -215,7 +221,7 @@
         let Some(boot) = link.boot else { return false };
         let capacity = Some(link.host.capacity);
         let fact = Fact::Assigned { run, worker, demand: reserve, capacity, resume_ms };
-        let checked = self.check.check(&fact);
+        let checked = self.verifier.check(&fact);
         if !cx.allowed(checked) {
             return false;
         }
@@ -225,20 +231,25 @@
             ..RunView::default()
         };
         link.runs.insert(run, view);
-        self.remember(cx, id.job, format!("{id} goes to {worker} as attempt {}", run.attempt.0));
+        self.append_history(
+            cx,
+            id.job,
+            format!("{id} goes to {worker} as attempt {}", run.attempt.0),
+        );
         let worker = worker.clone();
         self.record(cx, Record::Assign { run, worker, boot, reserve }, None);
         true
     }
 
-    /// Fills the context's candidates with the usable workers and returns their names in order.
+    /// Fills `cx.candidates` with the workers that can take a task and returns their ids in the
+    /// same order. A worker on probation takes one task at a time.
     pub(super) fn build_candidates(&self, cx: &mut Context) -> Vec<ids::WorkerId> {
         cx.candidates.clear();
         let mut names = Vec::new();
         for (worker, link) in &self.links {
-            let trial = self.health.on_probation(worker);
+            let on_probation = self.health.on_probation(worker);
             let occupied = self.state.on_worker(worker).next().is_some();
-            if !link.usable() || (trial && occupied) {
+            if !link.usable() || (on_probation && occupied) {
                 continue;
             }
             names.push(worker.clone());
@@ -275,15 +286,15 @@
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             let Some(place) = self.state.task(id).and_then(|t| t.place.as_ref()) else { continue };
             if let wire::TaskKind::Batch(class) = &job.kind {
-                note_assigned(&mut c, class, &place.reserve, &cx.pairing);
+                add_batch_reservation(&mut c, class, &place.reserve, &cx.pairing);
                 c.used = c.used.minus(&place.reserve);
             }
         }
         c
     }
 
-    /// Keeps the reason why the first waiting tasks wait, for `gaplock why`.
-    fn explain_waiting(&mut self, cx: &Context, skipped: &[ids::PartnerId]) {
+    /// Records in the history why each skipped partner's first task waits, for `gaplock why`.
+    fn record_wait_reasons(&mut self, cx: &Context, skipped: &[ids::PartnerId]) {
         for partner in skipped {
             let Some(first) = self.state.waiting(partner).next() else { continue };
             let usable = self.links.values().filter(|l| l.usable()).count();
@@ -292,16 +303,16 @@
                 "{first} waits: none of {usable} usable workers ({bad} quarantined) has room for \
                  it beside the services there"
             );
-            let said = self.history.get(&first.job).and_then(|lines| lines.back());
-            if !said.is_some_and(|line| line.ends_with(&why)) {
-                self.remember(cx, first.job, why);
+            let last_line = self.history.get(&first.job).and_then(|lines| lines.back());
+            if !last_line.is_some_and(|line| line.ends_with(&why)) {
+                self.append_history(cx, first.job, why);
             }
         }
     }
 }
 
-/// Adds a batch reservation to a candidate.
-fn note_assigned(
+/// Adds a batch task's reservation to a candidate.
+fn add_batch_reservation(
     c: &mut placement::Candidate,
     class: &ids::BatchClass,
     reserve: &sizes::Resources,
