--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -43,7 +43,7 @@
     /// When each service was last known to run somewhere.
     pub served_at: HashMap<ids::ServiceId, time::Instant>,
     /// Change counts at the time that lease requests were sent.
-    pub asked: HashMap<(ids::WorkerId, time::Instant), u64>,
+    pub changes_at_renewal: HashMap<(ids::WorkerId, time::Instant), u64>,
 }
 
 /// One running entry.
--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -38,7 +38,7 @@
         }
         Action::Busy { worker, busy, asked_at } => {
             engine.with_routing(|r| {
-                let changes = r.asked.remove(&(worker.clone(), asked_at));
+                let changes = r.changes_at_renewal.remove(&(worker.clone(), asked_at));
                 r.router.record_busy(&worker, busy, changes.unwrap_or(u64::MAX));
             });
             wake_waiters(engine);
@@ -87,8 +87,8 @@
     if matches!(req, WorkerCall::Lease(_)) {
         engine.with_routing(|r| {
             let changes = r.router.changes(&worker);
-            r.asked.retain(|(known, _), _| *known != worker);
-            r.asked.insert((worker.clone(), sent_at), changes);
+            r.changes_at_renewal.retain(|(known, _), _| *known != worker);
+            r.changes_at_renewal.insert((worker.clone(), sent_at), changes);
         });
     }
     let client = engine.worker(addr);
