--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -41,7 +41,7 @@
     /// Extra tries that are allowed.
     pub budget: retry::RetryBudget,
     /// When each service was last known to run somewhere.
-    pub served_at: HashMap<ids::ServiceId, time::Instant>,
+    pub last_served_at: HashMap<ids::ServiceId, time::Instant>,
     /// Change counts at the time that lease requests were sent.
     pub changes_at_renewal: HashMap<(ids::WorkerId, time::Instant), u64>,
 }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -107,7 +107,7 @@
 /// service has not run anywhere for a while: then the final answer goes out at once.
 fn patience(engine: &Engine, req: &ServiceRequest) -> time::Millis {
     let now = clock::now();
-    let served_at = engine.with_routing(|r| r.served_at.get(&req.service).copied());
+    let served_at = engine.with_routing(|r| r.last_served_at.get(&req.service).copied());
     let lately = served_at.is_some_and(|at| now.since(at) < SERVED_LATELY);
     let left = req.deadline.since(now).0;
     if lately {
@@ -130,7 +130,7 @@
     });
     engine.with_routing(|r| {
         for service in services {
-            r.served_at.insert(service, now);
+            r.last_served_at.insert(service, now);
         }
     });
 }
