--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -143,7 +143,7 @@
     }
 
     /// Closes unused connections to workers that are not this entry's any more.
-    pub fn keep_workers(&self, addrs: &[String]) {
+    pub fn retain_workers(&self, addrs: &[String]) {
         lock(&self.workers).retain(|addr, client| {
             let keep = addrs.contains(addr);
             if !keep {
--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/running.rs
@@ -96,7 +96,7 @@
             let addrs = hosts.iter().map(|h| (h.worker.clone(), h.addr.clone())).collect();
             engine.set_addrs(addrs);
             let all: Vec<String> = hosts.iter().map(|h| h.addr.clone()).collect();
-            engine.keep_workers(&all);
+            engine.retain_workers(&all);
             engine.handle(Event::Hosts(hosts));
         }
         task::sleep(engine.cfg.hosts_every).await;
