--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -154,7 +154,7 @@
     }
 
     /// Returns a worker's address, as the host list shows it.
-    pub fn addr_of(&self, worker: &ids::WorkerId) -> Option<String> {
+    pub fn worker_addr(&self, worker: &ids::WorkerId) -> Option<String> {
         lock(&self.addrs).get(worker).cloned()
     }
 
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -331,7 +331,7 @@
 }
 
 async fn send(engine: &Arc<Engine>, req: &ServiceRequest, slot: route::Slot) -> Try {
-    let Some(addr) = engine.addr_of(&slot.worker) else {
+    let Some(addr) = engine.worker_addr(&slot.worker) else {
         give_back(engine, req, &slot, None);
         return Try::NotRun(refuse(codes::Code::NoUpstream, "The worker's address is not known"));
     };
