--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -138,7 +138,7 @@
     }
 
     /// Takes in where the host list shows each worker.
-    pub fn set_addrs(&self, addrs: HashMap<ids::WorkerId, String>) {
+    pub fn set_worker_addrs(&self, addrs: HashMap<ids::WorkerId, String>) {
         *lock(&self.addrs) = addrs;
     }
 
--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/running.rs
@@ -94,7 +94,7 @@
     loop {
         if let Some(hosts) = engine.hosts.read().await {
             let addrs = hosts.iter().map(|h| (h.worker.clone(), h.addr.clone())).collect();
-            engine.set_addrs(addrs);
+            engine.set_worker_addrs(addrs);
             let all: Vec<String> = hosts.iter().map(|h| h.addr.clone()).collect();
             engine.retain_workers(&all);
             engine.handle(Event::Hosts(hosts));
