--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -164,7 +164,7 @@
     }
 
     /// Carries out a command on a partition that this entry owns, and waits for its reply.
-    pub async fn command_here(
+    pub async fn execute_locally(
         self: &Arc<Self>,
         partition: ids::PartitionId,
         command: api::Command,
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -149,7 +149,7 @@
 ) -> api::Reply {
     let located = engine.with_core(|core| core.node.locate(&core.cx, home));
     let entry = match located {
-        Located::Here => return engine.command_here(home, command).await,
+        Located::Here => return engine.execute_locally(home, command).await,
         Located::Nowhere => return no_owner(),
         Located::Peer(entry) => entry,
     };
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -221,7 +221,7 @@
         engine.with_core(|core| Document::clone(&core.node.generations.doc))
     });
     add(module, COMMAND, |engine, (id, command): (ids::PartitionId, api::Command)| async move {
-        engine.command_here(id, command).await
+        engine.execute_locally(id, command).await
     });
     add(module, FORWARD, |engine, forward: api::Forward| async move {
         service::forwarded(&engine, forward).await
