--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -126,7 +126,7 @@
             (std::mem::take(&mut core.cx.actions), began.elapsed())
         });
         self.metrics.decided(took);
-        executor::carry_out(self, actions);
+        executor::execute_actions(self, actions);
     }
 
     /// Returns the client of the worker at `addr`.
--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -14,7 +14,7 @@
 use crate::once;
 
 /// Carries out actions in their order; calls run on their own.
-pub fn carry_out(engine: &Arc<Engine>, actions: Vec<Action>) {
+pub fn execute_actions(engine: &Arc<Engine>, actions: Vec<Action>) {
     for action in actions {
         carry_out_one(engine, action);
     }
