--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -184,4 +184,4 @@
 }
 
 /// The longest a call between entries may take, beyond the caller's own deadline.
-pub const PEER_SLACK: Duration = Duration::from_millis(500);
+pub const PEER_CALL_MARGIN: Duration = Duration::from_millis(500);
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -24,7 +24,7 @@
 use serde::Serialize;
 
 use crate::engine::Engine;
-use crate::executor::PEER_SLACK;
+use crate::executor::PEER_CALL_MARGIN;
 use crate::{auth, service};
 
 const BEAT: &str = "beat";
@@ -153,7 +153,7 @@
         addr: &str,
         forward: &api::Forward,
     ) -> Result<api::ForwardReply, PeerError> {
-        let limit = Duration::from_millis(forward.deadline_ms) + PEER_SLACK;
+        let limit = Duration::from_millis(forward.deadline_ms) + PEER_CALL_MARGIN;
         self.call(entry, addr, FORWARD, forward, limit).await
     }
 }
