--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/running.rs
@@ -82,7 +82,7 @@
                 .map(|service| api::ServiceLoad { free: r.router.free(&service), service })
                 .collect()
         });
-        service::note_serving(&engine, &load);
+        service::record_serving(&engine, &load);
         engine.with_core(|core| core.node.set_load(load));
         engine.handle(Event::Tick);
         executor::wake_waiters(&engine);
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -118,7 +118,7 @@
 }
 
 /// Notes which services run here or at a peer now.
-pub fn note_serving(engine: &Engine, here: &[api::ServiceLoad]) {
+pub fn record_serving(engine: &Engine, here: &[api::ServiceLoad]) {
     let now = clock::now();
     let mut services: Vec<ids::ServiceId> = here.iter().map(|l| l.service.clone()).collect();
     engine.with_core(|core| {
