--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -127,7 +127,7 @@
     }
 
     /// Counts an answered request of the callers' listener.
-    pub fn answered(&self, path: &str, res: &http_types::Response, took: Duration) {
+    pub fn count_answer(&self, path: &str, res: &http_types::Response, took: Duration) {
         let status = u16::from(res.status());
         self.api.get_or_create(&label(&format!("{}xx", status / 100))).inc();
         let Some(rest) = path.strip_prefix("/v1/services/") else { return };
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -74,7 +74,7 @@
     };
     let mut res = no_route(res);
     res.insert_header(REQUEST_ID, id.as_str());
-    engine.metrics.answered(&path, &res, began.elapsed());
+    engine.metrics.count_answer(&path, &res, began.elapsed());
     tracing::debug!(request_id = id, path, status = u16::from(res.status()), "answered");
     res
 }
