--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -54,7 +54,7 @@
 }
 
 fn log_note(engine: &Engine, note: &Note) {
-    engine.metrics.noted(note.kind);
+    engine.metrics.count_note(note.kind);
     tracing::info!(kind = note.kind, subject = note.subject, why = note.why, "decision");
 }
 
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -148,7 +148,7 @@
     }
 
     /// Counts a decision worth a log line.
-    pub fn noted(&self, kind: &'static str) {
+    pub fn count_note(&self, kind: &'static str) {
         self.notes.get_or_create(&label(kind)).inc();
     }
 
