--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -60,7 +60,7 @@
 
 /// Logs and counts a violated invariant.
 pub fn log_violation(engine: &Engine, violation: &Violation) {
-    engine.metrics.violated(violation.invariant);
+    engine.metrics.count_violation(violation.invariant);
     tracing::error!(
         invariant = ?violation.invariant,
         evidence = violation.evidence,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -153,7 +153,7 @@
     }
 
     /// Counts a violated invariant.
-    pub fn violated(&self, invariant: Invariant) {
+    pub fn count_violation(&self, invariant: Invariant) {
         self.violations.get_or_create(&label(&format!("{invariant:?}"))).inc();
     }
 
