--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -95,7 +95,7 @@
     let engine = Arc::clone(engine);
     task::spawn(async move {
         let answer = client.call(&req, engine.cfg.worker_limit).await;
-        engine.metrics.worker_called(&req, &answer);
+        engine.metrics.count_worker_call(&req, &answer);
         engine.handle(Event::Worker { partition, worker, req, sent_at, answer });
     });
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -158,7 +158,7 @@
     }
 
     /// Counts a call to a worker.
-    pub fn worker_called(&self, req: &WorkerCall, answer: &WorkerAnswer) {
+    pub fn count_worker_call(&self, req: &WorkerCall, answer: &WorkerAnswer) {
         let kind = match req {
             WorkerCall::Lease(_) => "lease",
             WorkerCall::Start(_) => "start",
