--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -125,7 +125,7 @@
             core.node.handle(&mut core.cx, event);
             (std::mem::take(&mut core.cx.actions), began.elapsed())
         });
-        self.metrics.decided(took);
+        self.metrics.count_event(took);
         executor::execute_actions(self, actions);
     }
 
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -176,7 +176,7 @@
     }
 
     /// Counts one handled event and its time.
-    pub fn decided(&self, took: Duration) {
+    pub fn count_event(&self, took: Duration) {
         self.decisions.inc();
         self.decision_seconds.inc_by(took.as_secs_f64());
     }
