--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -171,7 +171,7 @@
     }
 
     /// Counts a request forwarded to a peer.
-    pub fn forwarded(&self) {
+    pub fn count_forward(&self) {
         self.forwards.inc();
     }
 
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -260,7 +260,7 @@
         request_id: req.request_id.clone(),
         repeatable: req.repeatable,
     };
-    engine.metrics.forwarded();
+    engine.metrics.count_forward();
     match engine.peers.forward(entry, addr, &message).await {
         Ok(api::ForwardReply::Answer { status, body }) => match STANDARD.decode(body) {
             Ok(body) => Try::Ended(Outcome::Answer { status, body }),
