--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -45,7 +45,7 @@
         }
         Action::ClosePartition(id) => engine.with_routing(|r| r.router.close_partition(id)),
         Action::InForce(config) => {
-            engine.metrics.in_force(config.generation);
+            engine.metrics.set_generation(config.generation);
             tracing::info!(generation = %config.generation, by = config.by, "configuration in force");
         }
         Action::Note(note) => log_note(engine, &note),
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -182,7 +182,7 @@
     }
 
     /// Notes the generation in force.
-    pub fn in_force(&self, generation: ids::Generation) {
+    pub fn set_generation(&self, generation: ids::Generation) {
         self.generation.set(generation.0 as i64);
     }
 
