--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -26,7 +26,7 @@
 }
 
 /// Compares two texts in a time that depends on their lengths only.
-pub fn same(a: &str, b: &str) -> bool {
+pub fn constant_time_eq(a: &str, b: &str) -> bool {
     a.as_bytes().ct_eq(b.as_bytes()).into()
 }
 
@@ -39,18 +39,18 @@
     let hash = key_hash(key);
     let mut found = None;
     for p in &config.partners {
-        if same(&hash, &p.key_sha256.to_ascii_lowercase()) {
+        if constant_time_eq(&hash, &p.key_sha256.to_ascii_lowercase()) {
             found = Some(Identity::Partner(p.id.clone()));
         }
     }
     for o in &config.operators {
-        if same(&hash, &o.key_sha256.to_ascii_lowercase()) {
+        if constant_time_eq(&hash, &o.key_sha256.to_ascii_lowercase()) {
             found = Some(Identity::Operator(o.name.clone(), o.right));
         }
     }
     let first = config.generation == ids::Generation(0);
     if let Some(bootstrap) = bootstrap_key.filter(|_| first) {
-        if same(&hash, &key_hash(bootstrap)) {
+        if constant_time_eq(&hash, &key_hash(bootstrap)) {
             found = Some(Identity::Operator("bootstrap".to_string(), config::Right::Change));
         }
     }
@@ -82,5 +82,5 @@
 /// Returns when a plan was made, if its id is this installation's signature over it.
 pub fn plan_made_at(secret: &str, plan: &api::Plan) -> Option<u64> {
     let made_at = plan.id.as_str().split('.').next()?.parse().ok()?;
-    same(plan_id(secret, plan, made_at).as_str(), plan.id.as_str()).then_some(made_at)
+    constant_time_eq(plan_id(secret, plan, made_at).as_str(), plan.id.as_str()).then_some(made_at)
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -240,7 +240,7 @@
         async move {
             let (engine, expected) = (Arc::clone(&cx.0), &cx.1);
             let (proof, body): (String, Q) = params.parse()?;
-            if !auth::same(&proof, expected) {
+            if !auth::constant_time_eq(&proof, expected) {
                 return Err(ErrorObjectOwned::owned(WRONG_SECRET, "wrong secret", None::<()>));
             }
             Ok(handler(engine, body).await)
