--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -46,7 +46,7 @@
         path,
         body: req.body_bytes().await.unwrap_or_default(),
         deadline: clock::now() + deadline(&req)?,
-        request_id: web::id_of(&req),
+        request_id: web::request_id_of(&req),
         repeatable: key.is_none(),
     };
     let engine = req.state();
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -99,7 +99,7 @@
 }
 
 /// Returns the request's id.
-pub fn id_of(req: &Req) -> String {
+pub fn request_id_of(req: &Req) -> String {
     req.header(REQUEST_ID).map(|v| v.last().as_str().to_string()).unwrap_or_default()
 }
 
