--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -9,7 +9,7 @@
 use crate::metrics;
 use crate::once;
 use crate::service::{self, Outcome, ServiceRequest};
-use crate::web::{self, Answer, Req};
+use crate::web::{self, HandlerResult, Req};
 
 const DEFAULT_DEADLINE_MS: u64 = 5_000;
 const LONGEST_DEADLINE_MS: u64 = 30_000;
@@ -33,7 +33,7 @@
     Ok(res)
 }
 
-async fn serve(mut req: Req, partner: &ids::PartnerId) -> Answer<Outcome> {
+async fn serve(mut req: Req, partner: &ids::PartnerId) -> HandlerResult<Outcome> {
     let key = web::request_key(&req)?;
     let service: ids::ServiceId = web::path_id(&req, "service")?;
     let known = req.state().with_core(|core| core.cx.config.placement_of(&service).is_some());
@@ -56,7 +56,7 @@
     })
 }
 
-fn deadline(req: &Req) -> Answer<time::Millis> {
+fn deadline(req: &Req) -> HandlerResult<time::Millis> {
     let Some(values) = req.header("x-gaplock-deadline-ms") else {
         return Ok(time::Millis(DEFAULT_DEADLINE_MS));
     };
@@ -87,7 +87,7 @@
     })
 }
 
-async fn store_job(mut req: Req) -> Answer<ids::JobId> {
+async fn store_job(mut req: Req) -> HandlerResult<ids::JobId> {
     let partner = web::partner(&req)?;
     let Some(key) = web::request_key(&req)? else {
         let why = "A job needs an `Idempotency-Key`, so that a repeat stores it once";
@@ -107,7 +107,7 @@
     web::respond(job_status(&req).await)
 }
 
-async fn job_status(req: &Req) -> Answer<api::JobStatus> {
+async fn job_status(req: &Req) -> HandlerResult<api::JobStatus> {
     let partner = asker(req, config::Right::Read)?;
     let job: ids::JobId = web::path_id(req, "job")?;
     let command = api::Command::Status { partner, job };
@@ -122,7 +122,7 @@
     web::respond(cancel_job(&req).await)
 }
 
-async fn cancel_job(req: &Req) -> Answer<&'static str> {
+async fn cancel_job(req: &Req) -> HandlerResult<&'static str> {
     let partner = asker(req, config::Right::Change)?;
     let job: ids::JobId = web::path_id(req, "job")?;
     let command = api::Command::Cancel { partner, job };
@@ -133,7 +133,7 @@
 }
 
 /// Returns the partner whose jobs may be seen; none for an operator with the right.
-fn asker(req: &Req, right: config::Right) -> Answer<Option<ids::PartnerId>> {
+fn asker(req: &Req, right: config::Right) -> HandlerResult<Option<ids::PartnerId>> {
     match web::identity(req)? {
         Identity::Partner(id) => Ok(Some(id)),
         Identity::Operator(..) => web::operator(req, right).map(|_| None),
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::plan::{self, Fleet, Intent};
-use crate::web::{self, Answer, Req};
+use crate::web::{self, HandlerResult, Req};
 use crate::{auth, callers, once};
 
 /// How long a confirmation waits for every entry before it answers "not in force yet".
@@ -21,7 +21,7 @@
     web::respond(make_plan(&mut req).await)
 }
 
-async fn make_plan(req: &mut Req) -> Answer<api::Plan> {
+async fn make_plan(req: &mut Req) -> HandlerResult<api::Plan> {
     web::operator(req, config::Right::Change)?;
     let intent: Intent = web::body(req).await?;
     let fleet = fleet(req).await;
@@ -62,7 +62,7 @@
     })
 }
 
-async fn confirm_plan(req: &mut Req) -> Answer<api::ConfigStatus> {
+async fn confirm_plan(req: &mut Req) -> HandlerResult<api::ConfigStatus> {
     let by = web::operator(req, config::Right::Change)?;
     let plan: api::Plan = web::body(req).await?;
     let engine = req.state();
@@ -189,7 +189,7 @@
     web::respond(declare_dead(&req).await)
 }
 
-async fn declare_dead(req: &Req) -> Answer<&'static str> {
+async fn declare_dead(req: &Req) -> HandlerResult<&'static str> {
     let by = web::operator(req, config::Right::Change)?;
     let worker: ids::WorkerId = web::path_id(req, "worker")?;
     tracing::warn!(%worker, by, "declared dead");
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -18,7 +18,7 @@
 /// A request of tide's with the engine as its state.
 pub type Req = Request<Arc<Engine>>;
 /// The result of a handler; every refusal is an answer.
-pub type Answer<T> = Result<T, api::Refusal>;
+pub type HandlerResult<T> = Result<T, api::Refusal>;
 
 const REQUEST_ID: &str = "x-request-id";
 const MAX_ID_BYTES: usize = 64;
@@ -124,7 +124,7 @@
 }
 
 /// Turns a handler's result into an answer.
-pub fn respond<T: Serialize>(answer: Answer<T>) -> tide::Result {
+pub fn respond<T: Serialize>(answer: HandlerResult<T>) -> tide::Result {
     Ok(match answer {
         Ok(body) => json(200, &body),
         Err(r) => refusal(&r),
@@ -132,7 +132,7 @@
 }
 
 /// Tells who sent the request, if this entry has a fresh configuration to tell by.
-pub fn identity(req: &Req) -> Answer<Identity> {
+pub fn identity(req: &Req) -> HandlerResult<Identity> {
     let engine = req.state();
     let config = engine.with_core(|core| {
         core.node.generations.fresh(&core.cx).then(|| std::sync::Arc::clone(&core.cx.config))
@@ -157,7 +157,7 @@
 }
 
 /// Requires a partner's key.
-pub fn partner(req: &Req) -> Answer<ids::PartnerId> {
+pub fn partner(req: &Req) -> HandlerResult<ids::PartnerId> {
     match identity(req)? {
         Identity::Partner(id) => Ok(id),
         Identity::Operator(..) => {
@@ -167,7 +167,7 @@
 }
 
 /// Requires an operator's key with at least the given right; returns the operator's name.
-pub fn operator(req: &Req, right: config::Right) -> Answer<String> {
+pub fn operator(req: &Req, right: config::Right) -> HandlerResult<String> {
     match identity(req)? {
         Identity::Operator(name, has) if has == right || has == config::Right::Change => Ok(name),
         _ => Err(api::Refusal::new(codes::Code::Forbidden, "This needs an operator's right")),
@@ -175,14 +175,14 @@
 }
 
 /// Reads the body as JSON.
-pub async fn body<T: serde::de::DeserializeOwned>(req: &mut Req) -> Answer<T> {
+pub async fn body<T: serde::de::DeserializeOwned>(req: &mut Req) -> HandlerResult<T> {
     let bytes = req.body_bytes().await.unwrap_or_default();
     serde_json::from_slice(&bytes)
         .map_err(|e| api::Refusal::new(codes::Code::BadRequest, format!("The body: {e}")))
 }
 
 /// Reads a part of the path as an identifier.
-pub fn path_id<T: std::str::FromStr>(req: &Req, name: &str) -> Answer<T>
+pub fn path_id<T: std::str::FromStr>(req: &Req, name: &str) -> HandlerResult<T>
 where
     T::Err: std::fmt::Display,
 {
@@ -191,7 +191,7 @@
 }
 
 /// Reads the caller's key for this request.
-pub fn request_key(req: &Req) -> Answer<Option<ids::RequestKey>> {
+pub fn request_key(req: &Req) -> HandlerResult<Option<ids::RequestKey>> {
     let Some(values) = req.header("idempotency-key") else { return Ok(None) };
     let key = values.last().as_str().parse::<ids::RequestKey>();
     key.map(Some).map_err(|e| api::Refusal::new(codes::Code::BadRequest, e.to_string()))
