--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -18,7 +18,7 @@
 pub async fn service(req: Req) -> tide::Result {
     let partner = match web::partner(&req) {
         Ok(partner) => partner,
-        Err(r) => return Ok(web::refusal(&r)),
+        Err(r) => return Ok(web::refusal_response(&r)),
     };
     let mut res = match serve(req, &partner).await {
         Ok(Outcome::Answer { status, body }) => {
@@ -27,7 +27,7 @@
             res.insert_header("x-gaplock-code", codes::Code::Ok.row().number.to_string());
             res
         }
-        Ok(Outcome::Refused(r)) | Err(r) => web::refusal(&r),
+        Ok(Outcome::Refused(r)) | Err(r) => web::refusal_response(&r),
     };
     res.insert_header(metrics::PARTNER_HEADER, partner.as_str());
     Ok(res)
@@ -83,7 +83,7 @@
             let row = codes::Code::Accepted.row();
             web::json(row.status, &Submitted { job, code: row.number })
         }
-        Err(r) => web::refusal(&r),
+        Err(r) => web::refusal_response(&r),
     })
 }
 
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -58,7 +58,7 @@
             let row = code.row();
             web::json(row.status, &Confirmed { code: row.number, status })
         }
-        Err(r) => web::refusal(&r),
+        Err(r) => web::refusal_response(&r),
     })
 }
 
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -66,10 +66,12 @@
             let routed: Result<http_types::Response, _> = app.respond(req).await;
             routed.unwrap_or_else(|_| http_types::Response::new(StatusCode::InternalServerError))
         }
-        Err(BodyFault::TooLarge) => refusal(&api::Refusal::new(codes::Code::TooLarge, "")).into(),
+        Err(BodyFault::TooLarge) => {
+            refusal_response(&api::Refusal::new(codes::Code::TooLarge, "")).into()
+        }
         Err(BodyFault::Cut) => {
             let why = "The body ended before its declared length or did not come in time";
-            refusal(&api::Refusal::new(codes::Code::BadRequest, why)).into()
+            refusal_response(&api::Refusal::new(codes::Code::BadRequest, why)).into()
         }
     };
     let mut res = no_route(res);
@@ -83,7 +85,7 @@
 fn no_route(res: http_types::Response) -> http_types::Response {
     if res.is_empty() == Some(true) && res.status().is_client_error() {
         let why = "There is no such path or method";
-        return refusal(&api::Refusal::new(codes::Code::NotFound, why)).into();
+        return refusal_response(&api::Refusal::new(codes::Code::NotFound, why)).into();
     }
     res
 }
@@ -104,7 +106,7 @@
 }
 
 /// Builds the answer that carries a refusal.
-pub fn refusal(refusal: &api::Refusal) -> Response {
+pub fn refusal_response(refusal: &api::Refusal) -> Response {
     let status = refusal.result_code().row().status;
     let mut res = json(status, refusal);
     if let Some(seconds) = refusal.retry_after_s {
@@ -127,7 +129,7 @@
 pub fn respond<T: Serialize>(answer: HandlerResult<T>) -> tide::Result {
     Ok(match answer {
         Ok(body) => json(200, &body),
-        Err(r) => refusal(&r),
+        Err(r) => refusal_response(&r),
     })
 }
 
