--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -81,7 +81,7 @@
     Ok(match store_job(req).await {
         Ok(job) => {
             let row = codes::Code::Accepted.row();
-            web::json(row.status, &Submitted { job, code: row.number })
+            web::json_response(row.status, &Submitted { job, code: row.number })
         }
         Err(r) => web::refusal_response(&r),
     })
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -56,7 +56,7 @@
                 false => codes::Code::NotInForceYet,
             };
             let row = code.row();
-            web::json(row.status, &Confirmed { code: row.number, status })
+            web::json_response(row.status, &Confirmed { code: row.number, status })
         }
         Err(r) => web::refusal_response(&r),
     })
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -108,7 +108,7 @@
 /// Builds the answer that carries a refusal.
 pub fn refusal_response(refusal: &api::Refusal) -> Response {
     let status = refusal.result_code().row().status;
-    let mut res = json(status, refusal);
+    let mut res = json_response(status, refusal);
     if let Some(seconds) = refusal.retry_after_s {
         res.insert_header("retry-after", seconds.to_string());
     }
@@ -117,7 +117,7 @@
 }
 
 /// Builds an answer with a JSON body.
-pub fn json(status: u16, body: &impl Serialize) -> Response {
+pub fn json_response(status: u16, body: &impl Serialize) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut res = Response::new(status);
     res.set_body(serde_json::to_vec(body).expect("plain data serialises"));
@@ -128,7 +128,7 @@
 /// Turns a handler's result into an answer.
 pub fn respond<T: Serialize>(answer: HandlerResult<T>) -> tide::Result {
     Ok(match answer {
-        Ok(body) => json(200, &body),
+        Ok(body) => json_response(200, &body),
         Err(r) => refusal_response(&r),
     })
 }
