--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -16,7 +16,7 @@
 
 /// `POST /v1/services/SERVICE/PATH`: sends a request to a worker of the service.
 pub async fn service(req: Req) -> tide::Result {
-    let partner = match web::partner(&req) {
+    let partner = match web::require_partner(&req) {
         Ok(partner) => partner,
         Err(r) => return Ok(web::refusal_response(&r)),
     };
@@ -88,7 +88,7 @@
 }
 
 async fn store_job(mut req: Req) -> HandlerResult<ids::JobId> {
-    let partner = web::partner(&req)?;
+    let partner = web::require_partner(&req)?;
     let Some(key) = web::request_key(&req)? else {
         let why = "A job needs an `Idempotency-Key`, so that a repeat stores it once";
         return Err(api::Refusal::new(codes::Code::BadRequest, why));
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -159,7 +159,7 @@
 }
 
 /// Requires a partner's key.
-pub fn partner(req: &Req) -> HandlerResult<ids::PartnerId> {
+pub fn require_partner(req: &Req) -> HandlerResult<ids::PartnerId> {
     match identity(req)? {
         Identity::Partner(id) => Ok(id),
         Identity::Operator(..) => {
