--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -136,7 +136,7 @@
 fn asker(req: &Req, right: config::Right) -> HandlerResult<Option<ids::PartnerId>> {
     match web::identity(req)? {
         Identity::Partner(id) => Ok(Some(id)),
-        Identity::Operator(..) => web::operator(req, right).map(|_| None),
+        Identity::Operator(..) => web::require_operator(req, right).map(|_| None),
     }
 }
 
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -22,7 +22,7 @@
 }
 
 async fn make_plan(req: &mut Req) -> HandlerResult<api::Plan> {
-    web::operator(req, config::Right::Change)?;
+    web::require_operator(req, config::Right::Change)?;
     let intent: Intent = web::body(req).await?;
     let fleet = fleet(req).await;
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
@@ -63,7 +63,7 @@
 }
 
 async fn confirm_plan(req: &mut Req) -> HandlerResult<api::ConfigStatus> {
-    let by = web::operator(req, config::Right::Change)?;
+    let by = web::require_operator(req, config::Right::Change)?;
     let plan: api::Plan = web::body(req).await?;
     let engine = req.state();
     let Some(made_at) = auth::plan_made_at(&engine.cfg.peer_secret, &plan) else {
@@ -118,13 +118,13 @@
 
 /// `GET /v1/config`: returns the configuration in force here.
 pub async fn config(req: Req) -> tide::Result {
-    let read = web::operator(&req, config::Right::Read);
+    let read = web::require_operator(&req, config::Right::Read);
     web::respond(read.map(|_| req.state().with_core(|core| config::Config::clone(&core.cx.config))))
 }
 
 /// `GET /v1/config/previous`: returns the configuration before the one in force, for an undo.
 pub async fn previous(req: Req) -> tide::Result {
-    let read = web::operator(&req, config::Right::Read);
+    let read = web::require_operator(&req, config::Right::Read);
     let previous = read.and_then(|_| {
         let found = req.state().with_core(|core| core.node.generations.doc.previous.clone());
         found.ok_or_else(|| {
@@ -136,13 +136,13 @@
 
 /// `GET /v1/config/status`: tells how far the newest generation has come.
 pub async fn config_status(req: Req) -> tide::Result {
-    let read = web::operator(&req, config::Right::Read);
+    let read = web::require_operator(&req, config::Right::Read);
     web::respond(read.map(|_| req.state().with_core(|core| core.node.config_status(&core.cx))))
 }
 
 /// `GET /v1/config/history`: lists past generations.
 pub async fn history(req: Req) -> tide::Result {
-    let read = web::operator(&req, config::Right::Read);
+    let read = web::require_operator(&req, config::Right::Read);
     web::respond(
         read.map(|_| req.state().with_core(|core| core.node.generations.doc.history.clone())),
     )
@@ -165,7 +165,7 @@
 
 /// `GET /v1/workers`: lists every worker with its owner.
 pub async fn workers(req: Req) -> tide::Result {
-    if let Err(r) = web::operator(&req, config::Right::Read) {
+    if let Err(r) = web::require_operator(&req, config::Right::Read) {
         return web::respond::<()>(Err(r));
     }
     web::respond(Ok(survey(&req).await.workers))
@@ -190,7 +190,7 @@
 }
 
 async fn declare_dead(req: &Req) -> HandlerResult<&'static str> {
-    let by = web::operator(req, config::Right::Change)?;
+    let by = web::require_operator(req, config::Right::Change)?;
     let worker: ids::WorkerId = web::path_id(req, "worker")?;
     tracing::warn!(%worker, by, "declared dead");
     let rows = survey(req).await.workers;
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -169,7 +169,7 @@
 }
 
 /// Requires an operator's key with at least the given right; returns the operator's name.
-pub fn operator(req: &Req, right: config::Right) -> HandlerResult<String> {
+pub fn require_operator(req: &Req, right: config::Right) -> HandlerResult<String> {
     match identity(req)? {
         Identity::Operator(name, has) if has == right || has == config::Right::Change => Ok(name),
         _ => Err(api::Refusal::new(codes::Code::Forbidden, "This needs an operator's right")),
