--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -93,7 +93,7 @@
         let why = "A job needs an `Idempotency-Key`, so that a repeat stores it once";
         return Err(api::Refusal::new(codes::Code::BadRequest, why));
     };
-    let spec: api::JobSpec = web::body(&mut req).await?;
+    let spec: api::JobSpec = web::json_body(&mut req).await?;
     let home = req.state().cfg.layout.home_of(&partner, &key);
     let command = api::Command::Submit { partner, key, spec };
     match once::command(req.state(), home, command).await {
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -23,7 +23,7 @@
 
 async fn make_plan(req: &mut Req) -> HandlerResult<api::Plan> {
     web::require_operator(req, config::Right::Change)?;
-    let intent: Intent = web::body(req).await?;
+    let intent: Intent = web::json_body(req).await?;
     let fleet = fleet(req).await;
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
     let mut made = plan::make(&current, intent, &fleet);
@@ -64,7 +64,7 @@
 
 async fn confirm_plan(req: &mut Req) -> HandlerResult<api::ConfigStatus> {
     let by = web::require_operator(req, config::Right::Change)?;
-    let plan: api::Plan = web::body(req).await?;
+    let plan: api::Plan = web::json_body(req).await?;
     let engine = req.state();
     let Some(made_at) = auth::plan_made_at(&engine.cfg.peer_secret, &plan) else {
         let why = "This plan was not made by gaplock, or it was changed since";
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -177,7 +177,7 @@
 }
 
 /// Reads the body as JSON.
-pub async fn body<T: serde::de::DeserializeOwned>(req: &mut Req) -> HandlerResult<T> {
+pub async fn json_body<T: serde::de::DeserializeOwned>(req: &mut Req) -> HandlerResult<T> {
     let bytes = req.body_bytes().await.unwrap_or_default();
     serde_json::from_slice(&bytes)
         .map_err(|e| api::Refusal::new(codes::Code::BadRequest, format!("The body: {e}")))
