--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -98,7 +98,7 @@
     let command = api::Command::Submit { partner, key, spec };
     match once::command(req.state(), home, command).await {
         api::Reply::Submitted(job) => Ok(job),
-        other => Err(unexpected(other)),
+        other => Err(refusal_from(other)),
     }
 }
 
@@ -113,7 +113,7 @@
     let command = api::Command::Status { partner, job };
     match once::command(req.state(), job.home, command).await {
         api::Reply::Status(status) => Ok(status),
-        other => Err(unexpected(other)),
+        other => Err(refusal_from(other)),
     }
 }
 
@@ -128,7 +128,7 @@
     let command = api::Command::Cancel { partner, job };
     match once::command(req.state(), job.home, command).await {
         api::Reply::Done => Ok("cancelled"),
-        other => Err(unexpected(other)),
+        other => Err(refusal_from(other)),
     }
 }
 
@@ -141,7 +141,7 @@
 }
 
 /// Turns a reply that is not the wanted one into a refusal.
-pub fn unexpected(reply: api::Reply) -> api::Refusal {
+pub fn refusal_from(reply: api::Reply) -> api::Refusal {
     match reply {
         api::Reply::Refused(refusal) => refusal,
         _ => api::Refusal::new(codes::Code::Internal, "An unexpected reply"),
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -200,6 +200,6 @@
     let command = api::Command::ConfirmDead { worker, boot: row.boot };
     match once::command(req.state(), row.partition, command).await {
         api::Reply::Done => Ok("declared dead"),
-        other => Err(callers::unexpected(other)),
+        other => Err(callers::refusal_from(other)),
     }
 }
