--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -96,7 +96,7 @@
     let spec: api::JobSpec = web::json_body(&mut req).await?;
     let home = req.state().cfg.layout.home_of(&partner, &key);
     let command = api::Command::Submit { partner, key, spec };
-    match once::command(req.state(), home, command).await {
+    match once::execute_command(req.state(), home, command).await {
         api::Reply::Submitted(job) => Ok(job),
         other => Err(refusal_from(other)),
     }
@@ -111,7 +111,7 @@
     let partner = asker(req, config::Right::Read)?;
     let job: ids::JobId = web::path_id(req, "job")?;
     let command = api::Command::Status { partner, job };
-    match once::command(req.state(), job.home, command).await {
+    match once::execute_command(req.state(), job.home, command).await {
         api::Reply::Status(status) => Ok(status),
         other => Err(refusal_from(other)),
     }
@@ -126,7 +126,7 @@
     let partner = asker(req, config::Right::Change)?;
     let job: ids::JobId = web::path_id(req, "job")?;
     let command = api::Command::Cancel { partner, job };
-    match once::command(req.state(), job.home, command).await {
+    match once::execute_command(req.state(), job.home, command).await {
         api::Reply::Done => Ok("cancelled"),
         other => Err(refusal_from(other)),
     }
--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -135,7 +135,7 @@
 ) {
     let engine = Arc::clone(engine);
     task::spawn(async move {
-        let reply = once::command(&engine, to, command).await;
+        let reply = once::execute_command(&engine, to, command).await;
         engine.handle(Event::LoanTold { partition, run, reply });
     });
 }
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -35,7 +35,7 @@
         digest: digest(req),
         claimer: claimer.clone(),
     };
-    match command(engine, home, claim).await {
+    match execute_command(engine, home, claim).await {
         api::Reply::Granted => run(engine, partner, key, claimer, home, req).await,
         api::Reply::Ended(end) => replay(end),
         api::Reply::Refused(refusal) => {
@@ -113,7 +113,7 @@
 
 async fn store_end(engine: Arc<Engine>, home: ids::PartitionId, command_: api::Command) {
     for _ in 0..STORE_END_TRIES {
-        if command(&engine, home, command_.clone()).await == api::Reply::Done {
+        if execute_command(&engine, home, command_.clone()).await == api::Reply::Done {
             return;
         }
         task::sleep(STORE_END_WAIT).await;
@@ -142,7 +142,7 @@
 }
 
 /// Carries out a command at the partition's owner, here or at a peer.
-pub async fn command(
+pub async fn execute_command(
     engine: &Arc<Engine>,
     home: ids::PartitionId,
     command: api::Command,
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -152,7 +152,8 @@
 async fn survey(req: &Req) -> api::PartitionSummary {
     let engine = req.state();
     let partitions: Vec<ids::PartitionId> = engine.cfg.layout.partitions().collect();
-    let asked = partitions.into_iter().map(|id| once::command(engine, id, api::Command::Survey));
+    let asked =
+        partitions.into_iter().map(|id| once::execute_command(engine, id, api::Command::Survey));
     let mut all = api::PartitionSummary::default();
     for reply in futures::future::join_all(asked).await {
         if let api::Reply::Survey(part) = reply {
@@ -198,7 +199,7 @@
         return Err(api::Refusal::new(codes::Code::NotFound, "No owner knows this worker"));
     };
     let command = api::Command::ConfirmDead { worker, boot: row.boot };
-    match once::command(req.state(), row.partition, command).await {
+    match once::execute_command(req.state(), row.partition, command).await {
         api::Reply::Done => Ok("declared dead"),
         other => Err(callers::refusal_from(other)),
     }
