--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -26,7 +26,7 @@
     let intent: Intent = web::json_body(req).await?;
     let fleet = fleet(req).await;
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
-    let mut made = plan::make(&current, intent, &fleet);
+    let mut made = plan::build(&current, intent, &fleet);
     made.id = auth::plan_id(&req.state().cfg.peer_secret, &made, clock::unix_ms());
     Ok(made)
 }
--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -32,7 +32,7 @@
 }
 
 /// Builds a plan without its id.
-pub fn make(current: &config::Config, intent: Intent, fleet: &Fleet) -> api::Plan {
+pub fn build(current: &config::Config, intent: Intent, fleet: &Fleet) -> api::Plan {
     let mut wanted = current.clone();
     wanted.placements = intent.placements.unwrap_or(wanted.placements);
     wanted.partners = intent.partners.unwrap_or(wanted.partners);
