--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -94,7 +94,7 @@
 /// Adds to the refusal what the same wish would change now.
 fn explain_stale(req: &Req, wanted: &config::Config) -> api::Refusal {
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
-    let difference = plan::changes(&current, wanted, &[]);
+    let difference = plan::describe_changes(&current, wanted, &[]);
     let why = format!(
         "{} by {} is in force now; against it your plan would mean: {}",
         current.generation,
--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -37,7 +37,7 @@
     wanted.placements = intent.placements.unwrap_or(wanted.placements);
     wanted.partners = intent.partners.unwrap_or(wanted.partners);
     wanted.operators = intent.operators.unwrap_or(wanted.operators);
-    let changes = changes(current, &wanted, &fleet.jobs);
+    let changes = describe_changes(current, &wanted, &fleet.jobs);
     let mut refused = wanted.validation_errors();
     refused.extend(misfits(&wanted, fleet));
     if serde_json::to_vec(&wanted).map_or(0, |v| v.len()) > config::CONFIG_MAX_BYTES {
@@ -57,7 +57,7 @@
 }
 
 /// Lists what would change, a sentence each.
-pub fn changes(
+pub fn describe_changes(
     current: &config::Config,
     wanted: &config::Config,
     jobs: &[api::JobRow],
