--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -78,7 +78,7 @@
     // A repeat learns what became of the plan, however late it comes.
     let done_before = fate == Execution::Done;
     let age_s = clock::unix_ms().saturating_sub(made_at) / 1000;
-    if !done_before && age_s > plan::LIFETIME_S {
+    if !done_before && age_s > plan::PLAN_LIFETIME_S {
         return Err(api::Refusal::new(codes::Code::PlanExpired, ""));
     }
     let wanted = plan.wanted.clone();
--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a plan can be confirmed.
-pub const LIFETIME_S: u64 = 600;
+pub const PLAN_LIFETIME_S: u64 = 600;
 
 /// What an operator wants; parts that are left out stay as they are.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
         base: current.generation,
         changes,
         refused,
-        lifetime_s: LIFETIME_S,
+        lifetime_s: PLAN_LIFETIME_S,
         wanted,
     }
 }
