--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use gaplock_serve::{BodyFault, Limits, Listener, Whole};
+use gaplock_serve::{BodyError, Limits, Listener, Whole};
 use gaplock_types::{api, codes, config, ids};
 use http_types::headers::HeaderValue;
 use http_types::StatusCode;
@@ -66,10 +66,10 @@
             let routed: Result<http_types::Response, _> = app.respond(req).await;
             routed.unwrap_or_else(|_| http_types::Response::new(StatusCode::InternalServerError))
         }
-        Err(BodyFault::TooLarge) => {
+        Err(BodyError::TooLarge) => {
             refusal_response(&api::Refusal::new(codes::Code::TooLarge, "")).into()
         }
-        Err(BodyFault::Cut) => {
+        Err(BodyError::Cut) => {
             let why = "The body ended before its declared length or did not come in time";
             refusal_response(&api::Refusal::new(codes::Code::BadRequest, why)).into()
         }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -44,7 +44,7 @@
 
 /// Why a request's body was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// It is above the limit.
     TooLarge,
     /// It ended before its declared length, or did not come in time.
@@ -57,7 +57,7 @@
     /// The request; its own body is empty.
     pub req: Request,
     /// The body, or why it was refused.
-    pub body: Result<Vec<u8>, BodyFault>,
+    pub body: Result<Vec<u8>, BodyError>,
 }
 
 #[derive(Debug, Default)]
@@ -241,18 +241,18 @@
     res
 }
 
-async fn read_body(req: &mut Request, limits: Limits) -> Result<Vec<u8>, BodyFault> {
+async fn read_body(req: &mut Request, limits: Limits) -> Result<Vec<u8>, BodyError> {
     let declared = req.len();
     if declared.is_some_and(|len| len > limits.body_bytes) {
-        return Err(BodyFault::TooLarge);
+        return Err(BodyError::TooLarge);
     }
     let mut bytes = Vec::with_capacity(declared.unwrap_or(0));
     let mut body = req.take_body().take(limits.body_bytes as u64 + 1);
     let read = future::timeout(limits.body, body.read_to_end(&mut bytes)).await;
     match read {
-        Ok(Ok(_)) if bytes.len() > limits.body_bytes => Err(BodyFault::TooLarge),
+        Ok(Ok(_)) if bytes.len() > limits.body_bytes => Err(BodyError::TooLarge),
         Ok(Ok(_)) if declared.is_none_or(|len| len == bytes.len()) => Ok(bytes),
-        _ => Err(BodyFault::Cut),
+        _ => Err(BodyError::Cut),
     }
 }
 
--- a/crates/serve/tests/limits.rs
+++ b/crates/serve/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use async_std::io::{ReadExt, WriteExt};
 use async_std::{net, task};
-use gaplock_serve::{bind, json_response, BodyFault, Limits, Listener, Whole};
+use gaplock_serve::{bind, json_response, BodyError, Limits, Listener, Whole};
 
 fn limits() -> Limits {
     Limits {
@@ -20,8 +20,8 @@
         task::sleep(slow).await;
         match whole.body {
             Ok(body) => json_response(200, body),
-            Err(BodyFault::TooLarge) => json_response(413, Vec::new()),
-            Err(BodyFault::Cut) => json_response(400, Vec::new()),
+            Err(BodyError::TooLarge) => json_response(413, Vec::new()),
+            Err(BodyError::Cut) => json_response(400, Vec::new()),
         }
     };
     bind("127.0.0.1:0", limits(), handler).await.unwrap()
