--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -69,7 +69,7 @@
         Err(BodyError::TooLarge) => {
             refusal_response(&api::Refusal::new(codes::Code::TooLarge, "")).into()
         }
-        Err(BodyError::Cut) => {
+        Err(BodyError::Truncated) => {
             let why = "The body ended before its declared length or did not come in time";
             refusal_response(&api::Refusal::new(codes::Code::BadRequest, why)).into()
         }
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -48,7 +48,7 @@
     /// It is above the limit.
     TooLarge,
     /// It ended before its declared length, or did not come in time.
-    Cut,
+    Truncated,
 }
 
 /// A request whose whole body has been read.
@@ -252,7 +252,7 @@
     match read {
         Ok(Ok(_)) if bytes.len() > limits.body_bytes => Err(BodyError::TooLarge),
         Ok(Ok(_)) if declared.is_none_or(|len| len == bytes.len()) => Ok(bytes),
-        _ => Err(BodyError::Cut),
+        _ => Err(BodyError::Truncated),
     }
 }
 
--- a/crates/serve/tests/limits.rs
+++ b/crates/serve/tests/limits.rs
@@ -21,7 +21,7 @@
         match whole.body {
             Ok(body) => json_response(200, body),
             Err(BodyError::TooLarge) => json_response(413, Vec::new()),
-            Err(BodyError::Cut) => json_response(400, Vec::new()),
+            Err(BodyError::Truncated) => json_response(400, Vec::new()),
         }
     };
     bind("127.0.0.1:0", limits(), handler).await.unwrap()
