--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -75,7 +75,7 @@
     accepting: Option<task::JoinHandle<()>>,
 }
 
-const STOP_POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Binds `addr` and hands every whole request to `handler`.
 ///
@@ -115,7 +115,7 @@
         self.drain();
         let began = Instant::now();
         while self.in_flight() > 0 && began.elapsed() < limit {
-            task::sleep(STOP_POLL).await;
+            task::sleep(POLL_INTERVAL).await;
         }
         if let Some(accepting) = self.accepting.take() {
             accepting.cancel().await;
@@ -133,7 +133,7 @@
     while let Some(stream) = incoming.next().await {
         // An accept error, such as too many open files, passes; the loop must not spin on it.
         let Ok(stream) = stream else {
-            task::sleep(STOP_POLL).await;
+            task::sleep(POLL_INTERVAL).await;
             continue;
         };
         if shared.connections.load(Ordering::SeqCst) >= limits.connections {
