--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -169,7 +169,7 @@
     });
     loop {
         let exchange = server.accept_one();
-        let late = late_header(limits.header, &answering);
+        let late = header_timeout(limits.header, &answering);
         futures::pin_mut!(exchange, late);
         let ended = match futures::future::select(exchange, late).await {
             Either::Left((status, _)) => status,
@@ -184,7 +184,7 @@
 }
 
 /// Ends once `limit` has passed without a whole header; never ends after one has come.
-async fn late_header(limit: Duration, answering: &Mutex<Option<Arc<InFlight>>>) {
+async fn header_timeout(limit: Duration, answering: &Mutex<Option<Arc<InFlight>>>) {
     task::sleep(limit).await;
     let begun = answering.lock().expect("no holder of the lock panics").is_some();
     if begun {
