--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -156,7 +156,7 @@
     F: Future<Output = Response> + Send + 'static,
 {
     // Holds the request's count until its answer has been written, not only made.
-    let answering: Answering = Arc::default();
+    let answering: CurrentRequest = Arc::default();
     let for_requests = (Arc::clone(shared), Arc::clone(&answering));
     let mut server = Server::new(stream, move |req| {
         let ((shared, answering), handler) = (for_requests.clone(), handler.clone());
@@ -193,7 +193,7 @@
 }
 
 /// The count of the request that a connection is answering.
-type Answering = Arc<Mutex<Option<Arc<InFlight>>>>;
+type CurrentRequest = Arc<Mutex<Option<Arc<InFlight>>>>;
 
 /// Counts a request as in flight for as long as it lives: until its work has ended and its answer
 /// has been written.
