--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Shared {
+struct ListenerState {
     stopping: AtomicBool,
     connections: AtomicUsize,
     in_flight: AtomicUsize,
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Listener {
     addr: SocketAddr,
-    shared: Arc<Shared>,
+    shared: Arc<ListenerState>,
     accepting: Option<task::JoinHandle<()>>,
 }
 
@@ -88,7 +88,7 @@
 {
     let listener = net::TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
-    let shared = Arc::new(Shared::default());
+    let shared = Arc::new(ListenerState::default());
     let accepting = task::spawn(accept(listener, limits, Arc::clone(&shared), handler));
     Ok(Listener { addr, shared, accepting: Some(accepting) })
 }
@@ -124,8 +124,12 @@
     }
 }
 
-async fn accept<H, F>(listener: net::TcpListener, limits: Limits, shared: Arc<Shared>, handler: H)
-where
+async fn accept<H, F>(
+    listener: net::TcpListener,
+    limits: Limits,
+    shared: Arc<ListenerState>,
+    handler: H,
+) where
     H: Fn(Whole) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
@@ -150,8 +154,12 @@
     }
 }
 
-async fn serve<H, F>(stream: net::TcpStream, limits: Limits, shared: &Arc<Shared>, handler: H)
-where
+async fn serve<H, F>(
+    stream: net::TcpStream,
+    limits: Limits,
+    shared: &Arc<ListenerState>,
+    handler: H,
+) where
     H: Fn(Whole) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
@@ -198,10 +206,10 @@
 /// Counts a request as in flight for as long as it lives: until its work has ended and its answer
 /// has been written.
 #[derive(Debug)]
-struct InFlight(Arc<Shared>);
+struct InFlight(Arc<ListenerState>);
 
 impl InFlight {
-    fn begin(shared: &Arc<Shared>) -> Self {
+    fn begin(shared: &Arc<ListenerState>) -> Self {
         shared.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(shared))
     }
@@ -216,7 +224,7 @@
 async fn answer<H, F>(
     mut req: Request,
     limits: Limits,
-    shared: &Shared,
+    shared: &ListenerState,
     counted: Arc<InFlight>,
     handler: H,
 ) -> Response
