--- a/crates/remote/src/http.rs
+++ b/crates/remote/src/http.rs
@@ -78,7 +78,7 @@
 pub struct Client {
     addr: String,
     idle: Mutex<Vec<net::TcpStream>>,
-    most_idle: usize,
+    max_idle: usize,
 }
 
 /// The longest wait for a connection.
@@ -87,7 +87,7 @@
 impl Client {
     /// Builds a client that keeps at most `most_idle` unused connections.
     pub fn open(addr: impl Into<String>, most_idle: usize) -> Self {
-        Self { addr: addr.into(), idle: Mutex::new(Vec::new()), most_idle }
+        Self { addr: addr.into(), idle: Mutex::new(Vec::new()), max_idle: most_idle }
     }
 
     /// Returns the address.
@@ -146,7 +146,7 @@
         let (answer, reusable) = exchanged?;
         if reusable {
             let mut idle = self.idle.lock().expect("no holder of the lock panics");
-            if idle.len() < self.most_idle {
+            if idle.len() < self.max_idle {
                 idle.push(stream);
             }
         }
