--- a/crates/remote/src/http.rs
+++ b/crates/remote/src/http.rs
@@ -82,7 +82,7 @@
 }
 
 /// The longest wait for a connection.
-const CONNECT_LIMIT: time::Duration = time::Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 
 impl Client {
     /// Builds a client that keeps at most `most_idle` unused connections.
@@ -117,7 +117,7 @@
             return Ok(stream);
         }
         let connecting = net::TcpStream::connect(&self.addr);
-        let stream = future::timeout(limit.min(CONNECT_LIMIT), connecting)
+        let stream = future::timeout(limit.min(CONNECT_TIMEOUT), connecting)
             .await
             .map_err(|_| HttpError::NotSent)?
             .map_err(|_| HttpError::NotSent)?;
