--- a/crates/remote/src/http.rs
+++ b/crates/remote/src/http.rs
@@ -204,7 +204,7 @@
 }
 
 /// Statuses whose answers have no body.
-const WITHOUT_BODY: [u16; 2] = [204, 304];
+const STATUSES_WITHOUT_BODY: [u16; 2] = [204, 304];
 
 /// Tells whether a body is known to be whole: its length was declared and reached, or its chunks
 /// ended properly, which the decoder checks. A body that only ends with its connection could have
@@ -212,6 +212,6 @@
 fn whole(status: u16, declared: Option<usize>, chunked: bool, len: usize) -> bool {
     match declared {
         Some(declared) => declared == len,
-        None => chunked || WITHOUT_BODY.contains(&status),
+        None => chunked || STATUSES_WITHOUT_BODY.contains(&status),
     }
 }
