--- a/crates/remote/src/http.rs
+++ b/crates/remote/src/http.rs
@@ -192,7 +192,7 @@
     let chunked = res.header("transfer-encoding").is_some();
     let closes = res.header("connection").is_some_and(|v| v.last().as_str() == "close");
     let body = res.body_bytes().await.map_err(|_| HttpError::Unclear)?;
-    if !whole(u16::from(res.status()), declared, chunked, body.len()) {
+    if !is_complete(u16::from(res.status()), declared, chunked, body.len()) {
         return Err(HttpError::Unclear);
     }
     let headers = res
@@ -209,7 +209,7 @@
 /// Tells whether a body is known to be whole: its length was declared and reached, or its chunks
 /// ended properly, which the decoder checks. A body that only ends with its connection could have
 /// been cut, and the decoder shows it as empty, so such an answer counts as not whole.
-fn whole(status: u16, declared: Option<usize>, chunked: bool, len: usize) -> bool {
+fn is_complete(status: u16, declared: Option<usize>, chunked: bool, len: usize) -> bool {
     match declared {
         Some(declared) => declared == len,
         None => chunked || STATUSES_WITHOUT_BODY.contains(&status),
