--- a/crates/remote/src/store.rs
+++ b/crates/remote/src/store.rs
@@ -14,7 +14,7 @@
 
 use crate::http;
 
-const STORE_CONNECTIONS: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// Calls made so far, by kind.
 #[derive(Debug, Default)]
@@ -97,7 +97,11 @@
 impl Store {
     /// Builds a client for the service at `addr`; a call may take at most `limit`.
     pub fn open(addr: &str, limit: time::Duration) -> Self {
-        Self { http: http::Client::open(addr, STORE_CONNECTIONS), limit, counts: Counts::default() }
+        Self {
+            http: http::Client::open(addr, MAX_IDLE_CONNECTIONS),
+            limit,
+            counts: Counts::default(),
+        }
     }
 
     /// Carries out a call.
