--- a/crates/remote/src/store.rs
+++ b/crates/remote/src/store.rs
@@ -18,7 +18,7 @@
 
 /// Calls made so far, by kind.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct CallCounts {
     /// Writes and deletions.
     pub writes: AtomicU64,
     /// Reads of one key or a prefix.
@@ -35,7 +35,7 @@
     http: http::Client,
     limit: time::Duration,
     /// Calls made so far.
-    pub counts: Counts,
+    pub counts: CallCounts,
 }
 
 /// One operation of a transaction.
@@ -100,7 +100,7 @@
         Self {
             http: http::Client::open(addr, MAX_IDLE_CONNECTIONS),
             limit,
-            counts: Counts::default(),
+            counts: CallCounts::default(),
         }
     }
 
