--- a/crates/remote/src/worker.rs
+++ b/crates/remote/src/worker.rs
@@ -9,7 +9,7 @@
 use crate::http;
 
 /// Unused connections kept to one worker: one for each slot and one for control.
-const WORKER_CONNECTIONS: usize = 9;
+const MAX_IDLE_CONNECTIONS: usize = 9;
 
 /// The client of one worker.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 impl Worker {
     /// Builds a client for the worker at `addr`.
     pub fn open(addr: &str) -> Self {
-        Self { http: http::Client::open(addr, WORKER_CONNECTIONS) }
+        Self { http: http::Client::open(addr, MAX_IDLE_CONNECTIONS) }
     }
 
     /// Returns the address.
