--- a/crates/remote/tests/whole.rs
+++ b/crates/remote/tests/whole.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn nobody_listening_means_not_sent() {
+fn a_refused_connection_is_reported_as_not_sent() {
     task::block_on(async {
         let listener = net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap().to_string();
