--- a/crates/remote/tests/whole.rs
+++ b/crates/remote/tests/whole.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn one_silent_connection_costs_one_time_limit_however_many_are_kept() {
+fn a_timeout_on_one_connection_closes_all_idle_connections() {
     task::block_on(async {
         let addr = server_of_silent_connections(4).await;
         let client = Client::open(addr, 4);
