--- a/crates/remote/tests/whole.rs
+++ b/crates/remote/tests/whole.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn cut_answers_are_unclear() {
+fn truncated_answers_are_unclear() {
     task::block_on(async {
         assert_eq!(ask(vec![FULL]).await, Ok(b"hello".to_vec()));
         let cut = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nten bytes.";
