--- a/crates/remote/tests/whole.rs
+++ b/crates/remote/tests/whole.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_connection_is_reused_after_a_whole_answer_only() {
+fn a_connection_is_reused_only_after_a_complete_answer() {
     task::block_on(async {
         let (addr, connections) = server(vec![FULL, FULL], Duration::ZERO).await;
         let client = Client::open(addr, 2);
