--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -53,7 +53,7 @@
 }
 
 /// How one try ended.
-enum Try {
+enum AttemptOutcome {
     Ended(Outcome),
     /// It certainly did not run.
     NotRun(api::Refusal),
@@ -81,16 +81,16 @@
     loop {
         attempt += 1;
         let last = match try_once(engine, req).await {
-            Try::Ended(Outcome::Refused(refusal)) => {
+            AttemptOutcome::Ended(Outcome::Refused(refusal)) => {
                 return refused(engine, refusal, may_have_run);
             }
-            Try::Ended(outcome) => return outcome,
-            Try::NotRun(refusal) => refusal,
-            Try::Unclear if req.repeatable => {
+            AttemptOutcome::Ended(outcome) => return outcome,
+            AttemptOutcome::NotRun(refusal) => refusal,
+            AttemptOutcome::Unclear if req.repeatable => {
                 may_have_run = true;
                 refuse(codes::Code::UpstreamFailed, "No whole answer came")
             }
-            Try::Unclear => {
+            AttemptOutcome::Unclear => {
                 let why = "The request was sent, but no whole answer came";
                 return Outcome::Refused(refuse(codes::Code::OutcomeUnknown, why));
             }
@@ -169,7 +169,7 @@
     }
 }
 
-async fn try_once(engine: &Arc<Engine>, req: &ServiceRequest) -> Try {
+async fn try_once(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
     let free_here = engine.with_routing(|r| r.router.free(&req.service));
     if free_here == 0 {
         if let Some(peer) = choose_peer(engine, &req.service, free_here) {
@@ -196,13 +196,13 @@
         repeatable: forward.repeatable,
     };
     match try_here(engine, &req).await {
-        Try::Ended(Outcome::Answer { status, body }) => {
+        AttemptOutcome::Ended(Outcome::Answer { status, body }) => {
             api::ForwardReply::Answer { status, body: STANDARD.encode(body) }
         }
-        Try::Ended(Outcome::Refused(refusal)) | Try::NotRun(refusal) => {
+        AttemptOutcome::Ended(Outcome::Refused(refusal)) | AttemptOutcome::NotRun(refusal) => {
             api::ForwardReply::Refused(refusal)
         }
-        Try::Unclear => {
+        AttemptOutcome::Unclear => {
             let why = "The request was sent, but no whole answer came";
             api::ForwardReply::Refused(refuse(codes::Code::OutcomeUnknown, why))
         }
@@ -251,7 +251,7 @@
     engine: &Arc<Engine>,
     req: &ServiceRequest,
     (entry, addr): &(ids::EntryId, String),
-) -> Try {
+) -> AttemptOutcome {
     let message = api::Forward {
         service: req.service.clone(),
         path: req.path.clone(),
@@ -263,21 +263,21 @@
     engine.metrics.count_forward();
     match engine.peers.forward(entry, addr, &message).await {
         Ok(api::ForwardReply::Answer { status, body }) => match STANDARD.decode(body) {
-            Ok(body) => Try::Ended(Outcome::Answer { status, body }),
-            Err(_) => Try::Unclear,
+            Ok(body) => AttemptOutcome::Ended(Outcome::Answer { status, body }),
+            Err(_) => AttemptOutcome::Unclear,
         },
         Ok(api::ForwardReply::Refused(refusal)) => match refusal.ran {
-            codes::Ran::No => Try::NotRun(refusal),
-            codes::Ran::Yes | codes::Ran::Unknown => Try::Unclear,
+            codes::Ran::No => AttemptOutcome::NotRun(refusal),
+            codes::Ran::Yes | codes::Ran::Unknown => AttemptOutcome::Unclear,
         },
         Err(PeerError::NotSent) => {
-            Try::NotRun(refuse(codes::Code::NoUpstream, "A peer cannot be reached"))
+            AttemptOutcome::NotRun(refuse(codes::Code::NoUpstream, "A peer cannot be reached"))
         }
-        Err(PeerError::Unclear) => Try::Unclear,
+        Err(PeerError::Unclear) => AttemptOutcome::Unclear,
     }
 }
 
-async fn try_here(engine: &Arc<Engine>, req: &ServiceRequest) -> Try {
+async fn try_here(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
     let (pick, turn) = engine.with_routing(|r| {
         let pick = r.router.route(clock::now(), &req.service, req.deadline);
         let turn = match &pick {
@@ -295,12 +295,17 @@
         (route::RouteDecision::Wait(ticket), Some(turn)) => {
             match wait_for_turn(engine, req, ticket, turn).await {
                 Some(slot) => slot,
-                None => return Try::Ended(overloaded(1)),
+                None => return AttemptOutcome::Ended(overloaded(1)),
             }
         }
-        (route::RouteDecision::Refuse { after_s }, _) => return Try::Ended(overloaded(after_s)),
+        (route::RouteDecision::Refuse { after_s }, _) => {
+            return AttemptOutcome::Ended(overloaded(after_s))
+        }
         (route::RouteDecision::NoWorker | route::RouteDecision::Wait(_), _) => {
-            return Try::NotRun(refuse(codes::Code::NoUpstream, "No worker here runs the service"));
+            return AttemptOutcome::NotRun(refuse(
+                codes::Code::NoUpstream,
+                "No worker here runs the service",
+            ));
         }
     };
     send(engine, req, slot).await
@@ -330,10 +335,13 @@
     }
 }
 
-async fn send(engine: &Arc<Engine>, req: &ServiceRequest, slot: route::Slot) -> Try {
+async fn send(engine: &Arc<Engine>, req: &ServiceRequest, slot: route::Slot) -> AttemptOutcome {
     let Some(addr) = engine.worker_addr(&slot.worker) else {
         give_back(engine, req, &slot, None);
-        return Try::NotRun(refuse(codes::Code::NoUpstream, "The worker's address is not known"));
+        return AttemptOutcome::NotRun(refuse(
+            codes::Code::NoUpstream,
+            "The worker's address is not known",
+        ));
     };
     let client = engine.worker(&addr);
     let began = std::time::Instant::now();
@@ -344,21 +352,21 @@
     match answer {
         ServiceAnswer::Answer(answer) => {
             give_back(engine, req, &slot, Some(took_ms));
-            Try::Ended(Outcome::Answer { status: answer.status, body: answer.body })
+            AttemptOutcome::Ended(Outcome::Answer { status: answer.status, body: answer.body })
         }
         ServiceAnswer::Refused(verdict) => {
             refused_by_worker(engine, req, &slot, verdict);
             let why = format!("A worker refused it ({verdict:?})");
-            Try::NotRun(refuse(codes::Code::NoUpstream, &why))
+            AttemptOutcome::NotRun(refuse(codes::Code::NoUpstream, &why))
         }
         ServiceAnswer::NotSent => {
             engine.with_routing(|r| r.router.close(&slot.worker));
             give_back(engine, req, &slot, None);
-            Try::NotRun(refuse(codes::Code::NoUpstream, "A worker cannot be reached"))
+            AttemptOutcome::NotRun(refuse(codes::Code::NoUpstream, "A worker cannot be reached"))
         }
         ServiceAnswer::Unclear => {
             engine.with_routing(|r| r.router.abandon(&slot));
-            Try::Unclear
+            AttemptOutcome::Unclear
         }
     }
 }
