--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -80,7 +80,7 @@
     let mut attempt = 0;
     loop {
         attempt += 1;
-        let last = match try_once(engine, req).await {
+        let last = match attempt_once(engine, req).await {
             AttemptOutcome::Ended(Outcome::Refused(refusal)) => {
                 return refused(engine, refusal, may_have_run);
             }
@@ -169,7 +169,7 @@
     }
 }
 
-async fn try_once(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
+async fn attempt_once(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
     let free_here = engine.with_routing(|r| r.router.free(&req.service));
     if free_here == 0 {
         if let Some(peer) = choose_peer(engine, &req.service, free_here) {
