--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -176,7 +176,7 @@
             return forward(engine, req, &peer).await;
         }
     }
-    try_here(engine, req).await
+    attempt_locally(engine, req).await
 }
 
 /// Serves a request that a peer forwarded: here, or not at all.
@@ -195,7 +195,7 @@
         request_id: forward.request_id,
         repeatable: forward.repeatable,
     };
-    match try_here(engine, &req).await {
+    match attempt_locally(engine, &req).await {
         AttemptOutcome::Ended(Outcome::Answer { status, body }) => {
             api::ForwardReply::Answer { status, body: STANDARD.encode(body) }
         }
@@ -277,7 +277,7 @@
     }
 }
 
-async fn try_here(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
+async fn attempt_locally(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
     let (pick, turn) = engine.with_routing(|r| {
         let pick = r.router.route(clock::now(), &req.service, req.deadline);
         let turn = match &pick {
