--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -62,7 +62,7 @@
 }
 
 /// The longest wait for a worker to be taken over.
-const LONGEST_PATIENCE: time::Millis = time::Millis(1_500);
+const MAX_FAILOVER_WAIT: time::Millis = time::Millis(1_500);
 /// A service that ran somewhere within this span is expected to come back soon.
 const SERVED_LATELY: time::Millis = time::Millis(5_000);
 const FIRST_BACKOFF: time::Millis = time::Millis(5);
@@ -111,7 +111,7 @@
     let lately = served_at.is_some_and(|at| now.since(at) < SERVED_LATELY);
     let left = req.deadline.since(now).0;
     if lately {
-        time::Millis(LONGEST_PATIENCE.0.min(left / 2))
+        time::Millis(MAX_FAILOVER_WAIT.0.min(left / 2))
     } else {
         time::Millis(0)
     }
