--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -64,7 +64,7 @@
 /// The longest wait for a worker to be taken over.
 const MAX_FAILOVER_WAIT: time::Millis = time::Millis(1_500);
 /// A service that ran somewhere within this span is expected to come back soon.
-const SERVED_LATELY: time::Millis = time::Millis(5_000);
+const RECENTLY_SERVED_WINDOW: time::Millis = time::Millis(5_000);
 const FIRST_BACKOFF: time::Millis = time::Millis(5);
 const LONGEST_BACKOFF: time::Millis = time::Millis(100);
 
@@ -108,7 +108,7 @@
 fn patience(engine: &Engine, req: &ServiceRequest) -> time::Millis {
     let now = clock::now();
     let served_at = engine.with_routing(|r| r.last_served_at.get(&req.service).copied());
-    let lately = served_at.is_some_and(|at| now.since(at) < SERVED_LATELY);
+    let lately = served_at.is_some_and(|at| now.since(at) < RECENTLY_SERVED_WINDOW);
     let left = req.deadline.since(now).0;
     if lately {
         time::Millis(MAX_FAILOVER_WAIT.0.min(left / 2))
