--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -66,7 +66,7 @@
 /// A service that ran somewhere within this span is expected to come back soon.
 const RECENTLY_SERVED_WINDOW: time::Millis = time::Millis(5_000);
 const INITIAL_BACKOFF: time::Millis = time::Millis(5);
-const LONGEST_BACKOFF: time::Millis = time::Millis(100);
+const MAX_BACKOFF: time::Millis = time::Millis(100);
 
 fn refuse(code: codes::Code, why: &str) -> api::Refusal {
     api::Refusal::new(code, why)
@@ -98,7 +98,7 @@
         if !may_try_again(engine, &last, patient_until) {
             return refused(engine, last, may_have_run);
         }
-        let wait = retry::backoff(attempt, INITIAL_BACKOFF, LONGEST_BACKOFF, &mut rand::rng());
+        let wait = retry::backoff(attempt, INITIAL_BACKOFF, MAX_BACKOFF, &mut rand::rng());
         task::sleep(wait.as_duration()).await;
     }
 }
