--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -75,7 +75,7 @@
 /// Serves a request that came from a caller.
 pub async fn serve(engine: &Arc<Engine>, req: &ServiceRequest) -> Outcome {
     engine.with_routing(|r| r.budget.earn());
-    let patient_until = clock::now() + patience(engine, req);
+    let patient_until = clock::now() + failover_wait(engine, req);
     let mut may_have_run = false;
     let mut attempt = 0;
     loop {
@@ -105,7 +105,7 @@
 
 /// Returns how long a request waits for a worker to be taken over. It is nothing where the
 /// service has not run anywhere for a while: then the final answer goes out at once.
-fn patience(engine: &Engine, req: &ServiceRequest) -> time::Millis {
+fn failover_wait(engine: &Engine, req: &ServiceRequest) -> time::Millis {
     let now = clock::now();
     let served_at = engine.with_routing(|r| r.last_served_at.get(&req.service).copied());
     let lately = served_at.is_some_and(|at| now.since(at) < RECENTLY_SERVED_WINDOW);
