--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -95,7 +95,7 @@
                 return Outcome::Refused(refuse(codes::Code::OutcomeUnknown, why));
             }
         };
-        if !may_try_again(engine, &last, patient_until) {
+        if !may_retry(engine, &last, patient_until) {
             return refused(engine, last, may_have_run);
         }
         let wait = retry::backoff(attempt, INITIAL_BACKOFF, MAX_BACKOFF, &mut rand::rng());
@@ -158,7 +158,7 @@
 
 /// What reached a worker costs the retry budget; what found no worker only waits. Overload is
 /// answered at once.
-fn may_try_again(engine: &Engine, last: &api::Refusal, patient_until: time::Instant) -> bool {
+fn may_retry(engine: &Engine, last: &api::Refusal, patient_until: time::Instant) -> bool {
     if clock::now() >= patient_until {
         return false;
     }
