--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -82,7 +82,7 @@
         attempt += 1;
         let last = match attempt_once(engine, req).await {
             AttemptOutcome::Ended(Outcome::Refused(refusal)) => {
-                return refused(engine, refusal, may_have_run);
+                return finish_refused(engine, refusal, may_have_run);
             }
             AttemptOutcome::Ended(outcome) => return outcome,
             AttemptOutcome::NotRun(refusal) => refusal,
@@ -96,7 +96,7 @@
             }
         };
         if !may_retry(engine, &last, patient_until) {
-            return refused(engine, last, may_have_run);
+            return finish_refused(engine, last, may_have_run);
         }
         let wait = retry::backoff(attempt, INITIAL_BACKOFF, MAX_BACKOFF, &mut rand::rng());
         task::sleep(wait.as_duration()).await;
@@ -136,7 +136,7 @@
 }
 
 /// Tells what was not run from what may have run in an earlier try.
-fn refused(engine: &Engine, refusal: api::Refusal, may_have_run: bool) -> Outcome {
+fn finish_refused(engine: &Engine, refusal: api::Refusal, may_have_run: bool) -> Outcome {
     let refusal = match refusal.ran {
         codes::Ran::No if may_have_run => {
             let why = "An earlier try had no whole answer";
