--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -337,7 +337,7 @@
 
 async fn send(engine: &Arc<Engine>, req: &ServiceRequest, slot: route::Slot) -> AttemptOutcome {
     let Some(addr) = engine.worker_addr(&slot.worker) else {
-        give_back(engine, req, &slot, None);
+        release_slot(engine, req, &slot, None);
         return AttemptOutcome::NotRun(refuse(
             codes::Code::NoUpstream,
             "The worker's address is not known",
@@ -351,7 +351,7 @@
     let took_ms = began.elapsed().as_secs_f64() * 1000.0;
     match answer {
         ServiceAnswer::Answer(answer) => {
-            give_back(engine, req, &slot, Some(took_ms));
+            release_slot(engine, req, &slot, Some(took_ms));
             AttemptOutcome::Ended(Outcome::Answer { status: answer.status, body: answer.body })
         }
         ServiceAnswer::Refused(verdict) => {
@@ -361,7 +361,7 @@
         }
         ServiceAnswer::NotSent => {
             engine.with_routing(|r| r.router.close(&slot.worker));
-            give_back(engine, req, &slot, None);
+            release_slot(engine, req, &slot, None);
             AttemptOutcome::NotRun(refuse(codes::Code::NoUpstream, "A worker cannot be reached"))
         }
         ServiceAnswer::Unclear => {
@@ -385,10 +385,10 @@
             verdict,
         });
     }
-    give_back(engine, req, slot, None);
+    release_slot(engine, req, slot, None);
 }
 
-fn give_back(engine: &Arc<Engine>, req: &ServiceRequest, slot: &route::Slot, took: Option<f64>) {
+fn release_slot(engine: &Arc<Engine>, req: &ServiceRequest, slot: &route::Slot, took: Option<f64>) {
     engine.with_routing(|r| r.router.release_slot(slot, &req.service, took));
     crate::executor::wake_waiters(engine);
 }
