--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -355,7 +355,7 @@
             AttemptOutcome::Ended(Outcome::Answer { status: answer.status, body: answer.body })
         }
         ServiceAnswer::Refused(verdict) => {
-            refused_by_worker(engine, req, &slot, verdict);
+            handle_worker_refusal(engine, req, &slot, verdict);
             let why = format!("A worker refused it ({verdict:?})");
             AttemptOutcome::NotRun(refuse(codes::Code::NoUpstream, &why))
         }
@@ -371,7 +371,7 @@
     }
 }
 
-fn refused_by_worker(
+fn handle_worker_refusal(
     engine: &Arc<Engine>,
     req: &ServiceRequest,
     slot: &route::Slot,
