--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -293,7 +293,7 @@
     let slot = match (pick, turn) {
         (route::RouteDecision::Slot(slot), _) => slot,
         (route::RouteDecision::Wait(ticket), Some(turn)) => {
-            match wait_for_turn(engine, req, ticket, turn).await {
+            match wait_for_slot(engine, req, ticket, turn).await {
                 Some(slot) => slot,
                 None => return AttemptOutcome::Ended(overloaded(1)),
             }
@@ -316,7 +316,7 @@
     Outcome::Refused(refuse(codes::Code::Overloaded, why).with_retry_after(after_s))
 }
 
-async fn wait_for_turn(
+async fn wait_for_slot(
     engine: &Arc<Engine>,
     req: &ServiceRequest,
     ticket: route::Ticket,
