--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -295,11 +295,11 @@
         (route::RouteDecision::Wait(ticket), Some(turn)) => {
             match wait_for_slot(engine, req, ticket, turn).await {
                 Some(slot) => slot,
-                None => return AttemptOutcome::Ended(overloaded(1)),
+                None => return AttemptOutcome::Ended(overload_refusal(1)),
             }
         }
         (route::RouteDecision::Refuse { after_s }, _) => {
-            return AttemptOutcome::Ended(overloaded(after_s))
+            return AttemptOutcome::Ended(overload_refusal(after_s))
         }
         (route::RouteDecision::NoWorker | route::RouteDecision::Wait(_), _) => {
             return AttemptOutcome::NotRun(refuse(
@@ -311,7 +311,7 @@
     send(engine, req, slot).await
 }
 
-fn overloaded(after_s: u32) -> Outcome {
+fn overload_refusal(after_s: u32) -> Outcome {
     let why = "Every slot is taken for longer than the request may wait";
     Outcome::Refused(refuse(codes::Code::Overloaded, why).with_retry_after(after_s))
 }
