--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -30,7 +30,7 @@
         Action::Confirmed { id, outcome } => engine.confirmed(id, outcome),
         Action::Beat(beat) => send_beat(engine, &beat),
         Action::HandOver { to, partition } => hand_over(engine, to, partition),
-        Action::Ask { from, to, run, command } => ask(engine, from, to, run, command),
+        Action::Ask { from, to, run, command } => send_loan_command(engine, from, to, run, command),
         Action::FetchConfig { from } => fetch_config(engine, from),
         Action::Offer(offer) => {
             engine.with_routing(|r| r.router.update_worker(offer));
@@ -126,7 +126,7 @@
     });
 }
 
-fn ask(
+fn send_loan_command(
     engine: &Arc<Engine>,
     partition: ids::PartitionId,
     to: ids::PartitionId,
