--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -28,7 +28,7 @@
         }
         Action::Reply { id, reply } => engine.reply(id, reply),
         Action::Confirmed { id, outcome } => engine.confirmed(id, outcome),
-        Action::Beat(beat) => send_beat(engine, &beat),
+        Action::Beat(beat) => send_heartbeat(engine, &beat),
         Action::HandOver { to, partition } => hand_over(engine, to, partition),
         Action::Ask { from, to, run, command } => send_loan_command(engine, from, to, run, command),
         Action::FetchConfig { from } => fetch_config(engine, from),
@@ -100,7 +100,7 @@
     });
 }
 
-fn send_beat(engine: &Arc<Engine>, beat: &api::Heartbeat) {
+fn send_heartbeat(engine: &Arc<Engine>, beat: &api::Heartbeat) {
     let peers: Vec<(ids::EntryId, String)> = engine.with_core(|core| {
         let all = core.node.members.peers.iter();
         all.map(|(entry, p)| (entry.clone(), p.record.addr.clone())).collect()
