--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -16,11 +16,11 @@
 /// Carries out actions in their order; calls run on their own.
 pub fn execute_actions(engine: &Arc<Engine>, actions: Vec<Action>) {
     for action in actions {
-        carry_out_one(engine, action);
+        execute_action(engine, action);
     }
 }
 
-fn carry_out_one(engine: &Arc<Engine>, action: Action) {
+fn execute_action(engine: &Arc<Engine>, action: Action) {
     match action {
         Action::Store { call, req } => call_store(engine, call, req),
         Action::Worker { partition, worker, addr, req } => {
