--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -17,7 +17,7 @@
 use crate::peers::PeerError;
 use crate::service::{self, Outcome, ServiceRequest};
 
-const STORE_END_TRIES: u32 = 5;
+const STORE_END_MAX_ATTEMPTS: u32 = 5;
 const STORE_END_WAIT: Duration = Duration::from_millis(400);
 
 /// Serves a request that runs at most once for its partner's key.
@@ -112,7 +112,7 @@
 }
 
 async fn store_end(engine: Arc<Engine>, home: ids::PartitionId, command_: api::Command) {
-    for _ in 0..STORE_END_TRIES {
+    for _ in 0..STORE_END_MAX_ATTEMPTS {
         if execute_command(&engine, home, command_.clone()).await == api::Reply::Done {
             return;
         }
