--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -18,7 +18,7 @@
 use crate::service::{self, Outcome, ServiceRequest};
 
 const STORE_END_MAX_ATTEMPTS: u32 = 5;
-const STORE_END_WAIT: Duration = Duration::from_millis(400);
+const STORE_END_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Serves a request that runs at most once for its partner's key.
 pub async fn serve(
@@ -116,7 +116,7 @@
         if execute_command(&engine, home, command_.clone()).await == api::Reply::Done {
             return;
         }
-        task::sleep(STORE_END_WAIT).await;
+        task::sleep(STORE_END_RETRY_DELAY).await;
     }
     tracing::warn!(%home, "how a claimed request ended could not be stored");
 }
