--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -77,7 +77,7 @@
             codes::Ran::Yes | codes::Ran::Unknown => api::OnceEnd::Unknown,
         },
     };
-    settle_check(engine, partner, key, &end);
+    record_end_in_check(engine, partner, key, &end);
     let storing = store_end(Arc::clone(engine), home, done(partner, key, &claimer, end.clone()));
     if end == api::OnceEnd::NotRun {
         // The caller may come back at once with the same key, so the claim goes first.
@@ -88,7 +88,7 @@
     outcome
 }
 
-fn settle_check(
+fn record_end_in_check(
     engine: &Engine,
     partner: &ids::PartnerId,
     key: &ids::RequestKey,
