--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -42,7 +42,11 @@
             if refusal.result_code() == codes::Code::OutcomeUnknown {
                 // The claim may be stored, but nothing was sent: give it back if it is ours.
                 let end = api::OnceEnd::NotRun;
-                task::spawn(store_end(Arc::clone(engine), home, done(partner, key, &claimer, end)));
+                task::spawn(store_end(
+                    Arc::clone(engine),
+                    home,
+                    once_done_command(partner, key, &claimer, end),
+                ));
                 let why = "The claim of the request could not be stored in time";
                 let refusal = api::Refusal::new(codes::Code::StoreDown, why);
                 return Outcome::Refused(refusal);
@@ -78,7 +82,8 @@
         },
     };
     record_end_in_check(engine, partner, key, &end);
-    let storing = store_end(Arc::clone(engine), home, done(partner, key, &claimer, end.clone()));
+    let storing =
+        store_end(Arc::clone(engine), home, once_done_command(partner, key, &claimer, end.clone()));
     if end == api::OnceEnd::NotRun {
         // The caller may come back at once with the same key, so the claim goes first.
         storing.await;
@@ -101,7 +106,7 @@
     }
 }
 
-fn done(
+fn once_done_command(
     partner: &ids::PartnerId,
     key: &ids::RequestKey,
     claimer: &str,
