--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -32,7 +32,7 @@
     let claim = api::Command::OnceClaim {
         partner: partner.clone(),
         key: key.clone(),
-        digest: digest(req),
+        digest: request_digest(req),
         claimer: claimer.clone(),
     };
     match execute_command(engine, home, claim).await {
@@ -141,7 +141,7 @@
     }
 }
 
-fn digest(req: &ServiceRequest) -> String {
+fn request_digest(req: &ServiceRequest) -> String {
     let body = STANDARD.encode(&req.body);
     crate::auth::key_hash(&format!("{} {} {body}", req.service, req.path))
 }
