--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -36,7 +36,7 @@
         claimer: claimer.clone(),
     };
     match execute_command(engine, home, claim).await {
-        api::Reply::Granted => run(engine, partner, key, claimer, home, req).await,
+        api::Reply::Granted => run_claimed(engine, partner, key, claimer, home, req).await,
         api::Reply::Ended(end) => replay(end),
         api::Reply::Refused(refusal) => {
             if refusal.result_code() == codes::Code::OutcomeUnknown {
@@ -57,7 +57,7 @@
     }
 }
 
-async fn run(
+async fn run_claimed(
     engine: &Arc<Engine>,
     partner: &ids::PartnerId,
     key: &ids::RequestKey,
