--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -155,13 +155,13 @@
     let located = engine.with_core(|core| core.node.locate(&core.cx, home));
     let entry = match located {
         Located::Here => return engine.execute_locally(home, command).await,
-        Located::Nowhere => return no_owner(),
+        Located::Nowhere => return no_owner_reply(),
         Located::Peer(entry) => entry,
     };
-    let Some(addr) = engine.peer_addr(&entry) else { return no_owner() };
+    let Some(addr) = engine.peer_addr(&entry) else { return no_owner_reply() };
     match engine.peers.command(&entry, &addr, home, &command).await {
         Ok(reply) => reply,
-        Err(PeerError::NotSent) => no_owner(),
+        Err(PeerError::NotSent) => no_owner_reply(),
         Err(PeerError::Unclear) => {
             let why = "The partition's owner did not answer";
             api::Reply::Refused(api::Refusal::new(codes::Code::OutcomeUnknown, why))
@@ -169,7 +169,7 @@
     }
 }
 
-fn no_owner() -> api::Reply {
+fn no_owner_reply() -> api::Reply {
     let why = "The partition has no owner now";
     api::Reply::Refused(api::Refusal::new(codes::Code::NoOwner, why))
 }
