--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -39,7 +39,7 @@
     wanted.operators = intent.operators.unwrap_or(wanted.operators);
     let changes = describe_changes(current, &wanted, &fleet.jobs);
     let mut refused = wanted.validation_errors();
-    refused.extend(misfits(&wanted, fleet));
+    refused.extend(unsatisfiable_demands(&wanted, fleet));
     if serde_json::to_vec(&wanted).map_or(0, |v| v.len()) > config::CONFIG_MAX_BYTES {
         refused.push("the configuration is too large for the store".to_string());
     }
@@ -181,7 +181,7 @@
 }
 
 /// Lists what no worker or failure domain of the fleet could carry.
-fn misfits(wanted: &config::Config, fleet: &Fleet) -> Vec<String> {
+fn unsatisfiable_demands(wanted: &config::Config, fleet: &Fleet) -> Vec<String> {
     let mut out = Vec::new();
     if fleet.capacities.is_empty() {
         return out;
