--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -251,7 +251,7 @@
     let domains: Vec<ids::DomainId> = values.list("domains")?;
     let duration = |name| Duration::from_millis(values.number(name));
     let timing = timing(values);
-    let mut faults = faults_between(&timing);
+    let mut faults = timing_errors(&timing);
     if values.number("config-wait") * 2 > timing.config_max_age.0 {
         faults.push("--config-wait: it must be at most half of --config-max-age".to_string());
     }
@@ -311,7 +311,7 @@
     }
 }
 
-fn faults_between(t: &Timing) -> Vec<String> {
+fn timing_errors(t: &Timing) -> Vec<String> {
     let mut faults = Vec::new();
     let mut need = |good: bool, why: &str| {
         if !good {
