--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -239,7 +239,7 @@
     pub timing: Timing,
 }
 
-fn some(text: &str) -> Option<String> {
+fn non_empty(text: &str) -> Option<String> {
     (!text.is_empty()).then(|| text.to_string())
 }
 
@@ -270,9 +270,9 @@
         listen: values.text("listen").to_string(),
         listen_health: values.text("listen-health").to_string(),
         listen_peers: values.text("listen-peers").to_string(),
-        advertise_peers: some(values.text("advertise-peers")),
+        advertise_peers: non_empty(values.text("advertise-peers")),
         peer_secret: values.text("peer-secret").to_string(),
-        bootstrap_key: some(values.text("bootstrap-key")),
+        bootstrap_key: non_empty(values.text("bootstrap-key")),
         log: values.text("log").to_string(),
         limits: gaplock_serve::Limits {
             connections: values.number("max-connections") as usize,
