--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -108,7 +108,7 @@
 }
 
 async fn job_status(req: &Req) -> HandlerResult<api::JobStatus> {
-    let partner = asker(req, config::Right::Read)?;
+    let partner = visible_partner(req, config::Right::Read)?;
     let job: ids::JobId = web::path_id(req, "job")?;
     let command = api::Command::Status { partner, job };
     match once::execute_command(req.state(), job.home, command).await {
@@ -123,7 +123,7 @@
 }
 
 async fn cancel_job(req: &Req) -> HandlerResult<&'static str> {
-    let partner = asker(req, config::Right::Change)?;
+    let partner = visible_partner(req, config::Right::Change)?;
     let job: ids::JobId = web::path_id(req, "job")?;
     let command = api::Command::Cancel { partner, job };
     match once::execute_command(req.state(), job.home, command).await {
@@ -133,7 +133,7 @@
 }
 
 /// Returns the partner whose jobs may be seen; none for an operator with the right.
-fn asker(req: &Req, right: config::Right) -> HandlerResult<Option<ids::PartnerId>> {
+fn visible_partner(req: &Req, right: config::Right) -> HandlerResult<Option<ids::PartnerId>> {
     match web::identity(req)? {
         Identity::Partner(id) => Ok(Some(id)),
         Identity::Operator(..) => web::require_operator(req, right).map(|_| None),
