--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -12,7 +12,7 @@
 use crate::web::{self, HandlerResult, Req};
 
 const DEFAULT_DEADLINE_MS: u64 = 5_000;
-const LONGEST_DEADLINE_MS: u64 = 30_000;
+const MAX_DEADLINE_MS: u64 = 30_000;
 
 /// `POST /v1/services/SERVICE/PATH`: sends a request to a worker of the service.
 pub async fn service(req: Req) -> tide::Result {
@@ -61,9 +61,9 @@
         return Ok(time::Millis(DEFAULT_DEADLINE_MS));
     };
     match values.last().as_str().parse::<u64>() {
-        Ok(ms) if (1..=LONGEST_DEADLINE_MS).contains(&ms) => Ok(time::Millis(ms)),
+        Ok(ms) if (1..=MAX_DEADLINE_MS).contains(&ms) => Ok(time::Millis(ms)),
         _ => {
-            let why = format!("x-gaplock-deadline-ms must be 1 to {LONGEST_DEADLINE_MS}");
+            let why = format!("x-gaplock-deadline-ms must be 1 to {MAX_DEADLINE_MS}");
             Err(api::Refusal::new(codes::Code::BadRequest, why))
         }
     }
