--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/running.rs
@@ -48,7 +48,7 @@
 }
 
 /// How long a stopping entry keeps accepting, so that the balancer can notice.
-const LINGER: Duration = Duration::from_millis(1_000);
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(1_000);
 
 impl Running {
     /// Stops without cutting off what is in flight: hands every partition over, lets answers go
@@ -59,7 +59,7 @@
         self.callers.drain();
         while began.elapsed() < limit {
             let handed_over = self.engine.with_core(|core| core.node.handed_over());
-            if handed_over && began.elapsed() >= LINGER {
+            if handed_over && began.elapsed() >= MIN_DRAIN_TIME {
                 break;
             }
             task::sleep(self.engine.cfg.tick).await;
