--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -33,7 +33,7 @@
 const COMMAND: &str = "command";
 const FORWARD: &str = "forward";
 
-const BEAT_LIMIT: Duration = Duration::from_millis(1_000);
+const CONTROL_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 const COMMAND_LIMIT: Duration = Duration::from_millis(5_000);
 const MAX_MESSAGE_BYTES: u32 = 24 << 20;
 const WRONG_SECRET: i32 = 101;
@@ -69,12 +69,12 @@
             }
         }
         let building = WsClientBuilder::default()
-            .connection_timeout(BEAT_LIMIT)
+            .connection_timeout(CONTROL_CALL_TIMEOUT)
             .request_timeout(Duration::from_secs(60))
             .max_request_size(MAX_MESSAGE_BYTES)
             .max_response_size(MAX_MESSAGE_BYTES)
             .build(format!("ws://{addr}"));
-        let client = future::timeout(BEAT_LIMIT, building)
+        let client = future::timeout(CONTROL_CALL_TIMEOUT, building)
             .await
             .map_err(|_| PeerError::NotSent)?
             .map_err(|_| PeerError::NotSent)?;
@@ -117,7 +117,7 @@
         addr: &str,
         beat: &api::Heartbeat,
     ) -> Result<(), PeerError> {
-        self.call(entry, addr, BEAT, beat, BEAT_LIMIT).await
+        self.call(entry, addr, BEAT, beat, CONTROL_CALL_TIMEOUT).await
     }
 
     /// Tells a peer to claim a released partition.
@@ -127,7 +127,7 @@
         addr: &str,
         id: ids::PartitionId,
     ) -> Result<(), PeerError> {
-        self.call(entry, addr, HAND_OVER, &id, BEAT_LIMIT).await
+        self.call(entry, addr, HAND_OVER, &id, CONTROL_CALL_TIMEOUT).await
     }
 
     /// Fetches the document that a peer has in force.
