--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -34,7 +34,7 @@
 const FORWARD: &str = "forward";
 
 const CONTROL_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-const COMMAND_LIMIT: Duration = Duration::from_millis(5_000);
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(5_000);
 const MAX_MESSAGE_BYTES: u32 = 24 << 20;
 const WRONG_SECRET: i32 = 101;
 
@@ -132,7 +132,7 @@
 
     /// Fetches the document that a peer has in force.
     pub async fn config(&self, entry: &ids::EntryId, addr: &str) -> Result<Document, PeerError> {
-        self.call(entry, addr, CONFIG, &(), COMMAND_LIMIT).await
+        self.call(entry, addr, CONFIG, &(), COMMAND_TIMEOUT).await
     }
 
     /// Sends a command to the owner of a partition.
@@ -143,7 +143,7 @@
         id: ids::PartitionId,
         command: &api::Command,
     ) -> Result<api::Reply, PeerError> {
-        self.call(entry, addr, COMMAND, &(id, command), COMMAND_LIMIT).await
+        self.call(entry, addr, COMMAND, &(id, command), COMMAND_TIMEOUT).await
     }
 
     /// Forwards a service request.
