--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -36,7 +36,7 @@
 const CONTROL_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(5_000);
 const MAX_MESSAGE_BYTES: u32 = 24 << 20;
-const WRONG_SECRET: i32 = 101;
+const WRONG_SECRET_CODE: i32 = 101;
 
 /// Why a call to a peer has no answer.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
@@ -241,7 +241,7 @@
             let (engine, expected) = (Arc::clone(&cx.0), &cx.1);
             let (proof, body): (String, Q) = params.parse()?;
             if !auth::constant_time_eq(&proof, expected) {
-                return Err(ErrorObjectOwned::owned(WRONG_SECRET, "wrong secret", None::<()>));
+                return Err(ErrorObjectOwned::owned(WRONG_SECRET_CODE, "wrong secret", None::<()>));
             }
             Ok(handler(engine, body).await)
         }
