--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -159,7 +159,7 @@
 }
 
 /// A bound listener for peers that does not serve yet.
-pub struct Bound {
+pub struct BoundListener {
     server: server::Server,
     addr: SocketAddr,
     proof: String,
@@ -174,17 +174,17 @@
 ///
 /// # Errors
 /// Returns the error of binding the address.
-pub async fn bind(addr: &str, secret: &str) -> io::Result<Bound> {
+pub async fn bind(addr: &str, secret: &str) -> io::Result<BoundListener> {
     let config = server::ServerConfig::builder()
         .max_request_body_size(MAX_MESSAGE_BYTES)
         .max_response_body_size(MAX_MESSAGE_BYTES)
         .build();
     let server = server::Server::builder().set_config(config).build(addr).await?;
     let addr = server.local_addr()?;
-    Ok(Bound { server, addr, proof: auth::peer_proof(secret) })
+    Ok(BoundListener { server, addr, proof: auth::peer_proof(secret) })
 }
 
-impl Bound {
+impl BoundListener {
     /// Returns the bound address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
