--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -33,7 +33,7 @@
 
 async fn fleet(req: &Req) -> Fleet {
     let capacities = req.state().with_core(|core| core.cx.fleet.clone());
-    let survey = survey(req).await;
+    let survey = collect_summaries(req).await;
     let domains = survey.workers.iter().map(|w| w.domain.clone()).collect();
     // Without every owner's answer, nothing is said about what does not fit.
     let complete = survey.workers.len() == capacities.len();
@@ -149,7 +149,7 @@
 }
 
 /// Asks every partition's owner; partitions without one are left out.
-async fn survey(req: &Req) -> api::PartitionSummary {
+async fn collect_summaries(req: &Req) -> api::PartitionSummary {
     let engine = req.state();
     let partitions: Vec<ids::PartitionId> = engine.cfg.layout.partitions().collect();
     let asked =
@@ -169,7 +169,7 @@
     if let Err(r) = web::require_operator(&req, config::Right::Read) {
         return web::respond::<()>(Err(r));
     }
-    web::respond(Ok(survey(&req).await.workers))
+    web::respond(Ok(collect_summaries(&req).await.workers))
 }
 
 /// `GET /v1/jobs`: lists the jobs that the asker may see.
@@ -178,7 +178,7 @@
         Ok(who) => who,
         Err(r) => return web::respond::<()>(Err(r)),
     };
-    let mut jobs = survey(&req).await.jobs;
+    let mut jobs = collect_summaries(&req).await.jobs;
     if let auth::Identity::Partner(id) = who {
         jobs.retain(|job| job.partner == id);
     }
@@ -194,7 +194,7 @@
     let by = web::require_operator(req, config::Right::Change)?;
     let worker: ids::WorkerId = web::path_id(req, "worker")?;
     tracing::warn!(%worker, by, "declared dead");
-    let rows = survey(req).await.workers;
+    let rows = collect_summaries(req).await.workers;
     let Some(row) = rows.into_iter().find(|w| w.worker == worker) else {
         return Err(api::Refusal::new(codes::Code::NotFound, "No owner knows this worker"));
     };
