--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -85,14 +85,14 @@
     match engine.confirm(plan, by).await {
         Ok(generation) => Ok(wait_in_force(req, generation).await),
         Err(refusal) if refusal.result_code() == codes::Code::PlanStale => {
-            Err(explain_stale(req, &wanted))
+            Err(stale_plan_refusal(req, &wanted))
         }
         Err(refusal) => Err(refusal),
     }
 }
 
 /// Adds to the refusal what the same wish would change now.
-fn explain_stale(req: &Req, wanted: &config::Config) -> api::Refusal {
+fn stale_plan_refusal(req: &Req, wanted: &config::Config) -> api::Refusal {
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
     let difference = plan::describe_changes(&current, wanted, &[]);
     let why = format!(
