--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -74,7 +74,7 @@
             refusal_response(&api::Refusal::new(codes::Code::BadRequest, why)).into()
         }
     };
-    let mut res = no_route(res);
+    let mut res = add_code_if_unrouted(res);
     res.insert_header(REQUEST_ID, id.as_str());
     engine.metrics.count_answer(&path, &res, began.elapsed());
     tracing::debug!(request_id = id, path, status = u16::from(res.status()), "answered");
@@ -82,7 +82,7 @@
 }
 
 /// Gives tide's own "not found" and "method not allowed" a result code.
-fn no_route(res: http_types::Response) -> http_types::Response {
+fn add_code_if_unrouted(res: http_types::Response) -> http_types::Response {
     if res.is_empty() == Some(true) && res.status().is_client_error() {
         let why = "There is no such path or method";
         return refusal_response(&api::Refusal::new(codes::Code::NotFound, why)).into();
