--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -20,7 +20,7 @@
 /// The result of a handler; every refusal is an answer.
 pub type HandlerResult<T> = Result<T, api::Refusal>;
 
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 const MAX_ID_BYTES: usize = 64;
 
 /// Binds the listener.
@@ -58,8 +58,8 @@
     let began = Instant::now();
     let mut req = whole.req;
     let path = req.url().path().to_string();
-    let id = request_id(&engine, req.header(REQUEST_ID).map(|v| v.last().as_str()));
-    req.insert_header(REQUEST_ID, id.as_str());
+    let id = request_id(&engine, req.header(REQUEST_ID_HEADER).map(|v| v.last().as_str()));
+    req.insert_header(REQUEST_ID_HEADER, id.as_str());
     let res = match whole.body {
         Ok(bytes) => {
             req.set_body(bytes);
@@ -75,7 +75,7 @@
         }
     };
     let mut res = add_code_if_unrouted(res);
-    res.insert_header(REQUEST_ID, id.as_str());
+    res.insert_header(REQUEST_ID_HEADER, id.as_str());
     engine.metrics.count_answer(&path, &res, began.elapsed());
     tracing::debug!(request_id = id, path, status = u16::from(res.status()), "answered");
     res
@@ -102,7 +102,7 @@
 
 /// Returns the request's id.
 pub fn request_id_of(req: &Req) -> String {
-    req.header(REQUEST_ID).map(|v| v.last().as_str().to_string()).unwrap_or_default()
+    req.header(REQUEST_ID_HEADER).map(|v| v.last().as_str().to_string()).unwrap_or_default()
 }
 
 /// Builds the answer that carries a refusal.
