--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -21,7 +21,7 @@
 pub type HandlerResult<T> = Result<T, api::Refusal>;
 
 const REQUEST_ID_HEADER: &str = "x-request-id";
-const MAX_ID_BYTES: usize = 64;
+const MAX_REQUEST_ID_BYTES: usize = 64;
 
 /// Binds the listener.
 ///
@@ -92,7 +92,9 @@
 
 fn request_id(engine: &Engine, given: Option<&str>) -> String {
     let fine = |id: &&str| {
-        id.len() <= MAX_ID_BYTES && !id.is_empty() && id.bytes().all(|b| b.is_ascii_graphic())
+        id.len() <= MAX_REQUEST_ID_BYTES
+            && !id.is_empty()
+            && id.bytes().all(|b| b.is_ascii_graphic())
     };
     match given.filter(fine) {
         Some(id) => id.to_string(),
