--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -50,7 +50,7 @@
 }
 
 /// Upper bounds of the latency buckets, in seconds.
-const BUCKETS: [f64; 15] =
+const LATENCY_BUCKETS_S: [f64; 15] =
     [0.001, 0.002, 0.003, 0.005, 0.0075, 0.01, 0.015, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 
 /// Everything that the entry counts.
@@ -79,7 +79,7 @@
         let mut m = Self {
             registry: Registry::with_prefix("gaplock"),
             requests: Family::default(),
-            latency: Family::new_with_constructor(|| Histogram::new(BUCKETS)),
+            latency: Family::new_with_constructor(|| Histogram::new(LATENCY_BUCKETS_S)),
             api: Family::default(),
             notes: Family::default(),
             violations: Family::default(),
