--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -23,7 +23,7 @@
 
 /// The labels of a service's requests; services are bounded by the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct ServiceLabel {
+struct RequestLabels {
     service: String,
     partner: String,
     code: String,
@@ -56,7 +56,7 @@
 /// Everything that the entry counts.
 pub struct Metrics {
     registry: Registry,
-    requests: Family<ServiceLabel, Counter>,
+    requests: Family<RequestLabels, Counter>,
     latency: Family<PartnerLabel, Histogram, fn() -> Histogram>,
     api: Family<Label, Counter>,
     notes: Family<Label, Counter>,
@@ -141,7 +141,7 @@
         let service = if known { name } else { "unknown" }.to_string();
         let labels = PartnerLabel { service, partner };
         let PartnerLabel { service, partner } = labels.clone();
-        self.requests.get_or_create(&ServiceLabel { service, partner, code }).inc();
+        self.requests.get_or_create(&RequestLabels { service, partner, code }).inc();
         if status < 400 {
             self.latency.get_or_create(&labels).observe(took.as_secs_f64());
         }
