--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -31,7 +31,7 @@
 
 /// A service and the partner that asked; both are bounded by the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct PartnerLabel {
+struct LatencyLabels {
     service: String,
     partner: String,
 }
@@ -57,7 +57,7 @@
 pub struct Metrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
-    latency: Family<PartnerLabel, Histogram, fn() -> Histogram>,
+    latency: Family<LatencyLabels, Histogram, fn() -> Histogram>,
     api: Family<Label, Counter>,
     notes: Family<Label, Counter>,
     violations: Family<Label, Counter>,
@@ -139,8 +139,8 @@
         let partner = header.unwrap_or_default();
         let name = rest.split('/').next().unwrap_or_default();
         let service = if known { name } else { "unknown" }.to_string();
-        let labels = PartnerLabel { service, partner };
-        let PartnerLabel { service, partner } = labels.clone();
+        let labels = LatencyLabels { service, partner };
+        let LatencyLabels { service, partner } = labels.clone();
         self.requests.get_or_create(&RequestLabels { service, partner, code }).inc();
         if status < 400 {
             self.latency.get_or_create(&labels).observe(took.as_secs_f64());
