--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -8,7 +8,7 @@
 use gaplock_types::{ids, time};
 
 const UNIT_MS: &str = "MS";
-const ANY_MS: Kind = Kind::Number { min: 1, max: 86_400_000 };
+const UP_TO_ONE_DAY_MS: Kind = Kind::Number { min: 1, max: 86_400_000 };
 
 /// Every setting of the entry.
 pub const TABLE: &[Setting] = &[
@@ -94,15 +94,27 @@
         Some("15000"),
         "How long a connection may wait for a whole header, idle time included.",
     ),
-    setting("store-limit", ANY_MS, UNIT_MS, Some("1000"), "The longest wait for a store answer."),
+    setting(
+        "store-limit",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("1000"),
+        "The longest wait for a store answer.",
+    ),
     setting(
         "worker-limit",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("1500"),
         "The longest wait for a command's answer.",
     ),
-    setting("stop-limit", ANY_MS, UNIT_MS, Some("20000"), "The longest time a planned stop takes."),
+    setting(
+        "stop-limit",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("20000"),
+        "The longest time a planned stop takes.",
+    ),
     setting(
         "tick",
         Kind::Number { min: 5, max: 1_000 },
@@ -110,81 +122,93 @@
         Some("100"),
         "How often decisions are made.",
     ),
-    setting("hosts-every", ANY_MS, UNIT_MS, Some("1000"), "How often the host list is read."),
+    setting(
+        "hosts-every",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("1000"),
+        "How often the host list is read.",
+    ),
     setting(
         "config-wait",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("4000"),
         "How long one waiting read of the configuration lasts.",
     ),
     setting(
         "commit-delay",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("20"),
         "How long a change waits for others to be stored with it.",
     ),
     setting(
         "commit-timeout",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("2000"),
         "After this long an unstored change is answered as unknown.",
     ),
-    setting("lease-every", ANY_MS, UNIT_MS, Some("4000"), "How often a worker's lease is renewed."),
+    setting(
+        "lease-every",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("4000"),
+        "How often a worker's lease is renewed.",
+    ),
     setting(
         "task-ttl",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("30000"),
         "How long tasks go on at a worker that no owner reaches.",
     ),
     setting(
         "silent-limit",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("120000"),
         "How long a listed worker may be silent before its tasks run elsewhere.",
     ),
     setting(
         "renew-right",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("4500000"),
         "How long an owner goes on without the store; longer than the longest outage.",
     ),
     setting(
         "confirm-every",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("10000"),
         "How often an idle owner checks that it is still owner.",
     ),
     setting(
         "beat-every",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("1000"),
         "How often entries tell each other that they live.",
     ),
     setting(
         "member-ttl",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("3000"),
         "Silence after which an entry counts as dead.",
     ),
     setting(
         "member-refresh",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("2000"),
         "How often an entry refreshes its record in the store.",
     ),
     setting(
         "config-max-age",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("10000"),
         "How long a configuration is served without evidence that it is the newest.",
@@ -198,12 +222,18 @@
     ),
     setting(
         "once-keep",
-        ANY_MS,
+        UP_TO_ONE_DAY_MS,
         UNIT_MS,
         Some("86400000"),
         "How long the key of a request that must not be repeated is kept.",
     ),
-    setting("job-keep", ANY_MS, UNIT_MS, Some("3600000"), "How long an ended job stays visible."),
+    setting(
+        "job-keep",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("3600000"),
+        "How long an ended job stays visible.",
+    ),
 ];
 
 /// The entry's settings in force.
