--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -201,7 +201,7 @@
     }
 
     /// Hands a reply to the waiting command.
-    pub fn reply(&self, id: ReplyId, reply: api::Reply) {
+    pub fn deliver_reply(&self, id: ReplyId, reply: api::Reply) {
         if let Some(tx) = lock(&self.replies).remove(&id) {
             // Nobody may be waiting any more; then the reply has no reader.
             drop(tx.send(reply));
--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -26,7 +26,7 @@
         Action::Worker { partition, worker, addr, req } => {
             call_worker(engine, partition, worker, &addr, req);
         }
-        Action::Reply { id, reply } => engine.reply(id, reply),
+        Action::Reply { id, reply } => engine.deliver_reply(id, reply),
         Action::Confirmed { id, outcome } => engine.confirmed(id, outcome),
         Action::Beat(beat) => send_heartbeat(engine, &beat),
         Action::HandOver { to, partition } => hand_over(engine, to, partition),
