--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -209,7 +209,7 @@
     }
 
     /// Hands an outcome to the waiting confirmation.
-    pub fn confirmed(&self, id: ReplyId, outcome: Confirmed) {
+    pub fn deliver_confirmation(&self, id: ReplyId, outcome: Confirmed) {
         if let Some(tx) = lock(&self.confirmations).remove(&id) {
             drop(tx.send(outcome));
         }
--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -27,7 +27,7 @@
             call_worker(engine, partition, worker, &addr, req);
         }
         Action::Reply { id, reply } => engine.deliver_reply(id, reply),
-        Action::Confirmed { id, outcome } => engine.confirmed(id, outcome),
+        Action::Confirmed { id, outcome } => engine.deliver_confirmation(id, outcome),
         Action::Beat(beat) => send_heartbeat(engine, &beat),
         Action::HandOver { to, partition } => hand_over(engine, to, partition),
         Action::Ask { from, to, run, command } => send_loan_command(engine, from, to, run, command),
