--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -68,12 +68,12 @@
     /// Counters.
     pub metrics: metrics::Metrics,
     replies: Mutex<HashMap<ReplyId, oneshot::Sender<api::Reply>>>,
-    confirmations: Mutex<HashMap<ReplyId, oneshot::Sender<Confirmed>>>,
+    confirmations: Mutex<HashMap<ReplyId, oneshot::Sender<ConfirmationResult>>>,
     next_id: AtomicU64,
 }
 
 /// How a confirmation ended.
-pub type Confirmed = Result<ids::Generation, api::Refusal>;
+pub type ConfirmationResult = Result<ids::Generation, api::Refusal>;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no holder of the lock panics")
@@ -186,7 +186,7 @@
     }
 
     /// Confirms a plan and waits for its outcome.
-    pub async fn confirm(self: &Arc<Self>, plan: api::Plan, by: String) -> Confirmed {
+    pub async fn confirm(self: &Arc<Self>, plan: api::Plan, by: String) -> ConfirmationResult {
         let id = ReplyId(self.next_id());
         let (tx, rx) = oneshot::channel();
         lock(&self.confirmations).insert(id, tx);
@@ -209,7 +209,7 @@
     }
 
     /// Hands an outcome to the waiting confirmation.
-    pub fn deliver_confirmation(&self, id: ReplyId, outcome: Confirmed) {
+    pub fn deliver_confirmation(&self, id: ReplyId, outcome: ConfirmationResult) {
         if let Some(tx) = lock(&self.confirmations).remove(&id) {
             drop(tx.send(outcome));
         }
