--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -224,7 +224,7 @@
         engine.execute_locally(id, command).await
     });
     add(module, FORWARD, |engine, forward: api::Forward| async move {
-        service::forwarded(&engine, forward).await
+        service::serve_forwarded(&engine, forward).await
     });
 }
 
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -180,7 +180,7 @@
 }
 
 /// Serves a request that a peer forwarded: here, or not at all.
-pub async fn forwarded(engine: &Arc<Engine>, forward: api::Forward) -> api::ForwardReply {
+pub async fn serve_forwarded(engine: &Arc<Engine>, forward: api::Forward) -> api::ForwardReply {
     let Ok(body) = STANDARD.decode(&forward.body) else {
         return api::ForwardReply::Refused(refuse(
             codes::Code::BadRequest,
