--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -4,7 +4,7 @@
 
 use gaplock_coord::assign;
 use gaplock_coord::context::Timing;
-use gaplock_settings::{setting, Faults, Kind, Setting, Values};
+use gaplock_settings::{setting, Kind, Setting, SettingErrors, Values};
 use gaplock_types::{ids, time};
 
 const UNIT_MS: &str = "MS";
@@ -289,7 +289,7 @@
 ///
 /// # Errors
 /// Returns every fault at once.
-pub fn parse(values: &Values) -> Result<Cfg, Faults> {
+pub fn parse(values: &Values) -> Result<Cfg, SettingErrors> {
     let domains: Vec<ids::DomainId> = values.list("domains")?;
     let duration = |name| Duration::from_millis(values.number(name));
     let timing = timing(values);
@@ -297,11 +297,12 @@
     if values.number("config-wait") * 2 > timing.config_max_age.0 {
         faults.push("--config-wait: it must be at most half of --config-max-age".to_string());
     }
-    let name = values.text("name").parse().map_err(|e| Faults(vec![format!("--name: {e}")]))?;
+    let name =
+        values.text("name").parse().map_err(|e| SettingErrors(vec![format!("--name: {e}")]))?;
     let domain =
-        values.text("domain").parse().map_err(|e| Faults(vec![format!("--domain: {e}")]))?;
+        values.text("domain").parse().map_err(|e| SettingErrors(vec![format!("--domain: {e}")]))?;
     if !faults.is_empty() {
-        return Err(Faults(faults));
+        return Err(SettingErrors(faults));
     }
     Ok(Cfg {
         name,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -60,9 +60,9 @@
 
 /// Everything wrong with the settings, a sentence each.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Faults(pub Vec<String>);
+pub struct SettingErrors(pub Vec<String>);
 
-impl std::fmt::Display for Faults {
+impl std::fmt::Display for SettingErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for fault in &self.0 {
             writeln!(f, "error: {fault}")?;
@@ -71,7 +71,7 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for SettingErrors {}
 
 /// The settings in force.
 #[derive(Debug, Clone)]
@@ -106,7 +106,7 @@
     table: &'static [Setting],
     args: &[String],
     env: impl Fn(&str) -> Option<String>,
-) -> Result<Asked, Faults> {
+) -> Result<Asked, SettingErrors> {
     let mut options = getopts::Options::new();
     options.optflag("h", "help", "print this help");
     options.optflag("", "check", "check the settings, print them and end");
@@ -116,7 +116,7 @@
             _ => options.optopt("", s.name, s.help, s.unit),
         };
     }
-    let matches = options.parse(args).map_err(|e| Faults(vec![e.to_string()]))?;
+    let matches = options.parse(args).map_err(|e| SettingErrors(vec![e.to_string()]))?;
     if matches.opt_present("help") {
         return Ok(Asked::Print(help(program, about, table)));
     }
@@ -132,7 +132,7 @@
         }
     }
     if !faults.is_empty() {
-        return Err(Faults(faults));
+        return Err(SettingErrors(faults));
     }
     let values = Values { values, table, free: matches.free.clone() };
     if matches.opt_present("check") {
@@ -253,7 +253,7 @@
     ///
     /// # Errors
     /// Returns the faults of parts that cannot be read.
-    pub fn list<T: FromStr>(&self, name: &str) -> Result<Vec<T>, Faults>
+    pub fn list<T: FromStr>(&self, name: &str) -> Result<Vec<T>, SettingErrors>
     where
         T::Err: std::fmt::Display,
     {
@@ -268,7 +268,7 @@
         if faults.is_empty() {
             Ok(parts)
         } else {
-            Err(Faults(faults))
+            Err(SettingErrors(faults))
         }
     }
 
