--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -84,7 +84,7 @@
 
 /// What the command line asked for.
 #[derive(Debug)]
-pub enum Asked {
+pub enum Invocation {
     /// Run with these settings.
     Run(Values),
     /// Print this text and end: help, or the settings in force with `--check`.
@@ -106,7 +106,7 @@
     table: &'static [Setting],
     args: &[String],
     env: impl Fn(&str) -> Option<String>,
-) -> Result<Asked, SettingErrors> {
+) -> Result<Invocation, SettingErrors> {
     let mut options = getopts::Options::new();
     options.optflag("h", "help", "print this help");
     options.optflag("", "check", "check the settings, print them and end");
@@ -118,7 +118,7 @@
     }
     let matches = options.parse(args).map_err(|e| SettingErrors(vec![e.to_string()]))?;
     if matches.opt_present("help") {
-        return Ok(Asked::Print(help(program, about, table)));
+        return Ok(Invocation::Print(help(program, about, table)));
     }
     let mut faults = Vec::new();
     let mut values = BTreeMap::new();
@@ -136,9 +136,9 @@
     }
     let values = Values { values, table, free: matches.free.clone() };
     if matches.opt_present("check") {
-        return Ok(Asked::Print(values.describe()));
+        return Ok(Invocation::Print(values.describe()));
     }
-    Ok(Asked::Run(values))
+    Ok(Invocation::Run(values))
 }
 
 /// Reads the settings of this process; prints and ends the process where that was asked for, or
@@ -146,8 +146,8 @@
 pub fn read_or_exit(program: &str, about: &str, table: &'static [Setting]) -> Values {
     let args: Vec<String> = std::env::args().skip(1).collect();
     match read(program, about, table, &args, |name| std::env::var(name).ok()) {
-        Ok(Asked::Run(values)) => values,
-        Ok(Asked::Print(text)) => {
+        Ok(Invocation::Run(values)) => values,
+        Ok(Invocation::Print(text)) => {
             println!("{text}");
             std::process::exit(0);
         }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Faults are reported all at once, flags go before variables, secrets stay hidden.
 
 use expect_test::expect;
-use gaplock_settings::{read, setting, Asked, Kind, Setting, Values};
+use gaplock_settings::{read, setting, Invocation, Kind, Setting, Values};
 
 const TABLE: &[Setting] = &[
     setting("name", Kind::Text, "NAME", None, "The name."),
@@ -12,7 +12,7 @@
     setting("loud", Kind::Switch, "", None, "Say more."),
 ];
 
-fn run(args: &[&str], env: &[(&str, &str)]) -> Result<Asked, String> {
+fn run(args: &[&str], env: &[(&str, &str)]) -> Result<Invocation, String> {
     let args: Vec<String> = args.iter().map(|a| (*a).to_string()).collect();
     let look_up =
         |name: &str| env.iter().find(|(n, _)| *n == name).map(|(_, value)| (*value).to_string());
@@ -21,7 +21,7 @@
 
 fn values(args: &[&str], env: &[(&str, &str)]) -> Values {
     match run(args, env) {
-        Ok(Asked::Run(values)) => values,
+        Ok(Invocation::Run(values)) => values,
         other => panic!("settings were expected, not {other:?}"),
     }
 }
@@ -50,7 +50,7 @@
 #[test]
 fn check_prints_what_is_in_force_without_secrets() {
     let args = ["--store", "127.0.0.1:1", "--name", "n", "--check"];
-    let Ok(Asked::Print(text)) = run(&args, &[("GAPLOCK_SECRET", "hush")]) else {
+    let Ok(Invocation::Print(text)) = run(&args, &[("GAPLOCK_SECRET", "hush")]) else {
         panic!("a text was expected");
     };
     expect![[r#"
