--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,8 +1,8 @@
-//! The entry daemon: every entry host runs this one program.
+//! The entry daemon, which runs on every entry host.
 //!
-//! Callers, operators and peers come in through three listeners; decisions are made by
-//! `gaplock_coord::node`, which [`engine`] drives with real time and sockets. See
-//! `docs/DESIGN.md` for how entries share the work and `docs/OPERATORS.md` for running one.
+//! Callers and operators share one listener; health checks and peers have one each. The decisions
+//! are made by `gaplock_coord::node`, which [`engine`] drives with real time and sockets. See
+//! `docs/DESIGN.md` for how entries share the work and `docs/OPERATORS.md` for how to run one.
 
 mod auth;
 mod callers;
@@ -31,8 +31,8 @@
     let values = gaplock_settings::read_or_exit(PROGRAM, ABOUT, settings::TABLE);
     let cfg = match settings::parse(&values) {
         Ok(cfg) => cfg,
-        Err(faults) => {
-            eprintln!("{faults}");
+        Err(errors) => {
+            eprintln!("{errors}");
             return ExitCode::from(2);
         }
     };
@@ -48,7 +48,7 @@
     let running = match running::spawn(cfg).await {
         Ok(running) => running,
         Err(e) => {
-            tracing::error!(error = %e, "cannot start");
+            tracing::error!(error = %e, "cannot start the entry");
             eprintln!("error: {e}");
             return ExitCode::FAILURE;
         }
@@ -65,7 +65,7 @@
         }
     };
     signals.next().await;
-    // A second signal changes nothing: the stop has its own limit.
+    // Further signals are ignored: `stop_limit` bounds how long the stop takes.
     tracing::info!("stopping");
     let cut_off = running.stop(stop_limit).await;
     tracing::info!(cut_off, "stopped");
