--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The entry's settings: one table, and the typed values read from it.
+//! The entry's settings: the table that declares them, and the typed values read from it.
 
 use std::time::Duration;
 
@@ -236,48 +236,48 @@
     ),
 ];
 
-/// The entry's settings in force.
+/// The entry's settings, typed and checked.
 #[derive(Debug, Clone)]
 pub struct Cfg {
     /// This entry's name.
     pub name: ids::EntryId,
     /// Its failure domain.
     pub domain: ids::DomainId,
-    /// The layout of partitions.
+    /// How partitions are laid out over failure domains.
     pub layout: assign::Layout,
     /// The store's address.
     pub store: String,
     /// The host list's address.
     pub hosts: String,
-    /// The callers' listener.
+    /// Listen address for callers and operators.
     pub listen: String,
-    /// The health listener.
+    /// Listen address for health, readiness and metrics.
     pub listen_health: String,
-    /// The peers' listener.
+    /// Listen address for the other entries.
     pub listen_peers: String,
-    /// What the peers are told, if it differs.
+    /// The address given to the other entries, if it differs from the one listened on.
     pub advertise_peers: Option<String>,
-    /// The shared secret.
+    /// The secret that the entries share; it also signs plans.
     pub peer_secret: String,
-    /// The operator's key before the first configuration.
+    /// The operator's key that is valid until the first configuration is accepted.
     pub bootstrap_key: Option<String>,
     /// The log filter.
     pub log: String,
     /// Limits of the callers' listener.
     pub limits: gaplock_serve::Limits,
-    /// The longest wait for the store.
+    /// The longest wait for an answer of the store.
     pub store_limit: Duration,
-    /// The longest wait for a command to a worker.
+    /// The longest wait for a worker's answer to a command.
     pub worker_limit: Duration,
     /// The longest time a planned stop takes.
     pub stop_limit: Duration,
-    /// How often decisions are made.
+    /// The interval between ticks, at which decisions are made.
     pub tick: Duration,
     /// How often the host list is read.
     pub hosts_every: Duration,
-    /// How long one waiting read lasts.
+    /// How long one blocking read of the configuration waits for a change.
     pub config_wait: Duration,
-    /// Spans of the coordination parts.
+    /// Intervals and time limits of the coordination code.
     pub timing: Timing,
 }
 
@@ -285,24 +285,25 @@
     (!text.is_empty()).then(|| text.to_string())
 }
 
-/// Reads the typed settings and checks those that depend on each other.
+/// Parses the typed settings and checks those that depend on each other.
 ///
 /// # Errors
-/// Returns every fault at once.
+/// Returns all invalid timing settings together, or else the first list or name that does not
+/// parse.
 pub fn parse(values: &Values) -> Result<Cfg, SettingErrors> {
     let domains: Vec<ids::DomainId> = values.list("domains")?;
     let duration = |name| Duration::from_millis(values.number(name));
     let timing = timing(values);
-    let mut faults = timing_errors(&timing);
+    let mut errors = timing_errors(&timing);
     if values.number("config-wait") * 2 > timing.config_max_age.0 {
-        faults.push("--config-wait: it must be at most half of --config-max-age".to_string());
+        errors.push("--config-wait: it must be at most half of --config-max-age".to_string());
     }
     let name =
         values.text("name").parse().map_err(|e| SettingErrors(vec![format!("--name: {e}")]))?;
     let domain =
         values.text("domain").parse().map_err(|e| SettingErrors(vec![format!("--domain: {e}")]))?;
-    if !faults.is_empty() {
-        return Err(SettingErrors(faults));
+    if !errors.is_empty() {
+        return Err(SettingErrors(errors));
     }
     Ok(Cfg {
         name,
@@ -333,7 +334,7 @@
     })
 }
 
-/// Reads the bounds and intervals.
+/// Reads the intervals and time limits.
 fn timing(values: &Values) -> Timing {
     let millis = |name| time::Millis(values.number(name));
     Timing {
@@ -354,28 +355,29 @@
     }
 }
 
+/// Lists the timing settings that are too short compared with another one.
 fn timing_errors(t: &Timing) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut need = |good: bool, why: &str| {
-        if !good {
-            faults.push(why.to_string());
+    let mut errors = Vec::new();
+    let mut require = |holds: bool, why: &str| {
+        if !holds {
+            errors.push(why.to_string());
         }
     };
-    need(
+    require(
         t.task_ttl.0 >= 3 * t.lease_every.0,
         "--task-ttl: it must be at least three times --lease-every",
     );
-    need(
+    require(
         t.member_ttl.0 >= 3 * t.beat_every.0,
         "--member-ttl: it must be at least three times --beat-every",
     );
-    need(
+    require(
         t.renew_right.0 >= 3 * t.confirm_every.0,
         "--renew-right: it must be at least three times --confirm-every",
     );
-    need(
+    require(
         t.config_max_age.0 >= 2 * t.member_ttl.0,
         "--config-max-age: it must be at least twice --member-ttl",
     );
-    faults
+    errors
 }
