--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -1,8 +1,9 @@
-//! The path of a service request: to a slot of this entry's, else to a peer with room.
+//! Routes a service request to a free slot of one of this entry's workers, else to a peer that has
+//! free slots.
 //!
-//! A request is forwarded at most once, so it never goes round. What a worker or peer certainly
-//! did not run is tried elsewhere within the deadline and the retry budget; what may have run is
-//! tried again only if it may be repeated.
+//! A request is forwarded at most once, so it cannot loop between entries. If a worker or peer
+//! certainly did not run it, it is retried within the deadline and the retry budget; if it may have
+//! run, it is retried only if it is repeatable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,11 +27,11 @@
 pub struct ServiceRequest {
     /// The service.
     pub service: ids::ServiceId,
-    /// The path below the service, with its leading slash.
+    /// The path after the service's name, with its leading slash.
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the answer.
     pub deadline: time::Instant,
     /// The request id, for logs.
     pub request_id: String,
@@ -41,29 +42,30 @@
 /// How a service request ended.
 #[derive(Debug)]
 pub enum Outcome {
-    /// The worker's whole answer.
+    /// The worker's complete answer.
     Answer {
         /// The HTTP status.
         status: u16,
         /// The body.
         body: Vec<u8>,
     },
-    /// Refused or failed.
+    /// The request was refused or failed.
     Refused(api::Refusal),
 }
 
-/// How one try ended.
+/// How one attempt ended.
 enum AttemptOutcome {
+    /// The outcome is final; there is no further attempt.
     Ended(Outcome),
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun(api::Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unclear,
 }
 
-/// The longest wait for a worker to be taken over.
+/// The longest that a request waits for another entry to take over a worker of its service.
 const MAX_FAILOVER_WAIT: time::Millis = time::Millis(1_500);
-/// A service that ran somewhere within this span is expected to come back soon.
+/// A service that ran anywhere within this window is expected to be available again soon.
 const RECENTLY_SERVED_WINDOW: time::Millis = time::Millis(5_000);
 const INITIAL_BACKOFF: time::Millis = time::Millis(5);
 const MAX_BACKOFF: time::Millis = time::Millis(100);
@@ -72,10 +74,10 @@
     api::Refusal::new(code, why)
 }
 
-/// Serves a request that came from a caller.
+/// Serves a request from a caller, with retries.
 pub async fn serve(engine: &Arc<Engine>, req: &ServiceRequest) -> Outcome {
     engine.with_routing(|r| r.budget.earn());
-    let patient_until = clock::now() + failover_wait(engine, req);
+    let retry_until = clock::now() + failover_wait(engine, req);
     let mut may_have_run = false;
     let mut attempt = 0;
     loop {
@@ -95,7 +97,7 @@
                 return Outcome::Refused(refuse(codes::Code::OutcomeUnknown, why));
             }
         };
-        if !may_retry(engine, &last, patient_until) {
+        if !may_retry(engine, &last, retry_until) {
             return finish_refused(engine, last, may_have_run);
         }
         let wait = retry::backoff(attempt, INITIAL_BACKOFF, MAX_BACKOFF, &mut rand::rng());
@@ -103,21 +105,21 @@
     }
 }
 
-/// Returns how long a request waits for a worker to be taken over. It is nothing where the
-/// service has not run anywhere for a while: then the final answer goes out at once.
+/// Returns how long a request waits for another entry to take over a worker of its service. It is
+/// zero if the service has not run anywhere recently: the request is then refused without a wait.
 fn failover_wait(engine: &Engine, req: &ServiceRequest) -> time::Millis {
     let now = clock::now();
     let served_at = engine.with_routing(|r| r.last_served_at.get(&req.service).copied());
-    let lately = served_at.is_some_and(|at| now.since(at) < RECENTLY_SERVED_WINDOW);
+    let recently_served = served_at.is_some_and(|at| now.since(at) < RECENTLY_SERVED_WINDOW);
     let left = req.deadline.since(now).0;
-    if lately {
+    if recently_served {
         time::Millis(MAX_FAILOVER_WAIT.0.min(left / 2))
     } else {
         time::Millis(0)
     }
 }
 
-/// Notes which services run here or at a peer now.
+/// Records which services run now, here or at a peer that sends heartbeats.
 pub fn record_serving(engine: &Engine, here: &[api::ServiceLoad]) {
     let now = clock::now();
     let mut services: Vec<ids::ServiceId> = here.iter().map(|l| l.service.clone()).collect();
@@ -135,7 +137,8 @@
     });
 }
 
-/// Tells what was not run from what may have run in an earlier try.
+/// Builds the final refusal. If an earlier attempt may have run the request, a refusal that says
+/// "not run" is replaced by one that doesn't.
 fn finish_refused(engine: &Engine, refusal: api::Refusal, may_have_run: bool) -> Outcome {
     let refusal = match refusal.ran {
         codes::Ran::No if may_have_run => {
@@ -156,10 +159,10 @@
     }
 }
 
-/// What reached a worker costs the retry budget; what found no worker only waits. Overload is
-/// answered at once.
-fn may_retry(engine: &Engine, last: &api::Refusal, patient_until: time::Instant) -> bool {
-    if clock::now() >= patient_until {
+/// Returns whether a request may be retried. An attempt that may have reached a worker costs
+/// retry budget; one that found no worker costs nothing. An overload refusal is final.
+fn may_retry(engine: &Engine, last: &api::Refusal, retry_until: time::Instant) -> bool {
+    if clock::now() >= retry_until {
         return false;
     }
     match last.result_code() {
@@ -179,7 +182,7 @@
     attempt_locally(engine, req).await
 }
 
-/// Serves a request that a peer forwarded: here, or not at all.
+/// Serves a request that a peer forwarded. It runs here or not at all; it is not forwarded again.
 pub async fn serve_forwarded(engine: &Arc<Engine>, forward: api::Forward) -> api::ForwardReply {
     let Ok(body) = STANDARD.decode(&forward.body) else {
         return api::ForwardReply::Refused(refuse(
@@ -209,8 +212,8 @@
     }
 }
 
-/// Chooses a peer by its free slots; one without is chosen only if no worker here runs the
-/// service.
+/// Chooses a peer at random, weighted by free slots. A peer without free slots is chosen only if
+/// no worker of this entry runs the service.
 fn choose_peer(
     engine: &Engine,
     service: &ids::ServiceId,
@@ -229,15 +232,15 @@
             })
             .collect()
     });
-    let with_room: u32 = peers.iter().map(|(.., free)| *free).sum();
-    if with_room == 0 {
+    let total_free: u32 = peers.iter().map(|(.., free)| *free).sum();
+    if total_free == 0 {
         if serves_here || free_here > 0 || peers.is_empty() {
             return None;
         }
         let (entry, addr, _) = &peers[rand::rng().random_range(0..peers.len())];
         return Some((entry.clone(), addr.clone()));
     }
-    let mut draw = rand::rng().random_range(0..with_room);
+    let mut draw = rand::rng().random_range(0..total_free);
     for (entry, addr, free) in peers {
         if draw < free {
             return Some((entry, addr));
@@ -278,9 +281,9 @@
 }
 
 async fn attempt_locally(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
-    let (pick, turn) = engine.with_routing(|r| {
-        let pick = r.router.route(clock::now(), &req.service, req.deadline);
-        let turn = match &pick {
+    let (decision, slot_rx) = engine.with_routing(|r| {
+        let decision = r.router.route(clock::now(), &req.service, req.deadline);
+        let slot_rx = match &decision {
             route::RouteDecision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 r.waiters.insert(*ticket, tx);
@@ -288,12 +291,12 @@
             }
             _ => None,
         };
-        (pick, turn)
+        (decision, slot_rx)
     });
-    let slot = match (pick, turn) {
+    let slot = match (decision, slot_rx) {
         (route::RouteDecision::Slot(slot), _) => slot,
-        (route::RouteDecision::Wait(ticket), Some(turn)) => {
-            match wait_for_slot(engine, req, ticket, turn).await {
+        (route::RouteDecision::Wait(ticket), Some(slot_rx)) => {
+            match wait_for_slot(engine, req, ticket, slot_rx).await {
                 Some(slot) => slot,
                 None => return AttemptOutcome::Ended(overload_refusal(1)),
             }
@@ -320,10 +323,10 @@
     engine: &Arc<Engine>,
     req: &ServiceRequest,
     ticket: route::Ticket,
-    turn: oneshot::Receiver<Option<route::Slot>>,
+    slot_rx: oneshot::Receiver<Option<route::Slot>>,
 ) -> Option<route::Slot> {
     let left = req.deadline.since(clock::now()).as_duration();
-    match future::timeout(left, turn).await {
+    match future::timeout(left, slot_rx).await {
         Ok(Ok(slot)) => slot,
         _ => {
             engine.with_routing(|r| {
