--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -1,4 +1,4 @@
-//! Carries out what the node decided: calls, messages, log lines.
+//! Executes the actions that the node decided on: calls, messages and log lines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::engine::Engine;
 use crate::once;
 
-/// Carries out actions in their order; calls run on their own.
+/// Executes actions in order. Calls run in tasks of their own, so none of them is waited for.
 pub fn execute_actions(engine: &Arc<Engine>, actions: Vec<Action>) {
     for action in actions {
         execute_action(engine, action);
@@ -64,7 +64,7 @@
     tracing::error!(
         invariant = ?violation.invariant,
         evidence = violation.evidence,
-        "invariant violated; the action was left out"
+        "invariant violated; the action was not executed"
     );
 }
 
@@ -120,8 +120,8 @@
     task::spawn(async move {
         let Some(addr) = engine.peer_addr(&to) else { return };
         if let Err(e) = engine.peers.hand_over(&to, &addr, partition).await {
-            // The peer also finds out by itself, only later.
-            tracing::info!(peer = %to, %partition, error = %e, "hand-over not delivered");
+            // The message only saves time: the peer later finds out by itself.
+            tracing::info!(peer = %to, %partition, error = %e, "hand-over message not delivered");
         }
     });
 }
@@ -146,7 +146,9 @@
         let Some(addr) = engine.peer_addr(&from) else { return };
         match engine.peers.config(&from, &addr).await {
             Ok(doc) => engine.handle(Event::PeerConfig(doc)),
-            Err(e) => tracing::info!(peer = %from, error = %e, "configuration not fetched"),
+            Err(e) => {
+                tracing::info!(peer = %from, error = %e, "cannot fetch the configuration from the peer")
+            }
         }
     });
 }
@@ -158,7 +160,7 @@
     }
 }
 
-/// Hands slots to waiting requests whose turn has come, and tells those whose time has run out.
+/// Passes slots to the waiting requests that are next, and wakes those whose wait has timed out.
 pub fn wake_waiters(engine: &Arc<Engine>) {
     let now = clock::now();
     let unclaimed = engine.with_routing(|r| {
@@ -178,10 +180,10 @@
         !unclaimed.is_empty()
     });
     if unclaimed {
-        // The returned slots may serve somebody else; the next tick looks again.
-        tracing::debug!("a waiting request had left");
+        // The next tick offers the returned slots to other waiting requests.
+        tracing::debug!("a slot was assigned to a request that no longer waits; slot released");
     }
 }
 
-/// The longest a call between entries may take, beyond the caller's own deadline.
+/// How much longer than the caller's deadline a forwarded call may take.
 pub const PEER_CALL_MARGIN: Duration = Duration::from_millis(500);
