--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/running.rs
@@ -1,4 +1,4 @@
-//! A running entry: its listeners, its steady tasks, and its planned stop.
+//! A running entry: its listeners, its periodic tasks and its planned stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
 /// A running entry with its listeners.
 pub struct Running {
     engine: Arc<Engine>,
-    /// The callers' listener.
+    /// The listener for callers and operators.
     pub callers: gaplock_serve::Listener,
     /// The health listener.
     pub health: gaplock_serve::Listener,
-    /// Where the peers connect.
+    /// The address to which the peers connect.
     pub peers_addr: SocketAddr,
     peers: peers::Server,
 }
 
-/// Starts an entry.
+/// Binds the listeners and starts the periodic tasks.
 ///
 /// # Errors
 /// Returns the error of binding a listener.
@@ -47,12 +47,14 @@
     Ok(Running { engine, callers, health, peers_addr, peers })
 }
 
-/// How long a stopping entry keeps accepting, so that the balancer can notice.
+/// The least time that a stopping entry keeps accepting, so that the balancer can notice that it
+/// is not ready any more.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(1_000);
 
 impl Running {
-    /// Stops without cutting off what is in flight: hands every partition over, lets answers go
-    /// out, then closes. Returns how many requests were cut off at the limit.
+    /// Stops the entry gracefully: hands over every partition, waits until the requests in flight
+    /// are answered, then closes the listeners. Returns how many requests were cut off because
+    /// `limit` had passed.
     pub async fn stop(self, limit: Duration) -> usize {
         let began = Instant::now();
         self.engine.handle(Event::Stop);
@@ -108,7 +110,7 @@
     loop {
         let sent_at = clock::now();
         let (answer, at) = match index {
-            // The first read returns at once, so that a start waits for nothing.
+            // The first read does not wait for a change, so it does not delay the start.
             None => engine.store.watch(keys::CONFIG, 0, Duration::ZERO).await,
             Some(index) => engine.store.watch(keys::CONFIG, index, engine.cfg.config_wait).await,
         };
@@ -120,7 +122,7 @@
                     Some((doc, kv.index))
                 });
                 if !kvs.is_empty() && doc.is_none() {
-                    tracing::error!("the stored configuration cannot be read");
+                    tracing::error!("cannot decode the stored configuration");
                 } else {
                     engine.handle(Event::Config { sent_at, doc });
                 }
