--- a/crates/entry/src/engine.rs
+++ b/crates/entry/src/engine.rs
@@ -1,7 +1,8 @@
 //! Drives the sans-I/O node with real time and sockets.
 //!
-//! The node and its context live behind one lock that is held only while an event is handled;
-//! the resulting actions are carried out outside it by [`crate::executor`].
+//! The node does no I/O itself: it turns events into actions. One lock protects the node and its
+//! context and is held only while an event is handled; [`crate::executor`] executes the resulting
+//! actions without it.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,52 +21,53 @@
 
 use crate::{executor, metrics, peers, settings};
 
-/// A waiting service request learns its slot, or that its time has run out.
+/// Sends a waiting service request its slot, or nothing if its wait has timed out.
 pub type SlotSender = oneshot::Sender<Option<route::Slot>>;
 
-/// The decisions' state, behind the engine's lock.
+/// The state on which decisions are made, protected by the engine's lock.
 pub struct Core {
-    /// The entry.
+    /// The sans-I/O node of this entry.
     pub node: Node,
-    /// Its context.
+    /// The node's context: time, configuration and pending actions.
     pub cx: Context,
 }
 
-/// The routing state, behind its own short lock.
+/// The routing state, protected by a lock of its own that is held briefly.
 #[derive(Default)]
 pub struct Routing {
-    /// Slots and queues.
+    /// Slots and queues of each service.
     pub router: route::Router,
-    /// Waiting requests.
+    /// Requests that wait for a slot.
     pub waiters: HashMap<route::Ticket, SlotSender>,
-    /// Extra tries that are allowed.
+    /// The budget for retries.
     pub budget: retry::RetryBudget,
     /// When each service was last known to run somewhere.
     pub last_served_at: HashMap<ids::ServiceId, time::Instant>,
-    /// Change counts at the time that lease requests were sent.
+    /// The router's change count for a worker at the time when its latest lease request was sent; the
+    /// key holds that time.
     pub changes_at_renewal: HashMap<(ids::WorkerId, time::Instant), u64>,
 }
 
 /// One running entry.
 pub struct Engine {
-    /// Settings.
+    /// The entry's settings.
     pub cfg: settings::Cfg,
-    /// This process.
+    /// This entry, with the incarnation of this process.
     pub me: ids::Member,
     core: Mutex<Core>,
     routing: Mutex<Routing>,
-    /// Checks over all partitions.
+    /// Invariant checks that span all partitions.
     pub check: Mutex<EntryCheck>,
-    /// The store.
+    /// The client of the key-value store.
     pub store: store::Store,
-    /// The host list.
+    /// The client of the host list.
     pub hosts: hosts::HostList,
     workers: Mutex<HashMap<String, Arc<worker::Worker>>>,
     /// Addresses of the workers that this entry may use.
     addrs: Mutex<HashMap<ids::WorkerId, String>>,
     /// Connections to the other entries.
     pub peers: peers::Peers,
-    /// Counters.
+    /// The entry's metrics.
     pub metrics: metrics::Metrics,
     replies: Mutex<HashMap<ReplyId, oneshot::Sender<api::Reply>>>,
     confirmations: Mutex<HashMap<ReplyId, oneshot::Sender<ConfirmationResult>>>,
@@ -80,7 +82,7 @@
 }
 
 impl Engine {
-    /// Builds an entry that does nothing yet.
+    /// Builds an entry; it does nothing until it gets events.
     pub fn open(cfg: settings::Cfg, peers_addr: &str) -> Self {
         let me =
             ids::Member { entry: cfg.name.clone(), incarnation: ids::Incarnation(rand::random()) };
@@ -105,20 +107,20 @@
         }
     }
 
-    /// Looks at the node; `look` must be short.
-    pub fn with_core<T>(&self, look: impl FnOnce(&mut Core) -> T) -> T {
+    /// Runs `access` with the node locked and its clocks up to date; `access` must be short.
+    pub fn with_core<T>(&self, access: impl FnOnce(&mut Core) -> T) -> T {
         let mut core = lock(&self.core);
         core.cx.now = clock::now();
         core.cx.unix_ms = clock::unix_ms();
-        look(&mut core)
+        access(&mut core)
     }
 
-    /// Works with the routing state; `work` must be short.
-    pub fn with_routing<T>(&self, work: impl FnOnce(&mut Routing) -> T) -> T {
-        work(&mut lock(&self.routing))
+    /// Runs `access` with the routing state locked; `access` must be short.
+    pub fn with_routing<T>(&self, access: impl FnOnce(&mut Routing) -> T) -> T {
+        access(&mut lock(&self.routing))
     }
 
-    /// Handles one event and carries out what follows from it.
+    /// Handles one event and executes the resulting actions.
     pub fn handle(self: &Arc<Self>, event: Event) {
         let (actions, took) = self.with_core(|core| {
             let began = Instant::now();
@@ -137,12 +139,12 @@
         Arc::clone(client)
     }
 
-    /// Takes in where the host list shows each worker.
+    /// Replaces the workers' addresses by those in the host list.
     pub fn set_worker_addrs(&self, addrs: HashMap<ids::WorkerId, String>) {
         *lock(&self.addrs) = addrs;
     }
 
-    /// Closes unused connections to workers that are not this entry's any more.
+    /// Drops the clients of workers that are not in `addrs`, and closes their unused connections.
     pub fn retain_workers(&self, addrs: &[String]) {
         lock(&self.workers).retain(|addr, client| {
             let keep = addrs.contains(addr);
@@ -153,7 +155,7 @@
         });
     }
 
-    /// Returns a worker's address, as the host list shows it.
+    /// Returns a worker's address from the host list.
     pub fn worker_addr(&self, worker: &ids::WorkerId) -> Option<String> {
         lock(&self.addrs).get(worker).cloned()
     }
@@ -163,7 +165,7 @@
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Carries out a command on a partition that this entry owns, and waits for its reply.
+    /// Executes a command on a partition that this entry owns and waits for its reply.
     pub async fn execute_locally(
         self: &Arc<Self>,
         partition: ids::PartitionId,
@@ -200,15 +202,15 @@
         })
     }
 
-    /// Hands a reply to the waiting command.
+    /// Delivers the reply to the command that waits for it.
     pub fn deliver_reply(&self, id: ReplyId, reply: api::Reply) {
         if let Some(tx) = lock(&self.replies).remove(&id) {
-            // Nobody may be waiting any more; then the reply has no reader.
+            // The send fails if the command's wait has timed out; the reply is then dropped.
             drop(tx.send(reply));
         }
     }
 
-    /// Hands an outcome to the waiting confirmation.
+    /// Delivers the outcome to the confirmation that waits for it.
     pub fn deliver_confirmation(&self, id: ReplyId, outcome: ConfirmationResult) {
         if let Some(tx) = lock(&self.confirmations).remove(&id) {
             drop(tx.send(outcome));
