--- a/crates/entry/src/plan.rs
+++ b/crates/entry/src/plan.rs
@@ -1,11 +1,12 @@
-//! Works out what a stated intent would change. Nothing moves until the plan is confirmed.
+//! Builds a plan: a description of what an operator's intent would change, and why it can't be
+//! accepted, if so. Nothing changes until the operator confirms the plan.
 
 use std::collections::BTreeSet;
 
 use gaplock_types::{api, config, ids, sizes};
 use serde::{Deserialize, Serialize};
 
-/// How long a plan can be confirmed.
+/// How long after it was made a plan can be confirmed.
 pub const PLAN_LIFETIME_S: u64 = 600;
 
 /// What an operator wants; parts that are left out stay as they are.
@@ -20,18 +21,18 @@
     pub operators: Option<Vec<config::Operator>>,
 }
 
-/// What the plan is judged against besides the configuration.
+/// The state of the fleet, against which a plan is checked besides the configuration.
 #[derive(Debug, Default)]
 pub struct Fleet {
     /// Capacity of each worker.
     pub capacities: Vec<sizes::Resources>,
-    /// Failure domains that have workers.
+    /// The failure domains that have workers.
     pub domains: BTreeSet<ids::DomainId>,
-    /// The jobs that are known.
+    /// The known jobs.
     pub jobs: Vec<api::JobRow>,
 }
 
-/// Builds a plan without its id.
+/// Builds a plan; the caller fills in its id.
 pub fn build(current: &config::Config, intent: Intent, fleet: &Fleet) -> api::Plan {
     let mut wanted = current.clone();
     wanted.placements = intent.placements.unwrap_or(wanted.placements);
@@ -56,7 +57,7 @@
     }
 }
 
-/// Lists what would change, a sentence each.
+/// Lists what would change, with one sentence for each change.
 pub fn describe_changes(
     current: &config::Config,
     wanted: &config::Config,
@@ -72,11 +73,11 @@
     if names(current) != names(wanted) || current.operators.len() != wanted.operators.len() {
         out.push("operators and their keys would change".to_string());
     }
-    let moved = current.operators.iter().filter_map(|o| {
+    let changed_rights = current.operators.iter().filter_map(|o| {
         let now = wanted.operators.iter().find(|w| w.name == o.name)?;
         (now.right != o.right).then(|| format!("operator {} would get other rights", o.name))
     });
-    out.extend(moved);
+    out.extend(changed_rights);
     out
 }
 
@@ -180,7 +181,8 @@
     }
 }
 
-/// Lists what no worker or failure domain of the fleet could carry.
+/// Lists the services whose replicas fit on no worker and the placements whose failure domains have
+/// no workers. An empty list of capacities means that the fleet is not known; nothing is listed then.
 fn unsatisfiable_demands(wanted: &config::Config, fleet: &Fleet) -> Vec<String> {
     let mut out = Vec::new();
     if fleet.capacities.is_empty() {
