--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -1,7 +1,9 @@
-//! Requests that must not be repeated: claim, run once, store how it ended.
+//! Requests that run at most once: the entry claims the request's key, runs the request and stores
+//! how it ended.
 //!
 //! The claim is stored in the journal of the key's home partition before the request leaves this
-//! entry, so a repeat at any entry, at any time within the retention, finds it.
+//! entry, so a repeat at any entry, at any time within the retention, finds it. This module also
+//! sends commands to the entry that owns a partition.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +42,8 @@
         api::Reply::Ended(end) => replay(end),
         api::Reply::Refused(refusal) => {
             if refusal.result_code() == codes::Code::OutcomeUnknown {
-                // The claim may be stored, but nothing was sent: give it back if it is ours.
+                // The claim may be stored, but the request was not sent: release the claim if it
+                // is ours.
                 let end = api::OnceEnd::NotRun;
                 task::spawn(store_end(
                     Arc::clone(engine),
@@ -85,7 +88,8 @@
     let storing =
         store_end(Arc::clone(engine), home, once_done_command(partner, key, &claimer, end.clone()));
     if end == api::OnceEnd::NotRun {
-        // The caller may come back at once with the same key, so the claim goes first.
+        // The caller may retry at once with the same key, so the claim is released before the
+        // answer goes out.
         storing.await;
     } else {
         task::spawn(storing);
@@ -116,14 +120,14 @@
     api::Command::OnceDone { partner, key, claimer: claimer.to_string(), end }
 }
 
-async fn store_end(engine: Arc<Engine>, home: ids::PartitionId, command_: api::Command) {
+async fn store_end(engine: Arc<Engine>, home: ids::PartitionId, command: api::Command) {
     for _ in 0..STORE_END_MAX_ATTEMPTS {
-        if execute_command(&engine, home, command_.clone()).await == api::Reply::Done {
+        if execute_command(&engine, home, command.clone()).await == api::Reply::Done {
             return;
         }
         task::sleep(STORE_END_RETRY_DELAY).await;
     }
-    tracing::warn!(%home, "how a claimed request ended could not be stored");
+    tracing::warn!(%home, "cannot store how a claimed request ended; all attempts failed");
 }
 
 fn replay(end: api::OnceEnd) -> Outcome {
@@ -146,7 +150,7 @@
     crate::auth::key_hash(&format!("{} {} {body}", req.service, req.path))
 }
 
-/// Carries out a command at the partition's owner, here or at a peer.
+/// Executes a command at the owner of partition `home`: at this entry or at a peer.
 pub async fn execute_command(
     engine: &Arc<Engine>,
     home: ids::PartitionId,
