--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: service requests and jobs.
+//! The HTTP interface for callers: service requests and jobs.
 
 use gaplock_remote::clock;
 use gaplock_types::{api, codes, config, ids, time};
@@ -14,7 +14,7 @@
 const DEFAULT_DEADLINE_MS: u64 = 5_000;
 const MAX_DEADLINE_MS: u64 = 30_000;
 
-/// `POST /v1/services/SERVICE/PATH`: sends a request to a worker of the service.
+/// `POST /v1/services/SERVICE/PATH`: sends a request to a worker that runs the service.
 pub async fn service(req: Req) -> tide::Result {
     let partner = match web::require_partner(&req) {
         Ok(partner) => partner,
@@ -69,19 +69,19 @@
     }
 }
 
-/// The answer to a stored job.
+/// The answer to a job submission that was stored.
 #[derive(Debug, Serialize)]
-struct Submitted {
+struct SubmitAnswer {
     job: ids::JobId,
     code: u16,
 }
 
-/// `POST /v1/jobs`: stores a job; repeats with the same key store one job.
+/// `POST /v1/jobs`: stores a job; repeats with the same key store only one job.
 pub async fn submit(req: Req) -> tide::Result {
     Ok(match store_job(req).await {
         Ok(job) => {
             let row = codes::Code::Accepted.row();
-            web::json_response(row.status, &Submitted { job, code: row.number })
+            web::json_response(row.status, &SubmitAnswer { job, code: row.number })
         }
         Err(r) => web::refusal_response(&r),
     })
@@ -102,7 +102,7 @@
     }
 }
 
-/// `GET /v1/jobs/JOB`: tells where a job stands.
+/// `GET /v1/jobs/JOB`: returns a job's status.
 pub async fn status(req: Req) -> tide::Result {
     web::respond(job_status(&req).await)
 }
@@ -132,7 +132,8 @@
     }
 }
 
-/// Returns the partner whose jobs may be seen; none for an operator with the right.
+/// Returns the partner whose jobs the sender may access, or none for an operator with the right,
+/// who may access all jobs.
 fn visible_partner(req: &Req, right: config::Right) -> HandlerResult<Option<ids::PartnerId>> {
     match web::identity(req)? {
         Identity::Partner(id) => Ok(Some(id)),
@@ -140,7 +141,7 @@
     }
 }
 
-/// Turns a reply that is not the wanted one into a refusal.
+/// Converts a reply other than the expected one into a refusal.
 pub fn refusal_from(reply: api::Reply) -> api::Refusal {
     match reply {
         api::Reply::Refused(refusal) => refusal,
