--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' interface: intents, plans, confirmations, and what is going on.
+//! The HTTP interface for operators: intents, plans, confirmations, and the state of configuration,
+//! workers and jobs.
 
 use std::time::{Duration, Instant};
 
@@ -12,11 +13,12 @@
 use crate::web::{self, HandlerResult, Req};
 use crate::{auth, callers, once};
 
-/// How long a confirmation waits for every entry before it answers "not in force yet".
+/// How long a confirmation waits until the configuration is in force at every entry, before it
+/// answers "not in force yet".
 const IN_FORCE_WAIT: Duration = Duration::from_millis(3_000);
 const IN_FORCE_POLL: Duration = Duration::from_millis(20);
 
-/// `POST /v1/intents`: returns what the intent would change.
+/// `POST /v1/intents`: returns a plan, which lists what the intent would change.
 pub async fn intent(mut req: Req) -> tide::Result {
     web::respond(make_plan(&mut req).await)
 }
@@ -26,28 +28,32 @@
     let intent: Intent = web::json_body(req).await?;
     let fleet = fleet(req).await;
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
-    let mut made = plan::build(&current, intent, &fleet);
-    made.id = auth::plan_id(&req.state().cfg.peer_secret, &made, clock::unix_ms());
-    Ok(made)
+    let mut plan = plan::build(&current, intent, &fleet);
+    plan.id = auth::plan_id(&req.state().cfg.peer_secret, &plan, clock::unix_ms());
+    Ok(plan)
 }
 
 async fn fleet(req: &Req) -> Fleet {
     let capacities = req.state().with_core(|core| core.cx.fleet.clone());
-    let survey = collect_summaries(req).await;
-    let domains = survey.workers.iter().map(|w| w.domain.clone()).collect();
-    // Without every owner's answer, nothing is said about what does not fit.
-    let complete = survey.workers.len() == capacities.len();
-    Fleet { capacities: if complete { capacities } else { Vec::new() }, domains, jobs: survey.jobs }
+    let summary = collect_summaries(req).await;
+    let domains = summary.workers.iter().map(|w| w.domain.clone()).collect();
+    // If an owner did not answer, the plan isn't checked against the workers' capacities.
+    let complete = summary.workers.len() == capacities.len();
+    Fleet {
+        capacities: if complete { capacities } else { Vec::new() },
+        domains,
+        jobs: summary.jobs,
+    }
 }
 
 /// The answer to a confirmation.
 #[derive(Debug, Serialize)]
-struct Confirmed {
+struct ConfirmAnswer {
     code: u16,
     status: api::ConfigStatus,
 }
 
-/// `POST /v1/plans/confirm`: puts a plan in force; may be repeated.
+/// `POST /v1/plans/confirm`: puts a plan in force. The request may be repeated.
 pub async fn confirm(mut req: Req) -> tide::Result {
     Ok(match confirm_plan(&mut req).await {
         Ok(status) => {
@@ -56,7 +62,7 @@
                 false => codes::Code::NotInForceYet,
             };
             let row = code.row();
-            web::json_response(row.status, &Confirmed { code: row.number, status })
+            web::json_response(row.status, &ConfirmAnswer { code: row.number, status })
         }
         Err(r) => web::refusal_response(&r),
     })
@@ -74,9 +80,9 @@
         let why = format!("The plan has refusals: {}", plan.refused.join("; "));
         return Err(api::Refusal::new(codes::Code::BadRequest, why));
     }
-    let fate = engine.with_core(|core| core.node.generations.doc.fate(&plan.id, plan.base));
-    // A repeat learns what became of the plan, however late it comes.
-    let done_before = fate == Execution::Done;
+    let execution = engine.with_core(|core| core.node.generations.doc.fate(&plan.id, plan.base));
+    // A repeated confirmation of an executed plan gets its outcome even after the plan has expired.
+    let done_before = execution == Execution::Done;
     let age_s = clock::unix_ms().saturating_sub(made_at) / 1000;
     if !done_before && age_s > plan::PLAN_LIFETIME_S {
         return Err(api::Refusal::new(codes::Code::PlanExpired, ""));
@@ -91,7 +97,8 @@
     }
 }
 
-/// Adds to the refusal what the same wish would change now.
+/// Builds the refusal of a plan whose base is not in force any more. It lists what the wanted
+/// configuration would change now.
 fn stale_plan_refusal(req: &Req, wanted: &config::Config) -> api::Refusal {
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
     let difference = plan::describe_changes(&current, wanted, &[]);
@@ -122,7 +129,7 @@
     web::respond(read.map(|_| req.state().with_core(|core| config::Config::clone(&core.cx.config))))
 }
 
-/// `GET /v1/config/previous`: returns the configuration before the one in force, for an undo.
+/// `GET /v1/config/previous`: returns the configuration before the one in force, for a rollback.
 pub async fn previous(req: Req) -> tide::Result {
     let read = web::require_operator(&req, config::Right::Read);
     let previous = read.and_then(|_| {
@@ -134,7 +141,7 @@
     web::respond(previous)
 }
 
-/// `GET /v1/config/status`: tells how far the newest generation has come.
+/// `GET /v1/config/status`: returns which entries don't have the newest generation in force yet.
 pub async fn config_status(req: Req) -> tide::Result {
     let read = web::require_operator(&req, config::Right::Read);
     web::respond(read.map(|_| req.state().with_core(|core| core.node.config_status(&core.cx))))
@@ -148,14 +155,15 @@
     )
 }
 
-/// Asks every partition's owner; partitions without one are left out.
+/// Collects the workers and jobs of all partitions from their owners. Partitions without an owner
+/// that answers are left out.
 async fn collect_summaries(req: &Req) -> api::PartitionSummary {
     let engine = req.state();
     let partitions: Vec<ids::PartitionId> = engine.cfg.layout.partitions().collect();
-    let asked =
+    let requests =
         partitions.into_iter().map(|id| once::execute_command(engine, id, api::Command::Survey));
     let mut all = api::PartitionSummary::default();
-    for reply in futures::future::join_all(asked).await {
+    for reply in futures::future::join_all(requests).await {
         if let api::Reply::Survey(part) = reply {
             all.workers.extend(part.workers);
             all.jobs.extend(part.jobs);
@@ -172,7 +180,7 @@
     web::respond(Ok(collect_summaries(&req).await.workers))
 }
 
-/// `GET /v1/jobs`: lists the jobs that the asker may see.
+/// `GET /v1/jobs`: lists the jobs that the sender may see.
 pub async fn jobs(req: Req) -> tide::Result {
     let who = match web::identity(&req) {
         Ok(who) => who,
@@ -185,7 +193,8 @@
     web::respond(Ok(jobs))
 }
 
-/// `POST /v1/workers/WORKER/confirm-dead`: an operator says that the host is switched off.
+/// `POST /v1/workers/WORKER/confirm-dead`: an operator confirms that the worker's host is switched
+/// off.
 pub async fn confirm_dead(req: Req) -> tide::Result {
     web::respond(declare_dead(&req).await)
 }
@@ -193,7 +202,7 @@
 async fn declare_dead(req: &Req) -> HandlerResult<&'static str> {
     let by = web::require_operator(req, config::Right::Change)?;
     let worker: ids::WorkerId = web::path_id(req, "worker")?;
-    tracing::warn!(%worker, by, "declared dead");
+    tracing::warn!(%worker, by, "operator declared the worker dead");
     let rows = collect_summaries(req).await.workers;
     let Some(row) = rows.into_iter().find(|w| w.worker == worker) else {
         return Err(api::Refusal::new(codes::Code::NotFound, "No owner knows this worker"));
