--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -1,4 +1,5 @@
-//! The health listener: liveness, readiness and metrics, apart from the callers' address.
+//! The health listener: serves liveness, readiness and metrics on an address of its own, separate
+//! from that for callers.
 
 use std::io;
 use std::sync::Arc;
@@ -14,12 +15,12 @@
 /// Returns the error of binding the address.
 pub async fn bind(addr: &str, engine: Arc<Engine>) -> io::Result<Listener> {
     let limits = Limits { connections: 64, body_bytes: 1_024, ..Default::default() };
-    let handler = move |whole| answer(Arc::clone(&engine), whole);
+    let handler = move |request| answer(Arc::clone(&engine), request);
     gaplock_serve::bind(addr, limits, handler).await
 }
 
-async fn answer(engine: Arc<Engine>, whole: Whole) -> Response {
-    match whole.req.url().path() {
+async fn answer(engine: Arc<Engine>, request: Whole) -> Response {
+    match request.req.url().path() {
         "/health" => json_response(200, b"{\"alive\":true}".to_vec()),
         "/ready" => {
             let ready = engine.with_core(|core| core.node.ready(&core.cx));
