--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -1,6 +1,6 @@
-//! Keys and proofs: who a caller or peer is.
+//! Authentication of callers, operators and peers, and signatures of plans.
 //!
-//! Keys are kept only as hashes in the configuration and compared in constant time.
+//! The configuration holds keys only as hashes, which are compared in constant time.
 
 use gaplock_types::{api, config, ids};
 use hmac::{Hmac, Mac};
@@ -20,17 +20,18 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Returns the hash under which a key is kept.
+/// Returns a key's hash, as the configuration holds it.
 pub fn key_hash(key: &str) -> String {
     hex(&Sha256::digest(key.as_bytes()))
 }
 
-/// Compares two texts in a time that depends on their lengths only.
+/// Compares two texts in a time that depends only on their lengths.
 pub fn constant_time_eq(a: &str, b: &str) -> bool {
     a.as_bytes().ct_eq(b.as_bytes()).into()
 }
 
-/// Finds whose key this is. Every hash is compared, so that the time tells nothing.
+/// Returns whose key this is. Every hash is compared, so that the time taken reveals nothing about
+/// the keys.
 pub fn identify(
     config: &config::Config,
     bootstrap_key: Option<&str>,
@@ -48,8 +49,8 @@
             found = Some(Identity::Operator(o.name.clone(), o.right));
         }
     }
-    let first = config.generation == ids::Generation(0);
-    if let Some(bootstrap) = bootstrap_key.filter(|_| first) {
+    let unconfigured = config.generation == ids::Generation(0);
+    if let Some(bootstrap) = bootstrap_key.filter(|_| unconfigured) {
         if constant_time_eq(&hash, &key_hash(bootstrap)) {
             found = Some(Identity::Operator("bootstrap".to_string(), config::Right::Change));
         }
@@ -59,27 +60,28 @@
 
 fn mac(secret: &str, purpose: &str, data: &[u8]) -> String {
     let mut mac =
-        Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("any length of key will do");
+        Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("HMAC accepts keys of any length");
     mac.update(purpose.as_bytes());
     mac.update(&[0]);
     mac.update(data);
     hex(&mac.finalize().into_bytes())
 }
 
-/// Returns the proof of the shared secret that calls between entries carry.
+/// Returns the proof that calls between entries carry: it shows that the caller knows the shared
+/// secret.
 pub fn peer_proof(secret: &str) -> String {
     mac(secret, "peer", b"")
 }
 
-/// Signs a plan, so that any entry can confirm it without having kept it. The id is the time of
-/// planning and the signature over everything else in the plan.
+/// Returns a plan's id: the time when it was made and a signature over its other fields. Because
+/// of the signature any entry can confirm the plan without having stored it.
 pub fn plan_id(secret: &str, plan: &api::Plan, made_at_unix_ms: u64) -> ids::PlanId {
     let signed = (plan.base, &plan.changes, &plan.refused, &plan.wanted, made_at_unix_ms);
-    let data = serde_json::to_vec(&signed).expect("plain data serialises");
+    let data = serde_json::to_vec(&signed).expect("plain data always serializes to JSON");
     ids::PlanId(format!("{made_at_unix_ms}.{}", &mac(secret, "plan", &data)[..32]))
 }
 
-/// Returns when a plan was made, if its id is this installation's signature over it.
+/// Returns when a plan was made, if its id holds this installation's signature over it.
 pub fn plan_made_at(secret: &str, plan: &api::Plan) -> Option<u64> {
     let made_at = plan.id.as_str().split('.').next()?.parse().ok()?;
     constant_time_eq(plan_id(secret, plan, made_at).as_str(), plan.id.as_str()).then_some(made_at)
