--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -1,4 +1,4 @@
-//! The callers' and operators' listener: tide's routes behind our own accept loop.
+//! The listener for callers and operators: tide's routes behind the accept loop of `gaplock_serve`.
 
 use std::io;
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 use crate::engine::Engine;
 use crate::{callers, operators};
 
-/// A request of tide's with the engine as its state.
+/// A tide request with the engine as its state.
 pub type Req = Request<Arc<Engine>>;
-/// The result of a handler; every refusal is an answer.
+/// The result of a handler; a refusal is sent as an answer.
 pub type HandlerResult<T> = Result<T, api::Refusal>;
 
 const REQUEST_ID_HEADER: &str = "x-request-id";
@@ -29,7 +29,7 @@
 /// Returns the error of binding the address.
 pub async fn bind(addr: &str, limits: Limits, engine: Arc<Engine>) -> io::Result<Listener> {
     let app = routes(Arc::clone(&engine));
-    let handler = move |whole: Whole| answer(app.clone(), Arc::clone(&engine), whole);
+    let handler = move |request: Whole| answer(app.clone(), Arc::clone(&engine), request);
     gaplock_serve::bind(addr, limits, handler).await
 }
 
@@ -53,14 +53,14 @@
 async fn answer(
     app: tide::Server<Arc<Engine>>,
     engine: Arc<Engine>,
-    whole: Whole,
+    request: Whole,
 ) -> http_types::Response {
     let began = Instant::now();
-    let mut req = whole.req;
+    let mut req = request.req;
     let path = req.url().path().to_string();
     let id = request_id(&engine, req.header(REQUEST_ID_HEADER).map(|v| v.last().as_str()));
     req.insert_header(REQUEST_ID_HEADER, id.as_str());
-    let res = match whole.body {
+    let res = match request.body {
         Ok(bytes) => {
             req.set_body(bytes);
             let routed: Result<http_types::Response, _> = app.respond(req).await;
@@ -81,7 +81,7 @@
     res
 }
 
-/// Gives tide's own "not found" and "method not allowed" a result code.
+/// Replaces tide's own "not found" and "method not allowed" by an answer with a result code.
 fn add_code_if_unrouted(res: http_types::Response) -> http_types::Response {
     if res.is_empty() == Some(true) && res.status().is_client_error() {
         let why = "There is no such path or method";
@@ -90,13 +90,14 @@
     res
 }
 
+/// Returns the request id that the caller gave if it is valid, else a new one.
 fn request_id(engine: &Engine, given: Option<&str>) -> String {
-    let fine = |id: &&str| {
+    let valid = |id: &&str| {
         id.len() <= MAX_REQUEST_ID_BYTES
             && !id.is_empty()
             && id.bytes().all(|b| b.is_ascii_graphic())
     };
-    match given.filter(fine) {
+    match given.filter(valid) {
         Some(id) => id.to_string(),
         None => format!("{}-{:x}", engine.me.entry, engine.next_id()),
     }
@@ -107,7 +108,7 @@
     req.header(REQUEST_ID_HEADER).map(|v| v.last().as_str().to_string()).unwrap_or_default()
 }
 
-/// Builds the answer that carries a refusal.
+/// Builds the answer for a refusal.
 pub fn refusal_response(refusal: &api::Refusal) -> Response {
     let status = refusal.result_code().row().status;
     let mut res = json_response(status, refusal);
@@ -122,12 +123,12 @@
 pub fn json_response(status: u16, body: &impl Serialize) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut res = Response::new(status);
-    res.set_body(serde_json::to_vec(body).expect("plain data serialises"));
+    res.set_body(serde_json::to_vec(body).expect("plain data always serializes to JSON"));
     res.insert_header("content-type", "application/json");
     res
 }
 
-/// Turns a handler's result into an answer.
+/// Converts a handler's result into an answer.
 pub fn respond<T: Serialize>(answer: HandlerResult<T>) -> tide::Result {
     Ok(match answer {
         Ok(body) => json_response(200, &body),
@@ -135,7 +136,8 @@
     })
 }
 
-/// Tells who sent the request, if this entry has a fresh configuration to tell by.
+/// Returns who sent the request. Refuses if this entry's configuration is not fresh, since its keys
+/// may then be out of date.
 pub fn identity(req: &Req) -> HandlerResult<Identity> {
     let engine = req.state();
     let config = engine.with_core(|core| {
@@ -160,7 +162,7 @@
     }
 }
 
-/// Requires a partner's key.
+/// Requires a partner's key; returns the partner.
 pub fn require_partner(req: &Req) -> HandlerResult<ids::PartnerId> {
     match identity(req)? {
         Identity::Partner(id) => Ok(id),
@@ -178,14 +180,14 @@
     }
 }
 
-/// Reads the body as JSON.
+/// Parses the body as JSON.
 pub async fn json_body<T: serde::de::DeserializeOwned>(req: &mut Req) -> HandlerResult<T> {
     let bytes = req.body_bytes().await.unwrap_or_default();
     serde_json::from_slice(&bytes)
         .map_err(|e| api::Refusal::new(codes::Code::BadRequest, format!("The body: {e}")))
 }
 
-/// Reads a part of the path as an identifier.
+/// Parses the path parameter `name` as an identifier.
 pub fn path_id<T: std::str::FromStr>(req: &Req, name: &str) -> HandlerResult<T>
 where
     T::Err: std::fmt::Display,
@@ -194,7 +196,7 @@
     text.parse().map_err(|e: T::Err| api::Refusal::new(codes::Code::BadRequest, e.to_string()))
 }
 
-/// Reads the caller's key for this request.
+/// Reads the idempotency key, if the request has one.
 pub fn request_key(req: &Req) -> HandlerResult<Option<ids::RequestKey>> {
     let Some(values) = req.header("idempotency-key") else { return Ok(None) };
     let key = values.last().as_str().parse::<ids::RequestKey>();
