--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,8 +1,8 @@
 //! Calls between entries: JSON-RPC over WebSocket by `jsonrpsee`.
 //!
-//! `jsonrpsee` brings tokio inside it; nothing else here uses tokio, and `async-std`'s `tokio1`
-//! feature gives the library the context that it expects. Each call carries a proof of the shared
-//! secret, compared in constant time.
+//! `jsonrpsee` uses tokio internally; nothing else here does. `async-std`'s feature `tokio1`
+//! provides the runtime context that the library expects. Each call carries a proof that the caller
+//! knows the shared secret; proofs are compared in constant time.
 
 use std::collections::HashMap;
 use std::io;
@@ -33,6 +33,7 @@
 const COMMAND: &str = "command";
 const FORWARD: &str = "forward";
 
+/// Bounds connecting, and calls that only deliver a small message.
 const CONTROL_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(5_000);
 const MAX_MESSAGE_BYTES: u32 = 24 << 20;
@@ -42,21 +43,21 @@
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum PeerError {
     /// There was no connection; the call was not sent.
-    #[display("the peer cannot be reached")]
+    #[display("cannot connect to the peer; the call was not sent")]
     NotSent,
     /// The call may have been carried out.
-    #[display("no answer came from the peer")]
+    #[display("no answer from the peer; the call may have been carried out")]
     Unclear,
 }
 
-/// Connections to the other entries, opened on first use and again after a fault.
+/// Connections to the other entries, opened on first use and again after a failure.
 pub struct Peers {
     proof: String,
     clients: Mutex<HashMap<ids::EntryId, (String, Arc<WsClient>)>>,
 }
 
 impl Peers {
-    /// Builds the connections' holder.
+    /// Builds a set without connections; `secret` is the one that the entries share.
     pub fn open(secret: &str) -> Self {
         Self { proof: auth::peer_proof(secret), clients: Mutex::default() }
     }
@@ -100,7 +101,7 @@
         match answer {
             Ok(Ok(answer)) => Ok(answer),
             _ => {
-                // A connection that owes an answer is not used again.
+                // A connection on which an answer is outstanding is not reused.
                 let mut clients = self.clients.lock().expect("no holder of the lock panics");
                 if clients.get(entry).is_some_and(|(_, known)| Arc::ptr_eq(known, &client)) {
                     clients.remove(entry);
@@ -120,7 +121,7 @@
         self.call(entry, addr, BEAT, beat, CONTROL_CALL_TIMEOUT).await
     }
 
-    /// Tells a peer to claim a released partition.
+    /// Asks a peer to claim a released partition.
     pub async fn hand_over(
         &self,
         entry: &ids::EntryId,
@@ -130,7 +131,7 @@
         self.call(entry, addr, HAND_OVER, &id, CONTROL_CALL_TIMEOUT).await
     }
 
-    /// Fetches the document that a peer has in force.
+    /// Fetches the configuration document that a peer has in force.
     pub async fn config(&self, entry: &ids::EntryId, addr: &str) -> Result<Document, PeerError> {
         self.call(entry, addr, CONFIG, &(), COMMAND_TIMEOUT).await
     }
@@ -165,7 +166,7 @@
     proof: String,
 }
 
-/// A serving listener for peers.
+/// A running listener for peers.
 pub struct Server {
     handle: ServerHandle,
 }
@@ -190,7 +191,7 @@
         self.addr
     }
 
-    /// Begins to serve.
+    /// Starts serving calls.
     pub fn spawn(self, engine: Arc<Engine>) -> Server {
         let mut module = RpcModule::new((engine, self.proof));
         register(&mut module);
@@ -202,12 +203,12 @@
     /// Stops serving.
     pub fn stop(&self) {
         if self.handle.stop().is_err() {
-            tracing::debug!("the peers' listener had stopped by itself");
+            tracing::debug!("the listener for peers had already stopped");
         }
     }
 }
 
-/// What every method needs: the engine, and the proof that callers must carry.
+/// What every method uses: the engine, and the proof that each call must carry.
 type Shared = (Arc<Engine>, String);
 
 fn register(module: &mut RpcModule<Shared>) {
@@ -246,5 +247,5 @@
             Ok(handler(engine, body).await)
         }
     });
-    registered.expect("method names are distinct constants");
+    registered.expect("method names are distinct");
 }
