--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters and histograms by `prometheus-client`; label values are bounded.
+//! The entry's metrics, by `prometheus-client`. Label values come from bounded sets, so that the
+//! number of series is bounded too.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -15,13 +16,13 @@
 
 use crate::engine::Engine;
 
-/// A label set with one bounded value.
+/// A label set with the one label `kind`; its values are constants of the program.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Label {
     kind: String,
 }
 
-/// The labels of a service's requests; services are bounded by the configuration.
+/// The labels of the request counter; the configuration bounds services and partners.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RequestLabels {
     service: String,
@@ -29,7 +30,7 @@
     code: String,
 }
 
-/// A service and the partner that asked; both are bounded by the configuration.
+/// The labels of the latency histogram; the configuration bounds services and partners.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct LatencyLabels {
     service: String,
@@ -41,7 +42,7 @@
     service: String,
 }
 
-/// The header of an answer that names the partner which asked.
+/// The answer's header that names the partner who sent the request.
 pub const PARTNER_HEADER: &str = "x-gaplock-partner";
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -53,19 +54,19 @@
 const LATENCY_BUCKETS_S: [f64; 15] =
     [0.001, 0.002, 0.003, 0.005, 0.0075, 0.01, 0.015, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 
-/// Everything that the entry counts.
+/// All metrics of the entry.
 pub struct Metrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
     latency: Family<LatencyLabels, Histogram, fn() -> Histogram>,
-    api: Family<Label, Counter>,
+    answers: Family<Label, Counter>,
     notes: Family<Label, Counter>,
     violations: Family<Label, Counter>,
     worker_calls: Family<Label, Counter>,
     store_calls: Family<Label, Gauge>,
     forwards: Counter,
-    decisions: Counter,
-    decision_seconds: Counter<f64, std::sync::atomic::AtomicU64>,
+    events: Counter,
+    event_seconds: Counter<f64, std::sync::atomic::AtomicU64>,
     generation: Gauge,
     owned: Gauge,
     free_slots: Family<ServiceOnly, Gauge>,
@@ -80,14 +81,14 @@
             registry: Registry::with_prefix("gaplock"),
             requests: Family::default(),
             latency: Family::new_with_constructor(|| Histogram::new(LATENCY_BUCKETS_S)),
-            api: Family::default(),
+            answers: Family::default(),
             notes: Family::default(),
             violations: Family::default(),
             worker_calls: Family::default(),
             store_calls: Family::default(),
             forwards: Counter::default(),
-            decisions: Counter::default(),
-            decision_seconds: Counter::default(),
+            events: Counter::default(),
+            event_seconds: Counter::default(),
             generation: Gauge::default(),
             owned: Gauge::default(),
             free_slots: Family::default(),
@@ -96,7 +97,7 @@
         };
         m.register();
         for invariant in Invariant::ALL {
-            // Shows a zero for each invariant from the start.
+            // Exports a zero for each invariant from the start.
             m.violations.get_or_create(&label(&format!("{invariant:?}"))).inc_by(0);
         }
         m
@@ -106,17 +107,17 @@
         let r = &mut self.registry;
         r.register("service_requests", "Service requests by result code", self.requests.clone());
         r.register("service_latency_seconds", "Latency of answered requests", self.latency.clone());
-        r.register("api_answers", "Answers by status class", self.api.clone());
+        r.register("api_answers", "Answers by status class", self.answers.clone());
         r.register("decisions_noted", "Decisions by kind", self.notes.clone());
         r.register("invariant_violations", "Violated invariants", self.violations.clone());
         r.register("worker_calls", "Calls to workers by kind", self.worker_calls.clone());
         r.register("store_calls", "Store calls by kind", self.store_calls.clone());
         r.register("forwards", "Requests forwarded to a peer", self.forwards.clone());
-        r.register("events_handled", "Events handled by the node", self.decisions.clone());
+        r.register("events_handled", "Events handled by the node", self.events.clone());
         r.register(
             "events_handled_seconds",
             "Time spent handling events",
-            self.decision_seconds.clone(),
+            self.event_seconds.clone(),
         );
         r.register("config_generation", "Generation in force", self.generation.clone());
         r.register("partitions_owned", "Partitions owned", self.owned.clone());
@@ -126,14 +127,15 @@
         r.register("config_age_milliseconds", age, self.config_age_ms.clone());
     }
 
-    /// Counts an answered request of the callers' listener.
+    /// Counts an answered request of the listener for callers and operators.
     pub fn count_answer(&self, path: &str, res: &http_types::Response, took: Duration) {
         let status = u16::from(res.status());
-        self.api.get_or_create(&label(&format!("{}xx", status / 100))).inc();
+        self.answers.get_or_create(&label(&format!("{}xx", status / 100))).inc();
         let Some(rest) = path.strip_prefix("/v1/services/") else { return };
         let code = res.header("x-gaplock-code").map(|v| v.last().as_str().to_string());
         let code = code.unwrap_or_default();
-        // Refusals of unknown services would let callers make up labels.
+        // Codes 101 to 103 and a missing code don't show that the service exists. Its name is not
+        // used as a label then, since callers could create any number of labels.
         let known = !matches!(code.as_str(), "101" | "102" | "103" | "");
         let header = res.header(PARTNER_HEADER).map(|v| v.last().as_str().to_string());
         let partner = header.unwrap_or_default();
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Counts a decision worth a log line.
+    /// Counts a logged decision.
     pub fn count_note(&self, kind: &'static str) {
         self.notes.get_or_create(&label(kind)).inc();
     }
@@ -175,18 +177,18 @@
         self.forwards.inc();
     }
 
-    /// Counts one handled event and its time.
+    /// Counts one handled event and adds the time that it took.
     pub fn count_event(&self, took: Duration) {
-        self.decisions.inc();
-        self.decision_seconds.inc_by(took.as_secs_f64());
+        self.events.inc();
+        self.event_seconds.inc_by(took.as_secs_f64());
     }
 
-    /// Notes the generation in force.
+    /// Sets the generation in force.
     pub fn set_generation(&self, generation: ids::Generation) {
         self.generation.set(generation.0 as i64);
     }
 
-    /// Encodes everything as text.
+    /// Updates the gauges and encodes all metrics as OpenMetrics text.
     pub fn encode(&self, engine: &Engine) -> String {
         let counts = &engine.store.counts;
         for (kind, count) in [
@@ -217,7 +219,7 @@
             self.waiting.get_or_create(&only).set(count as i64);
         }
         let mut out = String::new();
-        text::encode(&mut out, &self.registry).expect("writing to a string does not fail");
+        text::encode(&mut out, &self.registry).expect("writing to a `String` never fails");
         out
     }
 }
