--- a/crates/remote/src/lib.rs
+++ b/crates/remote/src/lib.rs
@@ -1,8 +1,9 @@
-//! Adapters to what the platform gives: its key-value service, its host list, its workers.
+//! Clients of the platform's services: its key-value service, its host list and its workers.
 //!
-//! One module for each outside system, so that another wire format touches nothing else. All
-//! three speak HTTP over [`http`], a small keep-alive client that never reuses a connection on
-//! which an answer is still owed and never takes a cut answer for a whole one.
+//! Each external system has a module of its own, so that a change of its wire format affects only
+//! that module. All three use [`http`], a small keep-alive client that never reuses a connection on
+//! which an answer is outstanding and never accepts a truncated answer as complete. The hosts'
+//! clocks are read here too.
 
 pub mod clock;
 pub mod hosts;
