--- a/crates/remote/src/hosts.rs
+++ b/crates/remote/src/hosts.rs
@@ -1,6 +1,7 @@
-//! The platform's host list: live and leaving hosts, with a lag.
+//! The client of the platform's host list, which shows live and leaving hosts with some delay.
 //!
-//! The list is read with its entity tag, so that an unchanged list costs a few hundred bytes.
+//! Each read sends the entity tag of the last one, so that an unchanged list costs only a few
+//! hundred bytes.
 
 use std::sync::Mutex;
 use std::time;
@@ -24,7 +25,7 @@
         Self { http: http::Client::open(addr, 1), tag: Mutex::new(None), limit }
     }
 
-    /// Reads the list; none means that it is unchanged or could not be read.
+    /// Reads the list. Returns none if it is unchanged or can't be read.
     pub async fn read(&self) -> Option<Vec<wire::Host>> {
         let tag = self.tag.lock().expect("no holder of the lock panics").clone();
         let headers: Vec<(&str, &str)> =
