--- a/crates/remote/src/worker.rs
+++ b/crates/remote/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker's protocol: leases, commands and service requests over HTTP.
+//! The client of a worker: leases, commands and service requests over HTTP.
 
 use std::time;
 
@@ -8,7 +8,7 @@
 
 use crate::http;
 
-/// Unused connections kept to one worker: one for each slot and one for control.
+/// How many unused connections to one worker are kept: one for each slot and one for control.
 const MAX_IDLE_CONNECTIONS: usize = 9;
 
 /// The client of one worker.
@@ -17,16 +17,16 @@
     http: http::Client,
 }
 
-/// What came of a service request.
+/// The outcome of a service request.
 #[derive(Debug)]
 pub enum ServiceAnswer {
-    /// The worker's whole answer.
+    /// The worker's complete answer.
     Answer(http::Answer),
-    /// The worker refused it; it did not run.
+    /// The worker refused the request; it did not run.
     Refused(wire::CommandOutcome),
-    /// No connection; it did not run.
+    /// There was no connection; the request did not run.
     NotSent,
-    /// It may have run.
+    /// The request may have run.
     Unclear,
 }
 
@@ -41,12 +41,12 @@
         self.http.addr()
     }
 
-    /// Closes unused connections, as when another entry owns the worker now.
+    /// Closes unused connections, for example because another entry owns the worker now.
     pub fn close_idle(&self) {
         self.http.close_idle();
     }
 
-    /// Carries out a call.
+    /// Sends a call and waits at most `limit` for its answer.
     pub async fn call(&self, call: &WorkerCall, limit: time::Duration) -> WorkerAnswer {
         match call {
             WorkerCall::Lease(req) => match self.http.post_json("/lease", req, limit).await {
@@ -65,12 +65,12 @@
         limit: time::Duration,
     ) -> WorkerAnswer {
         match self.http.post_json(path, req, limit).await {
-            Ok(verdict) => WorkerAnswer::Verdict(verdict),
+            Ok(outcome) => WorkerAnswer::Verdict(outcome),
             Err(_) => WorkerAnswer::Unclear,
         }
     }
 
-    /// Sends a service request under `epoch`.
+    /// Sends a service request that carries `epoch`, and waits at most `limit` for its answer.
     pub async fn request(
         &self,
         epoch: ids::Epoch,
@@ -87,9 +87,9 @@
         match self.http.call(call).await {
             Ok(answer) => match answer.header(wire::REFUSAL_HEADER) {
                 Some(text) => {
-                    let verdict =
+                    let outcome =
                         serde_json::from_str(text).unwrap_or(wire::CommandOutcome::NoRoom);
-                    ServiceAnswer::Refused(verdict)
+                    ServiceAnswer::Refused(outcome)
                 }
                 None => ServiceAnswer::Answer(answer),
             },
