--- a/crates/remote/src/http.rs
+++ b/crates/remote/src/http.rs
@@ -1,7 +1,7 @@
-//! A keep-alive HTTP client for one address, strict about whole answers.
+//! A keep-alive HTTP client for one address that accepts only complete answers.
 //!
-//! `async-h1` accepts a body that ends before its `Content-Length`; this module counts the bytes
-//! and makes such an answer an error.
+//! `async-h1` accepts a body that ends before its `Content-Length`. This module counts the bytes
+//! and turns such an answer into an error.
 
 use std::fmt;
 use std::sync::Mutex;
@@ -15,9 +15,9 @@
 /// Why a call has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HttpError {
-    /// The request was not sent: no connection.
+    /// The request was not sent because there was no connection.
     NotSent,
-    /// The request may have been carried out, but no whole answer came.
+    /// The request may have been carried out, but no complete answer arrived.
     Unclear,
 }
 
@@ -35,7 +35,7 @@
 /// The result of a call.
 pub type Result<T> = std::result::Result<T, HttpError>;
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// The status.
@@ -52,7 +52,7 @@
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON. Returns none if it is not the expected JSON.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_slice(&self.body).ok()
     }
@@ -69,11 +69,11 @@
     pub headers: &'a [(&'a str, &'a str)],
     /// The body.
     pub body: Vec<u8>,
-    /// How long to wait for the whole answer.
+    /// The longest wait for the complete answer, connecting included.
     pub limit: time::Duration,
 }
 
-/// Connections to one address.
+/// A client for one address, with the connections that it keeps.
 #[derive(Debug)]
 pub struct Client {
     addr: String,
@@ -85,9 +85,9 @@
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 
 impl Client {
-    /// Builds a client that keeps at most `most_idle` unused connections.
-    pub fn open(addr: impl Into<String>, most_idle: usize) -> Self {
-        Self { addr: addr.into(), idle: Mutex::new(Vec::new()), max_idle: most_idle }
+    /// Builds a client that keeps at most `max_idle` unused connections.
+    pub fn open(addr: impl Into<String>, max_idle: usize) -> Self {
+        Self { addr: addr.into(), idle: Mutex::new(Vec::new()), max_idle }
     }
 
     /// Returns the address.
@@ -103,7 +103,7 @@
     fn take_idle(&self) -> Option<net::TcpStream> {
         let mut idle = self.idle.lock().expect("no holder of the lock panics");
         while let Some(stream) = idle.pop() {
-            // Anything readable on an unused connection is its end or a stray answer.
+            // An unused connection that is readable has been closed or holds an unexpected answer.
             let mut byte = [0_u8; 1];
             if stream.peek(&mut byte).now_or_never().is_none() {
                 return Some(stream);
@@ -125,13 +125,13 @@
         Ok(stream)
     }
 
-    /// Sends a request and waits for its whole answer.
+    /// Sends a request and waits for its complete answer.
     ///
     /// # Errors
-    /// [`HttpError::NotSent`] where nothing left this process; [`HttpError::Unclear`] where the
-    /// other side may have acted. The connection is dropped in both cases, and with it every unused
-    /// one where no answer came in time: a single silence must not cost a time limit for each
-    /// connection that is kept.
+    /// Returns [`HttpError::NotSent`] if nothing left this process, and [`HttpError::Unclear`] if
+    /// the server may have acted. The connection is dropped in both cases. If no answer arrived in
+    /// time, every unused connection is closed too, so that a silent server costs one time-out and
+    /// not one for each connection that is kept.
     pub async fn call(&self, call: Call<'_>) -> Result<Answer> {
         let began = time::Instant::now();
         let stream = self.connect(call.limit).await?;
@@ -139,7 +139,7 @@
         let left = call.limit.saturating_sub(began.elapsed());
         let exchange = exchange(stream.clone(), req);
         let Ok(exchanged) = future::timeout(left, exchange).await else {
-            // Where one connection has fallen silent without a reset, the others may have too.
+            // If one connection stopped answering without a reset, the others may have too.
             self.close_idle();
             return Err(HttpError::Unclear);
         };
@@ -167,10 +167,10 @@
         Ok(req)
     }
 
-    /// Sends JSON and reads JSON.
+    /// Sends a JSON body and parses the answer as JSON.
     ///
     /// # Errors
-    /// As [`Client::call`]; an answer that is not the expected JSON counts as unclear.
+    /// As [`Client::call`]. Returns [`HttpError::Unclear`] if the answer is not the expected JSON.
     pub async fn post_json<T: serde::de::DeserializeOwned>(
         &self,
         path: &str,
@@ -206,9 +206,10 @@
 /// Statuses whose answers have no body.
 const STATUSES_WITHOUT_BODY: [u16; 2] = [204, 304];
 
-/// Tells whether a body is known to be whole: its length was declared and reached, or its chunks
-/// ended properly, which the decoder checks. A body that only ends with its connection could have
-/// been cut, and the decoder shows it as empty, so such an answer counts as not whole.
+/// Returns whether a body is known to be complete: either it has its declared length, or it ended
+/// with a proper last chunk, which the decoder checks. A body that ends only because its connection
+/// was closed could have been truncated, and the decoder returns it as empty; such an answer counts
+/// as incomplete.
 fn is_complete(status: u16, declared: Option<usize>, chunked: bool, len: usize) -> bool {
     match declared {
         Some(declared) => declared == len,
