--- a/crates/remote/src/store.rs
+++ b/crates/remote/src/store.rs
@@ -1,7 +1,8 @@
-//! The platform's key-value service, by the HTTP protocol of `docs/DESIGN.md`, section Store.
+//! The client of the platform's key-value service. `docs/DESIGN.md`, section Store, describes its
+//! HTTP protocol.
 //!
 //! The protocol is the published key-value interface with `cas` transactions and blocking reads
-//! by index. Every call is counted, since the platform counts and charges them.
+//! by index. Every call is counted, because the platform counts calls and charges for them.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time;
@@ -23,9 +24,9 @@
     pub writes: AtomicU64,
     /// Reads of one key or a prefix.
     pub reads: AtomicU64,
-    /// Waiting reads.
+    /// Blocking reads.
     pub watches: AtomicU64,
-    /// Calls without a clear answer.
+    /// Calls without a clear answer, so that it is unknown whether a write was carried out.
     pub unclear: AtomicU64,
 }
 
@@ -73,12 +74,12 @@
 /// One result of a transaction.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TxnResult {
-    /// The key as it is now.
+    /// The key after the transaction.
     #[serde(rename = "KV")]
     pub kv: KvRow,
 }
 
-/// A key as the service shows it.
+/// A key as the service returns it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct KvRow {
@@ -91,7 +92,7 @@
     pub modify_index: u64,
 }
 
-/// The header with the index that a waiting read continues from.
+/// The header with the index from which the next blocking read continues.
 pub const INDEX_HEADER: &str = "x-consul-index";
 
 impl Store {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Carries out a call.
+    /// Sends a call and returns its answer.
     pub async fn call(&self, call: &StoreCall) -> StoreAnswer {
         let answer = match call {
             StoreCall::Cas { key, value, index } => {
@@ -125,8 +126,8 @@
         answer
     }
 
-    /// Waits until `key` has changed since `index` or `wait` has passed; returns it as it is then,
-    /// with the index to continue from. An index of 0 does not wait.
+    /// Waits until `key` has changed since `index` or `wait` has passed. Returns the key as it is
+    /// then, and the index from which to continue. With index 0 it does not wait.
     pub async fn watch(&self, key: &str, index: u64, wait: time::Duration) -> (StoreAnswer, u64) {
         self.counts.watches.fetch_add(1, Ordering::Relaxed);
         let path = format!("/v1/kv/{key}?index={index}&wait={}ms", wait.as_millis());
@@ -142,7 +143,8 @@
     ) -> StoreAnswer {
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let kv = TxnKv { verb: verb.to_string(), key: key.to_string(), value, index: index.0 };
-        let body = serde_json::to_vec(&[TxnOp { kv }]).expect("plain data serialises");
+        let body =
+            serde_json::to_vec(&[TxnOp { kv }]).expect("plain data always serializes to JSON");
         let call = http::Call {
             method: Method::Put,
             path: "/v1/txn",
@@ -153,7 +155,8 @@
         let Ok(answer) = self.http.call(call).await else { return StoreAnswer::Unclear };
         match answer.status {
             200 => {
-                // Without its index a write is not known well enough to build the next one on it.
+                // The next write of the key needs the index of this one; without it the answer is
+                // unclear.
                 let results = answer.json::<TxnAnswer>().map(|a| a.results).unwrap_or_default();
                 let index = results.first().map(|r| ids::StoreIndex(r.kv.modify_index));
                 index.map_or(StoreAnswer::Unclear, StoreAnswer::Written)
