--- a/crates/remote/tests/store.rs
+++ b/crates/remote/tests/store.rs
@@ -1,8 +1,7 @@
-//! What the store's client takes for the success of a write.
+//! Checks which answers the store's client accepts as a successful write.
 //!
-//! Seen: by reading, not in a run. A success without the key's new index was taken for a write at
-//! index 0, on which every later write of that key would be refused for ever. Cause: a missing part
-//! of an answer was filled in. Proof: the test below failed before and holds since.
+//! The client once replaced a missing index in an answer by 0. Every later write of that key would
+//! then have expected index 0 and been refused for ever.
 
 use std::time::Duration;
 
@@ -35,8 +34,8 @@
 #[test]
 fn a_success_without_its_index_is_unclear() {
     task::block_on(async {
-        let whole = r#"{"Results":[{"KV":{"Key":"k","ModifyIndex":7}}]}"#;
-        assert_eq!(answer_to_write(whole).await, StoreAnswer::Written(ids::StoreIndex(7)));
+        let complete = r#"{"Results":[{"KV":{"Key":"k","ModifyIndex":7}}]}"#;
+        assert_eq!(answer_to_write(complete).await, StoreAnswer::Written(ids::StoreIndex(7)));
         assert_eq!(answer_to_write(r#"{"Results":[]}"#).await, StoreAnswer::Unclear);
         assert_eq!(answer_to_write("cut").await, StoreAnswer::Unclear);
     });
