--- a/crates/remote/tests/whole.rs
+++ b/crates/remote/tests/whole.rs
@@ -1,4 +1,5 @@
-//! The client takes no cut answer for a whole one and reuses no connection that owes an answer.
+//! The client accepts no truncated answer and reuses no connection on which an answer is
+//! outstanding.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -10,8 +11,9 @@
 use gaplock_remote::http::{Call, Client, HttpError};
 use http_types::Method;
 
-/// Answers each request on a connection with the next of `answers`; counts connections.
-async fn server(answers: Vec<&'static str>, then: Duration) -> (String, Arc<AtomicUsize>) {
+/// Answers each request on a connection, `delay` later, with the next of `answers`; counts
+/// connections.
+async fn server(answers: Vec<&'static str>, delay: Duration) -> (String, Arc<AtomicUsize>) {
     let listener = net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     let connections = Arc::new(AtomicUsize::new(0));
@@ -27,7 +29,7 @@
                     if stream.read(&mut buf).await.unwrap_or(0) == 0 {
                         return;
                     }
-                    task::sleep(then).await;
+                    task::sleep(delay).await;
                     if stream.write_all(answer.as_bytes()).await.is_err() {
                         return;
                     }
@@ -86,15 +88,15 @@
         assert_eq!(connections.load(Ordering::SeqCst), 1);
         let (addr, connections) = server(vec![FULL, FULL], Duration::from_millis(150)).await;
         let client = Client::open(addr, 2);
-        let given_up = client.call(call(50)).await;
-        assert_eq!(given_up.map(|a| a.status), Err(HttpError::Unclear));
+        let timed_out = client.call(call(50)).await;
+        assert_eq!(timed_out.map(|a| a.status), Err(HttpError::Unclear));
         client.call(call(500)).await.unwrap();
         assert_eq!(connections.load(Ordering::SeqCst), 2);
     });
 }
 
-/// Serves connections that answer once and then say nothing more, as if each had been cut without a
-/// reset; the connections after the first `silent` ones go on answering.
+/// Accepts connections. The first `silent` ones answer once and then never again, as if the network
+/// had dropped them without a reset; later connections answer every request.
 async fn server_of_silent_connections(silent: usize) -> String {
     let listener = net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
@@ -126,12 +128,15 @@
         assert!(answered.iter().all(|a| a.is_ok()), "{answered:?}");
         let first = client.call(call(100)).await;
         assert_eq!(first.map(|a| a.status), Err(HttpError::Unclear));
-        assert!(client.call(call(2_000)).await.is_ok(), "another silent connection was used");
+        assert!(
+            client.call(call(2_000)).await.is_ok(),
+            "the client used another silent connection after the time-out"
+        );
     });
 }
 
-/// Serves connections that answer one request and are closed, without an answer, once the second
-/// one is read; counts requests over all connections.
+/// Accepts connections that answer their first request and close without an answer when they have
+/// read the second one; counts requests over all connections.
 async fn server_that_closes_on_the_second_request() -> (String, Arc<AtomicUsize>) {
     let listener = net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
@@ -158,8 +163,8 @@
     (addr, requests)
 }
 
-/// A call that was sent on a kept connection may have been carried out before the connection
-/// closed, so it is unclear, and only the caller may send it again.
+/// A call that was sent on a reused connection may have been carried out before the connection was
+/// closed. Its outcome is unclear, and only the caller may decide to send it again.
 #[test]
 fn a_call_on_a_kept_connection_that_closes_is_unclear_and_not_sent_again() {
     task::block_on(async {
@@ -169,6 +174,10 @@
         let second = client.call(call(500)).await;
         assert_eq!(second.map(|a| a.status), Err(HttpError::Unclear));
         task::sleep(Duration::from_millis(100)).await;
-        assert_eq!(requests.load(Ordering::SeqCst), 2, "the client sent a call again by itself");
+        assert_eq!(
+            requests.load(Ordering::SeqCst),
+            2,
+            "the client must not send a call again by itself"
+        );
     });
 }
