--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,9 +1,10 @@
 //! An accept loop for HTTP with limits and a graceful stop.
 //!
-//! tide has neither a graceful stop nor much defence against slow or endless input, so this loop
-//! stands around `async_h1` and hands whole requests to a handler: connections are counted, a
-//! header must come in time, a body must be whole, in time and not too large. A stop first lets
-//! every answer in flight go out with `Connection: close`, then closes idle connections.
+//! tide has no graceful stop and little protection against slow or endless input. This loop wraps
+//! `async_h1` and passes complete requests to a handler: it limits the number of connections, the
+//! time that a header and a body may take, and the size of a body; truncated bodies are errors. A
+//! stop first sends every outstanding answer with `Connection: close`, then closes idle
+//! connections.
 
 use std::future::Future;
 use std::io;
@@ -21,13 +22,13 @@
 /// Limits of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections at once; further ones are closed at once.
+    /// The most connections at a time; further ones are closed on accept.
     pub connections: usize,
-    /// How long a connection may wait for a whole header, idle time included.
+    /// The longest wait for a complete header, idle time included.
     pub header: Duration,
-    /// How long a body may take.
+    /// The longest time to read a body.
     pub body: Duration,
-    /// The largest body in bytes.
+    /// The largest body, in bytes.
     pub body_bytes: usize,
 }
 
@@ -42,21 +43,21 @@
     }
 }
 
-/// Why a request's body was refused.
+/// Why a request's body was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is above the limit.
+    /// The body is larger than the limit.
     TooLarge,
-    /// It ended before its declared length, or did not come in time.
+    /// The body ended before its declared length, or was not read within its time limit.
     Truncated,
 }
 
-/// A request whose whole body has been read.
+/// A request and the result of reading its body.
 #[derive(Debug)]
 pub struct Whole {
     /// The request; its own body is empty.
     pub req: Request,
-    /// The body, or why it was refused.
+    /// The body, or why it was not accepted.
     pub body: Result<Vec<u8>, BodyError>,
 }
 
@@ -77,7 +78,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Binds `addr` and hands every whole request to `handler`.
+/// Binds `addr` and passes every request to `handler` after its body has been read.
 ///
 /// # Errors
 /// Returns the error of binding the address.
@@ -94,7 +95,7 @@
 }
 
 impl Listener {
-    /// Returns the bound address, with the port that the kernel gave.
+    /// Returns the bound address, with the port that the kernel assigned.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -104,12 +105,12 @@
         self.shared.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Asks clients to leave: every answer from now on closes its connection.
+    /// Starts draining: from now on every answer closes its connection.
     pub fn drain(&self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Drains, waits until nothing is in flight or `limit` has passed, then stops accepting.
+    /// Drains, waits until no request is in flight or `limit` has passed, then stops accepting.
     /// Returns how many requests were cut off.
     pub async fn stop(mut self, limit: Duration) -> usize {
         self.drain();
@@ -135,7 +136,8 @@
 {
     let mut incoming = listener.incoming();
     while let Some(stream) = incoming.next().await {
-        // An accept error, such as too many open files, passes; the loop must not spin on it.
+        // An accept error, such as too many open files, is temporary. The delay keeps the loop from
+        // spinning until it has passed.
         let Ok(stream) = stream else {
             task::sleep(POLL_INTERVAL).await;
             continue;
@@ -146,8 +148,8 @@
         shared.connections.fetch_add(1, Ordering::SeqCst);
         let (shared, handler) = (Arc::clone(&shared), handler.clone());
         task::spawn(async move {
-            // Failing to switch off Nagle's algorithm costs time only.
-            let _slower = stream.set_nodelay(true);
+            // If Nagle's algorithm can't be switched off, answers are only slower.
+            let _ignored = stream.set_nodelay(true);
             serve(stream, limits, &shared, handler).await;
             shared.connections.fetch_sub(1, Ordering::SeqCst);
         });
@@ -163,27 +165,27 @@
     H: Fn(Whole) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    // Holds the request's count until its answer has been written, not only made.
-    let answering: CurrentRequest = Arc::default();
-    let for_requests = (Arc::clone(shared), Arc::clone(&answering));
+    // Counts the request as in flight until its answer has been written, not only built.
+    let current: CurrentRequest = Arc::default();
+    let captured = (Arc::clone(shared), Arc::clone(&current));
     let mut server = Server::new(stream, move |req| {
-        let ((shared, answering), handler) = (for_requests.clone(), handler.clone());
+        let ((shared, current), handler) = (captured.clone(), handler.clone());
         async move {
-            let counted = Arc::new(InFlight::begin(&shared));
-            let kept = Some(Arc::clone(&counted));
-            *answering.lock().expect("no holder of the lock panics") = kept;
-            Ok(answer(req, limits, &shared, counted, handler).await)
+            let in_flight = Arc::new(InFlight::begin(&shared));
+            let kept = Some(Arc::clone(&in_flight));
+            *current.lock().expect("no holder of the lock panics") = kept;
+            Ok(answer(req, limits, &shared, in_flight, handler).await)
         }
     });
     loop {
         let exchange = server.accept_one();
-        let late = header_timeout(limits.header, &answering);
-        futures::pin_mut!(exchange, late);
-        let ended = match futures::future::select(exchange, late).await {
+        let timeout = header_timeout(limits.header, &current);
+        futures::pin_mut!(exchange, timeout);
+        let ended = match futures::future::select(exchange, timeout).await {
             Either::Left((status, _)) => status,
             Either::Right(((), _)) => return,
         };
-        answering.lock().expect("no holder of the lock panics").take();
+        current.lock().expect("no holder of the lock panics").take();
         match ended {
             Ok(ConnectionStatus::KeepAlive) => {}
             Ok(ConnectionStatus::Close) | Err(_) => return,
@@ -191,20 +193,21 @@
     }
 }
 
-/// Ends once `limit` has passed without a whole header; never ends after one has come.
-async fn header_timeout(limit: Duration, answering: &Mutex<Option<Arc<InFlight>>>) {
+/// Completes when `limit` has passed without a complete header. If one has arrived by then, it
+/// never completes.
+async fn header_timeout(limit: Duration, current: &Mutex<Option<Arc<InFlight>>>) {
     task::sleep(limit).await;
-    let begun = answering.lock().expect("no holder of the lock panics").is_some();
-    if begun {
+    let header_read = current.lock().expect("no holder of the lock panics").is_some();
+    if header_read {
         futures::future::pending::<()>().await;
     }
 }
 
-/// The count of the request that a connection is answering.
+/// The in-flight guard of the request that a connection is answering, if any.
 type CurrentRequest = Arc<Mutex<Option<Arc<InFlight>>>>;
 
-/// Counts a request as in flight for as long as it lives: until its work has ended and its answer
-/// has been written.
+/// A guard that counts a request as in flight until it is dropped: when its handler has ended and
+/// its answer has been written.
 #[derive(Debug)]
 struct InFlight(Arc<ListenerState>);
 
@@ -225,7 +228,7 @@
     mut req: Request,
     limits: Limits,
     shared: &ListenerState,
-    counted: Arc<InFlight>,
+    in_flight: Arc<InFlight>,
     handler: H,
 ) -> Response
 where
@@ -233,17 +236,17 @@
     F: Future<Output = Response> + Send + 'static,
 {
     let body = read_body(&mut req, limits).await;
-    let unread = body.is_err();
+    let body_unread = body.is_err();
     let handling = handler(Whole { req, body });
-    // The work goes on in a task of its own, so that a caller who leaves does not cut it short
-    // between a claim and its record.
+    // The handler runs in a task of its own, so that a caller who disconnects doesn't cancel it
+    // between storing a claim and storing how the request ended.
     let res = task::spawn(async move {
         let res = handling.await;
-        drop(counted);
+        drop(in_flight);
         res
     });
     let mut res = res.await;
-    if unread || shared.stopping.load(Ordering::SeqCst) {
+    if body_unread || shared.stopping.load(Ordering::SeqCst) {
         res.insert_header("connection", "close");
     }
     res
@@ -264,7 +267,7 @@
     }
 }
 
-/// Builds an answer from a status and a JSON body.
+/// Builds an answer from a status and an encoded JSON body.
 pub fn json_response(status: u16, body: Vec<u8>) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut res = Response::new(status);
