--- a/crates/serve/tests/limits.rs
+++ b/crates/serve/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits and the graceful stop, over real sockets.
+//! Checks the listener's limits and its graceful stop over real sockets.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +15,11 @@
     }
 }
 
-async fn echo(slow: Duration) -> Listener {
-    let handler = move |whole: Whole| async move {
-        task::sleep(slow).await;
-        match whole.body {
+/// Starts a listener that answers each request with its body, `delay` later.
+async fn echo(delay: Duration) -> Listener {
+    let handler = move |request: Whole| async move {
+        task::sleep(delay).await;
+        match request.body {
             Ok(body) => json_response(200, body),
             Err(BodyError::TooLarge) => json_response(413, Vec::new()),
             Err(BodyError::Truncated) => json_response(400, Vec::new()),
@@ -27,14 +28,14 @@
     bind("127.0.0.1:0", limits(), handler).await.unwrap()
 }
 
-/// Sends `text` and returns what comes until the other side closes or a second has passed.
+/// Sends `text` and returns what is received until the server closes or a second has passed.
 async fn exchange(listener: &Listener, text: &str) -> String {
     let mut stream = net::TcpStream::connect(listener.addr()).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
-    let mut got = Vec::new();
-    let reading = stream.read_to_end(&mut got);
+    let mut received = Vec::new();
+    let reading = stream.read_to_end(&mut received);
     let _closed_in_time = async_std::future::timeout(Duration::from_secs(1), reading).await;
-    String::from_utf8_lossy(&got).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
 fn post(body: &str, declared: usize) -> String {
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn a_whole_body_is_echoed_and_others_are_refused() {
+fn a_complete_body_is_accepted_and_others_are_refused() {
     task::block_on(async {
         let l = echo(Duration::ZERO).await;
         assert!(exchange(&l, &post("hello", 5)).await.contains("hello"));
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_header_that_does_not_come_ends_the_connection() {
+fn a_header_that_does_not_arrive_in_time_closes_the_connection() {
     task::block_on(async {
         let l = echo(Duration::ZERO).await;
         let began = Instant::now();
@@ -76,11 +77,11 @@
 }
 
 #[test]
-fn a_stop_lets_the_answer_in_flight_go_out() {
+fn a_stop_waits_for_the_request_in_flight() {
     task::block_on(async {
         let l = echo(Duration::from_millis(250)).await;
         let addr = l.addr();
-        let asking = task::spawn(async move {
+        let request = task::spawn(async move {
             let mut stream = net::TcpStream::connect(addr).await.unwrap();
             let text = "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhello";
             stream.write_all(text.as_bytes()).await.unwrap();
@@ -91,7 +92,7 @@
         task::sleep(Duration::from_millis(80)).await;
         assert_eq!(l.in_flight(), 1);
         assert_eq!(l.stop(Duration::from_secs(2)).await, 0);
-        let got = asking.await;
+        let got = request.await;
         assert!(got.contains("hello") && got.contains("connection: close"), "{got}");
     });
 }
