--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,10 @@
-//! Settings from flags and environment variables, declared once in one table for each program.
+//! Reads settings from flags and environment variables. Each program declares its settings in one
+//! table.
 //!
-//! A table row gives type, unit, default, range and help. Flags go before environment variables,
-//! whose names are `GAPLOCK_` and the flag's name in capitals. All faults are reported at once,
-//! with the flag's name. A secret comes only from the environment or a file, never from a flag.
+//! A row of the table gives type, unit, default, range and help. A flag overrides its environment
+//! variable, whose name is `GAPLOCK_` and the flag's name in capitals. All errors are reported
+//! together, with the flag's name. A secret comes from the environment or a file, never from a
+//! flag's value.
 
 pub mod logs;
 
@@ -10,25 +12,25 @@
 use std::fmt::Write as _;
 use std::str::FromStr;
 
-/// What a setting's text must be.
+/// The type of a setting's value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Any text that is not empty.
     Text,
     /// A whole number within a range.
     Number {
-        /// The least value.
+        /// The smallest value.
         min: u64,
-        /// The greatest value.
+        /// The largest value.
         max: u64,
     },
-    /// An IP number with a port, as `127.0.0.1:80`.
+    /// An IP address with a port, such as `127.0.0.1:80`.
     Addr,
     /// A comma-separated list of names.
     List,
-    /// A switch, given without a value.
+    /// A switch; its flag has no value.
     Switch,
-    /// A secret; the flag names a file that holds it, the variable holds it itself.
+    /// A secret; the flag names a file that holds it, and the variable holds the secret itself.
     Secret,
 }
 
@@ -37,17 +39,17 @@
 pub struct Setting {
     /// The flag's name, without dashes.
     pub name: &'static str,
-    /// What its text must be.
+    /// The type of its value.
     pub kind: Kind,
-    /// The unit, for the help.
+    /// The unit, shown in the help.
     pub unit: &'static str,
-    /// The default; none means that the setting is required.
+    /// The default; a setting without one is required.
     pub default: Option<&'static str>,
-    /// One sentence.
+    /// One sentence, shown in the help.
     pub help: &'static str,
 }
 
-/// Declares a setting; the table of a program is a list of these.
+/// Declares a setting; a program's table is a list of these.
 pub const fn setting(
     name: &'static str,
     kind: Kind,
@@ -58,14 +60,14 @@
     Setting { name, kind, unit, default, help }
 }
 
-/// Everything wrong with the settings, a sentence each.
+/// All errors in the settings, one sentence each.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingErrors(pub Vec<String>);
 
 impl std::fmt::Display for SettingErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        for fault in &self.0 {
-            writeln!(f, "error: {fault}")?;
+        for error in &self.0 {
+            writeln!(f, "error: {error}")?;
         }
         f.write_str("Run with --help for every setting.")
     }
@@ -73,21 +75,21 @@
 
 impl std::error::Error for SettingErrors {}
 
-/// The settings in force.
+/// The values of the settings.
 #[derive(Debug, Clone)]
 pub struct Values {
     values: BTreeMap<&'static str, String>,
     table: &'static [Setting],
-    /// Arguments that are not flags.
+    /// The arguments that are not flags.
     pub free: Vec<String>,
 }
 
-/// What the command line asked for.
+/// What the command line requests.
 #[derive(Debug)]
 pub enum Invocation {
     /// Run with these settings.
     Run(Values),
-    /// Print this text and end: help, or the settings in force with `--check`.
+    /// Print this text and exit: the help, or the values of the settings with `--check`.
     Print(String),
 }
 
@@ -96,10 +98,11 @@
     format!("GAPLOCK_{}", name.to_uppercase().replace('-', "_"))
 }
 
-/// Reads settings from arguments (without the program's name) and a look-up of variables.
+/// Reads settings from the arguments (without the program's name) and from environment variables,
+/// which `env` looks up.
 ///
 /// # Errors
-/// Returns every fault at once.
+/// Returns all errors together.
 pub fn read(
     program: &str,
     about: &str,
@@ -120,7 +123,7 @@
     if matches.opt_present("help") {
         return Ok(Invocation::Print(help(program, about, table)));
     }
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let mut values = BTreeMap::new();
     for s in table {
         match value_of(s, &matches, &env) {
@@ -128,11 +131,11 @@
                 values.insert(s.name, value);
             }
             Ok(None) => {}
-            Err(fault) => faults.push(fault),
+            Err(error) => errors.push(error),
         }
     }
-    if !faults.is_empty() {
-        return Err(SettingErrors(faults));
+    if !errors.is_empty() {
+        return Err(SettingErrors(errors));
     }
     let values = Values { values, table, free: matches.free.clone() };
     if matches.opt_present("check") {
@@ -141,8 +144,8 @@
     Ok(Invocation::Run(values))
 }
 
-/// Reads the settings of this process; prints and ends the process where that was asked for, or
-/// where something is wrong (exit code 2).
+/// Reads the settings of this process. With `--help` or `--check` it prints and exits the process;
+/// if the settings are wrong it prints the errors and exits with code 2.
 pub fn read_or_exit(program: &str, about: &str, table: &'static [Setting]) -> Values {
     let args: Vec<String> = std::env::args().skip(1).collect();
     match read(program, about, table, &args, |name| std::env::var(name).ok()) {
@@ -151,8 +154,8 @@
             println!("{text}");
             std::process::exit(0);
         }
-        Err(faults) => {
-            eprintln!("{faults}");
+        Err(errors) => {
+            eprintln!("{errors}");
             std::process::exit(2);
         }
     }
@@ -234,14 +237,14 @@
     /// Returns a setting's text.
     ///
     /// # Panics
-    /// Panics where the table does not have the setting: a fault of the program, not its user.
+    /// Panics if the table does not declare the setting: an error in the program, not in its use.
     pub fn text(&self, name: &str) -> &str {
         self.values.get(name).unwrap_or_else(|| panic!("setting `{name}` is not declared"))
     }
 
     /// Returns a whole number.
     pub fn number(&self, name: &str) -> u64 {
-        self.text(name).parse().expect("the table checked it")
+        self.text(name).parse().expect("`read` has checked that the text is a whole number")
     }
 
     /// Returns a switch.
@@ -249,30 +252,30 @@
         self.text(name) == "true"
     }
 
-    /// Returns a list's parts, each read as `T`.
+    /// Returns the parts of a list, each parsed as `T`.
     ///
     /// # Errors
-    /// Returns the faults of parts that cannot be read.
+    /// Returns an error for each part that does not parse.
     pub fn list<T: FromStr>(&self, name: &str) -> Result<Vec<T>, SettingErrors>
     where
         T::Err: std::fmt::Display,
     {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let mut parts = Vec::new();
         for part in self.text(name).split(',').map(str::trim).filter(|p| !p.is_empty()) {
             match part.parse() {
                 Ok(value) => parts.push(value),
-                Err(e) => faults.push(format!("--{name}: {e}")),
+                Err(e) => errors.push(format!("--{name}: {e}")),
             }
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(parts)
         } else {
-            Err(SettingErrors(faults))
+            Err(SettingErrors(errors))
         }
     }
 
-    /// Describes the settings in force, secrets hidden.
+    /// Describes the values of all settings, with secrets hidden.
     pub fn describe(&self) -> String {
         let mut text = String::new();
         for s in self.table {
