--- a/crates/settings/src/logs.rs
+++ b/crates/settings/src/logs.rs
@@ -1,12 +1,13 @@
-//! Starts structured logs: JSON lines on standard error.
+//! Starts structured logging: JSON lines on standard error, or on standard output through a bounded
+//! queue.
 
 pub use tracing_appender::non_blocking::ErrorCounter;
 use tracing_subscriber::EnvFilter;
 
-/// Starts logging at `level`, such as `info` or `gaplock_entry=debug,info`.
+/// Starts logging with the filter `level`, such as `info` or `gaplock_entry=debug,info`.
 ///
 /// # Errors
-/// Returns why the level cannot be read.
+/// Returns why the filter does not parse or logging can't start.
 pub fn start(level: &str) -> Result<(), String> {
     let filter = EnvFilter::try_new(level).map_err(|e| format!("--log: {e}"))?;
     tracing_subscriber::fmt()
@@ -18,26 +19,26 @@
         .map_err(|e| e.to_string())
 }
 
-/// Keeps the writer of bounded logs running; dropping it writes what is still queued.
+/// Keeps the writer of queued logs running; dropping it writes the lines that are still queued.
 pub struct Logs {
     _writer: tracing_appender::non_blocking::WorkerGuard,
     dropped: ErrorCounter,
 }
 
 impl Logs {
-    /// Returns the counter of lines that were dropped because nobody read the output in time.
+    /// Returns the counter of lines that were dropped because the output was not read fast enough.
     pub fn dropped(&self) -> ErrorCounter {
         self.dropped.clone()
     }
 }
 
-/// Lines that may wait to be written; further ones are dropped rather than waited for.
+/// The most lines that wait to be written. Further lines are dropped, so that logging never blocks.
 const QUEUED_LINES: usize = 8_192;
 
 /// Starts logging to standard output through a queue that drops lines instead of blocking.
 ///
 /// # Errors
-/// Returns why the level cannot be read.
+/// Returns why the filter `level` does not parse or logging can't start.
 pub fn start_bounded(level: &str) -> Result<Logs, String> {
     let filter = EnvFilter::try_new(level).map_err(|e| format!("--log: {e}"))?;
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
