--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Faults are reported all at once, flags go before variables, secrets stay hidden.
+//! All errors are reported together, flags override variables, and secrets stay hidden.
 
 use expect_test::expect;
 use gaplock_settings::{read, setting, Invocation, Kind, Setting, Values};
@@ -22,24 +22,24 @@
 fn values(args: &[&str], env: &[(&str, &str)]) -> Values {
     match run(args, env) {
         Ok(Invocation::Run(values)) => values,
-        other => panic!("settings were expected, not {other:?}"),
+        other => panic!("expected settings, got {other:?}"),
     }
 }
 
 #[test]
-fn every_fault_is_reported_at_once() {
-    let faults = run(&["--store", "localhost:1", "--ttl", "5", "--domains", "a,,b"], &[]);
+fn all_errors_are_reported_together() {
+    let errors = run(&["--store", "localhost:1", "--ttl", "5", "--domains", "a,,b"], &[]);
     expect![[r#"
         error: --name is required (The name.)
         error: --store: `localhost:1` is not an IP number with a port
         error: --ttl: 5 is not within 10 to 100 MS
         error: --domains: `a,,b` has an empty part
         Run with --help for every setting."#]]
-    .assert_eq(&faults.unwrap_err());
+    .assert_eq(&errors.unwrap_err());
 }
 
 #[test]
-fn a_flag_goes_before_its_variable() {
+fn a_flag_overrides_its_variable() {
     let env = [("GAPLOCK_NAME", "from-env"), ("GAPLOCK_TTL", "20"), ("GAPLOCK_LOUD", "true")];
     let v = values(&["--store", "127.0.0.1:1", "--name", "from-flag"], &env);
     assert_eq!(v.text("name"), "from-flag");
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn check_prints_what_is_in_force_without_secrets() {
+fn check_prints_the_values_and_hides_secrets() {
     let args = ["--store", "127.0.0.1:1", "--name", "n", "--check"];
     let Ok(Invocation::Print(text)) = run(&args, &[("GAPLOCK_SECRET", "hush")]) else {
-        panic!("a text was expected");
+        panic!("expected a text to print for `--check`");
     };
     expect![[r#"
         --name = n
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_unknown_flag_is_named() {
-    let fault = run(&["--stoer", "127.0.0.1:1"], &[]).unwrap_err();
-    assert!(fault.contains("stoer"), "{fault}");
+fn the_error_for_an_unknown_flag_names_it() {
+    let error = run(&["--stoer", "127.0.0.1:1"], &[]).unwrap_err();
+    assert!(error.contains("stoer"), "{error}");
 }
