--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -37,7 +37,8 @@
     let capacities = req.state().with_core(|core| core.cx.fleet.clone());
     let summary = collect_summaries(req).await;
     let domains = summary.workers.iter().map(|w| w.domain.clone()).collect();
-    // If an owner did not answer, the plan isn't checked against the workers' capacities.
+    // If an owner did not answer, the plan isn't checked against the fleet: an empty list of
+    // capacities turns that check off.
     let complete = summary.workers.len() == capacities.len();
     Fleet {
         capacities: if complete { capacities } else { Vec::new() },
@@ -141,7 +142,7 @@
     web::respond(previous)
 }
 
-/// `GET /v1/config/status`: returns which entries don't have the newest generation in force yet.
+/// `GET /v1/config/status`: returns the newest generation and which entries have it in force.
 pub async fn config_status(req: Req) -> tide::Result {
     let read = web::require_operator(&req, config::Right::Read);
     web::respond(read.map(|_| req.state().with_core(|core| core.node.config_status(&core.cx))))
