--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -36,6 +36,7 @@
 /// Bounds connecting, and calls that only deliver a small message.
 const CONTROL_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Holds a forwarded request with the largest body that `--max-body` allows, in base 64.
 const MAX_MESSAGE_BYTES: u32 = 24 << 20;
 const WRONG_SECRET_CODE: i32 = 101;
 
