--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -265,7 +265,7 @@
     pub log: String,
     /// Limits of the callers' listener.
     pub limits: gaplock_serve::Limits,
-    /// The longest wait for an answer of the store.
+    /// The longest wait for the store's answer.
     pub store_limit: Duration,
     /// The longest wait for a worker's answer to a command.
     pub worker_limit: Duration,
