--- a/crates/remote/src/http.rs
+++ b/crates/remote/src/http.rs
@@ -25,7 +25,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotSent => "the request was not sent",
-            Self::Unclear => "no whole answer came",
+            Self::Unclear => "no complete answer arrived; the request may have been carried out",
         })
     }
 }
