--- a/crates/remote/tests/store.rs
+++ b/crates/remote/tests/store.rs
@@ -1,7 +1,8 @@
 //! Checks which answers the store's client accepts as a successful write.
 //!
-//! The client once replaced a missing index in an answer by 0. Every later write of that key would
-//! then have expected index 0 and been refused for ever.
+//! A success without the key's new index must not be taken for a write at index 0, as it would be
+//! if the missing part of the answer were filled in: every later write of that key would then be
+//! refused for ever.
 
 use std::time::Duration;
 
