--- a/crates/remote/src/store.rs
+++ b/crates/remote/src/store.rs
@@ -22,7 +22,7 @@
 pub struct CallCounts {
     /// Writes and deletions.
     pub writes: AtomicU64,
-    /// Reads of one key or a prefix.
+    /// Reads of one key or a prefix, blocking reads included.
     pub reads: AtomicU64,
     /// Blocking reads.
     pub watches: AtomicU64,
