--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -1,4 +1,4 @@
-//! Carries out what the node decided: calls, messages, log lines.
+//! Executes the actions that the node decided on: calls, messages and log lines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use crate::engine::Engine;
 use crate::once;
 
-/// Carries out actions in their order; calls run on their own.
-pub fn carry_out(engine: &Arc<Engine>, actions: Vec<Action>) {
+/// Executes actions in order. Calls run in tasks of their own, so none of them is waited for.
+pub fn execute_actions(engine: &Arc<Engine>, actions: Vec<Action>) {
     for action in actions {
-        carry_out_one(engine, action);
+        execute_action(engine, action);
     }
 }
 
-fn carry_out_one(engine: &Arc<Engine>, action: Action) {
+fn execute_action(engine: &Arc<Engine>, action: Action) {
     match action {
         Action::Store { call, req } => call_store(engine, call, req),
         Action::Worker { partition, worker, addr, req } => {
             call_worker(engine, partition, worker, &addr, req);
         }
-        Action::Reply { id, reply } => engine.reply(id, reply),
-        Action::Confirmed { id, outcome } => engine.confirmed(id, outcome),
-        Action::Beat(beat) => send_beat(engine, &beat),
+        Action::Reply { id, reply } => engine.deliver_reply(id, reply),
+        Action::Confirmed { id, outcome } => engine.deliver_confirmation(id, outcome),
+        Action::Beat(beat) => send_heartbeat(engine, &beat),
         Action::HandOver { to, partition } => hand_over(engine, to, partition),
-        Action::Ask { from, to, run, command } => ask(engine, from, to, run, command),
+        Action::Ask { from, to, run, command } => send_loan_command(engine, from, to, run, command),
         Action::FetchConfig { from } => fetch_config(engine, from),
         Action::Offer(offer) => {
             engine.with_routing(|r| r.router.update_worker(offer));
@@ -38,14 +38,14 @@
         }
         Action::Busy { worker, busy, asked_at } => {
             engine.with_routing(|r| {
-                let changes = r.asked.remove(&(worker.clone(), asked_at));
+                let changes = r.changes_at_renewal.remove(&(worker.clone(), asked_at));
                 r.router.record_busy(&worker, busy, changes.unwrap_or(u64::MAX));
             });
             wake_waiters(engine);
         }
         Action::ClosePartition(id) => engine.with_routing(|r| r.router.close_partition(id)),
         Action::InForce(config) => {
-            engine.metrics.in_force(config.generation);
+            engine.metrics.set_generation(config.generation);
             tracing::info!(generation = %config.generation, by = config.by, "configuration in force");
         }
         Action::Note(note) => log_note(engine, &note),
@@ -54,17 +54,17 @@
 }
 
 fn log_note(engine: &Engine, note: &Note) {
-    engine.metrics.noted(note.kind);
+    engine.metrics.count_note(note.kind);
     tracing::info!(kind = note.kind, subject = note.subject, why = note.why, "decision");
 }
 
 /// Logs and counts a violated invariant.
 pub fn log_violation(engine: &Engine, violation: &Violation) {
-    engine.metrics.violated(violation.invariant);
+    engine.metrics.count_violation(violation.invariant);
     tracing::error!(
         invariant = ?violation.invariant,
         evidence = violation.evidence,
-        "invariant violated; the action was left out"
+        "invariant violated; the action was not executed"
     );
 }
 
@@ -87,20 +87,20 @@
     if matches!(req, WorkerCall::Lease(_)) {
         engine.with_routing(|r| {
             let changes = r.router.changes(&worker);
-            r.asked.retain(|(known, _), _| *known != worker);
-            r.asked.insert((worker.clone(), sent_at), changes);
+            r.changes_at_renewal.retain(|(known, _), _| *known != worker);
+            r.changes_at_renewal.insert((worker.clone(), sent_at), changes);
         });
     }
     let client = engine.worker(addr);
     let engine = Arc::clone(engine);
     task::spawn(async move {
         let answer = client.call(&req, engine.cfg.worker_limit).await;
-        engine.metrics.worker_called(&req, &answer);
+        engine.metrics.count_worker_call(&req, &answer);
         engine.handle(Event::Worker { partition, worker, req, sent_at, answer });
     });
 }
 
-fn send_beat(engine: &Arc<Engine>, beat: &api::Heartbeat) {
+fn send_heartbeat(engine: &Arc<Engine>, beat: &api::Heartbeat) {
     let peers: Vec<(ids::EntryId, String)> = engine.with_core(|core| {
         let all = core.node.members.peers.iter();
         all.map(|(entry, p)| (entry.clone(), p.record.addr.clone())).collect()
@@ -120,13 +120,13 @@
     task::spawn(async move {
         let Some(addr) = engine.peer_addr(&to) else { return };
         if let Err(e) = engine.peers.hand_over(&to, &addr, partition).await {
-            // The peer also finds out by itself, only later.
-            tracing::info!(peer = %to, %partition, error = %e, "hand-over not delivered");
+            // The message only saves time: the peer later finds out by itself.
+            tracing::info!(peer = %to, %partition, error = %e, "hand-over message not delivered");
         }
     });
 }
 
-fn ask(
+fn send_loan_command(
     engine: &Arc<Engine>,
     partition: ids::PartitionId,
     to: ids::PartitionId,
@@ -135,7 +135,7 @@
 ) {
     let engine = Arc::clone(engine);
     task::spawn(async move {
-        let reply = once::command(&engine, to, command).await;
+        let reply = once::execute_command(&engine, to, command).await;
         engine.handle(Event::LoanTold { partition, run, reply });
     });
 }
@@ -146,7 +146,9 @@
         let Some(addr) = engine.peer_addr(&from) else { return };
         match engine.peers.config(&from, &addr).await {
             Ok(doc) => engine.handle(Event::PeerConfig(doc)),
-            Err(e) => tracing::info!(peer = %from, error = %e, "configuration not fetched"),
+            Err(e) => {
+                tracing::info!(peer = %from, error = %e, "cannot fetch the configuration from the peer")
+            }
         }
     });
 }
@@ -158,7 +160,7 @@
     }
 }
 
-/// Hands slots to waiting requests whose turn has come, and tells those whose time has run out.
+/// Passes slots to the waiting requests that are next, and wakes those whose wait has timed out.
 pub fn wake_waiters(engine: &Arc<Engine>) {
     let now = clock::now();
     let unclaimed = engine.with_routing(|r| {
@@ -178,10 +180,10 @@
         !unclaimed.is_empty()
     });
     if unclaimed {
-        // The returned slots may serve somebody else; the next tick looks again.
-        tracing::debug!("a waiting request had left");
+        // The next tick offers the returned slots to other waiting requests.
+        tracing::debug!("a slot was assigned to a request that no longer waits; slot released");
     }
 }
 
-/// The longest a call between entries may take, beyond the caller's own deadline.
-pub const PEER_SLACK: Duration = Duration::from_millis(500);
+/// How much longer than the caller's deadline a forwarded call may take.
+pub const PEER_CALL_MARGIN: Duration = Duration::from_millis(500);
--- a/crates/entry/src/once.rs
+++ b/crates/entry/src/once.rs
@@ -1,7 +1,9 @@
-//! Requests that must not be repeated: claim, run once, store how it ended.
+//! Requests that run at most once: the entry claims the request's key, runs the request and stores
+//! how it ended.
 //!
 //! The claim is stored in the journal of the key's home partition before the request leaves this
-//! entry, so a repeat at any entry, at any time within the retention, finds it.
+//! entry, so a repeat at any entry, at any time within the retention, finds it. This module also
+//! sends commands to the entry that owns a partition.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +19,8 @@
 use crate::peers::PeerError;
 use crate::service::{self, Outcome, ServiceRequest};
 
-const STORE_END_TRIES: u32 = 5;
-const STORE_END_WAIT: Duration = Duration::from_millis(400);
+const STORE_END_MAX_ATTEMPTS: u32 = 5;
+const STORE_END_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Serves a request that runs at most once for its partner's key.
 pub async fn serve(
@@ -32,17 +34,22 @@
     let claim = api::Command::OnceClaim {
         partner: partner.clone(),
         key: key.clone(),
-        digest: digest(req),
+        digest: request_digest(req),
         claimer: claimer.clone(),
     };
-    match command(engine, home, claim).await {
-        api::Reply::Granted => run(engine, partner, key, claimer, home, req).await,
+    match execute_command(engine, home, claim).await {
+        api::Reply::Granted => run_claimed(engine, partner, key, claimer, home, req).await,
         api::Reply::Ended(end) => replay(end),
         api::Reply::Refused(refusal) => {
             if refusal.result_code() == codes::Code::OutcomeUnknown {
-                // The claim may be stored, but nothing was sent: give it back if it is ours.
+                // The claim may be stored, but the request was not sent: release the claim if it
+                // is ours.
                 let end = api::OnceEnd::NotRun;
-                task::spawn(store_end(Arc::clone(engine), home, done(partner, key, &claimer, end)));
+                task::spawn(store_end(
+                    Arc::clone(engine),
+                    home,
+                    once_done_command(partner, key, &claimer, end),
+                ));
                 let why = "The claim of the request could not be stored in time";
                 let refusal = api::Refusal::new(codes::Code::StoreDown, why);
                 return Outcome::Refused(refusal);
@@ -53,7 +60,7 @@
     }
 }
 
-async fn run(
+async fn run_claimed(
     engine: &Arc<Engine>,
     partner: &ids::PartnerId,
     key: &ids::RequestKey,
@@ -77,10 +84,12 @@
             codes::Ran::Yes | codes::Ran::Unknown => api::OnceEnd::Unknown,
         },
     };
-    settle_check(engine, partner, key, &end);
-    let storing = store_end(Arc::clone(engine), home, done(partner, key, &claimer, end.clone()));
+    record_end_in_check(engine, partner, key, &end);
+    let storing =
+        store_end(Arc::clone(engine), home, once_done_command(partner, key, &claimer, end.clone()));
     if end == api::OnceEnd::NotRun {
-        // The caller may come back at once with the same key, so the claim goes first.
+        // The caller may retry at once with the same key, so the claim is released before the
+        // answer goes out.
         storing.await;
     } else {
         task::spawn(storing);
@@ -88,7 +97,7 @@
     outcome
 }
 
-fn settle_check(
+fn record_end_in_check(
     engine: &Engine,
     partner: &ids::PartnerId,
     key: &ids::RequestKey,
@@ -101,7 +110,7 @@
     }
 }
 
-fn done(
+fn once_done_command(
     partner: &ids::PartnerId,
     key: &ids::RequestKey,
     claimer: &str,
@@ -111,14 +120,14 @@
     api::Command::OnceDone { partner, key, claimer: claimer.to_string(), end }
 }
 
-async fn store_end(engine: Arc<Engine>, home: ids::PartitionId, command_: api::Command) {
-    for _ in 0..STORE_END_TRIES {
-        if command(&engine, home, command_.clone()).await == api::Reply::Done {
+async fn store_end(engine: Arc<Engine>, home: ids::PartitionId, command: api::Command) {
+    for _ in 0..STORE_END_MAX_ATTEMPTS {
+        if execute_command(&engine, home, command.clone()).await == api::Reply::Done {
             return;
         }
-        task::sleep(STORE_END_WAIT).await;
+        task::sleep(STORE_END_RETRY_DELAY).await;
     }
-    tracing::warn!(%home, "how a claimed request ended could not be stored");
+    tracing::warn!(%home, "cannot store how a claimed request ended; all attempts failed");
 }
 
 fn replay(end: api::OnceEnd) -> Outcome {
@@ -136,27 +145,27 @@
     }
 }
 
-fn digest(req: &ServiceRequest) -> String {
+fn request_digest(req: &ServiceRequest) -> String {
     let body = STANDARD.encode(&req.body);
     crate::auth::key_hash(&format!("{} {} {body}", req.service, req.path))
 }
 
-/// Carries out a command at the partition's owner, here or at a peer.
-pub async fn command(
+/// Executes a command at the owner of partition `home`: at this entry or at a peer.
+pub async fn execute_command(
     engine: &Arc<Engine>,
     home: ids::PartitionId,
     command: api::Command,
 ) -> api::Reply {
     let located = engine.with_core(|core| core.node.locate(&core.cx, home));
     let entry = match located {
-        Located::Here => return engine.command_here(home, command).await,
-        Located::Nowhere => return no_owner(),
+        Located::Here => return engine.execute_locally(home, command).await,
+        Located::Nowhere => return no_owner_reply(),
         Located::Peer(entry) => entry,
     };
-    let Some(addr) = engine.peer_addr(&entry) else { return no_owner() };
+    let Some(addr) = engine.peer_addr(&entry) else { return no_owner_reply() };
     match engine.peers.command(&entry, &addr, home, &command).await {
         Ok(reply) => reply,
-        Err(PeerError::NotSent) => no_owner(),
+        Err(PeerError::NotSent) => no_owner_reply(),
         Err(PeerError::Unclear) => {
             let why = "The partition's owner did not answer";
             api::Reply::Refused(api::Refusal::new(codes::Code::OutcomeUnknown, why))
@@ -164,7 +173,7 @@
     }
 }
 
-fn no_owner() -> api::Reply {
+fn no_owner_reply() -> api::Reply {
     let why = "The partition has no owner now";
     api::Reply::Refused(api::Refusal::new(codes::Code::NoOwner, why))
 }
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' interface: intents, plans, confirmations, and what is going on.
+//! The HTTP interface for operators: intents, plans, confirmations, and the state of configuration,
+//! workers and jobs.
 
 use std::time::{Duration, Instant};
 
@@ -9,45 +10,51 @@
 use serde::Serialize;
 
 use crate::plan::{self, Fleet, Intent};
-use crate::web::{self, Answer, Req};
+use crate::web::{self, HandlerResult, Req};
 use crate::{auth, callers, once};
 
-/// How long a confirmation waits for every entry before it answers "not in force yet".
+/// How long a confirmation waits until the configuration is in force at every entry, before it
+/// answers "not in force yet".
 const IN_FORCE_WAIT: Duration = Duration::from_millis(3_000);
 const IN_FORCE_POLL: Duration = Duration::from_millis(20);
 
-/// `POST /v1/intents`: returns what the intent would change.
+/// `POST /v1/intents`: returns a plan, which lists what the intent would change.
 pub async fn intent(mut req: Req) -> tide::Result {
     web::respond(make_plan(&mut req).await)
 }
 
-async fn make_plan(req: &mut Req) -> Answer<api::Plan> {
-    web::operator(req, config::Right::Change)?;
-    let intent: Intent = web::body(req).await?;
+async fn make_plan(req: &mut Req) -> HandlerResult<api::Plan> {
+    web::require_operator(req, config::Right::Change)?;
+    let intent: Intent = web::json_body(req).await?;
     let fleet = fleet(req).await;
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
-    let mut made = plan::make(&current, intent, &fleet);
-    made.id = auth::plan_id(&req.state().cfg.peer_secret, &made, clock::unix_ms());
-    Ok(made)
+    let mut plan = plan::build(&current, intent, &fleet);
+    plan.id = auth::plan_id(&req.state().cfg.peer_secret, &plan, clock::unix_ms());
+    Ok(plan)
 }
 
 async fn fleet(req: &Req) -> Fleet {
     let capacities = req.state().with_core(|core| core.cx.fleet.clone());
-    let survey = survey(req).await;
-    let domains = survey.workers.iter().map(|w| w.domain.clone()).collect();
-    // Without every owner's answer, nothing is said about what does not fit.
-    let complete = survey.workers.len() == capacities.len();
-    Fleet { capacities: if complete { capacities } else { Vec::new() }, domains, jobs: survey.jobs }
+    let summary = collect_summaries(req).await;
+    let domains = summary.workers.iter().map(|w| w.domain.clone()).collect();
+    // If an owner did not answer, the plan isn't checked against the fleet: an empty list of
+    // capacities turns that check off.
+    let complete = summary.workers.len() == capacities.len();
+    Fleet {
+        capacities: if complete { capacities } else { Vec::new() },
+        domains,
+        jobs: summary.jobs,
+    }
 }
 
 /// The answer to a confirmation.
 #[derive(Debug, Serialize)]
-struct Confirmed {
+struct ConfirmAnswer {
     code: u16,
     status: api::ConfigStatus,
 }
 
-/// `POST /v1/plans/confirm`: puts a plan in force; may be repeated.
+/// `POST /v1/plans/confirm`: puts a plan in force. The request may be repeated.
 pub async fn confirm(mut req: Req) -> tide::Result {
     Ok(match confirm_plan(&mut req).await {
         Ok(status) => {
@@ -56,15 +63,15 @@
                 false => codes::Code::NotInForceYet,
             };
             let row = code.row();
-            web::json(row.status, &Confirmed { code: row.number, status })
+            web::json_response(row.status, &ConfirmAnswer { code: row.number, status })
         }
-        Err(r) => web::refusal(&r),
+        Err(r) => web::refusal_response(&r),
     })
 }
 
-async fn confirm_plan(req: &mut Req) -> Answer<api::ConfigStatus> {
-    let by = web::operator(req, config::Right::Change)?;
-    let plan: api::Plan = web::body(req).await?;
+async fn confirm_plan(req: &mut Req) -> HandlerResult<api::ConfigStatus> {
+    let by = web::require_operator(req, config::Right::Change)?;
+    let plan: api::Plan = web::json_body(req).await?;
     let engine = req.state();
     let Some(made_at) = auth::plan_made_at(&engine.cfg.peer_secret, &plan) else {
         let why = "This plan was not made by gaplock, or it was changed since";
@@ -74,27 +81,28 @@
         let why = format!("The plan has refusals: {}", plan.refused.join("; "));
         return Err(api::Refusal::new(codes::Code::BadRequest, why));
     }
-    let fate = engine.with_core(|core| core.node.generations.doc.fate(&plan.id, plan.base));
-    // A repeat learns what became of the plan, however late it comes.
-    let done_before = fate == Execution::Done;
+    let execution = engine.with_core(|core| core.node.generations.doc.fate(&plan.id, plan.base));
+    // A repeated confirmation of an executed plan gets its outcome even after the plan has expired.
+    let done_before = execution == Execution::Done;
     let age_s = clock::unix_ms().saturating_sub(made_at) / 1000;
-    if !done_before && age_s > plan::LIFETIME_S {
+    if !done_before && age_s > plan::PLAN_LIFETIME_S {
         return Err(api::Refusal::new(codes::Code::PlanExpired, ""));
     }
     let wanted = plan.wanted.clone();
     match engine.confirm(plan, by).await {
         Ok(generation) => Ok(wait_in_force(req, generation).await),
         Err(refusal) if refusal.result_code() == codes::Code::PlanStale => {
-            Err(explain_stale(req, &wanted))
+            Err(stale_plan_refusal(req, &wanted))
         }
         Err(refusal) => Err(refusal),
     }
 }
 
-/// Adds to the refusal what the same wish would change now.
-fn explain_stale(req: &Req, wanted: &config::Config) -> api::Refusal {
+/// Builds the refusal of a plan whose base is not in force any more. It lists what the wanted
+/// configuration would change now.
+fn stale_plan_refusal(req: &Req, wanted: &config::Config) -> api::Refusal {
     let current = req.state().with_core(|core| std::sync::Arc::clone(&core.cx.config));
-    let difference = plan::changes(&current, wanted, &[]);
+    let difference = plan::describe_changes(&current, wanted, &[]);
     let why = format!(
         "{} by {} is in force now; against it your plan would mean: {}",
         current.generation,
@@ -118,13 +126,13 @@
 
 /// `GET /v1/config`: returns the configuration in force here.
 pub async fn config(req: Req) -> tide::Result {
-    let read = web::operator(&req, config::Right::Read);
+    let read = web::require_operator(&req, config::Right::Read);
     web::respond(read.map(|_| req.state().with_core(|core| config::Config::clone(&core.cx.config))))
 }
 
-/// `GET /v1/config/previous`: returns the configuration before the one in force, for an undo.
+/// `GET /v1/config/previous`: returns the configuration before the one in force, for a rollback.
 pub async fn previous(req: Req) -> tide::Result {
-    let read = web::operator(&req, config::Right::Read);
+    let read = web::require_operator(&req, config::Right::Read);
     let previous = read.and_then(|_| {
         let found = req.state().with_core(|core| core.node.generations.doc.previous.clone());
         found.ok_or_else(|| {
@@ -134,27 +142,29 @@
     web::respond(previous)
 }
 
-/// `GET /v1/config/status`: tells how far the newest generation has come.
+/// `GET /v1/config/status`: returns the newest generation and which entries have it in force.
 pub async fn config_status(req: Req) -> tide::Result {
-    let read = web::operator(&req, config::Right::Read);
+    let read = web::require_operator(&req, config::Right::Read);
     web::respond(read.map(|_| req.state().with_core(|core| core.node.config_status(&core.cx))))
 }
 
 /// `GET /v1/config/history`: lists past generations.
 pub async fn history(req: Req) -> tide::Result {
-    let read = web::operator(&req, config::Right::Read);
+    let read = web::require_operator(&req, config::Right::Read);
     web::respond(
         read.map(|_| req.state().with_core(|core| core.node.generations.doc.history.clone())),
     )
 }
 
-/// Asks every partition's owner; partitions without one are left out.
-async fn survey(req: &Req) -> api::PartitionSummary {
+/// Collects the workers and jobs of all partitions from their owners. Partitions without an owner
+/// that answers are left out.
+async fn collect_summaries(req: &Req) -> api::PartitionSummary {
     let engine = req.state();
     let partitions: Vec<ids::PartitionId> = engine.cfg.layout.partitions().collect();
-    let asked = partitions.into_iter().map(|id| once::command(engine, id, api::Command::Survey));
+    let requests =
+        partitions.into_iter().map(|id| once::execute_command(engine, id, api::Command::Survey));
     let mut all = api::PartitionSummary::default();
-    for reply in futures::future::join_all(asked).await {
+    for reply in futures::future::join_all(requests).await {
         if let api::Reply::Survey(part) = reply {
             all.workers.extend(part.workers);
             all.jobs.extend(part.jobs);
@@ -165,41 +175,42 @@
 
 /// `GET /v1/workers`: lists every worker with its owner.
 pub async fn workers(req: Req) -> tide::Result {
-    if let Err(r) = web::operator(&req, config::Right::Read) {
+    if let Err(r) = web::require_operator(&req, config::Right::Read) {
         return web::respond::<()>(Err(r));
     }
-    web::respond(Ok(survey(&req).await.workers))
+    web::respond(Ok(collect_summaries(&req).await.workers))
 }
 
-/// `GET /v1/jobs`: lists the jobs that the asker may see.
+/// `GET /v1/jobs`: lists the jobs that the sender may see.
 pub async fn jobs(req: Req) -> tide::Result {
     let who = match web::identity(&req) {
         Ok(who) => who,
         Err(r) => return web::respond::<()>(Err(r)),
     };
-    let mut jobs = survey(&req).await.jobs;
+    let mut jobs = collect_summaries(&req).await.jobs;
     if let auth::Identity::Partner(id) = who {
         jobs.retain(|job| job.partner == id);
     }
     web::respond(Ok(jobs))
 }
 
-/// `POST /v1/workers/WORKER/confirm-dead`: an operator says that the host is switched off.
+/// `POST /v1/workers/WORKER/confirm-dead`: an operator confirms that the worker's host is switched
+/// off.
 pub async fn confirm_dead(req: Req) -> tide::Result {
     web::respond(declare_dead(&req).await)
 }
 
-async fn declare_dead(req: &Req) -> Answer<&'static str> {
-    let by = web::operator(req, config::Right::Change)?;
+async fn declare_dead(req: &Req) -> HandlerResult<&'static str> {
+    let by = web::require_operator(req, config::Right::Change)?;
     let worker: ids::WorkerId = web::path_id(req, "worker")?;
-    tracing::warn!(%worker, by, "declared dead");
-    let rows = survey(req).await.workers;
+    tracing::warn!(%worker, by, "operator declared the worker dead");
+    let rows = collect_summaries(req).await.workers;
     let Some(row) = rows.into_iter().find(|w| w.worker == worker) else {
         return Err(api::Refusal::new(codes::Code::NotFound, "No owner knows this worker"));
     };
     let command = api::Command::ConfirmDead { worker, boot: row.boot };
-    match once::command(req.state(), row.partition, command).await {
+    match once::execute_command(req.state(), row.partition, command).await {
         api::Reply::Done => Ok("declared dead"),
-        other => Err(callers::unexpected(other)),
+        other => Err(callers::refusal_from(other)),
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,8 +1,8 @@
 //! Calls between entries: JSON-RPC over WebSocket by `jsonrpsee`.
 //!
-//! `jsonrpsee` brings tokio inside it; nothing else here uses tokio, and `async-std`'s `tokio1`
-//! feature gives the library the context that it expects. Each call carries a proof of the shared
-//! secret, compared in constant time.
+//! `jsonrpsee` uses tokio internally; nothing else here does. `async-std`'s feature `tokio1`
+//! provides the runtime context that the library expects. Each call carries a proof that the caller
+//! knows the shared secret; proofs are compared in constant time.
 
 use std::collections::HashMap;
 use std::io;
@@ -24,7 +24,7 @@
 use serde::Serialize;
 
 use crate::engine::Engine;
-use crate::executor::PEER_SLACK;
+use crate::executor::PEER_CALL_MARGIN;
 use crate::{auth, service};
 
 const BEAT: &str = "beat";
@@ -33,30 +33,32 @@
 const COMMAND: &str = "command";
 const FORWARD: &str = "forward";
 
-const BEAT_LIMIT: Duration = Duration::from_millis(1_000);
-const COMMAND_LIMIT: Duration = Duration::from_millis(5_000);
+/// Bounds connecting, and calls that only deliver a small message.
+const CONTROL_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Holds a forwarded request with the largest body that `--max-body` allows, in base 64.
 const MAX_MESSAGE_BYTES: u32 = 24 << 20;
-const WRONG_SECRET: i32 = 101;
+const WRONG_SECRET_CODE: i32 = 101;
 
 /// Why a call to a peer has no answer.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum PeerError {
     /// There was no connection; the call was not sent.
-    #[display("the peer cannot be reached")]
+    #[display("cannot connect to the peer; the call was not sent")]
     NotSent,
     /// The call may have been carried out.
-    #[display("no answer came from the peer")]
+    #[display("no answer from the peer; the call may have been carried out")]
     Unclear,
 }
 
-/// Connections to the other entries, opened on first use and again after a fault.
+/// Connections to the other entries, opened on first use and again after a failure.
 pub struct Peers {
     proof: String,
     clients: Mutex<HashMap<ids::EntryId, (String, Arc<WsClient>)>>,
 }
 
 impl Peers {
-    /// Builds the connections' holder.
+    /// Builds a set without connections; `secret` is the one that the entries share.
     pub fn open(secret: &str) -> Self {
         Self { proof: auth::peer_proof(secret), clients: Mutex::default() }
     }
@@ -69,12 +71,12 @@
             }
         }
         let building = WsClientBuilder::default()
-            .connection_timeout(BEAT_LIMIT)
+            .connection_timeout(CONTROL_CALL_TIMEOUT)
             .request_timeout(Duration::from_secs(60))
             .max_request_size(MAX_MESSAGE_BYTES)
             .max_response_size(MAX_MESSAGE_BYTES)
             .build(format!("ws://{addr}"));
-        let client = future::timeout(BEAT_LIMIT, building)
+        let client = future::timeout(CONTROL_CALL_TIMEOUT, building)
             .await
             .map_err(|_| PeerError::NotSent)?
             .map_err(|_| PeerError::NotSent)?;
@@ -100,7 +102,7 @@
         match answer {
             Ok(Ok(answer)) => Ok(answer),
             _ => {
-                // A connection that owes an answer is not used again.
+                // A connection on which an answer is outstanding is not reused.
                 let mut clients = self.clients.lock().expect("no holder of the lock panics");
                 if clients.get(entry).is_some_and(|(_, known)| Arc::ptr_eq(known, &client)) {
                     clients.remove(entry);
@@ -117,22 +119,22 @@
         addr: &str,
         beat: &api::Heartbeat,
     ) -> Result<(), PeerError> {
-        self.call(entry, addr, BEAT, beat, BEAT_LIMIT).await
+        self.call(entry, addr, BEAT, beat, CONTROL_CALL_TIMEOUT).await
     }
 
-    /// Tells a peer to claim a released partition.
+    /// Asks a peer to claim a released partition.
     pub async fn hand_over(
         &self,
         entry: &ids::EntryId,
         addr: &str,
         id: ids::PartitionId,
     ) -> Result<(), PeerError> {
-        self.call(entry, addr, HAND_OVER, &id, BEAT_LIMIT).await
+        self.call(entry, addr, HAND_OVER, &id, CONTROL_CALL_TIMEOUT).await
     }
 
-    /// Fetches the document that a peer has in force.
+    /// Fetches the configuration document that a peer has in force.
     pub async fn config(&self, entry: &ids::EntryId, addr: &str) -> Result<Document, PeerError> {
-        self.call(entry, addr, CONFIG, &(), COMMAND_LIMIT).await
+        self.call(entry, addr, CONFIG, &(), COMMAND_TIMEOUT).await
     }
 
     /// Sends a command to the owner of a partition.
@@ -143,7 +145,7 @@
         id: ids::PartitionId,
         command: &api::Command,
     ) -> Result<api::Reply, PeerError> {
-        self.call(entry, addr, COMMAND, &(id, command), COMMAND_LIMIT).await
+        self.call(entry, addr, COMMAND, &(id, command), COMMAND_TIMEOUT).await
     }
 
     /// Forwards a service request.
@@ -153,19 +155,19 @@
         addr: &str,
         forward: &api::Forward,
     ) -> Result<api::ForwardReply, PeerError> {
-        let limit = Duration::from_millis(forward.deadline_ms) + PEER_SLACK;
+        let limit = Duration::from_millis(forward.deadline_ms) + PEER_CALL_MARGIN;
         self.call(entry, addr, FORWARD, forward, limit).await
     }
 }
 
 /// A bound listener for peers that does not serve yet.
-pub struct Bound {
+pub struct BoundListener {
     server: server::Server,
     addr: SocketAddr,
     proof: String,
 }
 
-/// A serving listener for peers.
+/// A running listener for peers.
 pub struct Server {
     handle: ServerHandle,
 }
@@ -174,23 +176,23 @@
 ///
 /// # Errors
 /// Returns the error of binding the address.
-pub async fn bind(addr: &str, secret: &str) -> io::Result<Bound> {
+pub async fn bind(addr: &str, secret: &str) -> io::Result<BoundListener> {
     let config = server::ServerConfig::builder()
         .max_request_body_size(MAX_MESSAGE_BYTES)
         .max_response_body_size(MAX_MESSAGE_BYTES)
         .build();
     let server = server::Server::builder().set_config(config).build(addr).await?;
     let addr = server.local_addr()?;
-    Ok(Bound { server, addr, proof: auth::peer_proof(secret) })
+    Ok(BoundListener { server, addr, proof: auth::peer_proof(secret) })
 }
 
-impl Bound {
+impl BoundListener {
     /// Returns the bound address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Begins to serve.
+    /// Starts serving calls.
     pub fn spawn(self, engine: Arc<Engine>) -> Server {
         let mut module = RpcModule::new((engine, self.proof));
         register(&mut module);
@@ -202,12 +204,12 @@
     /// Stops serving.
     pub fn stop(&self) {
         if self.handle.stop().is_err() {
-            tracing::debug!("the peers' listener had stopped by itself");
+            tracing::debug!("the listener for peers had already stopped");
         }
     }
 }
 
-/// What every method needs: the engine, and the proof that callers must carry.
+/// What every method uses: the engine, and the proof that each call must carry.
 type Shared = (Arc<Engine>, String);
 
 fn register(module: &mut RpcModule<Shared>) {
@@ -221,10 +223,10 @@
         engine.with_core(|core| Document::clone(&core.node.generations.doc))
     });
     add(module, COMMAND, |engine, (id, command): (ids::PartitionId, api::Command)| async move {
-        engine.command_here(id, command).await
+        engine.execute_locally(id, command).await
     });
     add(module, FORWARD, |engine, forward: api::Forward| async move {
-        service::forwarded(&engine, forward).await
+        service::serve_forwarded(&engine, forward).await
     });
 }
 
@@ -240,11 +242,11 @@
         async move {
             let (engine, expected) = (Arc::clone(&cx.0), &cx.1);
             let (proof, body): (String, Q) = params.parse()?;
-            if !auth::same(&proof, expected) {
-                return Err(ErrorObjectOwned::owned(WRONG_SECRET, "wrong secret", None::<()>));
+            if !auth::constant_time_eq(&proof, expected) {
+                return Err(ErrorObjectOwned::owned(WRONG_SECRET_CODE, "wrong secret", None::<()>));
             }
             Ok(handler(engine, body).await)
         }
     });
-    registered.expect("method names are distinct constants");
+    registered.expect("method names are distinct");
 }
--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/running.rs
@@ -1,4 +1,4 @@
-//! A running entry: its listeners, its steady tasks, and its planned stop.
+//! A running entry: its listeners, its periodic tasks and its planned stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
 /// A running entry with its listeners.
 pub struct Running {
     engine: Arc<Engine>,
-    /// The callers' listener.
+    /// The listener for callers and operators.
     pub callers: gaplock_serve::Listener,
     /// The health listener.
     pub health: gaplock_serve::Listener,
-    /// Where the peers connect.
+    /// The address to which the peers connect.
     pub peers_addr: SocketAddr,
     peers: peers::Server,
 }
 
-/// Starts an entry.
+/// Binds the listeners and starts the periodic tasks.
 ///
 /// # Errors
 /// Returns the error of binding a listener.
@@ -47,19 +47,21 @@
     Ok(Running { engine, callers, health, peers_addr, peers })
 }
 
-/// How long a stopping entry keeps accepting, so that the balancer can notice.
-const LINGER: Duration = Duration::from_millis(1_000);
+/// The least time that a stopping entry keeps accepting, so that the balancer can notice that it
+/// is not ready any more.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(1_000);
 
 impl Running {
-    /// Stops without cutting off what is in flight: hands every partition over, lets answers go
-    /// out, then closes. Returns how many requests were cut off at the limit.
+    /// Stops the entry gracefully: hands over every partition, waits until the requests in flight
+    /// are answered, then closes the listeners. Returns how many requests were cut off because
+    /// `limit` had passed.
     pub async fn stop(self, limit: Duration) -> usize {
         let began = Instant::now();
         self.engine.handle(Event::Stop);
         self.callers.drain();
         while began.elapsed() < limit {
             let handed_over = self.engine.with_core(|core| core.node.handed_over());
-            if handed_over && began.elapsed() >= LINGER {
+            if handed_over && began.elapsed() >= MIN_DRAIN_TIME {
                 break;
             }
             task::sleep(self.engine.cfg.tick).await;
@@ -82,7 +84,7 @@
                 .map(|service| api::ServiceLoad { free: r.router.free(&service), service })
                 .collect()
         });
-        service::note_serving(&engine, &load);
+        service::record_serving(&engine, &load);
         engine.with_core(|core| core.node.set_load(load));
         engine.handle(Event::Tick);
         executor::wake_waiters(&engine);
@@ -94,9 +96,9 @@
     loop {
         if let Some(hosts) = engine.hosts.read().await {
             let addrs = hosts.iter().map(|h| (h.worker.clone(), h.addr.clone())).collect();
-            engine.set_addrs(addrs);
+            engine.set_worker_addrs(addrs);
             let all: Vec<String> = hosts.iter().map(|h| h.addr.clone()).collect();
-            engine.keep_workers(&all);
+            engine.retain_workers(&all);
             engine.handle(Event::Hosts(hosts));
         }
         task::sleep(engine.cfg.hosts_every).await;
@@ -108,7 +110,7 @@
     loop {
         let sent_at = clock::now();
         let (answer, at) = match index {
-            // The first read returns at once, so that a start waits for nothing.
+            // The first read does not wait for a change, so it does not delay the start.
             None => engine.store.watch(keys::CONFIG, 0, Duration::ZERO).await,
             Some(index) => engine.store.watch(keys::CONFIG, index, engine.cfg.config_wait).await,
         };
@@ -120,7 +122,7 @@
                     Some((doc, kv.index))
                 });
                 if !kvs.is_empty() && doc.is_none() {
-                    tracing::error!("the stored configuration cannot be read");
+                    tracing::error!("cannot decode the stored configuration");
                 } else {
                     engine.handle(Event::Config { sent_at, doc });
                 }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -1,8 +1,9 @@
-//! The path of a service request: to a slot of this entry's, else to a peer with room.
+//! Routes a service request to a free slot of one of this entry's workers, else to a peer that has
+//! free slots.
 //!
-//! A request is forwarded at most once, so it never goes round. What a worker or peer certainly
-//! did not run is tried elsewhere within the deadline and the retry budget; what may have run is
-//! tried again only if it may be repeated.
+//! A request is forwarded at most once, so it cannot loop between entries. If a worker or peer
+//! certainly did not run it, it is retried within the deadline and the retry budget; if it may have
+//! run, it is retried only if it is repeatable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,11 +27,11 @@
 pub struct ServiceRequest {
     /// The service.
     pub service: ids::ServiceId,
-    /// The path below the service, with its leading slash.
+    /// The path after the service's name, with its leading slash.
     pub path: String,
     /// The body.
     pub body: Vec<u8>,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the answer.
     pub deadline: time::Instant,
     /// The request id, for logs.
     pub request_id: String,
@@ -41,84 +42,85 @@
 /// How a service request ended.
 #[derive(Debug)]
 pub enum Outcome {
-    /// The worker's whole answer.
+    /// The worker's complete answer.
     Answer {
         /// The HTTP status.
         status: u16,
         /// The body.
         body: Vec<u8>,
     },
-    /// Refused or failed.
+    /// The request was refused or failed.
     Refused(api::Refusal),
 }
 
-/// How one try ended.
-enum Try {
+/// How one attempt ended.
+enum AttemptOutcome {
+    /// The outcome is final; there is no further attempt.
     Ended(Outcome),
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun(api::Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unclear,
 }
 
-/// The longest wait for a worker to be taken over.
-const LONGEST_PATIENCE: time::Millis = time::Millis(1_500);
-/// A service that ran somewhere within this span is expected to come back soon.
-const SERVED_LATELY: time::Millis = time::Millis(5_000);
-const FIRST_BACKOFF: time::Millis = time::Millis(5);
-const LONGEST_BACKOFF: time::Millis = time::Millis(100);
+/// The longest that a request waits for another entry to take over a worker of its service.
+const MAX_FAILOVER_WAIT: time::Millis = time::Millis(1_500);
+/// A service that ran anywhere within this window is expected to be available again soon.
+const RECENTLY_SERVED_WINDOW: time::Millis = time::Millis(5_000);
+const INITIAL_BACKOFF: time::Millis = time::Millis(5);
+const MAX_BACKOFF: time::Millis = time::Millis(100);
 
 fn refuse(code: codes::Code, why: &str) -> api::Refusal {
     api::Refusal::new(code, why)
 }
 
-/// Serves a request that came from a caller.
+/// Serves a request from a caller, with retries.
 pub async fn serve(engine: &Arc<Engine>, req: &ServiceRequest) -> Outcome {
     engine.with_routing(|r| r.budget.earn());
-    let patient_until = clock::now() + patience(engine, req);
+    let retry_until = clock::now() + failover_wait(engine, req);
     let mut may_have_run = false;
     let mut attempt = 0;
     loop {
         attempt += 1;
-        let last = match try_once(engine, req).await {
-            Try::Ended(Outcome::Refused(refusal)) => {
-                return refused(engine, refusal, may_have_run);
+        let last = match attempt_once(engine, req).await {
+            AttemptOutcome::Ended(Outcome::Refused(refusal)) => {
+                return finish_refused(engine, refusal, may_have_run);
             }
-            Try::Ended(outcome) => return outcome,
-            Try::NotRun(refusal) => refusal,
-            Try::Unclear if req.repeatable => {
+            AttemptOutcome::Ended(outcome) => return outcome,
+            AttemptOutcome::NotRun(refusal) => refusal,
+            AttemptOutcome::Unclear if req.repeatable => {
                 may_have_run = true;
                 refuse(codes::Code::UpstreamFailed, "No whole answer came")
             }
-            Try::Unclear => {
+            AttemptOutcome::Unclear => {
                 let why = "The request was sent, but no whole answer came";
                 return Outcome::Refused(refuse(codes::Code::OutcomeUnknown, why));
             }
         };
-        if !may_try_again(engine, &last, patient_until) {
-            return refused(engine, last, may_have_run);
+        if !may_retry(engine, &last, retry_until) {
+            return finish_refused(engine, last, may_have_run);
         }
-        let wait = retry::backoff(attempt, FIRST_BACKOFF, LONGEST_BACKOFF, &mut rand::rng());
+        let wait = retry::backoff(attempt, INITIAL_BACKOFF, MAX_BACKOFF, &mut rand::rng());
         task::sleep(wait.as_duration()).await;
     }
 }
 
-/// Returns how long a request waits for a worker to be taken over. It is nothing where the
-/// service has not run anywhere for a while: then the final answer goes out at once.
-fn patience(engine: &Engine, req: &ServiceRequest) -> time::Millis {
+/// Returns how long a request waits for another entry to take over a worker of its service. It is
+/// zero if the service has not run anywhere recently: the request is then refused without a wait.
+fn failover_wait(engine: &Engine, req: &ServiceRequest) -> time::Millis {
     let now = clock::now();
-    let served_at = engine.with_routing(|r| r.served_at.get(&req.service).copied());
-    let lately = served_at.is_some_and(|at| now.since(at) < SERVED_LATELY);
+    let served_at = engine.with_routing(|r| r.last_served_at.get(&req.service).copied());
+    let recently_served = served_at.is_some_and(|at| now.since(at) < RECENTLY_SERVED_WINDOW);
     let left = req.deadline.since(now).0;
-    if lately {
-        time::Millis(LONGEST_PATIENCE.0.min(left / 2))
+    if recently_served {
+        time::Millis(MAX_FAILOVER_WAIT.0.min(left / 2))
     } else {
         time::Millis(0)
     }
 }
 
-/// Notes which services run here or at a peer now.
-pub fn note_serving(engine: &Engine, here: &[api::ServiceLoad]) {
+/// Records which services run now, here or at a peer that sends heartbeats.
+pub fn record_serving(engine: &Engine, here: &[api::ServiceLoad]) {
     let now = clock::now();
     let mut services: Vec<ids::ServiceId> = here.iter().map(|l| l.service.clone()).collect();
     engine.with_core(|core| {
@@ -130,13 +132,14 @@
     });
     engine.with_routing(|r| {
         for service in services {
-            r.served_at.insert(service, now);
+            r.last_served_at.insert(service, now);
         }
     });
 }
 
-/// Tells what was not run from what may have run in an earlier try.
-fn refused(engine: &Engine, refusal: api::Refusal, may_have_run: bool) -> Outcome {
+/// Builds the final refusal. If an earlier attempt may have run the request, a refusal that says
+/// "not run" is replaced by one that doesn't.
+fn finish_refused(engine: &Engine, refusal: api::Refusal, may_have_run: bool) -> Outcome {
     let refusal = match refusal.ran {
         codes::Ran::No if may_have_run => {
             let why = "An earlier try had no whole answer";
@@ -156,10 +159,10 @@
     }
 }
 
-/// What reached a worker costs the retry budget; what found no worker only waits. Overload is
-/// answered at once.
-fn may_try_again(engine: &Engine, last: &api::Refusal, patient_until: time::Instant) -> bool {
-    if clock::now() >= patient_until {
+/// Returns whether a request may be retried. An attempt that may have reached a worker costs
+/// retry budget; one that found no worker costs nothing. An overload refusal is final.
+fn may_retry(engine: &Engine, last: &api::Refusal, retry_until: time::Instant) -> bool {
+    if clock::now() >= retry_until {
         return false;
     }
     match last.result_code() {
@@ -169,18 +172,18 @@
     }
 }
 
-async fn try_once(engine: &Arc<Engine>, req: &ServiceRequest) -> Try {
+async fn attempt_once(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
     let free_here = engine.with_routing(|r| r.router.free(&req.service));
     if free_here == 0 {
         if let Some(peer) = choose_peer(engine, &req.service, free_here) {
             return forward(engine, req, &peer).await;
         }
     }
-    try_here(engine, req).await
+    attempt_locally(engine, req).await
 }
 
-/// Serves a request that a peer forwarded: here, or not at all.
-pub async fn forwarded(engine: &Arc<Engine>, forward: api::Forward) -> api::ForwardReply {
+/// Serves a request that a peer forwarded. It runs here or not at all; it is not forwarded again.
+pub async fn serve_forwarded(engine: &Arc<Engine>, forward: api::Forward) -> api::ForwardReply {
     let Ok(body) = STANDARD.decode(&forward.body) else {
         return api::ForwardReply::Refused(refuse(
             codes::Code::BadRequest,
@@ -195,22 +198,22 @@
         request_id: forward.request_id,
         repeatable: forward.repeatable,
     };
-    match try_here(engine, &req).await {
-        Try::Ended(Outcome::Answer { status, body }) => {
+    match attempt_locally(engine, &req).await {
+        AttemptOutcome::Ended(Outcome::Answer { status, body }) => {
             api::ForwardReply::Answer { status, body: STANDARD.encode(body) }
         }
-        Try::Ended(Outcome::Refused(refusal)) | Try::NotRun(refusal) => {
+        AttemptOutcome::Ended(Outcome::Refused(refusal)) | AttemptOutcome::NotRun(refusal) => {
             api::ForwardReply::Refused(refusal)
         }
-        Try::Unclear => {
+        AttemptOutcome::Unclear => {
             let why = "The request was sent, but no whole answer came";
             api::ForwardReply::Refused(refuse(codes::Code::OutcomeUnknown, why))
         }
     }
 }
 
-/// Chooses a peer by its free slots; one without is chosen only if no worker here runs the
-/// service.
+/// Chooses a peer at random, weighted by free slots. A peer without free slots is chosen only if
+/// no worker of this entry runs the service.
 fn choose_peer(
     engine: &Engine,
     service: &ids::ServiceId,
@@ -229,15 +232,15 @@
             })
             .collect()
     });
-    let with_room: u32 = peers.iter().map(|(.., free)| *free).sum();
-    if with_room == 0 {
+    let total_free: u32 = peers.iter().map(|(.., free)| *free).sum();
+    if total_free == 0 {
         if serves_here || free_here > 0 || peers.is_empty() {
             return None;
         }
         let (entry, addr, _) = &peers[rand::rng().random_range(0..peers.len())];
         return Some((entry.clone(), addr.clone()));
     }
-    let mut draw = rand::rng().random_range(0..with_room);
+    let mut draw = rand::rng().random_range(0..total_free);
     for (entry, addr, free) in peers {
         if draw < free {
             return Some((entry, addr));
@@ -251,7 +254,7 @@
     engine: &Arc<Engine>,
     req: &ServiceRequest,
     (entry, addr): &(ids::EntryId, String),
-) -> Try {
+) -> AttemptOutcome {
     let message = api::Forward {
         service: req.service.clone(),
         path: req.path.clone(),
@@ -260,27 +263,27 @@
         request_id: req.request_id.clone(),
         repeatable: req.repeatable,
     };
-    engine.metrics.forwarded();
+    engine.metrics.count_forward();
     match engine.peers.forward(entry, addr, &message).await {
         Ok(api::ForwardReply::Answer { status, body }) => match STANDARD.decode(body) {
-            Ok(body) => Try::Ended(Outcome::Answer { status, body }),
-            Err(_) => Try::Unclear,
+            Ok(body) => AttemptOutcome::Ended(Outcome::Answer { status, body }),
+            Err(_) => AttemptOutcome::Unclear,
         },
         Ok(api::ForwardReply::Refused(refusal)) => match refusal.ran {
-            codes::Ran::No => Try::NotRun(refusal),
-            codes::Ran::Yes | codes::Ran::Unknown => Try::Unclear,
+            codes::Ran::No => AttemptOutcome::NotRun(refusal),
+            codes::Ran::Yes | codes::Ran::Unknown => AttemptOutcome::Unclear,
         },
         Err(PeerError::NotSent) => {
-            Try::NotRun(refuse(codes::Code::NoUpstream, "A peer cannot be reached"))
+            AttemptOutcome::NotRun(refuse(codes::Code::NoUpstream, "A peer cannot be reached"))
         }
-        Err(PeerError::Unclear) => Try::Unclear,
+        Err(PeerError::Unclear) => AttemptOutcome::Unclear,
     }
 }
 
-async fn try_here(engine: &Arc<Engine>, req: &ServiceRequest) -> Try {
-    let (pick, turn) = engine.with_routing(|r| {
-        let pick = r.router.route(clock::now(), &req.service, req.deadline);
-        let turn = match &pick {
+async fn attempt_locally(engine: &Arc<Engine>, req: &ServiceRequest) -> AttemptOutcome {
+    let (decision, slot_rx) = engine.with_routing(|r| {
+        let decision = r.router.route(clock::now(), &req.service, req.deadline);
+        let slot_rx = match &decision {
             route::RouteDecision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 r.waiters.insert(*ticket, tx);
@@ -288,37 +291,42 @@
             }
             _ => None,
         };
-        (pick, turn)
+        (decision, slot_rx)
     });
-    let slot = match (pick, turn) {
+    let slot = match (decision, slot_rx) {
         (route::RouteDecision::Slot(slot), _) => slot,
-        (route::RouteDecision::Wait(ticket), Some(turn)) => {
-            match wait_for_turn(engine, req, ticket, turn).await {
+        (route::RouteDecision::Wait(ticket), Some(slot_rx)) => {
+            match wait_for_slot(engine, req, ticket, slot_rx).await {
                 Some(slot) => slot,
-                None => return Try::Ended(overloaded(1)),
+                None => return AttemptOutcome::Ended(overload_refusal(1)),
             }
         }
-        (route::RouteDecision::Refuse { after_s }, _) => return Try::Ended(overloaded(after_s)),
+        (route::RouteDecision::Refuse { after_s }, _) => {
+            return AttemptOutcome::Ended(overload_refusal(after_s))
+        }
         (route::RouteDecision::NoWorker | route::RouteDecision::Wait(_), _) => {
-            return Try::NotRun(refuse(codes::Code::NoUpstream, "No worker here runs the service"));
+            return AttemptOutcome::NotRun(refuse(
+                codes::Code::NoUpstream,
+                "No worker here runs the service",
+            ));
         }
     };
     send(engine, req, slot).await
 }
 
-fn overloaded(after_s: u32) -> Outcome {
+fn overload_refusal(after_s: u32) -> Outcome {
     let why = "Every slot is taken for longer than the request may wait";
     Outcome::Refused(refuse(codes::Code::Overloaded, why).with_retry_after(after_s))
 }
 
-async fn wait_for_turn(
+async fn wait_for_slot(
     engine: &Arc<Engine>,
     req: &ServiceRequest,
     ticket: route::Ticket,
-    turn: oneshot::Receiver<Option<route::Slot>>,
+    slot_rx: oneshot::Receiver<Option<route::Slot>>,
 ) -> Option<route::Slot> {
     let left = req.deadline.since(clock::now()).as_duration();
-    match future::timeout(left, turn).await {
+    match future::timeout(left, slot_rx).await {
         Ok(Ok(slot)) => slot,
         _ => {
             engine.with_routing(|r| {
@@ -330,10 +338,13 @@
     }
 }
 
-async fn send(engine: &Arc<Engine>, req: &ServiceRequest, slot: route::Slot) -> Try {
-    let Some(addr) = engine.addr_of(&slot.worker) else {
-        give_back(engine, req, &slot, None);
-        return Try::NotRun(refuse(codes::Code::NoUpstream, "The worker's address is not known"));
+async fn send(engine: &Arc<Engine>, req: &ServiceRequest, slot: route::Slot) -> AttemptOutcome {
+    let Some(addr) = engine.worker_addr(&slot.worker) else {
+        release_slot(engine, req, &slot, None);
+        return AttemptOutcome::NotRun(refuse(
+            codes::Code::NoUpstream,
+            "The worker's address is not known",
+        ));
     };
     let client = engine.worker(&addr);
     let began = std::time::Instant::now();
@@ -343,27 +354,27 @@
     let took_ms = began.elapsed().as_secs_f64() * 1000.0;
     match answer {
         ServiceAnswer::Answer(answer) => {
-            give_back(engine, req, &slot, Some(took_ms));
-            Try::Ended(Outcome::Answer { status: answer.status, body: answer.body })
+            release_slot(engine, req, &slot, Some(took_ms));
+            AttemptOutcome::Ended(Outcome::Answer { status: answer.status, body: answer.body })
         }
         ServiceAnswer::Refused(verdict) => {
-            refused_by_worker(engine, req, &slot, verdict);
+            handle_worker_refusal(engine, req, &slot, verdict);
             let why = format!("A worker refused it ({verdict:?})");
-            Try::NotRun(refuse(codes::Code::NoUpstream, &why))
+            AttemptOutcome::NotRun(refuse(codes::Code::NoUpstream, &why))
         }
         ServiceAnswer::NotSent => {
             engine.with_routing(|r| r.router.close(&slot.worker));
-            give_back(engine, req, &slot, None);
-            Try::NotRun(refuse(codes::Code::NoUpstream, "A worker cannot be reached"))
+            release_slot(engine, req, &slot, None);
+            AttemptOutcome::NotRun(refuse(codes::Code::NoUpstream, "A worker cannot be reached"))
         }
         ServiceAnswer::Unclear => {
             engine.with_routing(|r| r.router.abandon(&slot));
-            Try::Unclear
+            AttemptOutcome::Unclear
         }
     }
 }
 
-fn refused_by_worker(
+fn handle_worker_refusal(
     engine: &Arc<Engine>,
     req: &ServiceRequest,
     slot: &route::Slot,
@@ -377,10 +388,10 @@
             verdict,
         });
     }
-    give_back(engine, req, slot, None);
+    release_slot(engine, req, slot, None);
 }
 
-fn give_back(engine: &Arc<Engine>, req: &ServiceRequest, slot: &route::Slot, took: Option<f64>) {
+fn release_slot(engine: &Arc<Engine>, req: &ServiceRequest, slot: &route::Slot, took: Option<f64>) {
     engine.with_routing(|r| r.router.release_slot(slot, &req.service, took));
     crate::executor::wake_waiters(engine);
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,14 +1,14 @@
-//! The entry's settings: one table, and the typed values read from it.
+//! The entry's settings: the table that declares them, and the typed values read from it.
 
 use std::time::Duration;
 
 use gaplock_coord::assign;
 use gaplock_coord::context::Timing;
-use gaplock_settings::{setting, Faults, Kind, Setting, Values};
+use gaplock_settings::{setting, Kind, Setting, SettingErrors, Values};
 use gaplock_types::{ids, time};
 
-const MS: &str = "MS";
-const ANY_MS: Kind = Kind::Number { min: 1, max: 86_400_000 };
+const UNIT_MS: &str = "MS";
+const UP_TO_ONE_DAY_MS: Kind = Kind::Number { min: 1, max: 86_400_000 };
 
 /// Every setting of the entry.
 pub const TABLE: &[Setting] = &[
@@ -90,90 +90,126 @@
     setting(
         "header-limit",
         Kind::Number { min: 100, max: 60_000 },
-        MS,
+        UNIT_MS,
         Some("15000"),
         "How long a connection may wait for a whole header, idle time included.",
     ),
-    setting("store-limit", ANY_MS, MS, Some("1000"), "The longest wait for a store answer."),
-    setting("worker-limit", ANY_MS, MS, Some("1500"), "The longest wait for a command's answer."),
-    setting("stop-limit", ANY_MS, MS, Some("20000"), "The longest time a planned stop takes."),
+    setting(
+        "store-limit",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("1000"),
+        "The longest wait for a store answer.",
+    ),
+    setting(
+        "worker-limit",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("1500"),
+        "The longest wait for a command's answer.",
+    ),
+    setting(
+        "stop-limit",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("20000"),
+        "The longest time a planned stop takes.",
+    ),
     setting(
         "tick",
         Kind::Number { min: 5, max: 1_000 },
-        MS,
+        UNIT_MS,
         Some("100"),
         "How often decisions are made.",
     ),
-    setting("hosts-every", ANY_MS, MS, Some("1000"), "How often the host list is read."),
+    setting(
+        "hosts-every",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("1000"),
+        "How often the host list is read.",
+    ),
     setting(
         "config-wait",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("4000"),
         "How long one waiting read of the configuration lasts.",
     ),
     setting(
         "commit-delay",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("20"),
         "How long a change waits for others to be stored with it.",
     ),
     setting(
         "commit-timeout",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("2000"),
         "After this long an unstored change is answered as unknown.",
     ),
-    setting("lease-every", ANY_MS, MS, Some("4000"), "How often a worker's lease is renewed."),
+    setting(
+        "lease-every",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("4000"),
+        "How often a worker's lease is renewed.",
+    ),
     setting(
         "task-ttl",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("30000"),
         "How long tasks go on at a worker that no owner reaches.",
     ),
     setting(
         "silent-limit",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("120000"),
         "How long a listed worker may be silent before its tasks run elsewhere.",
     ),
     setting(
         "renew-right",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("4500000"),
         "How long an owner goes on without the store; longer than the longest outage.",
     ),
     setting(
         "confirm-every",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("10000"),
         "How often an idle owner checks that it is still owner.",
     ),
     setting(
         "beat-every",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("1000"),
         "How often entries tell each other that they live.",
     ),
-    setting("member-ttl", ANY_MS, MS, Some("3000"), "Silence after which an entry counts as dead."),
+    setting(
+        "member-ttl",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("3000"),
+        "Silence after which an entry counts as dead.",
+    ),
     setting(
         "member-refresh",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("2000"),
         "How often an entry refreshes its record in the store.",
     ),
     setting(
         "config-max-age",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("10000"),
         "How long a configuration is served without evidence that it is the newest.",
     ),
@@ -186,80 +222,88 @@
     ),
     setting(
         "once-keep",
-        ANY_MS,
-        MS,
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
         Some("86400000"),
         "How long the key of a request that must not be repeated is kept.",
     ),
-    setting("job-keep", ANY_MS, MS, Some("3600000"), "How long an ended job stays visible."),
+    setting(
+        "job-keep",
+        UP_TO_ONE_DAY_MS,
+        UNIT_MS,
+        Some("3600000"),
+        "How long an ended job stays visible.",
+    ),
 ];
 
-/// The entry's settings in force.
+/// The entry's settings, typed and checked.
 #[derive(Debug, Clone)]
 pub struct Cfg {
     /// This entry's name.
     pub name: ids::EntryId,
     /// Its failure domain.
     pub domain: ids::DomainId,
-    /// The layout of partitions.
+    /// How partitions are laid out over failure domains.
     pub layout: assign::Layout,
     /// The store's address.
     pub store: String,
     /// The host list's address.
     pub hosts: String,
-    /// The callers' listener.
+    /// Listen address for callers and operators.
     pub listen: String,
-    /// The health listener.
+    /// Listen address for health, readiness and metrics.
     pub listen_health: String,
-    /// The peers' listener.
+    /// Listen address for the other entries.
     pub listen_peers: String,
-    /// What the peers are told, if it differs.
+    /// The address given to the other entries, if it differs from the one listened on.
     pub advertise_peers: Option<String>,
-    /// The shared secret.
+    /// The secret that the entries share; it also signs plans.
     pub peer_secret: String,
-    /// The operator's key before the first configuration.
+    /// The operator's key that is valid until the first configuration is accepted.
     pub bootstrap_key: Option<String>,
     /// The log filter.
     pub log: String,
     /// Limits of the callers' listener.
     pub limits: gaplock_serve::Limits,
-    /// The longest wait for the store.
+    /// The longest wait for the store's answer.
     pub store_limit: Duration,
-    /// The longest wait for a command to a worker.
+    /// The longest wait for a worker's answer to a command.
     pub worker_limit: Duration,
     /// The longest time a planned stop takes.
     pub stop_limit: Duration,
-    /// How often decisions are made.
+    /// The interval between ticks, at which decisions are made.
     pub tick: Duration,
     /// How often the host list is read.
     pub hosts_every: Duration,
-    /// How long one waiting read lasts.
+    /// How long one blocking read of the configuration waits for a change.
     pub config_wait: Duration,
-    /// Spans of the coordination parts.
+    /// Intervals and time limits of the coordination code.
     pub timing: Timing,
 }
 
-fn some(text: &str) -> Option<String> {
+fn non_empty(text: &str) -> Option<String> {
     (!text.is_empty()).then(|| text.to_string())
 }
 
-/// Reads the typed settings and checks those that depend on each other.
+/// Parses the typed settings and checks those that depend on each other.
 ///
 /// # Errors
-/// Returns every fault at once.
-pub fn parse(values: &Values) -> Result<Cfg, Faults> {
+/// Returns all invalid timing settings together, or else the first list or name that does not
+/// parse.
+pub fn parse(values: &Values) -> Result<Cfg, SettingErrors> {
     let domains: Vec<ids::DomainId> = values.list("domains")?;
     let duration = |name| Duration::from_millis(values.number(name));
     let timing = timing(values);
-    let mut faults = faults_between(&timing);
+    let mut errors = timing_errors(&timing);
     if values.number("config-wait") * 2 > timing.config_max_age.0 {
-        faults.push("--config-wait: it must be at most half of --config-max-age".to_string());
+        errors.push("--config-wait: it must be at most half of --config-max-age".to_string());
     }
-    let name = values.text("name").parse().map_err(|e| Faults(vec![format!("--name: {e}")]))?;
+    let name =
+        values.text("name").parse().map_err(|e| SettingErrors(vec![format!("--name: {e}")]))?;
     let domain =
-        values.text("domain").parse().map_err(|e| Faults(vec![format!("--domain: {e}")]))?;
-    if !faults.is_empty() {
-        return Err(Faults(faults));
+        values.text("domain").parse().map_err(|e| SettingErrors(vec![format!("--domain: {e}")]))?;
+    if !errors.is_empty() {
+        return Err(SettingErrors(errors));
     }
     Ok(Cfg {
         name,
@@ -270,9 +314,9 @@
         listen: values.text("listen").to_string(),
         listen_health: values.text("listen-health").to_string(),
         listen_peers: values.text("listen-peers").to_string(),
-        advertise_peers: some(values.text("advertise-peers")),
+        advertise_peers: non_empty(values.text("advertise-peers")),
         peer_secret: values.text("peer-secret").to_string(),
-        bootstrap_key: some(values.text("bootstrap-key")),
+        bootstrap_key: non_empty(values.text("bootstrap-key")),
         log: values.text("log").to_string(),
         limits: gaplock_serve::Limits {
             connections: values.number("max-connections") as usize,
@@ -290,7 +334,7 @@
     })
 }
 
-/// Reads the bounds and intervals.
+/// Reads the intervals and time limits.
 fn timing(values: &Values) -> Timing {
     let millis = |name| time::Millis(values.number(name));
     Timing {
@@ -311,28 +355,29 @@
     }
 }
 
-fn faults_between(t: &Timing) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut need = |good: bool, why: &str| {
-        if !good {
-            faults.push(why.to_string());
+/// Lists the timing settings that are too short compared with another one.
+fn timing_errors(t: &Timing) -> Vec<String> {
+    let mut errors = Vec::new();
+    let mut require = |holds: bool, why: &str| {
+        if !holds {
+            errors.push(why.to_string());
         }
     };
-    need(
+    require(
         t.task_ttl.0 >= 3 * t.lease_every.0,
         "--task-ttl: it must be at least three times --lease-every",
     );
-    need(
+    require(
         t.member_ttl.0 >= 3 * t.beat_every.0,
         "--member-ttl: it must be at least three times --beat-every",
     );
-    need(
+    require(
         t.renew_right.0 >= 3 * t.confirm_every.0,
         "--renew-right: it must be at least three times --confirm-every",
     );
-    need(
+    require(
         t.config_max_age.0 >= 2 * t.member_ttl.0,
         "--config-max-age: it must be at least twice --member-ttl",
     );
-    faults
+    errors
 }
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -1,10 +1,10 @@
-//! The callers' and operators' listener: tide's routes behind our own accept loop.
+//! The listener for callers and operators: tide's routes behind the accept loop of `gaplock_serve`.
 
 use std::io;
 use std::sync::Arc;
 use std::time::Instant;
 
-use gaplock_serve::{BodyFault, Limits, Listener, Whole};
+use gaplock_serve::{BodyError, Limits, Listener, Whole};
 use gaplock_types::{api, codes, config, ids};
 use http_types::headers::HeaderValue;
 use http_types::StatusCode;
@@ -15,13 +15,13 @@
 use crate::engine::Engine;
 use crate::{callers, operators};
 
-/// A request of tide's with the engine as its state.
+/// A tide request with the engine as its state.
 pub type Req = Request<Arc<Engine>>;
-/// The result of a handler; every refusal is an answer.
-pub type Answer<T> = Result<T, api::Refusal>;
+/// The result of a handler; a refusal is sent as an answer.
+pub type HandlerResult<T> = Result<T, api::Refusal>;
 
-const REQUEST_ID: &str = "x-request-id";
-const MAX_ID_BYTES: usize = 64;
+const REQUEST_ID_HEADER: &str = "x-request-id";
+const MAX_REQUEST_ID_BYTES: usize = 64;
 
 /// Binds the listener.
 ///
@@ -29,7 +29,7 @@
 /// Returns the error of binding the address.
 pub async fn bind(addr: &str, limits: Limits, engine: Arc<Engine>) -> io::Result<Listener> {
     let app = routes(Arc::clone(&engine));
-    let handler = move |whole: Whole| answer(app.clone(), Arc::clone(&engine), whole);
+    let handler = move |request: Whole| answer(app.clone(), Arc::clone(&engine), request);
     gaplock_serve::bind(addr, limits, handler).await
 }
 
@@ -53,60 +53,65 @@
 async fn answer(
     app: tide::Server<Arc<Engine>>,
     engine: Arc<Engine>,
-    whole: Whole,
+    request: Whole,
 ) -> http_types::Response {
     let began = Instant::now();
-    let mut req = whole.req;
+    let mut req = request.req;
     let path = req.url().path().to_string();
-    let id = request_id(&engine, req.header(REQUEST_ID).map(|v| v.last().as_str()));
-    req.insert_header(REQUEST_ID, id.as_str());
-    let res = match whole.body {
+    let id = request_id(&engine, req.header(REQUEST_ID_HEADER).map(|v| v.last().as_str()));
+    req.insert_header(REQUEST_ID_HEADER, id.as_str());
+    let res = match request.body {
         Ok(bytes) => {
             req.set_body(bytes);
             let routed: Result<http_types::Response, _> = app.respond(req).await;
             routed.unwrap_or_else(|_| http_types::Response::new(StatusCode::InternalServerError))
         }
-        Err(BodyFault::TooLarge) => refusal(&api::Refusal::new(codes::Code::TooLarge, "")).into(),
-        Err(BodyFault::Cut) => {
+        Err(BodyError::TooLarge) => {
+            refusal_response(&api::Refusal::new(codes::Code::TooLarge, "")).into()
+        }
+        Err(BodyError::Truncated) => {
             let why = "The body ended before its declared length or did not come in time";
-            refusal(&api::Refusal::new(codes::Code::BadRequest, why)).into()
+            refusal_response(&api::Refusal::new(codes::Code::BadRequest, why)).into()
         }
     };
-    let mut res = no_route(res);
-    res.insert_header(REQUEST_ID, id.as_str());
-    engine.metrics.answered(&path, &res, began.elapsed());
+    let mut res = add_code_if_unrouted(res);
+    res.insert_header(REQUEST_ID_HEADER, id.as_str());
+    engine.metrics.count_answer(&path, &res, began.elapsed());
     tracing::debug!(request_id = id, path, status = u16::from(res.status()), "answered");
     res
 }
 
-/// Gives tide's own "not found" and "method not allowed" a result code.
-fn no_route(res: http_types::Response) -> http_types::Response {
+/// Replaces tide's own "not found" and "method not allowed" by an answer with a result code.
+fn add_code_if_unrouted(res: http_types::Response) -> http_types::Response {
     if res.is_empty() == Some(true) && res.status().is_client_error() {
         let why = "There is no such path or method";
-        return refusal(&api::Refusal::new(codes::Code::NotFound, why)).into();
+        return refusal_response(&api::Refusal::new(codes::Code::NotFound, why)).into();
     }
     res
 }
 
+/// Returns the request id that the caller gave if it is valid, else a new one.
 fn request_id(engine: &Engine, given: Option<&str>) -> String {
-    let fine = |id: &&str| {
-        id.len() <= MAX_ID_BYTES && !id.is_empty() && id.bytes().all(|b| b.is_ascii_graphic())
+    let valid = |id: &&str| {
+        id.len() <= MAX_REQUEST_ID_BYTES
+            && !id.is_empty()
+            && id.bytes().all(|b| b.is_ascii_graphic())
     };
-    match given.filter(fine) {
+    match given.filter(valid) {
         Some(id) => id.to_string(),
         None => format!("{}-{:x}", engine.me.entry, engine.next_id()),
     }
 }
 
 /// Returns the request's id.
-pub fn id_of(req: &Req) -> String {
-    req.header(REQUEST_ID).map(|v| v.last().as_str().to_string()).unwrap_or_default()
+pub fn request_id_of(req: &Req) -> String {
+    req.header(REQUEST_ID_HEADER).map(|v| v.last().as_str().to_string()).unwrap_or_default()
 }
 
-/// Builds the answer that carries a refusal.
-pub fn refusal(refusal: &api::Refusal) -> Response {
+/// Builds the answer for a refusal.
+pub fn refusal_response(refusal: &api::Refusal) -> Response {
     let status = refusal.result_code().row().status;
-    let mut res = json(status, refusal);
+    let mut res = json_response(status, refusal);
     if let Some(seconds) = refusal.retry_after_s {
         res.insert_header("retry-after", seconds.to_string());
     }
@@ -115,24 +120,25 @@
 }
 
 /// Builds an answer with a JSON body.
-pub fn json(status: u16, body: &impl Serialize) -> Response {
+pub fn json_response(status: u16, body: &impl Serialize) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut res = Response::new(status);
-    res.set_body(serde_json::to_vec(body).expect("plain data serialises"));
+    res.set_body(serde_json::to_vec(body).expect("plain data always serializes to JSON"));
     res.insert_header("content-type", "application/json");
     res
 }
 
-/// Turns a handler's result into an answer.
-pub fn respond<T: Serialize>(answer: Answer<T>) -> tide::Result {
+/// Converts a handler's result into an answer.
+pub fn respond<T: Serialize>(answer: HandlerResult<T>) -> tide::Result {
     Ok(match answer {
-        Ok(body) => json(200, &body),
-        Err(r) => refusal(&r),
+        Ok(body) => json_response(200, &body),
+        Err(r) => refusal_response(&r),
     })
 }
 
-/// Tells who sent the request, if this entry has a fresh configuration to tell by.
-pub fn identity(req: &Req) -> Answer<Identity> {
+/// Returns who sent the request. Refuses if this entry's configuration is not fresh, since its keys
+/// may then be out of date.
+pub fn identity(req: &Req) -> HandlerResult<Identity> {
     let engine = req.state();
     let config = engine.with_core(|core| {
         core.node.generations.fresh(&core.cx).then(|| std::sync::Arc::clone(&core.cx.config))
@@ -156,8 +162,8 @@
     }
 }
 
-/// Requires a partner's key.
-pub fn partner(req: &Req) -> Answer<ids::PartnerId> {
+/// Requires a partner's key; returns the partner.
+pub fn require_partner(req: &Req) -> HandlerResult<ids::PartnerId> {
     match identity(req)? {
         Identity::Partner(id) => Ok(id),
         Identity::Operator(..) => {
@@ -167,22 +173,22 @@
 }
 
 /// Requires an operator's key with at least the given right; returns the operator's name.
-pub fn operator(req: &Req, right: config::Right) -> Answer<String> {
+pub fn require_operator(req: &Req, right: config::Right) -> HandlerResult<String> {
     match identity(req)? {
         Identity::Operator(name, has) if has == right || has == config::Right::Change => Ok(name),
         _ => Err(api::Refusal::new(codes::Code::Forbidden, "This needs an operator's right")),
     }
 }
 
-/// Reads the body as JSON.
-pub async fn body<T: serde::de::DeserializeOwned>(req: &mut Req) -> Answer<T> {
+/// Parses the body as JSON.
+pub async fn json_body<T: serde::de::DeserializeOwned>(req: &mut Req) -> HandlerResult<T> {
     let bytes = req.body_bytes().await.unwrap_or_default();
     serde_json::from_slice(&bytes)
         .map_err(|e| api::Refusal::new(codes::Code::BadRequest, format!("The body: {e}")))
 }
 
-/// Reads a part of the path as an identifier.
-pub fn path_id<T: std::str::FromStr>(req: &Req, name: &str) -> Answer<T>
+/// Parses the path parameter `name` as an identifier.
+pub fn path_id<T: std::str::FromStr>(req: &Req, name: &str) -> HandlerResult<T>
 where
     T::Err: std::fmt::Display,
 {
@@ -190,8 +196,8 @@
     text.parse().map_err(|e: T::Err| api::Refusal::new(codes::Code::BadRequest, e.to_string()))
 }
 
-/// Reads the caller's key for this request.
-pub fn request_key(req: &Req) -> Answer<Option<ids::RequestKey>> {
+/// Reads the idempotency key, if the request has one.
+pub fn request_key(req: &Req) -> HandlerResult<Option<ids::RequestKey>> {
     let Some(values) = req.header("idempotency-key") else { return Ok(None) };
     let key = values.last().as_str().parse::<ids::RequestKey>();
     key.map(Some).map_err(|e| api::Refusal::new(codes::Code::BadRequest, e.to_string()))
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,9 +1,10 @@
 //! An accept loop for HTTP with limits and a graceful stop.
 //!
-//! tide has neither a graceful stop nor much defence against slow or endless input, so this loop
-//! stands around `async_h1` and hands whole requests to a handler: connections are counted, a
-//! header must come in time, a body must be whole, in time and not too large. A stop first lets
-//! every answer in flight go out with `Connection: close`, then closes idle connections.
+//! tide has no graceful stop and little protection against slow or endless input. This loop wraps
+//! `async_h1` and passes complete requests to a handler: it limits the number of connections, the
+//! time that a header and a body may take, and the size of a body; truncated bodies are errors. A
+//! stop first sends every outstanding answer with `Connection: close`, then closes idle
+//! connections.
 
 use std::future::Future;
 use std::io;
@@ -21,13 +22,13 @@
 /// Limits of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections at once; further ones are closed at once.
+    /// The most connections at a time; further ones are closed on accept.
     pub connections: usize,
-    /// How long a connection may wait for a whole header, idle time included.
+    /// The longest wait for a complete header, idle time included.
     pub header: Duration,
-    /// How long a body may take.
+    /// The longest time to read a body.
     pub body: Duration,
-    /// The largest body in bytes.
+    /// The largest body, in bytes.
     pub body_bytes: usize,
 }
 
@@ -42,26 +43,26 @@
     }
 }
 
-/// Why a request's body was refused.
+/// Why a request's body was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BodyFault {
-    /// It is above the limit.
+pub enum BodyError {
+    /// The body is larger than the limit.
     TooLarge,
-    /// It ended before its declared length, or did not come in time.
-    Cut,
+    /// The body ended before its declared length, or was not read within its time limit.
+    Truncated,
 }
 
-/// A request whose whole body has been read.
+/// A request and the result of reading its body.
 #[derive(Debug)]
 pub struct Whole {
     /// The request; its own body is empty.
     pub req: Request,
-    /// The body, or why it was refused.
-    pub body: Result<Vec<u8>, BodyFault>,
+    /// The body, or why it was not accepted.
+    pub body: Result<Vec<u8>, BodyError>,
 }
 
 #[derive(Debug, Default)]
-struct Shared {
+struct ListenerState {
     stopping: AtomicBool,
     connections: AtomicUsize,
     in_flight: AtomicUsize,
@@ -71,13 +72,13 @@
 #[derive(Debug)]
 pub struct Listener {
     addr: SocketAddr,
-    shared: Arc<Shared>,
+    shared: Arc<ListenerState>,
     accepting: Option<task::JoinHandle<()>>,
 }
 
-const STOP_POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Binds `addr` and hands every whole request to `handler`.
+/// Binds `addr` and passes every request to `handler` after its body has been read.
 ///
 /// # Errors
 /// Returns the error of binding the address.
@@ -88,13 +89,13 @@
 {
     let listener = net::TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
-    let shared = Arc::new(Shared::default());
+    let shared = Arc::new(ListenerState::default());
     let accepting = task::spawn(accept(listener, limits, Arc::clone(&shared), handler));
     Ok(Listener { addr, shared, accepting: Some(accepting) })
 }
 
 impl Listener {
-    /// Returns the bound address, with the port that the kernel gave.
+    /// Returns the bound address, with the port that the kernel assigned.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -104,18 +105,18 @@
         self.shared.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Asks clients to leave: every answer from now on closes its connection.
+    /// Starts draining: from now on every answer closes its connection.
     pub fn drain(&self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Drains, waits until nothing is in flight or `limit` has passed, then stops accepting.
+    /// Drains, waits until no request is in flight or `limit` has passed, then stops accepting.
     /// Returns how many requests were cut off.
     pub async fn stop(mut self, limit: Duration) -> usize {
         self.drain();
         let began = Instant::now();
         while self.in_flight() > 0 && began.elapsed() < limit {
-            task::sleep(STOP_POLL).await;
+            task::sleep(POLL_INTERVAL).await;
         }
         if let Some(accepting) = self.accepting.take() {
             accepting.cancel().await;
@@ -124,16 +125,21 @@
     }
 }
 
-async fn accept<H, F>(listener: net::TcpListener, limits: Limits, shared: Arc<Shared>, handler: H)
-where
+async fn accept<H, F>(
+    listener: net::TcpListener,
+    limits: Limits,
+    shared: Arc<ListenerState>,
+    handler: H,
+) where
     H: Fn(Whole) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let mut incoming = listener.incoming();
     while let Some(stream) = incoming.next().await {
-        // An accept error, such as too many open files, passes; the loop must not spin on it.
+        // An accept error, such as too many open files, is temporary. The delay keeps the loop from
+        // spinning until it has passed.
         let Ok(stream) = stream else {
-            task::sleep(STOP_POLL).await;
+            task::sleep(POLL_INTERVAL).await;
             continue;
         };
         if shared.connections.load(Ordering::SeqCst) >= limits.connections {
@@ -142,40 +148,44 @@
         shared.connections.fetch_add(1, Ordering::SeqCst);
         let (shared, handler) = (Arc::clone(&shared), handler.clone());
         task::spawn(async move {
-            // Failing to switch off Nagle's algorithm costs time only.
-            let _slower = stream.set_nodelay(true);
+            // If Nagle's algorithm can't be switched off, answers are only slower.
+            let _ignored = stream.set_nodelay(true);
             serve(stream, limits, &shared, handler).await;
             shared.connections.fetch_sub(1, Ordering::SeqCst);
         });
     }
 }
 
-async fn serve<H, F>(stream: net::TcpStream, limits: Limits, shared: &Arc<Shared>, handler: H)
-where
+async fn serve<H, F>(
+    stream: net::TcpStream,
+    limits: Limits,
+    shared: &Arc<ListenerState>,
+    handler: H,
+) where
     H: Fn(Whole) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    // Holds the request's count until its answer has been written, not only made.
-    let answering: Answering = Arc::default();
-    let for_requests = (Arc::clone(shared), Arc::clone(&answering));
+    // Counts the request as in flight until its answer has been written, not only built.
+    let current: CurrentRequest = Arc::default();
+    let captured = (Arc::clone(shared), Arc::clone(&current));
     let mut server = Server::new(stream, move |req| {
-        let ((shared, answering), handler) = (for_requests.clone(), handler.clone());
+        let ((shared, current), handler) = (captured.clone(), handler.clone());
         async move {
-            let counted = Arc::new(InFlight::begin(&shared));
-            let kept = Some(Arc::clone(&counted));
-            *answering.lock().expect("no holder of the lock panics") = kept;
-            Ok(answer(req, limits, &shared, counted, handler).await)
+            let in_flight = Arc::new(InFlight::begin(&shared));
+            let kept = Some(Arc::clone(&in_flight));
+            *current.lock().expect("no holder of the lock panics") = kept;
+            Ok(answer(req, limits, &shared, in_flight, handler).await)
         }
     });
     loop {
         let exchange = server.accept_one();
-        let late = late_header(limits.header, &answering);
-        futures::pin_mut!(exchange, late);
-        let ended = match futures::future::select(exchange, late).await {
+        let timeout = header_timeout(limits.header, &current);
+        futures::pin_mut!(exchange, timeout);
+        let ended = match futures::future::select(exchange, timeout).await {
             Either::Left((status, _)) => status,
             Either::Right(((), _)) => return,
         };
-        answering.lock().expect("no holder of the lock panics").take();
+        current.lock().expect("no holder of the lock panics").take();
         match ended {
             Ok(ConnectionStatus::KeepAlive) => {}
             Ok(ConnectionStatus::Close) | Err(_) => return,
@@ -183,25 +193,26 @@
     }
 }
 
-/// Ends once `limit` has passed without a whole header; never ends after one has come.
-async fn late_header(limit: Duration, answering: &Mutex<Option<Arc<InFlight>>>) {
+/// Completes when `limit` has passed without a complete header. If one has arrived by then, it
+/// never completes.
+async fn header_timeout(limit: Duration, current: &Mutex<Option<Arc<InFlight>>>) {
     task::sleep(limit).await;
-    let begun = answering.lock().expect("no holder of the lock panics").is_some();
-    if begun {
+    let header_read = current.lock().expect("no holder of the lock panics").is_some();
+    if header_read {
         futures::future::pending::<()>().await;
     }
 }
 
-/// The count of the request that a connection is answering.
-type Answering = Arc<Mutex<Option<Arc<InFlight>>>>;
+/// The in-flight guard of the request that a connection is answering, if any.
+type CurrentRequest = Arc<Mutex<Option<Arc<InFlight>>>>;
 
-/// Counts a request as in flight for as long as it lives: until its work has ended and its answer
-/// has been written.
+/// A guard that counts a request as in flight until it is dropped: when its handler has ended and
+/// its answer has been written.
 #[derive(Debug)]
-struct InFlight(Arc<Shared>);
+struct InFlight(Arc<ListenerState>);
 
 impl InFlight {
-    fn begin(shared: &Arc<Shared>) -> Self {
+    fn begin(shared: &Arc<ListenerState>) -> Self {
         shared.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(shared))
     }
@@ -216,8 +227,8 @@
 async fn answer<H, F>(
     mut req: Request,
     limits: Limits,
-    shared: &Shared,
-    counted: Arc<InFlight>,
+    shared: &ListenerState,
+    in_flight: Arc<InFlight>,
     handler: H,
 ) -> Response
 where
@@ -225,38 +236,38 @@
     F: Future<Output = Response> + Send + 'static,
 {
     let body = read_body(&mut req, limits).await;
-    let unread = body.is_err();
+    let body_unread = body.is_err();
     let handling = handler(Whole { req, body });
-    // The work goes on in a task of its own, so that a caller who leaves does not cut it short
-    // between a claim and its record.
+    // The handler runs in a task of its own, so that a caller who disconnects doesn't cancel it
+    // between storing a claim and storing how the request ended.
     let res = task::spawn(async move {
         let res = handling.await;
-        drop(counted);
+        drop(in_flight);
         res
     });
     let mut res = res.await;
-    if unread || shared.stopping.load(Ordering::SeqCst) {
+    if body_unread || shared.stopping.load(Ordering::SeqCst) {
         res.insert_header("connection", "close");
     }
     res
 }
 
-async fn read_body(req: &mut Request, limits: Limits) -> Result<Vec<u8>, BodyFault> {
+async fn read_body(req: &mut Request, limits: Limits) -> Result<Vec<u8>, BodyError> {
     let declared = req.len();
     if declared.is_some_and(|len| len > limits.body_bytes) {
-        return Err(BodyFault::TooLarge);
+        return Err(BodyError::TooLarge);
     }
     let mut bytes = Vec::with_capacity(declared.unwrap_or(0));
     let mut body = req.take_body().take(limits.body_bytes as u64 + 1);
     let read = future::timeout(limits.body, body.read_to_end(&mut bytes)).await;
     match read {
-        Ok(Ok(_)) if bytes.len() > limits.body_bytes => Err(BodyFault::TooLarge),
+        Ok(Ok(_)) if bytes.len() > limits.body_bytes => Err(BodyError::TooLarge),
         Ok(Ok(_)) if declared.is_none_or(|len| len == bytes.len()) => Ok(bytes),
-        _ => Err(BodyFault::Cut),
+        _ => Err(BodyError::Truncated),
     }
 }
 
-/// Builds an answer from a status and a JSON body.
+/// Builds an answer from a status and an encoded JSON body.
 pub fn json_response(status: u16, body: Vec<u8>) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut res = Response::new(status);
