--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -158,8 +158,8 @@
     /// A step depends on itself or on a later one.
     #[display("a step may only follow earlier steps")]
     InvalidStepOrder,
-    /// The job has more than [`MOST_TASKS`] tasks.
-    #[display("a job may have at most {MOST_TASKS} tasks")]
+    /// The job has more than [`MAX_TASKS_PER_JOB`] tasks.
+    #[display("a job may have at most {MAX_TASKS_PER_JOB} tasks")]
     TooManyTasks,
     /// The spec is longer than [`SPEC_MAX_BYTES`].
     #[display("the spec is longer than {SPEC_MAX_BYTES} bytes")]
@@ -171,7 +171,7 @@
 
 /// The maximum number of tasks that the steps of one job may have together; the users' widest jobs
 /// have some hundred tasks. It bounds how much state one request makes the leader keep.
-pub const MOST_TASKS: u64 = 20_000;
+pub const MAX_TASKS_PER_JOB: u64 = 20_000;
 
 /// Checks the properties of a job that the scheduler relies on.
 ///
@@ -182,7 +182,7 @@
         return Err(JobError::SpecTooLong);
     }
     let tasks: u64 = job.steps.iter().map(|step| u64::from(step.count)).sum();
-    if tasks > MOST_TASKS {
+    if tasks > MAX_TASKS_PER_JOB {
         return Err(JobError::TooManyTasks);
     }
     if job.steps.is_empty() {
--- a/crates/jobs/tests/jobs.rs
+++ b/crates/jobs/tests/jobs.rs
@@ -1,6 +1,6 @@
 //! Tests the validation of jobs and the text form of their keys.
 
-use gaplock_jobs::job::{validate, JobError, MOST_TASKS, SPEC_MAX_BYTES};
+use gaplock_jobs::job::{validate, JobError, MAX_TASKS_PER_JOB, SPEC_MAX_BYTES};
 use gaplock_jobs::{progress, Job, JobKey, Step, TaskKey};
 
 fn job(steps: Vec<Step>) -> Job {
@@ -28,7 +28,7 @@
 
 #[test]
 fn the_number_of_tasks_and_the_length_of_the_spec_are_limited() {
-    let most = u32::try_from(MOST_TASKS).expect("MOST_TASKS fits in 32 bits");
+    let most = u32::try_from(MAX_TASKS_PER_JOB).expect("MAX_TASKS_PER_JOB fits in 32 bits");
     assert_eq!(validate(&job(vec![step(most, &[])])), Ok(()));
     assert_eq!(
         validate(&job(vec![step(u32::MAX, &[]), step(1, &[])])),
--- a/crates/sched/src/state/job_table.rs
+++ b/crates/sched/src/state/job_table.rs
@@ -178,7 +178,7 @@
     /// tasks than one job may have, so that no request makes a leader keep more.
     pub fn is_at_round_limit(&self) -> bool {
         let tasks: u64 = self.job.steps.iter().map(|step| u64::from(step.count)).sum();
-        self.rounds.len() as u64 >= (job::MOST_TASKS / tasks.max(1)).max(1)
+        self.rounds.len() as u64 >= (job::MAX_TASKS_PER_JOB / tasks.max(1)).max(1)
     }
 
     /// Iterates over all tasks of the rounds in progress.
