--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -126,7 +126,7 @@
             }
             self.commit(now);
             self.update_metrics(now);
-            self.cx.freshness.answered(self.engine.leadership.confirmed_at());
+            self.cx.freshness.record_answer(self.engine.leadership.confirmed_at());
             let wait = self.cx.next_wake().since(now).as_duration();
             match future::timeout(wait, self.rx.recv()).await {
                 Ok(Ok(message)) => self.handle_batch(message),
--- a/crates/node/src/store_writer.rs
+++ b/crates/node/src/store_writer.rs
@@ -127,7 +127,7 @@
         let revision = CommitRevision(commits.map_or(0, |item| item.revision.0));
         // If a newer commit is stored, that alone decides, and the claim is not read.
         let leads = revision == self.writer.last() && self.is_claim_stored().await?;
-        Ok(StoreView::Last { mark: id, revision, leads })
+        Ok(StoreView::Last { id, revision, leads })
     }
 
     /// Returns whether the claim is still stored.
--- a/crates/sched/src/changes/commits.rs
+++ b/crates/sched/src/changes/commits.rs
@@ -22,7 +22,7 @@
 /// Marks a job's progress as changed.
 pub fn mark_dirty(commits: &mut Commits, now: Instant, job: JobKey) {
     commits.dirty_jobs.insert(job);
-    commits.since.get_or_insert(now);
+    commits.oldest_change.get_or_insert(now);
 }
 
 /// Marks a job's progress as changed in a way that the caller waits for.
@@ -33,8 +33,8 @@
 
 /// Adds a record other than a job's progress. It replaces an earlier record of the same subject.
 pub fn add(cx: &mut State, record: Record) {
-    cx.commits.other.put(record);
-    cx.commits.since.get_or_insert(cx.now);
+    cx.commits.other_records.put(record);
+    cx.commits.oldest_change.get_or_insert(cx.now);
 }
 
 /// Adds a worker to the stored roster. The worker gets tasks once that is stored.
@@ -50,20 +50,20 @@
 
 /// Requests a commit, so that recorded ends which changed no job's progress are acknowledged, too.
 pub fn request_commit(cx: &mut State) {
-    cx.commits.since.get_or_insert(cx.now);
+    cx.commits.oldest_change.get_or_insert(cx.now);
 }
 
 /// Returns the records of the next commit, if one is due and none is in flight. The driver must
 /// answer with [`crate::Event::Committed`] or [`crate::Event::CommitFailed`].
 pub fn take(cx: &mut State, now: Instant) -> Option<Vec<Record>> {
-    let since = cx.commits.since?;
+    let since = cx.commits.oldest_change?;
     let due = cx.commits.urgent || now.since(since) >= cx.settings.commit_delay;
     if cx.commits.in_flight.is_some() || !due {
         return None;
     }
     let jobs = mem::take(&mut cx.commits.dirty_jobs);
-    let other = mem::take(&mut cx.commits.other);
-    cx.commits.since = None;
+    let other = mem::take(&mut cx.commits.other_records);
+    cx.commits.oldest_change = None;
     cx.commits.urgent = false;
     saved::commit_began(cx, &jobs);
     let ends = uncommitted_ends(cx);
@@ -72,7 +72,8 @@
     let covered_jobs = entries.clone().map(|e| (e.job.key, e.state)).collect();
     let mut records: Vec<Record> = entries.map(|e| Record::Progress(progress_of(e))).collect();
     records.extend(other.iter().cloned());
-    cx.commits.in_flight = Some(InFlightCommit { jobs: covered_jobs, ends, other, roster });
+    cx.commits.in_flight =
+        Some(InFlightCommit { jobs: covered_jobs, ends, other_records: other, roster });
     Some(records)
 }
 
@@ -111,7 +112,7 @@
         worker.in_roster = worker.roster_pending;
         worker.roster_pending = false;
     }
-    for record in covered.other.iter() {
+    for record in covered.other_records.iter() {
         if let Record::Wave(progress) = record {
             cx.maintenance.note_stored(progress);
         }
@@ -122,15 +123,15 @@
 /// Makes everything in the commit in flight due again after it was not stored.
 pub fn failed(cx: &mut State) {
     let Some(covered) = cx.commits.in_flight.take() else { return };
-    trace::commit_failed(covered.jobs.len(), covered.other.len());
+    trace::commit_failed(covered.jobs.len(), covered.other_records.len());
     saved::commit_ended(cx, false);
     let now = cx.now;
     for (key, _) in covered.jobs {
         mark_dirty(&mut cx.commits, now, key);
     }
-    let newer = mem::replace(&mut cx.commits.other, covered.other);
-    cx.commits.other.put_all(newer);
-    cx.commits.since.get_or_insert(now);
+    let newer = mem::replace(&mut cx.commits.other_records, covered.other_records);
+    cx.commits.other_records.put_all(newer);
+    cx.commits.oldest_change.get_or_insert(now);
 }
 
 /// Builds the stored form of a job's progress.
--- a/crates/sched/src/changes/crashes.rs
+++ b/crates/sched/src/changes/crashes.rs
@@ -23,6 +23,6 @@
 
 pub use evidence::worker_lost;
 pub use inherited::{
-    count_loss_of_holder, count_losses_without_holder, register_suspects, restore_suspicion,
+    count_loss_of_holder, count_losses_without_holder, register_suspects, restore_crash_evidence,
 };
 pub use resolution::{check, worker_answers, worker_terminated};
--- a/crates/sched/src/changes/crashes/inherited.rs
+++ b/crates/sched/src/changes/crashes/inherited.rs
@@ -22,7 +22,7 @@
 const MAX_POSSIBLE_CRASHES: usize = 1_000;
 
 /// Restores what a previous leader stored about a task's crashes.
-pub fn restore_suspicion(record: &TaskRecord) -> Option<Box<CrashEvidence>> {
+pub fn restore_crash_evidence(record: &TaskRecord) -> Option<Box<CrashEvidence>> {
     let (crashed, possible_crash) = (record.crashed.clone(), record.perhaps_crashed.clone());
     if crashed.is_empty() && possible_crash.is_none() {
         return None;
--- a/crates/sched/src/changes/crashes/recorded_starts.rs
+++ b/crates/sched/src/changes/crashes/recorded_starts.rs
@@ -19,7 +19,7 @@
 /// Holds back the start of a suspect until it is stored. Returns whether the start has to wait for
 /// that. The starts of a gang are sent together without waiting, since the members wait for each
 /// other on their workers for a short time only.
-pub fn hold_until_stored(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) -> bool {
+pub fn hold_start_until_stored(cx: &mut State, ix: WorkerIx, key: TaskKey, run: Run) -> bool {
     let id = cx.worker(ix).info.id.clone();
     let is_gang = cx.step(key).is_some_and(|step| step.gang);
     let Some(evidence) = cx.task_mut(key).and_then(|t| t.crash_evidence.as_mut()) else {
--- a/crates/sched/src/changes/freshness.rs
+++ b/crates/sched/src/changes/freshness.rs
@@ -21,7 +21,7 @@
 const MAX_PENDING_REVISIONS: usize = 64;
 
 /// Records the store's revision at a point in time.
-pub fn record_mark(cx: &mut State, sample: RevisionSample) {
+pub fn record_revision(cx: &mut State, sample: RevisionSample) {
     let freshness = &mut cx.freshness;
     if freshness.pending_revisions.len() < MAX_PENDING_REVISIONS {
         freshness.pending_revisions.push_back(sample);
--- a/crates/sched/src/changes/maintenance.rs
+++ b/crates/sched/src/changes/maintenance.rs
@@ -63,7 +63,7 @@
     let is_new = known.is_none();
     let progress = known.unwrap_or(fresh);
     let age = Millis(cx.unix_ms.saturating_sub(progress.began_unix_ms));
-    let until = now + Millis(request.within.0.saturating_sub(age.0));
+    let deadline = now + Millis(request.within.0.saturating_sub(age.0));
     trace::wave_known(&request, progress.begun.len());
     if is_new {
         commits::add(cx, Record::Wave(progress.clone()));
@@ -71,7 +71,7 @@
     let inherited: BTreeSet<ids::HostId> = progress.ordered.keys().cloned().collect();
     let wave = Wave {
         request,
-        until,
+        deadline,
         ordered: progress.ordered.clone(),
         progress,
         operators_notified: !is_new,
--- a/crates/sched/src/changes/pacing/paces.rs
+++ b/crates/sched/src/changes/pacing/paces.rs
@@ -98,7 +98,7 @@
         slot.slowed_since.get_or_insert(now);
     }
     slot.pace_order_in_flight = true;
-    slot.pace_orders.send(now, target.pace);
+    slot.pace_orders.record_send(now, target.pace);
     trace::pace_ordered(target.key, slot, &worker.info.id, target.pace);
     let (task, run, percent) = (target.key, target.run, target.pace);
     cx.actions.push(Action::Pace { worker: ix, task, run, percent });
--- a/crates/sched/src/changes/starts.rs
+++ b/crates/sched/src/changes/starts.rs
@@ -22,7 +22,7 @@
 /// Sends the start of a run that has its slot. If the task is a suspect, holds the start back until
 /// it is stored.
 pub fn send(cx: &mut State, ix: WorkerIx, task: TaskKey, run: Run) {
-    if !recorded_starts::hold_until_stored(cx, ix, task, run) {
+    if !recorded_starts::hold_start_until_stored(cx, ix, task, run) {
         orders::send_start(cx, ix, task, run);
     }
 }
--- a/crates/sched/src/changes/takeover.rs
+++ b/crates/sched/src/changes/takeover.rs
@@ -186,7 +186,7 @@
             task.failed = note.failed;
             task.counted_runs = note.counted_runs.iter().copied().map(Run).collect();
             task.checkpoint = checkpoints::restored(step, note);
-            task.crash_evidence = crashes::restore_suspicion(note);
+            task.crash_evidence = crashes::restore_crash_evidence(note);
         }
     }
 }
--- a/crates/sched/src/context.rs
+++ b/crates/sched/src/context.rs
@@ -105,7 +105,7 @@
             Event::Unlisted(id) => directory::unlisted(self, &id),
             Event::DirectoryRecovered => self.directory_recovered_at = self.now,
             Event::DirectoryRead(read) => freshness::directory_read(self, read),
-            Event::StoreRevision(sample) => freshness::record_mark(self, sample),
+            Event::StoreRevision(sample) => freshness::record_revision(self, sample),
             Event::Evacuated(evacuated) => evacuation::apply(self, evacuated),
             Event::Renewed { worker, sent, outcome } => {
                 renewals::handle_renewal_outcome(self, worker, sent, outcome);
--- a/crates/sched/src/decisions/waves.rs
+++ b/crates/sched/src/decisions/waves.rs
@@ -44,7 +44,7 @@
 fn is_late(wave: &Wave, now: Instant) -> bool {
     let at_once = wave.request.at_once.max(1) as usize;
     let rounds = remaining_hosts(wave).count().div_ceil(at_once) as u64;
-    now + Millis(rounds * HOST_MAINTENANCE_TIME.0) >= wave.until
+    now + Millis(rounds * HOST_MAINTENANCE_TIME.0) >= wave.deadline
 }
 
 /// Lists the hosts of a wave whose maintenance has not begun, without the excluded ones.
--- a/crates/sched/src/interface/commit_writer.rs
+++ b/crates/sched/src/interface/commit_writer.rs
@@ -45,7 +45,7 @@
     /// The last stored commit and, if that is the last one known, whether the claim is still valid.
     Last {
         /// Its identifier, if it can be read.
-        mark: Option<CommitId>,
+        id: Option<CommitId>,
         /// Its revision.
         revision: CommitRevision,
         /// Whether the leadership is still stored as it was claimed.
@@ -136,8 +136,8 @@
     /// identifier nor the revision of the last known commit, another leader wrote it: each earlier
     /// transaction is stored as that commit or never will be.
     pub fn store_read(&mut self, view: StoreView) -> NextStep {
-        let StoreView::Last { mark, revision, leads } = view else { return NextStep::Wait };
-        if mark == Some(self.last_id) {
+        let StoreView::Last { id, revision, leads } = view else { return NextStep::Wait };
+        if id == Some(self.last_id) {
             return self.stored(revision);
         }
         if revision != self.last || !leads {
--- a/crates/sched/src/state/commits.rs
+++ b/crates/sched/src/state/commits.rs
@@ -67,9 +67,9 @@
     /// Jobs whose progress has changed.
     pub(crate) dirty_jobs: BTreeSet<JobKey>,
     /// Records other than jobs' progress.
-    pub(crate) other: Records,
+    pub(crate) other_records: Records,
     /// Since when the oldest change has been waiting.
-    pub(crate) since: Option<Instant>,
+    pub(crate) oldest_change: Option<Instant>,
     /// Whether the next commit must not wait for further changes.
     pub(crate) urgent: bool,
     /// The commit that is being stored.
@@ -84,7 +84,7 @@
     /// The last end that it covers of each worker.
     pub(crate) ends: Vec<(WorkerIx, EndSeq)>,
     /// Its records other than jobs' progress.
-    pub(crate) other: Records,
+    pub(crate) other_records: Records,
     /// The workers that it adds to the roster.
     pub(crate) roster: Vec<WorkerIx>,
 }
--- a/crates/sched/src/state/freshness.rs
+++ b/crates/sched/src/state/freshness.rs
@@ -21,7 +21,7 @@
 
 impl Freshness {
     /// Records that the store has answered a call that was sent at `sent`.
-    pub fn answered(&mut self, sent: Instant) {
+    pub fn record_answer(&mut self, sent: Instant) {
         self.last_answered_at = self.last_answered_at.max(sent);
     }
 
--- a/crates/sched/src/state/maintenance.rs
+++ b/crates/sched/src/state/maintenance.rs
@@ -37,7 +37,7 @@
 pub(crate) struct Wave {
     pub(crate) request: WaveRequest,
     /// When it must be finished.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
     pub(crate) progress: WaveProgress,
     /// Whether the operators have been notified of the wave; no host goes down before.
     pub(crate) operators_notified: bool,
--- a/crates/sched/src/state/pace_orders.rs
+++ b/crates/sched/src/state/pace_orders.rs
@@ -33,7 +33,7 @@
     }
 
     /// Records an order that is being sent.
-    pub fn send(&mut self, now: Instant, percent: u32) {
+    pub fn record_send(&mut self, now: Instant, percent: u32) {
         self.attempts.record_send();
         self.last = Some((now, percent));
     }
--- a/crates/sched/tests/fleet/late_writes.rs
+++ b/crates/sched/tests/fleet/late_writes.rs
@@ -2,8 +2,8 @@
 //! leader's claim.
 //!
 //! Guards against tasks that ended as done and are started again under the next leader. A commit
-//! without an answer was repeated, the repeat was refused, the next commit had the same mark, and
-//! the late commit was taken for it. The cause: an answer to a repeated call was taken for the
+//! without an answer was repeated, the repeat was refused, the next commit had the same identifier,
+//! and the late commit was taken for it. The cause: an answer to a repeated call was taken for the
 //! outcome of the call. The logs of days that were run again show it
 //! (`docs/incidents/twice-after-late-call.md`). The simulation checks that what the leader
 //! considers stored is what the store holds, and that no task starts after its end was
--- a/crates/sched/tests/fleet/world/directory.rs
+++ b/crates/sched/tests/fleet/world/directory.rs
@@ -57,7 +57,7 @@
         if self.now.is_multiple_of(ANSWERED_EVERY_MS) {
             self.notify_leader(Event::StoreRevision(RevisionSample { sent, revision: self.now }));
             if let Some(cx) = &mut self.cx {
-                cx.freshness.answered(sent);
+                cx.freshness.record_answer(sent);
             }
         }
         if !self.now.is_multiple_of(READ_EVERY_MS) {
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/world/writes.rs
@@ -236,7 +236,7 @@
         if self.store_down {
             return StoreView::Nothing;
         }
-        let (mark, revision) = (Some(self.writes.id), self.writes.revision);
-        StoreView::Last { mark, revision, leads: true }
+        let (id, revision) = (Some(self.writes.id), self.writes.revision);
+        StoreView::Last { id, revision, leads: true }
     }
 }
--- a/crates/sched/tests/writing.rs
+++ b/crates/sched/tests/writing.rs
@@ -34,7 +34,7 @@
 
 /// Returns what reading the store shows when `commit` is the last one.
 fn last(commit: CommitId, revision: CommitRevision, leads: bool) -> StoreView {
-    StoreView::Last { mark: Some(commit), revision, leads }
+    StoreView::Last { id: Some(commit), revision, leads }
 }
 
 #[test]
@@ -105,7 +105,7 @@
 fn an_unreadable_id_at_another_revision_ends_the_leadership() {
     let (mut writer, _) = writer_with_commit();
     send(&mut writer, CommitAnswer::Conflict);
-    let view = StoreView::Last { mark: None, revision: LATER, leads: false };
+    let view = StoreView::Last { id: None, revision: LATER, leads: false };
     assert_eq!(writer.store_read(view), NextStep::LeadershipOver);
 }
 
