--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -8,9 +8,9 @@
 
 use async_std::task;
 use gaplock_jobs::TaskKey;
-use gaplock_platform::advice::Answer;
+use gaplock_platform::advice::AdviceAnswer;
 use gaplock_platform::store::Revision;
-use gaplock_platform::worker::{self, Start, Worker};
+use gaplock_platform::worker::{self, StartCommand, WorkerClient};
 use gaplock_policy::attempts::Execution;
 use gaplock_policy::connections;
 use gaplock_sched::message::{
@@ -29,7 +29,7 @@
 /// The client of one worker.
 struct OpenClient {
     addr: String,
-    client: Arc<Worker>,
+    client: Arc<WorkerClient>,
 }
 
 /// The clients of all workers, by worker index.
@@ -47,7 +47,7 @@
 
     /// Returns a worker's client. Opens a new one if the worker's address has changed, which
     /// happens when it was first listed with a wrong address.
-    fn get_or_open(&mut self, cx: &Context, ix: WorkerIx) -> Arc<Worker> {
+    fn get_or_open(&mut self, cx: &Context, ix: WorkerIx) -> Arc<WorkerClient> {
         let at = ix.0 as usize;
         while self.opened.len() <= at {
             let opened = self.open_client(cx, self.opened.len());
@@ -100,7 +100,8 @@
             task::spawn(async move {
                 let (checkpoint, ticket) = (checkpoint.as_deref(), ticket.as_deref());
                 let spec = job.spec.as_str();
-                let start = Start { task: key, run, spec, until, checkpoint, ticket };
+                let start =
+                    StartCommand { task: key, run, spec, lease_end: until, checkpoint, ticket };
                 let outcome = call.start(&client, &start).await;
                 call.engine.send(Event::Started { worker, task: key, run, outcome });
             });
@@ -138,7 +139,7 @@
 impl CallContext {
     async fn renew(
         &self,
-        client: &Worker,
+        client: &WorkerClient,
         stored: EndSeq,
         until: Option<WorkerClock>,
         wait: Millis,
@@ -148,7 +149,7 @@
         outcome
     }
 
-    async fn start(&self, client: &Worker, start: &Start<'_>) -> Outcome<WorkerClock> {
+    async fn start(&self, client: &WorkerClient, start: &StartCommand<'_>) -> Outcome<WorkerClock> {
         let outcome = client.start(self.token, start).await;
         self.count("start", &outcome);
         if start.checkpoint.is_some() {
@@ -157,15 +158,15 @@
         outcome
     }
 
-    async fn stop(&self, client: &Worker, key: TaskKey, run: Run) -> Outcome<WorkerClock> {
+    async fn stop(&self, client: &WorkerClient, key: TaskKey, run: Run) -> Outcome<WorkerClock> {
         let outcome = client.stop(self.token, key, run).await;
         self.count("stop", &outcome);
         outcome
     }
 
     /// Sets a run's pace; returns whether the order was carried out.
-    async fn pace(&self, client: &Worker, key: TaskKey, run: Run, percent: u32) -> Execution {
-        let outcome = client.pace(self.token, key, run, percent).await;
+    async fn pace(&self, client: &WorkerClient, key: TaskKey, run: Run, percent: u32) -> Execution {
+        let outcome = client.set_pace(self.token, key, run, percent).await;
         self.count("pace", &outcome);
         outcome.execution()
     }
@@ -199,7 +200,7 @@
 }
 
 /// Turns the names of the permitted workers back into worker indices.
-fn permits_of(asked: &[WorkerIx], names: &[ids::WorkerName], answer: &Answer) -> Vec<Permit> {
+fn permits_of(asked: &[WorkerIx], names: &[ids::WorkerName], answer: &AdviceAnswer) -> Vec<Permit> {
     let position = |name: &ids::WorkerName| names.iter().position(|known| known == name);
     let permitted = answer.permitted.iter();
     let permits = permitted.filter_map(|p| {
@@ -220,7 +221,7 @@
 /// Orders a host to be taken down for maintenance.
 async fn order_maintenance(call: CallContext, wave: WaveNumber, host: ids::HostId) {
     let answer = match &call.node.hosts {
-        Some(hosts) => hosts.upkeep(call.token, wave, &host).await,
+        Some(hosts) => hosts.order_maintenance(call.token, wave, &host).await,
         None => MaintenanceAnswer::Busy,
     };
     call.engine.send(Event::Maintenance { wave, host, answer });
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -148,7 +148,7 @@
 fn queue_length(node: &Node, queue: &str) -> Response {
     match node.waiting_jobs(queue) {
         Some(count) => {
-            answer(node, Code::Ok, StatusCode::Ok.into(), callers::encode_waiting(count))
+            answer(node, Code::Ok, StatusCode::Ok.into(), callers::encode_pending_count(count))
         }
         None => refuse(node, Code::NoOwner),
     }
--- a/crates/node/src/entries.rs
+++ b/crates/node/src/entries.rs
@@ -38,9 +38,9 @@
     /// the same content as before is no change.
     pub fn apply_change(&mut self, change: &Change) -> Vec<Event> {
         let events = match change {
-            Change::Removed(key) => directory::worker_of(key).map(|name| self.remove_entry(&name)),
+            Change::Removed(key) => directory::parse_key(key).map(|name| self.remove_entry(&name)),
             Change::Set(item) => {
-                directory::worker_of(&item.key).map(|name| self.apply_entry(name, item))
+                directory::parse_key(&item.key).map(|name| self.apply_entry(name, item))
             }
         };
         self.unreadable_gauge.set(self.unreadable.len() as i64);
@@ -69,7 +69,7 @@
         unlisted.into_iter().chain([Event::Listed(info)]).collect()
     }
 
-    fn mark_unreadable(&mut self, name: ids::WorkerName, e: &directory::Unreadable) -> Vec<Event> {
+    fn mark_unreadable(&mut self, name: ids::WorkerName, e: &directory::EntryError) -> Vec<Event> {
         let known = self.last_readable.get(&name).map(|info| Event::Unreadable(info.id.clone()));
         if !self.unreadable.contains(&name) {
             tracing::warn!(event = "directory_malformed", worker = %name, error = %e);
@@ -82,7 +82,7 @@
     /// disappeared.
     pub fn apply_listing(&mut self, items: &[Item]) -> Vec<Event> {
         let listed: BTreeSet<ids::WorkerName> =
-            items.iter().filter_map(|item| directory::worker_of(&item.key)).collect();
+            items.iter().filter_map(|item| directory::parse_key(&item.key)).collect();
         let known = self.last_readable.keys().chain(&self.unreadable);
         let removed: BTreeSet<ids::WorkerName> =
             known.filter(|name| !listed.contains(*name)).cloned().collect();
--- a/crates/node/src/evacuations.rs
+++ b/crates/node/src/evacuations.rs
@@ -43,7 +43,7 @@
 /// # Errors
 /// Returns the store's error.
 pub async fn read(node: &Node, refused: &mut BTreeSet<String>) -> Result<Evacuated, StoreError> {
-    let listed = node.store.list_few(evacuations::PREFIX).await?;
+    let listed = node.store.list_small_prefix(evacuations::PREFIX).await?;
     let mut unreadable = BTreeSet::new();
     let mut domains = BTreeSet::new();
     for Item { key, value, .. } in listed.items {
--- a/crates/node/src/feeds.rs
+++ b/crates/node/src/feeds.rs
@@ -45,11 +45,11 @@
     directory::spawn(node, engine, start.directory, start.entries);
     let inbox = feed_inbox(Arc::clone(node), Arc::clone(engine), start.inbox);
     let mut feeds = vec![task::spawn(inbox)];
-    if let Some(bound) = node.installation.bounds.evacuate {
+    if let Some(bound) = node.installation.bounds.evacuation_limit {
         let feed = evacuations::feed(Arc::clone(node), Arc::clone(engine), bound);
         feeds.push(task::spawn(feed));
     }
-    if node.installation.has_duties {
+    if node.installation.has_maintenance_waves {
         feeds.push(task::spawn(feed_waves(Arc::clone(node), Arc::clone(engine))));
     }
     feeds
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -96,7 +96,7 @@
                 node.record_store_answer();
                 return WriteOutcome::Conflict;
             }
-            Err(StoreError::Away | StoreError::Gone) => Execution::NotDone,
+            Err(StoreError::Unavailable | StoreError::Gone) => Execution::NotDone,
             Err(StoreError::Unclear) => Execution::Unknown,
         };
         node.record_store_failure();
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -102,7 +102,7 @@
     seen: Revision,
 ) -> Result<Claim, StoreError> {
     let (lease, last) = futures::join!(
-        Box::pin(store.lease(LEASE.as_duration())),
+        Box::pin(store.grant_lease(LEASE.as_duration())),
         Box::pin(store.get(keys::COMMITS))
     );
     let (lease, last) = (lease?, last?);
--- a/crates/node/src/lease_renewal.rs
+++ b/crates/node/src/lease_renewal.rs
@@ -44,7 +44,7 @@
         }
         // Boxed: the futures of three concurrent calls are too large for the thread's stack.
         let confirmed = Box::pin(follower::confirm_leadership(&node, &leadership, claim.revision));
-        let renewed = Box::pin(node.store.keep(claim.lease));
+        let renewed = Box::pin(node.store.renew_lease(claim.lease));
         let read = Box::pin(follower::read_config(&node));
         let (_, renewed, _) = futures::join!(confirmed, renewed, read);
         match renewed {
--- a/crates/node/src/listeners.rs
+++ b/crates/node/src/listeners.rs
@@ -75,7 +75,7 @@
     /// Leaves the load balancer, answers the requests in flight, then closes the listeners. Returns
     /// how many requests were cut off.
     pub async fn stop(self, node: &Node) -> usize {
-        let grace = node.installation.grace.as_duration();
+        let grace = node.installation.shutdown_grace.as_duration();
         let leave = LEAVE_BALANCER_PAUSE.min(grace / 2);
         self.callers.drain();
         task::sleep(leave).await;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -54,8 +54,8 @@
 }
 
 async fn run(values: &gaplock_settings::Values, logs: &Logs) -> ExitCode {
-    let path = std::env::var(installation::PATH_VARIABLE).unwrap_or_default();
-    let installation = match installation::open(&PathBuf::from(&path)) {
+    let path = std::env::var(installation::SETTINGS_PATH_VARIABLE).unwrap_or_default();
+    let installation = match installation::load(&PathBuf::from(&path)) {
         Ok(installation) => installation,
         Err(e) => {
             tracing::error!(event = "cannot_start", path, error = %e);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,8 +7,8 @@
 
 use gaplock_jobs::config::Config;
 use gaplock_jobs::{Job, JobKey};
-use gaplock_platform::advice::{self, Advisor};
-use gaplock_platform::hosts::{self, Hosts};
+use gaplock_platform::advice::{self, AdviceClient};
+use gaplock_platform::hosts::{self, HostsClient};
 use gaplock_platform::installation::Installation;
 use gaplock_platform::store::Store;
 use gaplock_policy::succession::{self, LeaderCapacity};
@@ -44,10 +44,10 @@
     /// The platform's store.
     pub store: Arc<Store>,
     /// The service that decides on which workers steps may run, if the installation has one.
-    pub advisor: Option<Advisor>,
+    pub advisor: Option<AdviceClient>,
     /// The service that lists the workers' hosts and takes them down for maintenance, if the
     /// installation has one.
-    pub hosts: Option<Hosts>,
+    pub hosts: Option<HostsClient>,
     /// The client for calls to other hosts, mostly to the leader.
     pub peer_client: peers::PeerClient,
     /// The metrics of this host.
--- a/crates/node/src/state_reader.rs
+++ b/crates/node/src/state_reader.rs
@@ -12,7 +12,7 @@
 use async_std::task;
 use futures::future::{select, Either};
 use gaplock_platform::directory;
-use gaplock_platform::store::{Item, Listed, Reading, Revision, StoreError};
+use gaplock_platform::store::{Item, Listing, PartialListing, Revision, StoreError};
 use gaplock_remote::clock;
 use gaplock_sched::evacuation::Evacuated;
 use gaplock_sched::takeover::StoredState;
@@ -31,7 +31,7 @@
     /// The revision from which the inbox is watched.
     pub inbox: Revision,
     /// The entries of the directory of workers.
-    pub directory: Listed,
+    pub directory: Listing,
     /// When the read of the directory began.
     pub directory_read_started: Instant,
 }
@@ -46,10 +46,10 @@
 /// The parts of the stored state that have been read so far; kept when a call fails.
 #[derive(Default)]
 struct PartialState {
-    inbox: Reading,
-    progress: Reading,
-    roster: Reading,
-    directory: Reading,
+    inbox: PartialListing,
+    progress: PartialListing,
+    roster: PartialListing,
+    directory: PartialListing,
     learned: Option<Item>,
     waves: Vec<Item>,
     evacuated: Evacuated,
@@ -127,13 +127,13 @@
     let (store, installation) = (&node.store, &node.installation);
     let PartialState { inbox, progress, roster, directory, learned, waves, evacuated } = partial;
     let read_evacuated = async {
-        if installation.bounds.evacuate.is_some() {
+        if installation.bounds.evacuation_limit.is_some() {
             *evacuated = evacuations::read(node, &mut BTreeSet::new()).await?;
         }
         Ok(())
     };
     let read_waves = async {
-        if installation.has_duties {
+        if installation.has_maintenance_waves {
             *waves = store.list(keys::WAVES).await?.items;
         }
         Ok(())
@@ -141,10 +141,10 @@
     // Boxed: the futures of so many calls are too large for a thread's stack.
     let (_, roster, directory, progress, inbox, read_learned, evacuated, waves) = futures::join!(
         Box::pin(follower::read_config(node)),
-        Box::pin(store.read_on(keys::ROSTER, roster)),
-        Box::pin(store.read_on(directory::PREFIX, directory)),
-        Box::pin(store.read_on(keys::PROGRESS, progress)),
-        Box::pin(store.read_on(keys::INBOX, inbox)),
+        Box::pin(store.continue_listing(keys::ROSTER, roster)),
+        Box::pin(store.continue_listing(directory::PREFIX, directory)),
+        Box::pin(store.continue_listing(keys::PROGRESS, progress)),
+        Box::pin(store.continue_listing(keys::INBOX, inbox)),
         Box::pin(store.get(keys::LEARNED)),
         Box::pin(read_evacuated),
         Box::pin(read_waves),
@@ -158,9 +158,9 @@
 
 /// Decodes the parts that were read.
 fn decode_state(partial: PartialState, began: Instant) -> LoadedState {
-    let inbox = partial.inbox.listed();
-    let progress = partial.progress.listed();
-    let roster = partial.roster.listed();
+    let inbox = partial.inbox.into_listing();
+    let progress = partial.progress.into_listing();
+    let roster = partial.roster.into_listing();
     let mut stored = StoredState::default();
     sort_inbox(&inbox.items, &mut stored);
     for item in &progress.items {
@@ -175,7 +175,7 @@
     stored.learned = partial.learned.as_ref().and_then(records::decode).unwrap_or_default();
     stored.waves = partial.waves.iter().filter_map(records::decode).collect();
     stored.evacuated = partial.evacuated;
-    let directory = partial.directory.listed();
+    let directory = partial.directory.into_listing();
     LoadedState { stored, inbox: inbox.revision, directory, directory_read_started: began }
 }
 
--- a/crates/node/src/store_writer.rs
+++ b/crates/node/src/store_writer.rs
@@ -39,7 +39,7 @@
 
 /// The number of entries of a transaction that are left for records: two are its conditions and one
 /// is the commit's ID.
-const RECORD_ENTRIES: usize = store::TXN_MOST_ENTRIES - 3;
+const RECORD_ENTRIES: usize = store::MAX_TXN_ENTRIES - 3;
 
 /// The pause before a commit with an unknown outcome is sent again: half of the pause that the
 /// leader makes while the store is unavailable, since ends of tasks wait for the commit.
@@ -96,7 +96,7 @@
             Err(StoreError::Conflict) => CommitAnswer::Conflict,
             // No key of a commit has a lease that could be missing, so `Gone` too means that
             // nothing was done.
-            Err(StoreError::Away | StoreError::Gone) => CommitAnswer::Refused,
+            Err(StoreError::Unavailable | StoreError::Gone) => CommitAnswer::Refused,
             Err(StoreError::Unclear) => CommitAnswer::Silent,
         };
         let next = self.writer.answered(answer);
--- a/crates/node/tests/foreign.rs
+++ b/crates/node/tests/foreign.rs
@@ -45,7 +45,7 @@
         assert!(named.is_err() || named.is_ok_and(|w| w.service.0 != SERVICE), "{what}");
     }
     let keys = foreign::directory_keys(&site.fleet.entry(0));
-    let named = keys.iter().filter_map(|f| directory::worker_of(&f.key));
+    let named = keys.iter().filter_map(|f| directory::parse_key(&f.key));
     // `..` is a valid name, of a worker that never answers.
     assert_eq!(named.map(|id| id.to_string()).collect::<Vec<_>>(), [".."]);
 }
