--- a/crates/sched/tests/fleet/backlogs.rs
+++ b/crates/sched/tests/fleet/backlogs.rs
@@ -5,7 +5,7 @@
 use gaplock_jobs::{Job, JobKey, Step};
 use gaplock_types::time::Millis;
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 const WORKERS: usize = 20;
 
@@ -24,7 +24,7 @@
 
 #[test]
 fn long_running_steps_that_do_not_fit_are_not_each_evaluated_on_all_workers() {
-    let mut world = World::open(111, WORKERS);
+    let mut world = Simulation::open(111, WORKERS);
     world.work_ms = 60_000;
     // Seven of eight cores are in use; the last one is reserved for short tasks for a while.
     world.submit(job(1, vec![step(7 * WORKERS as u32, &[])]));
@@ -34,16 +34,16 @@
     }
     world.run(1_000);
     assert!(
-        world.looks() <= MAX_EVALUATIONS,
+        world.evaluations() <= MAX_EVALUATIONS,
         "{} candidate evaluations in one dispatch pass, expected at most {MAX_EVALUATIONS}",
-        world.looks()
+        world.evaluations()
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn best_effort_steps_that_would_interfere_are_not_each_evaluated_on_all_workers() {
-    let mut world = World::open(112, WORKERS);
+    let mut world = Simulation::open(112, WORKERS);
     world.work_ms = 60_000;
     world.submit(serving_job(1, WORKERS as u32));
     world.readings.insert(JobKey(1), 200);
@@ -54,11 +54,11 @@
     }
     world.run(1_000);
     assert!(
-        world.looks() <= MAX_EVALUATIONS,
+        world.evaluations() <= MAX_EVALUATIONS,
         "{} candidate evaluations in one dispatch pass, expected at most {MAX_EVALUATIONS}",
-        world.looks()
+        world.evaluations()
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// How many searches for another worker a rebalancing check may make where all paused tasks are identical: one
@@ -70,7 +70,7 @@
 /// took all of the leader's time on 3,000 workers.
 #[test]
 fn identical_paused_tasks_are_not_each_evaluated_on_all_workers() {
-    let mut world = World::open(113, WORKERS);
+    let mut world = Simulation::open(113, WORKERS);
     world.work_ms = 60_000;
     world.submit(serving_job(1, WORKERS as u32));
     world.readings.insert(JobKey(1), 10);
@@ -87,12 +87,12 @@
     let mut max_searches = 0;
     for _ in 0..40 {
         world.run(50);
-        max_searches = max_searches.max(world.places_searched());
+        max_searches = max_searches.max(world.rebalance_searches());
     }
     assert!(max_searches > 0, "no check searched for another worker: no task was paused");
     assert!(
         max_searches <= MAX_SEARCHES,
         "{max_searches} searches in one rebalancing check, expected at most {MAX_SEARCHES}"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/best_effort.rs
+++ b/crates/sched/tests/fleet/best_effort.rs
@@ -4,7 +4,7 @@
 use gaplock_sched::pacing::{Learned, LearnedFactor, LearnedImage};
 use gaplock_types::time::Millis;
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 /// The tail target of the serving tasks, in milliseconds.
 const TAIL_TARGET_MS: u64 = 50;
@@ -24,7 +24,7 @@
 
 #[test]
 fn halted_tasks_free_no_capacity_for_others() {
-    let mut world = World::open(101, 1);
+    let mut world = Simulation::open(101, 1);
     world.work_ms = 60_000;
     world.submit(serving_job(1));
     world.run(500);
@@ -38,7 +38,7 @@
     world.submit(best_effort_job(3, 4));
     world.run(10_000);
     assert_eq!(world.running_of(3), 0, "other tasks were placed beside halted ones");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The tail of a serving task under light load, in milliseconds.
@@ -49,7 +49,7 @@
 /// unused.
 #[test]
 fn best_effort_tasks_use_most_of_a_lightly_loaded_worker() {
-    let mut world = World::open(104, 1);
+    let mut world = Simulation::open(104, 1);
     world.work_ms = 60_000;
     world.submit(serving_job(1));
     world.readings.insert(JobKey(1), LIGHT_LOAD_TAIL_MS);
@@ -61,7 +61,7 @@
         (6..=7).contains(&running),
         "best-effort tasks use {running} of eight cores, expected 6 or 7"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The tail of a serving task under so high a load that an image that interferes with it does not
@@ -100,11 +100,11 @@
 /// Builds a fleet of two workers: one runs a `sturdy` serving task under light load, which
 /// tolerates everything, the other a `touchy` one under high load, which tolerates only the image
 /// `light`.
-fn sturdy_beside_touchy(seed: u64) -> World {
-    let mut world = World::open(seed, 2);
+fn sturdy_beside_touchy(seed: u64) -> Simulation {
+    let mut world = Simulation::open(seed, 2);
     world.work_ms = 60_000;
-    world.learnt = learned_model();
-    world.take_over();
+    world.learned = learned_model();
+    world.start_new_leader();
     world.submit(image_job(1, "sturdy", 1, false));
     world.run(500);
     world.submit(image_job(2, "touchy", 1, false));
@@ -125,7 +125,7 @@
     world.submit(image_job(4, "heavy", 6, true));
     world.run(1_000);
     assert_eq!((world.running_of(3), world.running_of(4)), (4, 6));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The two workers together have capacity for ten tasks. The worker that fewer images could use is
@@ -137,7 +137,7 @@
     world.run(1_000);
     let most = world.running_at(0).max(world.running_at(1)) - 1;
     assert!(most <= 5, "{most} of eight best-effort tasks are on one worker, at most 5 expected");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The tail of a serving task that leaves no capacity for best-effort tasks beside it, in
@@ -148,7 +148,7 @@
 /// placed after 8 s wherever they interfered least were halted there at once, and kept others out.
 #[test]
 fn a_best_effort_task_that_would_be_halted_waits_but_not_for_ever() {
-    let mut world = World::open(103, 1);
+    let mut world = Simulation::open(103, 1);
     world.work_ms = 60_000;
     world.submit(serving_job(1));
     world.readings.insert(JobKey(1), NEAR_TARGET_TAIL_MS);
@@ -158,12 +158,12 @@
     assert_eq!(world.running_of(2), 0, "tasks were placed where they would only be halted");
     world.run(20_000);
     assert!(world.running_of(2) > 0, "no task was placed within 35 s");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_shared_worker_gets_several_renewals_a_second() {
-    let mut world = World::open(102, 1);
+    let mut world = Simulation::open(102, 1);
     world.work_ms = 60_000;
     world.submit(serving_job(1));
     world.readings.insert(JobKey(1), 10);
@@ -177,5 +177,5 @@
         shared >= 8,
         "{shared} renewals in 3 s where readings must be fresh, at least 8 expected"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/bursts.rs
+++ b/crates/sched/tests/fleet/bursts.rs
@@ -1,6 +1,6 @@
 //! Bursts of starts, on virtual time: a leader has no more starts in flight than it can handle the answers of.
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 const WORKERS: usize = 60;
 
@@ -12,10 +12,10 @@
 
 #[test]
 fn starts_in_flight_stay_limited_in_a_burst_and_all_tasks_start() {
-    let mut world = World::open(91, WORKERS);
+    let mut world = Simulation::open(91, WORKERS);
     world.work_ms = 60_000;
     world.settings.max_starts_in_flight = MAX_STARTS_IN_FLIGHT;
-    world.take_over();
+    world.start_new_leader();
     world.run(1_000);
     for key in 0..12 {
         world.submit(job(key, vec![step(TASKS as u32 / 12, &[])]));
@@ -31,15 +31,15 @@
     );
     let running: usize = (0..12).map(|key| world.running_of(key)).sum();
     assert_eq!(running, TASKS);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn silent_workers_do_not_use_up_the_limit_of_starts_in_flight() {
-    let mut world = World::open(92, WORKERS);
+    let mut world = Simulation::open(92, WORKERS);
     world.work_ms = 60_000;
     world.settings.max_starts_in_flight = MAX_STARTS_IN_FLIGHT;
-    world.take_over();
+    world.start_new_leader();
     world.run(1_000);
     for worker in 0..10 {
         world.crash(worker);
@@ -51,5 +51,5 @@
         running >= 160,
         "only {running} of 200 tasks run while 10 workers are silent, expected at least 160"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/cancelled.rs
+++ b/crates/sched/tests/fleet/cancelled.rs
@@ -5,7 +5,7 @@
 use gaplock_jobs::{JobKey, Step};
 use gaplock_types::time::Millis;
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 /// How long after the first worker reports a run of a cancelled job may continue, in milliseconds: the time of a
 /// stop, and of the report that lists the run.
@@ -13,8 +13,8 @@
 
 /// Builds a simulation whose leader has started tasks that run for a minute, and is lost before their job is
 /// cancelled.
-fn cancelled_without_a_leader(seed: u64) -> World {
-    let mut world = World::open(seed, 4);
+fn cancelled_without_a_leader(seed: u64) -> Simulation {
+    let mut world = Simulation::open(seed, 4);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(12, &[])]));
     world.run(1_000);
@@ -28,28 +28,28 @@
 fn runs_started_by_a_removed_leader_end_when_their_job_is_cancelled() {
     let mut world = cancelled_without_a_leader(401);
     world.run(500);
-    world.take_over();
+    world.start_new_leader();
     world.run(STOPPED_WITHIN_MS);
     for _ in 0..10 {
         assert_eq!(world.running_of(1), 0, "a run of a cancelled job continues");
         world.run(1_000);
     }
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_late_start_of_a_removed_leader_ends_when_its_job_is_cancelled() {
-    let mut world = World::open(402, 2);
+    let mut world = Simulation::open(402, 2);
     world.work_ms = 60_000;
     world.run(100);
     for worker in &mut world.workers {
-        worker.delays_start = Some(3_000);
+        worker.next_start_delay_ms = Some(3_000);
     }
     world.submit(job(1, vec![step(2, &[])]));
     world.run(50);
     world.lose_leader();
     world.cancel(1);
-    world.take_over();
+    world.start_new_leader();
     // Either the worker refuses the late start because of the successor's token, or its report to the successor
     // lists the run.
     world.run(3_000 + STOPPED_WITHIN_MS);
@@ -57,7 +57,7 @@
         assert_eq!(world.running_of(1), 0, "a run of a cancelled job continues");
         world.run(1_000);
     }
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -65,32 +65,32 @@
     let mut world = cancelled_without_a_leader(403);
     let partitioned =
         (0..4).find(|&at| world.running_at(at) > 0).expect("twelve tasks run on four workers");
-    world.workers[partitioned].cut = true;
-    world.take_over();
+    world.workers[partitioned].partitioned = true;
+    world.start_new_leader();
     let silent = Millis(world.settings.lease_max.0 / 2);
     world.run(silent.0);
-    world.workers[partitioned].cut = false;
+    world.workers[partitioned].partitioned = false;
     world.run(STOPPED_WITHIN_MS);
     assert_eq!(
         world.running_of(1),
         0,
         "a run of a cancelled job continues at a worker that answers again"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Builds a simulation of eight workers, each with a long-running task of job 1. One worker has restarted twice, the
 /// last time `after` milliseconds ago: its task is a suspect and waits for an empty worker.
-fn with_a_waiting_suspect(seed: u64, after: u64) -> World {
-    let mut world = World::open(seed, 8);
-    world.crashes.same_names = true;
+fn with_a_waiting_suspect(seed: u64, after: u64) -> Simulation {
+    let mut world = Simulation::open(seed, 8);
+    world.crashes.restart_under_same_name = true;
     let apart = Step { lasting: true, most_per_worker: Some(1), ..step(8, &[]) };
     world.submit(job(1, vec![apart]));
     world.run(2_000);
-    world.crash_and_return(0);
+    world.crash_and_replace(0);
     world.run(4_000);
     assert_eq!(world.running_of(1), 8);
-    world.crash_and_return(0);
+    world.crash_and_replace(0);
     world.run(after);
     world
 }
@@ -107,7 +107,7 @@
         if world.starts != before || world.running_of(1) > 0 {
             started.push(after);
         }
-        assert_kept(&world);
+        assert_no_violations(&world);
     }
     assert!(
         started.is_empty(),
@@ -119,7 +119,7 @@
 /// it must cause one.
 #[test]
 fn a_reported_run_of_an_ended_job_is_stopped() {
-    let mut world = World::open(412, 2);
+    let mut world = Simulation::open(412, 2);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(4, &[])]));
     world.run(1_000);
@@ -141,7 +141,7 @@
 /// job sends no stop.
 #[test]
 fn a_member_of_a_gang_that_outlives_its_step_is_stopped_by_the_cancellation() {
-    let mut world = World::open(413, 4);
+    let mut world = Simulation::open(413, 4);
     world.work_ms = 1_000;
     world.workers[0].slowness = 30;
     let gang = Step { gang: true, most_per_worker: Some(1), ..step(4, &[]) };
--- a/crates/sched/tests/fleet/cancelled_mix.rs
+++ b/crates/sched/tests/fleet/cancelled_mix.rs
@@ -7,8 +7,9 @@
 use gaplock_jobs::{Job, Step};
 use gaplock_types::time::Millis;
 
-use crate::world::{
-    assert_cancellations_kept, assert_nothing_waits, job, lasting, step, Faults, World,
+use crate::simulation::{
+    assert_cancellation_guarantees, assert_no_runnable_task_waits, job, long_running_step, step,
+    Faults, Simulation,
 };
 
 /// How many seeds are run unless `CANCEL_SEEDS` gives another number.
@@ -34,24 +35,24 @@
 const CRASH_DELAY_MS: u64 = 10;
 
 /// Builds a job of a random kind; the kinds differ in which tasks run, and where.
-fn random_job(world: &mut World, key: u64) -> Job {
+fn random_job(world: &mut Simulation, key: u64) -> Job {
     let speculative = Step { duplicates: true, ..step(4, &[]) };
     let gang = Step { gang: true, ..step(4, &[]) };
     match world.draw(7) {
-        0 => job(key, vec![lasting(4)]),
+        0 => job(key, vec![long_running_step(4)]),
         1 => job(key, vec![gang]),
         2 => job(key, vec![speculative, step(2, &[0])]),
         3 => {
             let repeat = Some(Repeat { times: 6, first_unix_ms: 0, every: Millis(400) });
             Job { repeat, ..job(key, vec![step(3, &[]), step(2, &[0])]) }
         }
-        4 => job(key, vec![step(3, &[]), lasting(2)]),
+        4 => job(key, vec![step(3, &[]), long_running_step(2)]),
         _ => job(key, vec![step(5, &[]), step(3, &[0])]),
     }
 }
 
 /// Submits a random job and cancels it soon or not at all; may also cancel an earlier one.
-fn submit_random_job(world: &mut World, key: u64) {
+fn submit_random_job(world: &mut Simulation, key: u64) {
     let job = random_job(world, key);
     let pause = world.draw(500);
     match world.draw(8) {
@@ -69,28 +70,28 @@
 }
 
 /// Injects a random fault that makes runs hard to stop or to find, or none.
-fn inject_fault(world: &mut World) {
+fn inject_fault(world: &mut Simulation) {
     let at = world.draw(WORKERS) as usize;
     let (ms, gap) = (world.draw(4_000), world.draw(2_500));
     match world.draw(16) {
-        0 | 1 => world.workers[at].cut ^= true,
+        0 | 1 => world.workers[at].partitioned ^= true,
         2 => world.change_leader(gap),
-        3 => world.workers[at].delays_start = Some(ms),
+        3 => world.workers[at].next_start_delay_ms = Some(ms),
         4 => world.workers[at].refuses_stops ^= true,
         5 => world.workers[at].slowness = if world.workers[at].slowness == 1 { 6 } else { 1 },
         6 => world.workers[at].stop_ms = ms / 5,
-        7 => world.workers[at].late_by_own_lease ^= true,
+        7 => world.workers[at].checks_own_lease ^= true,
         _ => {}
     }
 }
 
 /// Loses workers that are up after certain jobs were submitted: no more than two under one task, since its job fails
 /// after three.
-fn lose_workers(world: &mut World, key: u64, start_over: fn(&mut World, usize)) {
+fn lose_workers(world: &mut Simulation, key: u64, start_over: fn(&mut Simulation, usize)) {
     let one = world.draw(WORKERS) as usize;
-    let (lost, lose): (Vec<usize>, fn(&mut World, usize)) = match key {
-        6 => (vec![one], World::crash_and_return),
-        12 => ((0..3).collect(), World::crash_and_return),
+    let (lost, lose): (Vec<usize>, fn(&mut Simulation, usize)) = match key {
+        6 => (vec![one], Simulation::crash_and_replace),
+        12 => ((0..3).collect(), Simulation::crash_and_replace),
         18 => ((0..WORKERS as usize).collect(), start_over),
         _ => return,
     };
@@ -102,15 +103,15 @@
 }
 
 /// Runs jobs that are cancelled while faults occur.
-fn run_jobs_amid_faults(world: &mut World, seed: u64, start_over: fn(&mut World, usize)) {
+fn run_jobs_amid_faults(world: &mut Simulation, seed: u64, start_over: fn(&mut Simulation, usize)) {
     world.work_ms = 1_500;
-    world.crashes.same_names = seed.is_multiple_of(2);
+    world.crashes.restart_under_same_name = seed.is_multiple_of(2);
     world.faults = Faults {
         lost_per_mille: 20,
         unanswered_per_mille: 50,
         late_per_mille: 30,
         failing_per_mille: 10,
-        unwell_per_mille: 30,
+        unhealthy_per_mille: 30,
     };
     for key in 0..JOBS {
         submit_random_job(world, key);
@@ -132,9 +133,9 @@
 #[test]
 fn no_run_of_a_cancelled_job_continues_under_any_fault() {
     for seed in seeds() {
-        let mut world = World::open(seed, WORKERS as usize);
-        run_jobs_amid_faults(&mut world, seed, World::start_over);
-        assert_nothing_waits(&mut world);
+        let mut world = Simulation::open(seed, WORKERS as usize);
+        run_jobs_amid_faults(&mut world, seed, Simulation::restart_worker);
+        assert_no_runnable_task_waits(&mut world);
         assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
     }
 }
@@ -146,11 +147,11 @@
 fn no_run_of_a_cancelled_job_continues_in_the_next_incarnation_of_its_worker() {
     for seed in seeds().chain(REGRESSION_SEEDS) {
         println!("seed {seed}");
-        let mut world = World::open(seed, WORKERS as usize);
+        let mut world = Simulation::open(seed, WORKERS as usize);
         (0..JOBS)
             .step_by(CRASHING_JOB_EVERY)
-            .for_each(|key| world.crash_under(key, 0, CRASH_DELAY_MS));
-        run_jobs_amid_faults(&mut world, seed, World::start_over_before_calls);
-        assert_cancellations_kept(&mut world);
+            .for_each(|key| world.make_task_crash_workers(key, 0, CRASH_DELAY_MS));
+        run_jobs_amid_faults(&mut world, seed, Simulation::restart_worker_keeping_calls);
+        assert_cancellation_guarantees(&mut world);
     }
 }
--- a/crates/sched/tests/fleet/cancelled_runs.rs
+++ b/crates/sched/tests/fleet/cancelled_runs.rs
@@ -5,7 +5,9 @@
 use gaplock_jobs::{Job, Step};
 use gaplock_types::time::Millis;
 
-use crate::world::{assert_kept, assert_nothing_waits, job, lasting, step, World};
+use crate::simulation::{
+    assert_no_runnable_task_waits, assert_no_violations, job, long_running_step, step, Simulation,
+};
 
 /// How long a run may continue once its job is cancelled and its worker answers, in milliseconds.
 const RUNS_END_WITHIN_MS: u64 = 2_000;
@@ -17,7 +19,7 @@
 const CRASH_DELAY_MS: u64 = 10;
 
 /// Fails the test if job 1 has a run within the next [`NO_RUN_FOR_MS`].
-fn assert_no_run_reappears(world: &mut World, case: &str) {
+fn assert_no_run_reappears(world: &mut Simulation, case: &str) {
     let until = world.now + NO_RUN_FOR_MS;
     while world.now < until {
         assert_eq!(
@@ -32,14 +34,14 @@
 }
 
 /// Fails the test if job 1 still has a run, or has one again, after [`RUNS_END_WITHIN_MS`].
-fn assert_runs_end(world: &mut World, case: &str) {
+fn assert_runs_end(world: &mut Simulation, case: &str) {
     world.run(RUNS_END_WITHIN_MS);
     assert_no_run_reappears(world, case);
 }
 
 /// Builds a simulation of four workers whose tasks take a minute, where job 1 of `steps` has run for a second.
-fn with_running_tasks(seed: u64, steps: Vec<Step>) -> World {
-    let mut world = World::open(seed, 4);
+fn with_running_tasks(seed: u64, steps: Vec<Step>) -> Simulation {
+    let mut world = Simulation::open(seed, 4);
     world.work_ms = 60_000;
     world.submit(job(1, steps));
     world.run(1_000);
@@ -48,11 +50,11 @@
 }
 
 /// Builds a simulation where each worker carries out its next start `late_ms` milliseconds late, and submits job 1.
-fn with_late_starts(seed: u64, late_ms: u64) -> World {
-    let mut world = World::open(seed, 3);
+fn with_late_starts(seed: u64, late_ms: u64) -> Simulation {
+    let mut world = Simulation::open(seed, 3);
     world.work_ms = 60_000;
     world.run(100);
-    world.workers.iter_mut().for_each(|w| w.delays_start = Some(late_ms));
+    world.workers.iter_mut().for_each(|w| w.next_start_delay_ms = Some(late_ms));
     world.submit(job(1, vec![step(6, &[])]));
     world
 }
@@ -74,7 +76,7 @@
 #[test]
 fn a_run_whose_stop_was_refused_for_a_while_ends() {
     for refused_ms in [10, 400, 1_500, 4_000] {
-        let mut world = with_running_tasks(411, vec![step(12, &[]), lasting(4)]);
+        let mut world = with_running_tasks(411, vec![step(12, &[]), long_running_step(4)]);
         world.workers.iter_mut().for_each(|w| w.refuses_stops = true);
         world.cancel(1);
         world.run(refused_ms);
@@ -103,14 +105,14 @@
     for own_lease in [false, true] {
         for late_ms in [2_000, 4_500, 5_900, 8_000] {
             let mut world = with_late_starts(413, late_ms);
-            world.workers.iter_mut().for_each(|w| w.late_by_own_lease = own_lease);
-            world.workers.iter_mut().for_each(|w| w.unwell = true);
+            world.workers.iter_mut().for_each(|w| w.checks_own_lease = own_lease);
+            world.workers.iter_mut().for_each(|w| w.unhealthy = true);
             world.run(600);
             world.cancel(1);
             world.run(300);
-            world.workers.iter_mut().for_each(|w| w.unwell = false);
+            world.workers.iter_mut().for_each(|w| w.unhealthy = false);
             // Another job makes the leader renew the workers' leases, so that a late start may still begin.
-            world.submit(job(2, vec![lasting(6)]));
+            world.submit(job(2, vec![long_running_step(6)]));
             assert_runs_end(&mut world, &format!("{late_ms} ms late, own lease: {own_lease}"));
         }
     }
@@ -120,10 +122,10 @@
 #[test]
 fn a_run_whose_worker_restarts_ends() {
     for (restart, cancel) in [(0, 0), (0, 1), (0, 300), (0, 900), (1, 0), (300, 0), (900, 0)] {
-        let mut world = with_running_tasks(414, vec![step(6, &[]), lasting(6)]);
+        let mut world = with_running_tasks(414, vec![step(6, &[]), long_running_step(6)]);
         for at in 0..1_000 {
             if at == restart {
-                (0..3).for_each(|worker| world.start_over(worker));
+                (0..3).for_each(|worker| world.restart_worker(worker));
             }
             if at == cancel {
                 world.cancel(1);
@@ -145,7 +147,7 @@
             world.run(cancel);
             world.cancel(1);
             world.run(restart);
-            (0..3).for_each(|worker| world.start_over_before_calls(worker));
+            (0..3).for_each(|worker| world.restart_worker_keeping_calls(worker));
             world.run(late_ms);
             let case = format!("{late_ms} ms late, restart {restart} ms after {cancel} ms");
             // A worker without tasks is sent renewals only this often.
@@ -163,7 +165,7 @@
         for (restart, cancel) in [(50, 0), (50, 100), (450, 500), (450, 1_200), (900, 3_000)] {
             let mut world = with_late_starts(416, late_ms);
             world.run(restart);
-            (0..3).for_each(|worker| world.start_over_before_calls(worker));
+            (0..3).for_each(|worker| world.restart_worker_keeping_calls(worker));
             world.run(cancel);
             world.cancel(1);
             world.run(late_ms);
@@ -179,12 +181,12 @@
 fn a_run_whose_worker_was_partitioned_ends() {
     for before in [0, 500, 2_500] {
         for after in [1, 800, 3_000, 5_000, 9_000] {
-            let mut world = with_running_tasks(417, vec![step(8, &[]), lasting(4)]);
-            world.workers[..2].iter_mut().for_each(|w| w.cut = true);
+            let mut world = with_running_tasks(417, vec![step(8, &[]), long_running_step(4)]);
+            world.workers[..2].iter_mut().for_each(|w| w.partitioned = true);
             world.run(before);
             world.cancel(1);
             world.run(after);
-            world.workers[..2].iter_mut().for_each(|w| w.cut = false);
+            world.workers[..2].iter_mut().for_each(|w| w.partitioned = false);
             assert_runs_end(&mut world, &format!("cut {before} ms before to {after} ms after"));
         }
     }
@@ -201,7 +203,7 @@
             world.run(gap / 2);
             world.cancel(1);
             world.run(gap / 2);
-            world.take_over();
+            world.start_new_leader();
             world.run(late_ms);
             assert_runs_end(&mut world, &format!("{late_ms} ms late, no leader for {gap} ms"));
         }
@@ -212,13 +214,13 @@
 #[test]
 fn a_run_adopted_by_a_successor_ends() {
     for after in [0, 1, 2, 3, 5, 20, 300, 1_000] {
-        let mut world = with_running_tasks(419, vec![step(6, &[]), lasting(6)]);
-        world.workers[0].cut = true;
+        let mut world = with_running_tasks(419, vec![step(6, &[]), long_running_step(6)]);
+        world.workers[0].partitioned = true;
         world.change_leader(500);
         world.run(after);
         world.cancel(1);
         world.run(after);
-        world.workers[0].cut = false;
+        world.workers[0].partitioned = false;
         assert_runs_end(&mut world, &format!("cancelled {after} ms after the takeover"));
     }
 }
@@ -227,7 +229,7 @@
 #[test]
 fn a_run_whose_leader_is_lost_after_the_cancel_ends() {
     for after in [0, 1, 2, 50, 500] {
-        let mut world = with_running_tasks(420, vec![step(6, &[]), lasting(6)]);
+        let mut world = with_running_tasks(420, vec![step(6, &[]), long_running_step(6)]);
         world.workers.iter_mut().for_each(|w| w.stop_ms = 800);
         world.workers[0].refuses_stops = true;
         world.cancel(1);
@@ -248,18 +250,18 @@
         ("one is partitioned", None, false, true),
     ] {
         for after in [0, 20, 60, 300, 1_000] {
-            let mut world = World::open(421, 4);
+            let mut world = Simulation::open(421, 4);
             world.work_ms = 60_000;
             world.run(100);
-            (world.workers[1].delays_start, world.workers[1].failing) = (late, failing);
+            (world.workers[1].next_start_delay_ms, world.workers[1].failing) = (late, failing);
             let gang = Step { gang: true, most_per_worker: Some(2), ..step(7, &[]) };
             world.submit(job(1, vec![gang]));
             world.run(10);
-            world.workers[1].cut = cut;
+            world.workers[1].partitioned = cut;
             world.run(after);
             world.cancel(1);
             world.run(if cut { 3_000 } else { 0 });
-            world.workers[1].cut = false;
+            world.workers[1].partitioned = false;
             assert_runs_end(&mut world, &format!("{case}, cancelled after {after} ms"));
         }
     }
@@ -269,11 +271,11 @@
 #[test]
 fn a_failed_task_of_a_cancelled_job_is_not_retried() {
     for after in [49, 51, 52, 53, 55, 100, 150, 160, 210, 400] {
-        let mut world = World::open(422, 3);
+        let mut world = Simulation::open(422, 3);
         world.work_ms = 60_000;
         world.run(100);
         world.workers.iter_mut().for_each(|w| w.failing = true);
-        world.submit(job(1, vec![step(3, &[]), lasting(3)]));
+        world.submit(job(1, vec![step(3, &[]), long_running_step(3)]));
         world.run(after);
         world.cancel(1);
         world.workers.iter_mut().for_each(|w| w.failing = false);
@@ -283,14 +285,14 @@
 
 /// Builds a simulation of two workers, each of which was lost twice under the tasks of job 1: some tasks run their
 /// trials, and the others wait for an empty worker.
-fn with_waiting_suspects(seed: u64) -> World {
-    let mut world = World::open(seed, 2);
-    world.submit(job(1, vec![lasting(12)]));
+fn with_waiting_suspects(seed: u64) -> Simulation {
+    let mut world = Simulation::open(seed, 2);
+    world.submit(job(1, vec![long_running_step(12)]));
     world.run(2_000);
     for pause in [12_000, 0] {
         for _ in 0..2 {
             let at = world.busy_worker();
-            world.crash_and_return(at);
+            world.crash_and_replace(at);
             world.run(200);
         }
         world.run(pause);
@@ -319,8 +321,8 @@
 #[test]
 fn a_suspect_in_its_trial_ends() {
     for after in (0..400).step_by(40) {
-        let mut world = World::open(424, 6);
-        world.crash_under(1, 0, CRASH_DELAY_MS);
+        let mut world = Simulation::open(424, 6);
+        world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![step(4, &[])]));
         world.run_until_crashes(1, 1, 5_000);
         world.run(3_000 + 10 * after);
@@ -334,15 +336,15 @@
 fn a_slow_run_and_its_speculative_copy_end() {
     for after in (0..2_000).step_by(200) {
         for cut in [false, true] {
-            let mut world = World::open(425, 4);
+            let mut world = Simulation::open(425, 4);
             world.work_ms = 2_000;
             world.workers[0].slowness = 8;
             world.submit(job(1, vec![Step { duplicates: true, ..step(24, &[]) }]));
             world.run(1_000 + after);
-            world.workers[0].cut = cut;
+            world.workers[0].partitioned = cut;
             world.cancel(1);
             world.run(1_000);
-            world.workers[0].cut = false;
+            world.workers[0].partitioned = false;
             assert_runs_end(
                 &mut world,
                 &format!("cancelled after {after} ms, slow one cut: {cut}"),
@@ -355,10 +357,10 @@
 #[test]
 fn a_job_received_after_its_cancellation_starts_nothing() {
     for gap in [0, 1, 100, 3_000] {
-        let mut world = World::open(426, 3);
+        let mut world = Simulation::open(426, 3);
         world.work_ms = 60_000;
         world.run(100);
-        world.cancel_ahead(job(1, vec![step(4, &[]), lasting(2)]), gap);
+        world.cancel_before_submit(job(1, vec![step(4, &[]), long_running_step(2)]), gap);
         assert_no_run_reappears(&mut world, &format!("{gap} ms"));
         assert_eq!(world.state(1), Some(JobState::Cancelled), "{gap} ms");
     }
@@ -368,7 +370,7 @@
 #[test]
 fn no_round_of_a_cancelled_job_begins() {
     for after in [0, 100, 299, 300, 301, 500, 850] {
-        let mut world = World::open(427, 3);
+        let mut world = Simulation::open(427, 3);
         world.work_ms = 700;
         let repeat = Some(Repeat { times: 50, first_unix_ms: 0, every: Millis(300) });
         world.submit(Job { repeat, ..job(1, vec![step(3, &[]), step(2, &[0])]) });
@@ -384,7 +386,7 @@
 #[test]
 fn a_task_that_is_being_moved_ends() {
     for after in [0, 1, 3, 100, 900, 2_500] {
-        let mut world = with_running_tasks(428, vec![step(8, &[]), lasting(8)]);
+        let mut world = with_running_tasks(428, vec![step(8, &[]), long_running_step(8)]);
         world.workers.iter_mut().for_each(|w| w.stop_ms = 300);
         world.drain(0, 4_000);
         world.unlist(1);
@@ -397,9 +399,9 @@
 /// The leader forgets a job some time after its end, while a worker that refused all stops still runs its tasks.
 #[test]
 fn a_run_of_a_forgotten_job_ends() {
-    let mut world = World::open(429, 3);
+    let mut world = Simulation::open(429, 3);
     world.settings.finished_job_retention = Millis(500);
-    world.take_over();
+    world.start_new_leader();
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(6, &[])]));
     world.run(1_000);
@@ -415,21 +417,21 @@
 #[test]
 fn runs_of_a_failed_job_end() {
     for cut in [false, true] {
-        let mut world = World::open(430, 4);
+        let mut world = Simulation::open(430, 4);
         world.work_ms = 60_000;
-        world.submit(job(1, vec![lasting(8)]));
-        world.submit(job(2, vec![step(8, &[]), lasting(8)]));
+        world.submit(job(1, vec![long_running_step(8)]));
+        world.submit(job(2, vec![step(8, &[]), long_running_step(8)]));
         world.run(500);
         world.faults.failing_per_mille = 1_000;
         world.submit(job(3, vec![step(1, &[])]));
-        (0..2).for_each(|at| world.start_over(at));
+        (0..2).for_each(|at| world.restart_worker(at));
         world.run(2_500);
         world.faults.failing_per_mille = 0;
-        world.workers[2].cut = cut;
+        world.workers[2].partitioned = cut;
         world.run(4_000);
-        world.workers[2].cut = false;
+        world.workers[2].partitioned = false;
         world.run(4_000);
-        assert_kept(&world);
-        assert_nothing_waits(&mut world);
+        assert_no_violations(&world);
+        assert_no_runnable_task_waits(&mut world);
     }
 }
--- a/crates/sched/tests/fleet/capacity.rs
+++ b/crates/sched/tests/fleet/capacity.rs
@@ -3,13 +3,15 @@
 use gaplock_jobs::Step;
 use gaplock_types::sizes::Resources;
 
-use crate::world::{assert_all_end, assert_kept, job, lasting, step, Faults, World};
+use crate::simulation::{
+    assert_all_jobs_end, assert_no_violations, job, long_running_step, step, Faults, Simulation,
+};
 
 /// Builds a simulation whose workers carry out every start, even beyond their capacity.
-fn with_unguarded_workers(seed: u64, workers: usize) -> World {
-    let mut world = World::open(seed, workers);
+fn with_unguarded_workers(seed: u64, workers: usize) -> Simulation {
+    let mut world = Simulation::open(seed, workers);
     for worker in &mut world.workers {
-        worker.unguarded = true;
+        worker.ignores_capacity = true;
     }
     world
 }
@@ -17,11 +19,11 @@
 #[test]
 fn nothing_starts_beyond_a_reduced_capacity() {
     let mut world = with_unguarded_workers(611, 3);
-    world.submit(job(1, vec![lasting(12)]));
+    world.submit(job(1, vec![long_running_step(12)]));
     world.run(1_000);
     let before = world.running_at(0);
     world.resize(0, Resources::new(2_000, 16_000, 0));
-    world.submit(job(2, vec![lasting(20)]));
+    world.submit(job(2, vec![long_running_step(20)]));
     world.run(8_000);
     world.submit(job(3, vec![step(4, &[])]));
     world.run(2_000);
@@ -30,20 +32,20 @@
         before,
         "runs were started or stopped at the worker of reduced capacity"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn restored_capacity_is_used() {
     let mut world = with_unguarded_workers(612, 1);
     world.resize(0, Resources::new(1_000, 16_000, 0));
-    world.submit(job(1, vec![lasting(6)]));
+    world.submit(job(1, vec![long_running_step(6)]));
     world.run(2_000);
     assert_eq!(world.running_of(1), 1);
     world.resize(0, Resources::new(8_000, 16_000, 0));
     world.run(2_000);
     assert_eq!(world.running_of(1), 6);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Guards against a successor that uses the capacity stored in the roster instead of the one that the directory shows
@@ -51,7 +53,7 @@
 #[test]
 fn a_successor_uses_the_reduced_capacity() {
     let mut world = with_unguarded_workers(613, 2);
-    world.submit(job(1, vec![lasting(6)]));
+    world.submit(job(1, vec![long_running_step(6)]));
     world.run(1_000);
     world.resize(0, Resources::new(1_000, 16_000, 0));
     world.resize(1, Resources::new(1_000, 16_000, 0));
@@ -60,7 +62,7 @@
     world.submit(job(2, vec![step(8, &[])]));
     world.run(4_000);
     assert!(!world.is_completed(2), "job 2 ran on workers whose capacity is in use");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// A run that is being stopped uses capacity until a worker report shows that it is over.
@@ -68,13 +70,13 @@
 fn capacity_of_stopping_runs_is_not_reused() {
     let mut world = with_unguarded_workers(614, 1);
     world.workers[0].stop_ms = 900;
-    world.submit(job(1, vec![lasting(8)]));
+    world.submit(job(1, vec![long_running_step(8)]));
     world.run(1_000);
     world.cancel(1);
     world.submit(job(2, vec![step(8, &[])]));
     world.run(4_000);
     assert!(world.is_completed(2), "job 2 has not completed 4 s after job 1 was cancelled");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Gangs and single tasks run while capacities change all the time, answers are lost and the leader changes.
@@ -86,7 +88,7 @@
             lost_per_mille: 20,
             unanswered_per_mille: 40,
             late_per_mille: 20,
-            unwell_per_mille: 20,
+            unhealthy_per_mille: 20,
             ..Faults::default()
         };
         for key in 0..20 {
@@ -103,6 +105,6 @@
         for at in 0..8 {
             world.resize(at, Resources::new(8_000, 16_000, 0));
         }
-        assert_all_end(&mut world, seed);
+        assert_all_jobs_end(&mut world, seed);
     }
 }
--- a/crates/sched/tests/fleet/checkpoints.rs
+++ b/crates/sched/tests/fleet/checkpoints.rs
@@ -11,7 +11,7 @@
 use gaplock_jobs::{Job, Step};
 use gaplock_types::time::Millis;
 
-use crate::world::{assert_kept, job, play, step, Faults, World};
+use crate::simulation::{assert_no_violations, job, run_twenty_jobs, step, Faults, Simulation};
 
 /// How long a task runs, in milliseconds: long enough for several checkpoints.
 const WORK_MS: u64 = 2_000;
@@ -23,35 +23,35 @@
 
 #[test]
 fn a_task_resumes_from_the_checkpoint_of_its_stopped_run() {
-    let mut world = World::open(901, 3);
+    let mut world = Simulation::open(901, 3);
     world.work_ms = WORK_MS;
     world.submit(job(1, vec![checkpointing_step(6, &[])]));
     world.run(1_000);
     world.drain(0, 2_000);
     world.run(3_500);
     assert!(world.is_completed(1));
-    assert!(world.checkpoints.brought > 0, "no start carried a checkpoint");
-    assert_eq!(world.checkpoints.thrown_away_ms, 0);
-    assert_kept(&world);
+    assert!(world.checkpoints.starts_with_checkpoint > 0, "no start carried a checkpoint");
+    assert_eq!(world.checkpoints.repeated_work_ms, 0);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn starts_of_a_step_without_checkpoints_carry_none() {
-    let mut world = World::open(902, 3);
+    let mut world = Simulation::open(902, 3);
     world.work_ms = WORK_MS;
-    world.checkpoints.lists_all = true;
+    world.checkpoints.list_for_all_steps = true;
     world.submit(job(1, vec![step(6, &[])]));
     world.submit(job(2, vec![Step { duplicates: true, ..step(6, &[]) }]));
     world.run(1_000);
     world.drain(0, 2_000);
     world.run(8_000);
     assert!(world.is_completed(1) && world.is_completed(2));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn starts_of_all_members_of_a_gang_carry_the_same_checkpoint() {
-    let mut world = World::open(903, 3);
+    let mut world = Simulation::open(903, 3);
     world.work_ms = WORK_MS;
     world.submit(job(1, vec![Step { gang: true, ..checkpointing_step(6, &[]) }]));
     world.run(1_100);
@@ -60,36 +60,36 @@
     world.run(3_000);
     world.unlist(worker);
     world.run(12_000);
-    assert!(world.checkpoints.brought > 0, "no start carried a checkpoint");
-    assert_kept(&world);
+    assert!(world.checkpoints.starts_with_checkpoint > 0, "no start carried a checkpoint");
+    assert_no_violations(&world);
 }
 
 #[test]
 fn every_attempt_of_a_start_carries_the_same_checkpoint() {
-    let mut world = World::open(910, 2);
+    let mut world = Simulation::open(910, 2);
     world.work_ms = 60_000;
     world.submit(job(1, vec![checkpointing_step(1, &[])]));
     world.run(1_000);
     let (first, second) = (world.busy_worker(), 1 - world.busy_worker());
-    world.workers[first].cut = true;
+    world.workers[first].partitioned = true;
     // The leader gets the end of the first run between two attempts of the second run's start.
-    world.workers[second].delays_start = Some(2_500);
+    world.workers[second].next_start_delay_ms = Some(2_500);
     while world.starts_under_way() == 0 {
         world.run(1);
     }
-    world.workers[first].cut = false;
+    world.workers[first].partitioned = false;
     world.run(10_000);
     assert!(
-        world.checkpoints.brought >= 2,
+        world.checkpoints.starts_with_checkpoint >= 2,
         "{} starts carried a checkpoint, expected at least 2 attempts",
-        world.checkpoints.brought
+        world.checkpoints.starts_with_checkpoint
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_start_refused_for_its_checkpoint_is_sent_again_without_it() {
-    let mut world = World::open(904, 3);
+    let mut world = Simulation::open(904, 3);
     world.work_ms = WORK_MS;
     world.submit(job(1, vec![checkpointing_step(6, &[])]));
     world.run(1_000);
@@ -101,23 +101,23 @@
         "job 1 has not completed: starts carry a checkpoint that all workers refuse"
     );
     assert!(
-        world.checkpoints.brought < 30,
+        world.checkpoints.starts_with_checkpoint < 30,
         "{} starts carried the refused checkpoint, expected fewer than 30",
-        world.checkpoints.brought
+        world.checkpoints.starts_with_checkpoint
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_late_end_of_an_older_run_does_not_replace_a_newer_checkpoint() {
-    let mut world = World::open(905, 2);
+    let mut world = Simulation::open(905, 2);
     world.work_ms = 60_000;
     world.submit(job(1, vec![checkpointing_step(1, &[])]));
     world.run(1_000);
     let (first, second) = (world.busy_worker(), 1 - world.busy_worker());
-    world.workers[first].cut = true;
+    world.workers[first].partitioned = true;
     world.run(20_000);
-    world.workers[first].cut = false;
+    world.workers[first].partitioned = false;
     let before = world.ends_listed(first);
     while world.ends_listed(first) == before {
         world.run(1);
@@ -126,13 +126,13 @@
     world.unlist(second);
     world.run(12_000);
     assert_eq!(world.running_of(1), 1);
-    assert_eq!(world.checkpoints.thrown_away_ms, 0);
-    assert_kept(&world);
+    assert_eq!(world.checkpoints.repeated_work_ms, 0);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_successor_knows_the_checkpoints_of_ends_that_workers_no_longer_list() {
-    let mut world = World::open(906, 2);
+    let mut world = Simulation::open(906, 2);
     world.work_ms = 6_000;
     world.submit(job(1, vec![checkpointing_step(16, &[])]));
     world.run(1_000);
@@ -145,20 +145,20 @@
     world.run(10_000);
     assert!(world.is_completed(1));
     assert_eq!(
-        world.checkpoints.thrown_away_ms, 0,
+        world.checkpoints.repeated_work_ms, 0,
         "{} ms of saved work were done again",
-        world.checkpoints.thrown_away_ms
+        world.checkpoints.repeated_work_ms
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_successor_knows_the_checkpoints_of_tasks_that_wait_after_a_partition() {
-    let mut world = World::open(915, 2);
+    let mut world = Simulation::open(915, 2);
     world.work_ms = 20_000;
     world.submit(job(1, vec![checkpointing_step(16, &[])]));
     world.run(1_500);
-    world.workers[0].cut = true;
+    world.workers[0].partitioned = true;
     // The other worker has no free capacity, so the tasks wait.
     world.run(9_000);
     world.crash(0);
@@ -166,18 +166,18 @@
     world.change_leader(100);
     world.run(50_000);
     assert!(world.is_completed(1));
-    assert!(world.checkpoints.brought > 0, "no start carried a checkpoint");
+    assert!(world.checkpoints.starts_with_checkpoint > 0, "no start carried a checkpoint");
     assert_eq!(
-        world.checkpoints.thrown_away_ms, 0,
+        world.checkpoints.repeated_work_ms, 0,
         "{} ms of saved work were done again",
-        world.checkpoints.thrown_away_ms
+        world.checkpoints.repeated_work_ms
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn rounds_of_a_repeating_job_have_separate_checkpoints() {
-    let mut world = World::open(907, 3);
+    let mut world = Simulation::open(907, 3);
     world.work_ms = WORK_MS;
     let repeat = Some(Repeat { times: 4, first_unix_ms: 0, every: Millis(300) });
     world.submit(Job {
@@ -190,14 +190,14 @@
     world.change_leader(200);
     world.run(12_000);
     assert!(world.is_completed(1));
-    assert!(world.checkpoints.brought > 0, "no start carried a checkpoint");
-    assert_eq!(world.checkpoints.thrown_away_ms, 0);
-    assert_kept(&world);
+    assert!(world.checkpoints.starts_with_checkpoint > 0, "no start carried a checkpoint");
+    assert_eq!(world.checkpoints.repeated_work_ms, 0);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn the_end_of_a_speculative_copy_leaves_no_checkpoint_of_a_done_task() {
-    let mut world = World::open(908, 4);
+    let mut world = Simulation::open(908, 4);
     world.work_ms = WORK_MS;
     world.workers[0].slowness = 8;
     let after = Step { lasting: true, ..step(1, &[0]) };
@@ -205,7 +205,7 @@
     world.run(20_000);
     assert!(world.starts > 25, "no speculative copy was started: {} starts", world.starts);
     assert_eq!(world.checkpoints_known(1), 0, "the leader knows a checkpoint of a done task");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Guards against a checkpoint that is lost with the leader. The worker of a run is partitioned, and a newer run of the
@@ -214,18 +214,18 @@
 /// did not change; a successor began the task from its start.
 #[test]
 fn a_successor_knows_the_checkpoint_of_an_older_run_that_was_listed_late() {
-    let mut world = World::open(911, 2);
+    let mut world = Simulation::open(911, 2);
     world.work_ms = 60_000;
     world.submit(job(1, vec![checkpointing_step(1, &[])]));
     world.run(150);
     let (first, second) = (world.busy_worker(), 1 - world.busy_worker());
-    world.workers[first].cut = true;
+    world.workers[first].partitioned = true;
     // Slow work: the second run saves nothing for a while.
     world.workers[second].slowness = 100;
     while world.running_at(second) == 0 {
         world.run(1);
     }
-    world.workers[first].cut = false;
+    world.workers[first].partitioned = false;
     while world.checkpoints_known(1) == 0 {
         world.run(1);
     }
@@ -238,22 +238,22 @@
     world.run(20_000);
     assert_eq!(world.running_of(1), 1);
     assert_eq!(
-        world.checkpoints.thrown_away_ms, 0,
+        world.checkpoints.repeated_work_ms, 0,
         "{} ms of saved work were done again",
-        world.checkpoints.thrown_away_ms
+        world.checkpoints.repeated_work_ms
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// How many seeds are run unless `CHECKPOINT_SEEDS` gives another number.
 const SEEDS: u64 = 12;
 
 /// Injects a random fault that makes runs end before their work is done.
-fn inject_fault(world: &mut World) {
+fn inject_fault(world: &mut Simulation) {
     let worker = world.draw(6) as usize;
     match world.draw(8) {
-        0 => world.workers[worker].cut = true,
-        1 => world.workers.iter_mut().for_each(|w| w.cut = false),
+        0 => world.workers[worker].partitioned = true,
+        1 => world.workers.iter_mut().for_each(|w| w.partitioned = false),
         2 => world.drain(worker, 1_500),
         3 => {
             world.crash(worker);
@@ -265,7 +265,7 @@
             world.change_leader(gap);
         }
         5 => world.workers[worker].refuses_checkpoints = true,
-        6 => world.workers[worker].delays_start = Some(3_000),
+        6 => world.workers[worker].next_start_delay_ms = Some(3_000),
         _ => world.cancel(20 + world.now % 10),
     }
 }
@@ -275,15 +275,15 @@
     let seeds = env::var("CHECKPOINT_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(SEEDS);
     let mut carried = 0;
     for seed in 930..930 + seeds {
-        let mut world = World::open(seed, 6);
+        let mut world = Simulation::open(seed, 6);
         world.work_ms = 2 * WORK_MS;
-        world.checkpoints.lists_all = true;
+        world.checkpoints.list_for_all_steps = true;
         world.faults = Faults {
             lost_per_mille: 20,
             unanswered_per_mille: 50,
             late_per_mille: 50,
             failing_per_mille: 20,
-            unwell_per_mille: 20,
+            unhealthy_per_mille: 20,
         };
         for key in 20..30 {
             let gang = Step { gang: true, ..checkpointing_step(3, &[]) };
@@ -297,12 +297,12 @@
             world.run(400);
             inject_fault(&mut world);
         }
-        world.workers.iter_mut().for_each(|w| w.cut = false);
+        world.workers.iter_mut().for_each(|w| w.partitioned = false);
         for n in 0..4 {
             world.add_worker(&format!("sound-{n}"));
         }
-        play(&mut world, seed);
-        carried += world.checkpoints.brought;
+        run_twenty_jobs(&mut world, seed);
+        carried += world.checkpoints.starts_with_checkpoint;
     }
     assert!(carried > 5 * seeds, "only {carried} starts carried a checkpoint with {seeds} seeds");
 }
--- a/crates/sched/tests/fleet/crash_attribution.rs
+++ b/crates/sched/tests/fleet/crash_attribution.rs
@@ -3,7 +3,7 @@
 
 use gaplock_jobs::progress::JobState;
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 /// How long after its start a crashing task crashes its worker, in milliseconds.
 const CRASH_DELAY_MS: u64 = 10;
@@ -15,12 +15,12 @@
 /// before. The next loss together with other tasks is the fourth.
 #[test]
 fn lost_workers_are_not_counted_against_a_waiting_task() {
-    let mut world = World::open(20_002, 2);
+    let mut world = Simulation::open(20_002, 2);
     world.work_ms = 700;
     let crashes_workers = |key: u64| key % 3 == 1;
     (0..36)
         .filter(|key| crashes_workers(*key))
-        .for_each(|key| world.crash_under(key, 0, CRASH_DELAY_MS));
+        .for_each(|key| world.make_task_crash_workers(key, 0, CRASH_DELAY_MS));
     for key in 0..36 {
         let harmless = vec![step(6, &[]), step(4, &[0])];
         let steps = if crashes_workers(key) { vec![step(3, &[])] } else { harmless };
@@ -37,7 +37,7 @@
     let failed: Vec<u64> =
         harmless.filter(|&key| world.state(key) == Some(JobState::Failed)).collect();
     assert!(failed.is_empty(), "jobs {failed:?} failed, but none of their tasks crashes a worker");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Guards against crashes that are lost with the leader. A successor that finds a worker gone uses what is stored, so
@@ -45,15 +45,15 @@
 /// crash, and only the stored start shows which task ran there.
 #[test]
 fn the_start_of_a_suspect_is_stored_before_it_is_sent() {
-    let mut world = World::open(20_301, 16);
-    world.crash_under(1, 0, CRASH_DELAY_MS);
+    let mut world = Simulation::open(20_301, 16);
+    world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run_until_crashes(1, 2, 15_000);
     assert_eq!(world.stored_crashes(1), 1, "the leader must not know of the second crash yet");
     assert_eq!(world.stored_starts(1), 1, "the start was sent before it was stored");
     world.lose_leader();
     world.run(700);
-    world.take_over();
+    world.start_new_leader();
     world.run(8_000);
     assert!(world.stored_crashes(1) >= 2, "the successor has not counted the second crash");
     world.run(40_000);
@@ -63,5 +63,5 @@
         "{} workers crashed, expected at most 4",
         world.crashes.of(1)
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/crashes.rs
+++ b/crates/sched/tests/fleet/crashes.rs
@@ -10,7 +10,9 @@
 use gaplock_jobs::Step;
 use gaplock_types::sizes::Resources;
 
-use crate::world::{assert_all_end, assert_kept, job, lasting, step, Faults, World};
+use crate::simulation::{
+    assert_all_jobs_end, assert_no_violations, job, long_running_step, step, Faults, Simulation,
+};
 
 /// How long after its start a crashing task crashes its worker, in milliseconds, as in the failure that these tests
 /// guard against.
@@ -18,38 +20,38 @@
 
 #[test]
 fn a_job_whose_task_crashes_its_workers_fails() {
-    let mut world = World::open(301, 12);
-    world.crash_under(1, 0, CRASH_DELAY_MS);
+    let mut world = Simulation::open(301, 12);
+    world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run(60_000);
     assert_eq!(world.state(1), Some(JobState::Failed), "after {} crashes", world.crashes.of(1));
     assert!(world.crashes.of(1) <= 3, "{} workers crashed, not 3 at most", world.crashes.of(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Jobs whose tasks start beside the crashing one complete, and few of their runs are lost with its workers.
 #[test]
 fn jobs_beside_a_crashing_task_complete() {
-    let mut world = World::open(302, 12);
+    let mut world = Simulation::open(302, 12);
     world.work_ms = 2_000;
-    world.crash_under(1, 0, CRASH_DELAY_MS);
+    world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
     for key in 1..=6 {
         world.submit(job(key, vec![step(4, &[])]));
     }
     world.run(40_000);
     let unfinished: Vec<u64> = (2..=6).filter(|&key| !world.is_completed(key)).collect();
     assert!(unfinished.is_empty(), "jobs not completed: {unfinished:?}");
-    let lost = world.crashes.innocent_runs;
+    let lost = world.crashes.other_runs_lost;
     assert!(lost <= 12, "{lost} runs of other tasks were lost, expected at most 12");
     assert_eq!(world.state(1), Some(JobState::Failed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Crashes that one leader counted still count under its successors.
 #[test]
 fn crashes_are_counted_across_leader_changes() {
-    let mut world = World::open(303, 16);
-    world.crash_under(1, 0, CRASH_DELAY_MS);
+    let mut world = Simulation::open(303, 16);
+    world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     for _ in 0..20 {
         world.run(3_000);
@@ -57,22 +59,22 @@
     }
     world.run(20_000);
     assert_eq!(world.state(1), Some(JobState::Failed), "after {} crashes", world.crashes.of(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Runs for 40 s and checks that job 1 has failed and that its task was not started too often.
-fn assert_job_fails(mut world: World) {
+fn assert_job_fails(mut world: Simulation) {
     world.run(40_000);
     assert_eq!(world.state(1), Some(JobState::Failed), "after {} crashes", world.crashes.of(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The leader is lost soon after each crash, in some cases before it knows of the crash.
 #[test]
 fn crashes_count_though_the_leader_is_lost_soon_after() {
     for after in [0, 5, 50, 300, 900, 2_500] {
-        let mut world = World::open(304, 16);
-        world.crash_under(1, 0, CRASH_DELAY_MS);
+        let mut world = Simulation::open(304, 16);
+        world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![step(1, &[])]));
         for crashes in 1..=6 {
             world.run_until_crashes(1, crashes, 15_000);
@@ -87,10 +89,10 @@
 #[test]
 fn crashes_beside_other_work_count_though_the_leader_is_lost_soon_after() {
     for after in [0, 50, 900] {
-        let mut world = World::open(305, 16);
+        let mut world = Simulation::open(305, 16);
         world.work_ms = 3_000;
-        world.crash_under(1, 0, CRASH_DELAY_MS);
-        world.submit(job(2, vec![lasting(12)]));
+        world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
+        world.submit(job(2, vec![long_running_step(12)]));
         world.submit(job(1, vec![step(6, &[])]));
         for crashes in 1..=6 {
             world.run_until_crashes(1, crashes, 15_000);
@@ -106,8 +108,8 @@
 /// While the store is unavailable, the leader keeps the count in memory; a successor has only what was stored.
 #[test]
 fn crashes_count_while_the_store_is_unavailable() {
-    let mut world = World::open(306, 16);
-    world.crash_under(1, 0, CRASH_DELAY_MS);
+    let mut world = Simulation::open(306, 16);
+    world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run_until_crashes(1, 1, 5_000);
     world.store_down = true;
@@ -117,7 +119,7 @@
         crashes <= 3,
         "{crashes} workers crashed while the store was unavailable, expected at most 3"
     );
-    world.take_over();
+    world.start_new_leader();
     world.store_down = false;
     assert_job_fails(world);
 }
@@ -125,23 +127,23 @@
 /// The directory still lists workers that have crashed, and no worker takes over their addresses.
 #[test]
 fn crashes_count_though_the_directory_never_shows_them() {
-    let mut world = World::open(307, 16);
-    world.crashes.silent = true;
-    world.crash_under(1, 0, CRASH_DELAY_MS);
+    let mut world = Simulation::open(307, 16);
+    world.crashes.keep_entries = true;
+    world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     world.run(90_000);
     assert!(world.crashes.of(1) <= 5, "{} workers crashed, not 5 at most", world.crashes.of(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Tasks crash their workers while answers to starts and renewals are lost, or these calls are carried out late.
 #[test]
 fn crashes_count_though_starts_got_no_answer() {
     for seed in 310..330 {
-        let mut world = World::open(seed, 16);
+        let mut world = Simulation::open(seed, 16);
         world.faults =
             Faults { unanswered_per_mille: 300, late_per_mille: 50, ..Faults::default() };
-        world.crash_under(1, 0, CRASH_DELAY_MS);
+        world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![step(1, &[])]));
         world.submit(job(2, vec![step(4, &[])]));
         world.run(60_000);
@@ -154,15 +156,15 @@
 #[test]
 fn crashes_count_for_every_kind_of_task() {
     let kinds = [
-        lasting(4),
+        long_running_step(4),
         Step { gang: true, ..step(4, &[]) },
         Step { duplicates: true, ..step(4, &[]) },
         Step { most_per_worker: Some(1), ..step(4, &[]) },
     ];
     for (seed, kind) in (330..).zip(kinds) {
-        let mut world = World::open(seed, 16);
+        let mut world = Simulation::open(seed, 16);
         world.work_ms = 1_500;
-        world.crash_under(1, 0, CRASH_DELAY_MS);
+        world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
         world.submit(job(1, vec![kind]));
         assert_job_fails(world);
     }
@@ -172,9 +174,9 @@
 #[test]
 fn crashes_long_after_the_start_count() {
     for after in [400, 2_000, 8_000] {
-        let mut world = World::open(340, 16);
-        world.crash_under(1, 0, after);
-        world.submit(job(1, vec![lasting(3)]));
+        let mut world = Simulation::open(340, 16);
+        world.make_task_crash_workers(1, 0, after);
+        world.submit(job(1, vec![long_running_step(3)]));
         world.run(40_000);
         assert_job_fails(world);
     }
@@ -184,10 +186,10 @@
 #[test]
 fn several_crashing_tasks_are_distinguished_from_others() {
     for seed in 350..370 {
-        let mut world = World::open(seed, 24);
+        let mut world = Simulation::open(seed, 24);
         world.work_ms = 1_000;
         for key in 1..=4 {
-            world.crash_under(key, 0, CRASH_DELAY_MS);
+            world.make_task_crash_workers(key, 0, CRASH_DELAY_MS);
         }
         for key in 1..=12 {
             world.submit(job(key, vec![step(6, &[])]));
@@ -204,29 +206,29 @@
                 world.crashes.of(key)
             );
         }
-        assert_kept(&world);
+        assert_no_violations(&world);
     }
 }
 
 /// A worker that is partitioned and answers again did not crash, however often that happens.
 #[test]
 fn a_partition_that_heals_makes_no_task_a_suspect() {
-    let mut world = World::open(370, 6);
-    world.submit(job(1, vec![lasting(6)]));
+    let mut world = Simulation::open(370, 6);
+    world.submit(job(1, vec![long_running_step(6)]));
     world.run(1_000);
     for round in 0..8 {
         for worker in 0..5 {
-            world.workers[(worker + round) % 6].cut = true;
+            world.workers[(worker + round) % 6].partitioned = true;
         }
         world.run(8_000);
         for worker in &mut world.workers {
-            worker.cut = false;
+            worker.partitioned = false;
         }
         world.run(3_000);
         assert_eq!(world.suspects(), 0, "suspects after partition {round}");
     }
     assert_ne!(world.state(1), Some(JobState::Failed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The loss of a worker counts against no task if the worker was draining, or had left the directory and
@@ -234,7 +236,7 @@
 #[test]
 fn leaving_workers_make_no_task_a_suspect() {
     for announced in [true, false] {
-        let mut world = World::open(371, 8);
+        let mut world = Simulation::open(371, 8);
         world.work_ms = 20_000;
         world.submit(job(1, vec![step(8, &[])]));
         for _ in 0..6 {
@@ -248,12 +250,12 @@
                 world.unlist(at);
             }
             world.run(2_000);
-            world.crash_and_return(at);
+            world.crash_and_replace(at);
             world.run(6_000);
             assert_eq!(world.suspects(), 0, "suspects after a worker left, announced: {announced}");
         }
         assert_ne!(world.state(1), Some(JobState::Failed));
-        assert_kept(&world);
+        assert_no_violations(&world);
     }
 }
 
@@ -261,16 +263,16 @@
 #[test]
 fn unrelated_worker_crashes_fail_no_job() {
     for seed in 380..400 {
-        let mut world = World::open(seed, 16);
+        let mut world = Simulation::open(seed, 16);
         world.work_ms = 2_500;
-        world.submit(job(1, vec![lasting(20)]));
+        world.submit(job(1, vec![long_running_step(20)]));
         for key in 2..30 {
             world.submit(job(key, vec![step(4, &[])]));
             world.run(800);
             if world.draw(3) == 0 {
                 let at = world.draw(world.workers.len() as u64) as usize;
                 if world.workers[at].up {
-                    world.crash_and_return(at);
+                    world.crash_and_replace(at);
                 }
             }
         }
@@ -278,7 +280,7 @@
         let failed: Vec<u64> =
             (1..30).filter(|&key| world.state(key) == Some(JobState::Failed)).collect();
         assert!(failed.is_empty(), "seed {seed}: jobs {failed:?} failed");
-        assert_kept(&world);
+        assert_no_violations(&world);
     }
 }
 
@@ -286,14 +288,14 @@
 /// soon.
 #[test]
 fn losing_a_third_of_the_workers_fails_no_job() {
-    let mut world = World::open(401, 48);
+    let mut world = Simulation::open(401, 48);
     world.work_ms = 2_000;
-    world.submit(job(1, vec![lasting(96)]));
+    world.submit(job(1, vec![long_running_step(96)]));
     world.run(2_000);
     for _ in 0..3 {
         for at in 0..world.workers.len() {
             if world.workers[at].up && at % 3 == 0 {
-                world.crash_and_return(at);
+                world.crash_and_replace(at);
             }
         }
         world.run(12_000);
@@ -304,14 +306,14 @@
         );
     }
     assert_ne!(world.state(1), Some(JobState::Failed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The leader is paused for longer than its leases at workers last: that counts as no worker's crash.
 #[test]
 fn a_leader_that_was_paused_suspects_no_task() {
-    let mut world = World::open(402, 8);
-    world.submit(job(1, vec![lasting(8)]));
+    let mut world = Simulation::open(402, 8);
+    world.submit(job(1, vec![long_running_step(8)]));
     world.run(2_000);
     for _ in 0..4 {
         let leader = world.cx.take();
@@ -321,7 +323,7 @@
         assert_eq!(world.suspects(), 0);
     }
     assert_ne!(world.state(1), Some(JobState::Failed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Crashing tasks together with all other faults; the simulation checks what happens at the workers.
@@ -329,16 +331,16 @@
 fn crashing_tasks_beside_every_other_fault() {
     let seeds = std::env::var("CRASH_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(12);
     for seed in 500..500 + seeds {
-        let mut world = World::open(seed, 20);
+        let mut world = Simulation::open(seed, 20);
         world.faults = Faults {
             lost_per_mille: 20,
             unanswered_per_mille: 40,
             late_per_mille: 20,
-            unwell_per_mille: 20,
+            unhealthy_per_mille: 20,
             ..Faults::default()
         };
-        world.crash_under(3, 0, CRASH_DELAY_MS);
-        world.crash_under(9, 1, 300);
+        world.make_task_crash_workers(3, 0, CRASH_DELAY_MS);
+        world.make_task_crash_workers(9, 1, 300);
         for key in 0..20 {
             world.submit(job(key, vec![step(5, &[]), step(3, &[0])]));
             world.run(400);
@@ -350,31 +352,31 @@
                 1 => {
                     let at = world.draw(20) as usize;
                     if world.workers[at].up {
-                        world.crash_and_return(at);
+                        world.crash_and_replace(at);
                     }
                 }
                 2 => {
                     let at = world.draw(20) as usize;
-                    world.workers[at].cut = !world.workers[at].cut;
+                    world.workers[at].partitioned = !world.workers[at].partitioned;
                 }
                 _ => {}
             }
         }
         for worker in &mut world.workers {
-            worker.cut = false;
+            worker.partitioned = false;
         }
-        assert_all_end(&mut world, seed);
+        assert_all_jobs_end(&mut world, seed);
     }
 }
 
 /// A partitioned worker is listed as draining and then leaves: that is no crash.
 #[test]
 fn a_silent_worker_that_leaves_counts_as_no_crash() {
-    let mut world = World::open(403, 6);
-    world.submit(job(1, vec![lasting(6)]));
+    let mut world = Simulation::open(403, 6);
+    world.submit(job(1, vec![long_running_step(6)]));
     world.run(1_000);
     let at = world.busy_worker();
-    world.workers[at].cut = true;
+    world.workers[at].partitioned = true;
     world.run(7_500);
     world.drain(at, 2_000);
     world.run(2_500);
@@ -382,30 +384,30 @@
     world.unlist(at);
     world.run(12_000);
     assert_eq!(world.crashes_counted(1), 0);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Guards against crashes that are not counted while other workers have long been silent: these must not make each
 /// later crash look like a loss of many workers at one time. A task's crashes count from the first one on.
 #[test]
 fn workers_that_are_long_silent_hide_no_crash() {
-    let mut world = World::open(404, 24);
+    let mut world = Simulation::open(404, 24);
     world.run(1_000);
     for at in 0..8 {
-        world.workers[at].cut = true;
+        world.workers[at].partitioned = true;
     }
     world.run(30_000);
-    world.crash_under(1, 0, CRASH_DELAY_MS);
+    world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
     world.submit(job(1, vec![step(1, &[])]));
     assert_job_fails_after(world, 3);
 }
 
 /// Runs for 40 s and checks that job 1 has failed after exactly `crashes` crashed workers.
-fn assert_job_fails_after(mut world: World, crashes: usize) {
+fn assert_job_fails_after(mut world: Simulation, crashes: usize) {
     world.run(40_000);
     assert_eq!(world.state(1), Some(JobState::Failed));
     assert_eq!(world.crashes.of(1), crashes);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Guards against the failure of jobs that had lost one or two workers and then only waited, as happened with real
@@ -413,8 +415,8 @@
 /// such loss is only a possible crash; from the second one on they are counted.
 #[test]
 fn three_lost_leaders_do_not_fail_a_waiting_task() {
-    let mut world = World::open(406, 8);
-    world.submit(job(1, vec![lasting(1)]));
+    let mut world = Simulation::open(406, 8);
+    world.submit(job(1, vec![long_running_step(1)]));
     world.run(1_000);
     let at = world.busy_worker();
     world.crash(at);
@@ -430,9 +432,9 @@
         world.lose_leader();
         world.crash(at);
         world.run(500);
-        world.take_over();
+        world.start_new_leader();
         world.run(8_000);
     }
     assert_ne!(world.state(1), Some(JobState::Failed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/directory_age.rs
+++ b/crates/sched/tests/fleet/directory_age.rs
@@ -4,7 +4,7 @@
 //! were leaving, and still started tasks there, while the store answered each of its other calls at once. The tests
 //! of late and of unanswered reads failed when a dispatch pass did not check the age of the directory.
 
-use crate::world::{assert_kept, job, step, Reading, World};
+use crate::simulation::{assert_no_violations, job, step, DirectoryReads, Simulation};
 
 /// How many workers a simulation has.
 const WORKERS: usize = 12;
@@ -13,16 +13,16 @@
 const LEAVING: usize = 6;
 
 /// Builds a simulation whose directory is read without delay for 1 s, and then as `reading` says.
-fn open_with_reading(seed: u64, reading: Reading) -> World {
-    let mut world = World::open(seed, WORKERS);
-    world.directory.reading = Some(Reading::Late(0));
+fn open_with_reading(seed: u64, reading: DirectoryReads) -> Simulation {
+    let mut world = Simulation::open(seed, WORKERS);
+    world.directory.reads = Some(DirectoryReads::Stale(0));
     world.run(1_000);
-    world.directory.reading = Some(reading);
+    world.directory.reads = Some(reading);
     world
 }
 
 /// Submits a job of short tasks every 200 ms for `ms` milliseconds, with keys from `first` on. Returns the next key.
-fn submit_jobs_for(world: &mut World, first: u64, ms: u64) -> u64 {
+fn submit_jobs_for(world: &mut Simulation, first: u64, ms: u64) -> u64 {
     let jobs = ms / 200;
     for key in first..first + jobs {
         world.submit(job(key, vec![step(8, &[])]));
@@ -32,46 +32,46 @@
 }
 
 /// Counts the completed jobs with keys below `jobs`.
-fn completed(world: &World, jobs: u64) -> usize {
+fn completed(world: &Simulation, jobs: u64) -> usize {
     (0..jobs).filter(|&key| world.is_completed(key)).count()
 }
 
 /// Lets half of the workers announce that they leave while the directory is read as `reading` says. Checks that
 /// nothing starts there, and that all jobs complete once the reads are up to date.
-fn check_leaving_workers(seed: u64, reading: Reading) {
+fn check_leaving_workers(seed: u64, reading: DirectoryReads) {
     let mut world = open_with_reading(seed, reading);
-    (0..LEAVING).for_each(|at| world.says_it_leaves(at, 20_000));
+    (0..LEAVING).for_each(|at| world.announce_drain(at, 20_000));
     let jobs = submit_jobs_for(&mut world, 0, 6_000);
-    world.directory.reading = Some(Reading::Late(100));
+    world.directory.reads = Some(DirectoryReads::Stale(100));
     world.run(6_000);
     assert_eq!(completed(&world, jobs), jobs as usize);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn stale_directory_reads_hold_starts_back_until_they_catch_up() {
-    check_leaving_workers(901, Reading::Late(7_000));
+    check_leaving_workers(901, DirectoryReads::Stale(7_000));
 }
 
 #[test]
 fn unanswered_directory_reads_soon_hold_starts_back() {
-    check_leaving_workers(902, Reading::Silent);
+    check_leaving_workers(902, DirectoryReads::NoAnswer);
 }
 
 #[test]
 fn slightly_stale_directory_reads_hold_nothing_back() {
-    let mut late = open_with_reading(903, Reading::Late(400));
-    let mut fresh = open_with_reading(903, Reading::Late(0));
+    let mut late = open_with_reading(903, DirectoryReads::Stale(400));
+    let mut fresh = open_with_reading(903, DirectoryReads::Stale(0));
     let jobs = submit_jobs_for(&mut late, 0, 6_000);
     submit_jobs_for(&mut fresh, 0, 6_000);
     assert_eq!(completed(&late, jobs), completed(&fresh, jobs));
-    assert_kept(&late);
+    assert_no_violations(&late);
 }
 
 #[test]
 fn an_unchanged_directory_holds_nothing_back() {
-    let mut quiet = open_with_reading(904, Reading::Quiet);
-    let mut fresh = open_with_reading(904, Reading::Late(0));
+    let mut quiet = open_with_reading(904, DirectoryReads::NoChanges);
+    let mut fresh = open_with_reading(904, DirectoryReads::Stale(0));
     let jobs = submit_jobs_for(&mut quiet, 0, 6_000);
     submit_jobs_for(&mut fresh, 0, 6_000);
     assert_eq!(completed(&quiet, jobs), completed(&fresh, jobs));
@@ -79,7 +79,7 @@
 
 #[test]
 fn tasks_start_while_the_store_answers_nothing_at_all() {
-    let mut world = open_with_reading(905, Reading::Late(0));
+    let mut world = open_with_reading(905, DirectoryReads::Stale(0));
     world.work_ms = 300;
     world.submit(job(1, vec![step(8, &[]), step(8, &[0]), step(8, &[1]), step(8, &[2])]));
     world.run(100);
@@ -90,11 +90,11 @@
 
 #[test]
 fn a_successor_measures_the_directory_age_from_its_own_reads() {
-    let mut world = open_with_reading(906, Reading::Late(0));
+    let mut world = open_with_reading(906, DirectoryReads::Stale(0));
     world.run(4_000);
     world.change_leader(100);
     let jobs = submit_jobs_for(&mut world, 0, 4_000);
     world.run(3_000);
     assert_eq!(completed(&world, jobs), jobs as usize);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/evacuations.rs
+++ b/crates/sched/tests/fleet/evacuations.rs
@@ -8,7 +8,7 @@
 
 use gaplock_jobs::{Job, Step};
 
-use crate::world::{assert_kept, job, lasting, step, Faults, World};
+use crate::simulation::{assert_no_violations, job, long_running_step, step, Faults, Simulation};
 
 /// How many workers there are in three failure domains; workers 0 to 7 are in the first.
 const WORKERS: usize = 24;
@@ -26,16 +26,16 @@
 }
 
 /// Returns how many tasks run in the domain whose first worker is `first`.
-fn running_in(world: &World, first: usize) -> usize {
+fn running_in(world: &Simulation, first: usize) -> usize {
     (first..first + SECOND_DOMAIN).map(|at| world.running_at(at)).sum()
 }
 
 #[test]
 fn an_evacuated_domain_gets_no_new_tasks_and_keeps_its_running_ones() {
-    let mut world = World::open(701, WORKERS);
+    let mut world = Simulation::open(701, WORKERS);
     world.work_ms = 20_000;
     world.submit(job(1, vec![step(30, &[])]));
-    world.submit(job(2, vec![lasting(30)]));
+    world.submit(job(2, vec![long_running_step(30)]));
     world.run(1_000);
     let before = running_in(&world, FIRST_DOMAIN);
     assert!(before > 0);
@@ -48,12 +48,12 @@
     }
     assert_eq!(running_in(&world, FIRST_DOMAIN), before);
     assert_eq!(world.running_of(2), 30);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn nothing_starts_while_all_domains_are_evacuated() {
-    let mut world = World::open(702, WORKERS);
+    let mut world = Simulation::open(702, WORKERS);
     for first in [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN] {
         world.evacuate(first);
     }
@@ -62,21 +62,21 @@
     world.run(10_000);
     assert!(!world.is_completed(1));
     assert_eq!(world.starts, 0);
-    world.take_back(SECOND_DOMAIN);
+    world.end_evacuation(SECOND_DOMAIN);
     world.run(3_000);
     assert!(world.is_completed(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_successor_knows_the_evacuations_before_its_first_start() {
-    let mut world = World::open(703, WORKERS);
+    let mut world = Simulation::open(703, WORKERS);
     world.evacuate(FIRST_DOMAIN);
     for key in 0..8 {
         world.lose_leader();
         world.submit(job_preferring_first_rack(key));
         world.run(50);
-        world.take_over();
+        world.start_new_leader();
         world.run(300);
         assert_eq!(
             running_in(&world, FIRST_DOMAIN),
@@ -84,100 +84,100 @@
             "tasks that run in the evacuated domain after takeover {key}"
         );
     }
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn an_older_read_of_the_evacuations_does_not_undo_a_newer_one() {
-    let mut world = World::open(704, WORKERS);
+    let mut world = Simulation::open(704, WORKERS);
     let none = world.evacuated();
     world.evacuate(FIRST_DOMAIN);
     let first = world.evacuated();
     world.run(600);
-    world.hear_evacuated(none);
+    world.deliver_evacuated(none);
     world.submit(job_preferring_first_rack(1));
     world.run(100);
     assert_eq!(running_in(&world, FIRST_DOMAIN), 0);
-    world.take_back(FIRST_DOMAIN);
+    world.end_evacuation(FIRST_DOMAIN);
     world.run(600);
-    world.hear_evacuated(first);
+    world.deliver_evacuated(first);
     world.work_ms = 5_000;
     world.submit(job_preferring_first_rack(2));
     world.run(100);
     assert!(running_in(&world, FIRST_DOMAIN) > 0);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_start_with_unknown_outcome_is_not_resent_to_an_evacuated_domain() {
-    let mut world = World::open(705, WORKERS);
+    let mut world = Simulation::open(705, WORKERS);
     world.run(100);
     for at in SECOND_DOMAIN..WORKERS {
-        world.workers[at].unwell = true;
+        world.workers[at].unhealthy = true;
     }
     for at in FIRST_DOMAIN..SECOND_DOMAIN {
-        world.workers[at].cut = true;
+        world.workers[at].partitioned = true;
     }
     world.submit(job(1, vec![step(4, &[])]));
     world.run(50);
     world.evacuate(FIRST_DOMAIN);
     let evacuated = world.evacuated();
-    world.hear_evacuated(evacuated);
+    world.deliver_evacuated(evacuated);
     world.run(4_000);
     for worker in &mut world.workers {
-        (worker.cut, worker.unwell) = (false, false);
+        (worker.partitioned, worker.unhealthy) = (false, false);
     }
     world.run(20_000);
     assert!(world.is_completed(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_new_worker_in_an_evacuated_domain_gets_no_tasks() {
-    let mut world = World::open(706, WORKERS);
+    let mut world = Simulation::open(706, WORKERS);
     world.evacuate(FIRST_DOMAIN);
     world.run(600);
-    world.crash_and_return(FIRST_DOMAIN);
+    world.crash_and_replace(FIRST_DOMAIN);
     world.run(5_000);
     world.submit(job_preferring_first_rack(1));
     world.run(200);
     assert_eq!(running_in(&world, FIRST_DOMAIN), 0);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn capacity_is_used_at_once_after_an_evacuation_is_lifted() {
-    let mut world = World::open(707, SECOND_DOMAIN);
+    let mut world = Simulation::open(707, SECOND_DOMAIN);
     world.evacuate(FIRST_DOMAIN);
     world.run(600);
     world.submit(job(1, vec![step(40, &[])]));
     world.run(2_000);
     assert_eq!(world.starts, 0);
-    world.take_back(FIRST_DOMAIN);
+    world.end_evacuation(FIRST_DOMAIN);
     world.run(600);
     assert_eq!(world.starts, 40);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Runs evacuations beside changes of leader, an unavailable store, lost and late orders, and crashes.
 fn run_evacuations(seed: u64) {
-    let mut world = World::open(seed, WORKERS);
+    let mut world = Simulation::open(seed, WORKERS);
     world.faults = Faults {
         lost_per_mille: 20,
         unanswered_per_mille: 20,
         late_per_mille: 30,
         failing_per_mille: 20,
-        unwell_per_mille: 10,
+        unhealthy_per_mille: 10,
     };
     for key in 0..40 {
         let steps = vec![step(5, &[]), Step { duplicates: true, ..step(3, &[0]) }];
         let in_first_rack = world.draw(3) == 0;
         world.submit(if in_first_rack { job_preferring_first_rack(key) } else { job(key, steps) });
-        world.submit(job(1_000 + key, vec![lasting(2)]));
+        world.submit(job(1_000 + key, vec![long_running_step(2)]));
         let first = [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN][world.draw(3) as usize];
         match world.draw(8) {
             0..=1 if !world.store_down => world.evacuate(first),
-            2..=3 if !world.store_down => world.take_back(first),
+            2..=3 if !world.store_down => world.end_evacuation(first),
             4 => world.store_down = !world.store_down,
             5 if !world.store_down => {
                 let gap = world.draw(1_500);
@@ -186,7 +186,7 @@
             6 => {
                 let at = world.draw(WORKERS as u64) as usize;
                 if world.workers[at].up {
-                    world.crash_and_return(at);
+                    world.crash_and_replace(at);
                 }
             }
             _ => {}
@@ -197,7 +197,7 @@
     world.store_down = false;
     world.faults = Faults::default();
     for first in [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN] {
-        world.take_back(first);
+        world.end_evacuation(first);
     }
     world.run(40_000);
     assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
--- a/crates/sched/tests/fleet/extreme_jobs.rs
+++ b/crates/sched/tests/fleet/extreme_jobs.rs
@@ -8,7 +8,7 @@
 use gaplock_jobs::{Job, JobKey};
 use gaplock_types::time::Millis;
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 fn repeating_job(times: u32, every: u64) -> Job {
     let repeat = Some(Repeat { times, first_unix_ms: 0, every: Millis(every) });
@@ -17,7 +17,7 @@
 
 #[test]
 fn rounds_that_are_due_at_once_do_not_all_begin_at_once() {
-    let mut world = World::open(701, 4);
+    let mut world = Simulation::open(701, 4);
     world.submit(repeating_job(60_000, 0));
     assert!(
         world.rounds_under_way(1) <= 10_000,
@@ -27,18 +27,18 @@
     world.submit(job(2, vec![step(2, &[])]));
     world.run(100);
     assert!(world.rounds_under_way(1) <= 10_000);
-    world.take_over();
+    world.start_new_leader();
     assert!(
         world.rounds_under_way(1) <= 10_000,
         "{} rounds are under way, at most 10,000 allowed",
         world.rounds_under_way(1)
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn rounds_that_had_to_wait_start_once_earlier_ones_finish() {
-    let mut world = World::open(702, 40);
+    let mut world = Simulation::open(702, 40);
     world.work_ms = 1;
     let mut wide = repeating_job(3, 0);
     wide.steps = vec![step(9_000, &[])];
@@ -49,21 +49,21 @@
     }
     world.run(100);
     assert_eq!((world.rounds_finished(1), world.rounds_under_way(1)), (1, 2));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_round_whose_due_time_overflows_is_not_due_now() {
-    let mut world = World::open(703, 2);
+    let mut world = Simulation::open(703, 2);
     world.submit(repeating_job(3, u64::MAX / 2 + 1));
     world.run(2_000);
     assert_eq!(world.rounds_finished(1), 1);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn the_largest_estimate_puts_a_job_last() {
-    let mut world = World::open(704, 1);
+    let mut world = Simulation::open(704, 1);
     let mut long = job(1, vec![step(8, &[]), step(1, &[0])]);
     for step in &mut long.steps {
         step.estimate = Millis(u64::MAX);
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_start_that_every_worker_refuses_as_invalid_is_repeated_with_growing_pauses() {
-    let mut world = World::open(95, 4);
+    let mut world = Simulation::open(95, 4);
     world.workers.iter_mut().for_each(|w| w.refuses_starts = true);
     world.submit(job(1, vec![step(1, &[])]));
     world.run(20_000);
@@ -88,5 +88,5 @@
     world.workers.iter_mut().for_each(|w| w.refuses_starts = false);
     world.run(6_000);
     assert!(world.is_completed(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/foreign_entries.rs
+++ b/crates/sched/tests/fleet/foreign_entries.rs
@@ -4,59 +4,59 @@
 //! worker that the directory no longer named still got tasks. And the worker of each entry was sent renewals,
 //! whatever pool the entry named. These tests failed on that code.
 
-use crate::world::{assert_kept, job, lasting, step, World};
+use crate::simulation::{assert_no_violations, job, long_running_step, step, Simulation};
 
 #[test]
 fn a_worker_whose_entry_cannot_be_read_gets_no_tasks_and_keeps_those_it_has() {
-    let mut world = World::open(601, 4);
-    world.submit(job(1, vec![lasting(8)]));
+    let mut world = Simulation::open(601, 4);
+    world.submit(job(1, vec![long_running_step(8)]));
     world.run(1_000);
     let before = world.running_at(0);
-    world.spoil_entry(0);
-    world.submit(job(2, vec![lasting(24)]));
+    world.make_entry_unreadable(0);
+    world.submit(job(2, vec![long_running_step(24)]));
     world.run(5_000);
     assert_eq!(world.running_at(0), before, "tasks were started or stopped at worker 0");
     assert_eq!(world.running_of(1), 8);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_worker_whose_entry_is_readable_again_gets_tasks() {
-    let mut world = World::open(602, 1);
+    let mut world = Simulation::open(602, 1);
     world.run(500);
-    world.spoil_entry(0);
+    world.make_entry_unreadable(0);
     world.submit(job(1, vec![step(4, &[])]));
     world.run(3_000);
     assert!(!world.is_completed(1));
     for _ in 0..5 {
         world.list_again(0);
-        world.spoil_entry(0);
+        world.make_entry_unreadable(0);
         world.run(200);
     }
     world.list_again(0);
     world.run(2_000);
     assert!(world.is_completed(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_worker_of_an_unknown_pool_is_sent_no_renewals() {
-    let mut world = World::open(603, 2);
-    world.add_worker_of("x1", "another-pool");
+    let mut world = Simulation::open(603, 2);
+    world.add_worker_of_pool("x1", "another-pool");
     world.run(20_000);
     assert_eq!(world.renewals_to(2), 0);
     world.submit(job(1, vec![step(4, &[])]));
     world.run(2_000);
     assert!(world.is_completed(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_pool_that_a_later_configuration_names_is_used() {
-    let mut world = World::open(604, 1);
-    world.add_worker_of("x1", "another-pool");
+    let mut world = Simulation::open(604, 1);
+    world.add_worker_of_pool("x1", "another-pool");
     world.run(1_000);
-    world.name_pool("another-pool");
+    world.add_pool_to_config("another-pool");
     world.run(6_000);
     assert!(world.renewals_to(1) > 0);
 }
@@ -64,28 +64,28 @@
 /// The crash of a worker whose entry cannot be read is still handled once the entry has lapsed.
 #[test]
 fn tasks_of_a_crashed_worker_with_an_unreadable_entry_run_again() {
-    let mut world = World::open(605, 3);
-    world.submit(job(1, vec![lasting(6)]));
+    let mut world = Simulation::open(605, 3);
+    world.submit(job(1, vec![long_running_step(6)]));
     world.run(1_000);
-    world.spoil_entry(0);
-    world.crash_and_return(0);
+    world.make_entry_unreadable(0);
+    world.crash_and_replace(0);
     world.run(12_000);
     assert_eq!(world.running_of(1), 6);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_busy_worker_listed_at_another_address_gets_no_tasks() {
-    let mut world = World::open(606, 2);
-    world.submit(job(1, vec![lasting(4)]));
+    let mut world = Simulation::open(606, 2);
+    world.submit(job(1, vec![long_running_step(4)]));
     world.run(1_000);
     let before = world.running_at(0);
-    world.list_at(0, "10.0.0.99:80");
-    world.submit(job(2, vec![lasting(12)]));
+    world.list_at_address(0, "10.0.0.99:80");
+    world.submit(job(2, vec![long_running_step(12)]));
     world.run(3_000);
     assert_eq!(world.running_at(0), before, "tasks were started or stopped at worker 0");
     world.list_again(0);
     world.run(3_000);
     assert_eq!(world.running_of(2), 12);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/invariants.rs
+++ b/crates/sched/tests/fleet/invariants.rs
@@ -1,6 +1,8 @@
 //! Invariants of the scheduler that hold under any faults, on virtual time.
 
-use crate::world::{self, assert_kept, job, play, step, Faults, World};
+use crate::simulation::{
+    self, assert_no_violations, job, run_twenty_jobs, step, Faults, Simulation,
+};
 use gaplock_jobs::config::Advice;
 use gaplock_jobs::progress::JobState;
 use gaplock_jobs::JobKey;
@@ -8,17 +10,17 @@
 
 #[test]
 fn a_job_of_two_steps_completes() {
-    let mut world = World::open(1, 3);
+    let mut world = Simulation::open(1, 3);
     world.submit(job(1, vec![step(6, &[]), step(4, &[0])]));
     world.run(3_000);
     assert!(world.is_completed(1));
     assert_eq!(world.starts, 10);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_successor_starts_no_running_task_again() {
-    let mut world = World::open(2, 3);
+    let mut world = Simulation::open(2, 3);
     world.work_ms = 4_000;
     world.submit(job(1, vec![step(6, &[]), step(4, &[0])]));
     world.run(1_000);
@@ -26,19 +28,19 @@
     world.run(9_000);
     assert!(world.is_completed(1));
     assert_eq!(world.starts, 10, "the successor started tasks again");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_successor_waits_for_the_leases_of_a_silent_worker() {
-    let mut world = World::open(3, 3);
+    let mut world = Simulation::open(3, 3);
     world.work_ms = 30_000;
     world.submit(job(1, vec![step(9, &[])]));
     world.run(1_000);
     let at_risk = world.running_at(0);
     assert!(at_risk > 0);
-    world.workers[0].cut = true;
-    world.take_over();
+    world.workers[0].partitioned = true;
+    world.start_new_leader();
     world.run(5_500);
     assert_eq!(world.starts, 9, "a task was started although its lease may not have ended");
     world.run(4_000);
@@ -47,26 +49,26 @@
         9 + at_risk as u64,
         "the tasks of a lost worker were not started elsewhere"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_worker_that_answers_again_after_its_leases_end_runs_no_task_twice() {
-    let mut world = World::open(4, 3);
+    let mut world = Simulation::open(4, 3);
     world.work_ms = 9_000;
     world.submit(job(1, vec![step(9, &[])]));
     world.run(500);
-    world.workers[1].cut = true;
+    world.workers[1].partitioned = true;
     world.run(8_000);
-    world.workers[1].cut = false;
+    world.workers[1].partitioned = false;
     world.run(20_000);
     assert!(world.is_completed(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_cancelled_job_stops_and_never_starts_again() {
-    let mut world = World::open(6, 2);
+    let mut world = Simulation::open(6, 2);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(20, &[])]));
     world.run(1_000);
@@ -74,25 +76,25 @@
     world.run(2_000);
     assert_eq!(world.running_of(1), 0);
     assert_eq!(world.state(1), Some(JobState::Cancelled));
-    world.take_over();
+    world.start_new_leader();
     world.run(3_000);
     assert_eq!(world.running_of(1), 0);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_task_that_always_fails_fails_its_job() {
-    let mut world = World::open(7, 3);
+    let mut world = Simulation::open(7, 3);
     world.faults.failing_per_mille = 1_000;
     world.submit(job(1, vec![step(1, &[])]));
     world.run(4_000);
     assert_eq!(world.state(1), Some(JobState::Failed));
-    assert_eq!(world.starts, u64::from(world::MAX_ATTEMPTS));
+    assert_eq!(world.starts, u64::from(simulation::MAX_ATTEMPTS));
 }
 
 #[test]
 fn a_worker_that_fails_everything_is_avoided() {
-    let mut world = World::open(8, 4);
+    let mut world = Simulation::open(8, 4);
     world.workers[0].failing = true;
     for key in 0..10 {
         world.submit(job(key, vec![step(4, &[])]));
@@ -101,38 +103,38 @@
     world.run(3_000);
     let completed = (0..10).filter(|&key| world.is_completed(key)).count();
     assert_eq!(completed, 10, "jobs failed because of one failing worker");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_final_state_is_stored_before_an_end_is_acknowledged() {
-    let mut world = World::open(9, 2);
+    let mut world = Simulation::open(9, 2);
     world.submit(job(1, vec![step(4, &[])]));
     world.run(300);
     world.store_down = true;
     world.run(2_000);
     assert!(!world.is_completed(1));
-    world.take_over();
+    world.start_new_leader();
     world.run(1_000);
     assert_eq!(world.starts, 4, "an end that was not stored was lost");
     world.store_down = false;
     world.run(1_000);
     assert!(world.is_completed(1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn lost_and_late_calls_run_no_task_twice() {
     for seed in 0..30 {
-        let mut world = World::open(seed, 6);
+        let mut world = Simulation::open(seed, 6);
         world.faults = Faults {
             lost_per_mille: 20,
             unanswered_per_mille: 50,
             late_per_mille: 50,
             failing_per_mille: 20,
-            unwell_per_mille: 0,
+            unhealthy_per_mille: 0,
         };
-        play(&mut world, seed);
+        run_twenty_jobs(&mut world, seed);
     }
 }
 
@@ -140,7 +142,7 @@
 /// (`scale-2 --seed 34871394740` of Klang Valley).
 #[test]
 fn tasks_of_a_worker_lost_for_good_start_elsewhere_after_its_leases_end() {
-    let mut world = World::open(10, 3);
+    let mut world = Simulation::open(10, 3);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(9, &[])]));
     world.run(1_000);
@@ -151,7 +153,7 @@
     world.unlist(0);
     world.run(4_000);
     assert_eq!(world.running_of(1), 9, "tasks of a lost worker were not started again");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Guards against best-effort tasks that keep running beside a serving task over its target. The
@@ -159,7 +161,7 @@
 /// which ended the excess too early (`scale-2 --seed 677558841639` of Ljubljana).
 #[test]
 fn best_effort_tasks_are_halted_beside_a_tail_that_stays_over_its_target() {
-    let mut world = World::open(11, 1);
+    let mut world = Simulation::open(11, 1);
     world.work_ms = 60_000;
     let mut serving = step(1, &[]);
     serving.lasting = true;
@@ -195,7 +197,7 @@
 /// leader acknowledged it (`trouble-2 --seed 411911639069` of Klang Valley).
 #[test]
 fn a_failure_is_counted_once_across_leaders() {
-    let mut world = World::open(12, 2);
+    let mut world = Simulation::open(12, 2);
     world.faults.failing_per_mille = 1_000;
     world.submit(job(1, vec![step(1, &[])]));
     while world.stored_failures(1) == 0 {
@@ -204,10 +206,10 @@
     // The failure is stored but not yet acknowledged to the worker, which lists it again.
     world.faults.failing_per_mille = 0;
     for count in 1..4 {
-        world.workers.iter_mut().for_each(|w| w.cut = true);
+        world.workers.iter_mut().for_each(|w| w.partitioned = true);
         world.run(2);
-        world.workers.iter_mut().for_each(|w| w.cut = false);
-        world.take_over();
+        world.workers.iter_mut().for_each(|w| w.partitioned = false);
+        world.start_new_leader();
         for _ in 0..100 {
             if world.stored_failures(1) == count {
                 world.run(1);
@@ -216,21 +218,21 @@
     }
     world.run(3_000);
     assert_eq!(world.state(1), Some(JobState::Completed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_step_runs_only_where_it_is_permitted() {
-    let mut world = World::open(13, 4);
+    let mut world = Simulation::open(13, 4);
     let interval = Millis(10);
     world.advice = Some(Advice { decide: interval, each: interval, valid: Millis(3_000) });
-    world.take_over();
+    world.start_new_leader();
     world.work_ms = 20_000;
     world.submit(job(1, vec![step(10, &[])]));
     world.run(2_000);
     assert_eq!(world.running_of(1), 10);
     assert_eq!((world.running_at(1), world.running_at(3)), (0, 0));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Guards against a failure that is never counted: of two failures that were not stored, a
@@ -238,34 +240,34 @@
 /// grown site in Klang Valley).
 #[test]
 fn failures_are_counted_in_whatever_order_workers_answer() {
-    let mut world = World::open(14, 4);
+    let mut world = Simulation::open(14, 4);
     world.run(200);
     world.faults.failing_per_mille = 1_000;
     world.store_down = true;
     world.submit(job(1, vec![step(1, &[])]));
     world.run(3_000);
-    assert_eq!(world.starts, u64::from(world::MAX_ATTEMPTS));
+    assert_eq!(world.starts, u64::from(simulation::MAX_ATTEMPTS));
     world.store_down = false;
     let first = world.worker_of_run(1, 0);
-    world.workers[first].cut = true;
-    world.take_over();
+    world.workers[first].partitioned = true;
+    world.start_new_leader();
     world.run(500);
-    world.workers[first].cut = false;
+    world.workers[first].partitioned = false;
     world.run(3_000);
     assert_eq!(
         world.starts,
-        u64::from(world::MAX_ATTEMPTS),
+        u64::from(simulation::MAX_ATTEMPTS),
         "the task was started more often than its allowed attempts"
     );
     assert_eq!(world.state(1), Some(JobState::Failed));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Guards against a waiting long-running task that left capacity free for short tasks, yet kept
 /// larger short tasks from being tried at all (seen on quiet days of Ljubljana).
 #[test]
 fn a_waiting_long_running_task_does_not_block_short_tasks_from_capacity_kept_for_them() {
-    let mut world = World::open(15, 1);
+    let mut world = Simulation::open(15, 1);
     let long_running = |count| gaplock_jobs::Step { lasting: true, ..step(count, &[]) };
     let short = || {
         let mut short = step(1, &[]);
@@ -293,21 +295,21 @@
 /// 901004260944` of Klang Valley).
 #[test]
 fn a_successor_waits_no_longer_for_silent_workers_where_they_grant_long_leases() {
-    let mut world = World::open(61, 3);
+    let mut world = Simulation::open(61, 3);
     world.settings.lease_max = Millis(10_000);
     world.work_ms = 30_000;
-    world.take_over();
+    world.start_new_leader();
     world.submit(job(1, vec![step(9, &[])]));
     world.run(1_000);
     let at_risk = world.running_at(0);
     assert!(at_risk > 0);
-    world.workers[0].cut = true;
-    world.take_over();
+    world.workers[0].partitioned = true;
+    world.start_new_leader();
     world.run(7_000);
     assert_eq!(
         world.starts,
         9 + at_risk as u64,
         "the tasks of a lost worker were not started elsewhere"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/large_fleets.rs
+++ b/crates/sched/tests/fleet/large_fleets.rs
@@ -4,14 +4,16 @@
 //! The leader's work per worker must not grow with the number of workers: a change of leader asks
 //! each worker once, and tasks make progress again within the time that this takes.
 
-use crate::world::{assert_kept, assert_nothing_waits, job, lasting, step, World};
+use crate::simulation::{
+    assert_no_runnable_task_waits, assert_no_violations, job, long_running_step, step, Simulation,
+};
 
 /// Builds a fleet on which long-running tasks take a part of each worker while short tasks come and
 /// go.
-fn loaded_fleet(seed: u64, workers: usize) -> World {
-    let mut world = World::open(seed, workers);
+fn loaded_fleet(seed: u64, workers: usize) -> Simulation {
+    let mut world = Simulation::open(seed, workers);
     world.work_ms = 1_500;
-    world.submit(job(1, vec![lasting(workers as u32)]));
+    world.submit(job(1, vec![long_running_step(workers as u32)]));
     world.run(1_000);
     for key in 2..6 {
         world.submit(job(key, vec![step(workers as u32 / 2, &[]), step(workers as u32 / 4, &[0])]));
@@ -25,9 +27,9 @@
     let mut world = loaded_fleet(501, workers);
     world.lose_leader();
     world.run(500);
-    world.take_over();
+    world.start_new_leader();
     let renewals = world.renewals_within(2_000);
-    assert_kept(&world);
+    assert_no_violations(&world);
     renewals as f64 / workers as f64
 }
 
@@ -55,6 +57,6 @@
     for key in 2..6 {
         assert!(world.is_completed(key), "job {key} has not completed");
     }
-    assert_nothing_waits(&mut world);
-    assert_kept(&world);
+    assert_no_runnable_task_waits(&mut world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/late_pace_orders.rs
+++ b/crates/sched/tests/fleet/late_pace_orders.rs
@@ -9,7 +9,7 @@
 use gaplock_jobs::{Job, JobKey, Step};
 use gaplock_types::time::Millis;
 
-use crate::world::{assert_kept, job, step, Faults, World};
+use crate::simulation::{assert_no_violations, job, step, Faults, Simulation};
 
 /// The tail target of the serving tasks, in milliseconds.
 const TAIL_TARGET_MS: u32 = 50;
@@ -31,8 +31,8 @@
 }
 
 /// Builds a simulation of one worker that runs `count` best-effort tasks beside one serving task.
-fn best_effort_beside_serving(seed: u64, count: u32) -> World {
-    let mut world = World::open(seed, 1);
+fn best_effort_beside_serving(seed: u64, count: u32) -> Simulation {
+    let mut world = Simulation::open(seed, 1);
     world.work_ms = 600_000;
     world.submit(serving_job(1));
     world.readings.insert(JobKey(1), 10);
@@ -45,12 +45,12 @@
 
 /// Sets the tail of the serving task so far over its target that all best-effort tasks are halted,
 /// or as low as it can be.
-fn set_tail_over_target(world: &mut World, over: bool) {
+fn set_tail_over_target(world: &mut Simulation, over: bool) {
     world.readings.insert(JobKey(1), if over { 4 * TAIL_TARGET_MS } else { 1 });
 }
 
 /// Runs until a best-effort task is halted at its worker.
-fn run_until_halted(world: &mut World) {
+fn run_until_halted(world: &mut Simulation) {
     for _ in 0..3_000 {
         if world.paces_of(2).contains(&0) {
             return;
@@ -63,7 +63,7 @@
 #[test]
 fn a_halt_without_an_answer_is_lifted_once_it_is_no_longer_wanted() {
     let mut world = best_effort_beside_serving(111, 1);
-    world.workers[0].delays_paces.extend([1]);
+    world.workers[0].pace_delays_ms.extend([1]);
     set_tail_over_target(&mut world, true);
     run_until_halted(&mut world);
     set_tail_over_target(&mut world, false);
@@ -73,7 +73,7 @@
         vec![100],
         "a task stays halted although the leader takes it to be running"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -82,8 +82,8 @@
     set_tail_over_target(&mut world, true);
     run_until_halted(&mut world);
     set_tail_over_target(&mut world, false);
-    world.workers[0].delays_paces.extend([DELIVERY_DELAY_MS]);
-    while world.workers[0].delays_paces.front().is_some() {
+    world.workers[0].pace_delays_ms.extend([DELIVERY_DELAY_MS]);
+    while world.workers[0].pace_delays_ms.front().is_some() {
         world.run(1);
     }
     let late_at = world.now + DELIVERY_DELAY_MS;
@@ -103,7 +103,7 @@
         ran_ms < max_interference_ms,
         "the halted task ran for {ran_ms} ms, limit {max_interference_ms} ms"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -114,19 +114,19 @@
     world.lose_leader();
     set_tail_over_target(&mut world, false);
     world.run(1_000);
-    world.take_over();
+    world.start_new_leader();
     world.run(4_000);
     assert_eq!(
         world.paces_of(2),
         vec![100, 100],
         "a task stays halted although the leader takes it to be running"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_recovery_scan_delays_pace_orders_but_not_for_long() {
-    let mut world = World::open(117, 24);
+    let mut world = Simulation::open(117, 24);
     world.work_ms = 600_000;
     world.submit(job(1, vec![Step { count: 24, ..serving_job(1).steps[0].clone() }]));
     world.readings.insert(JobKey(1), 10);
@@ -135,23 +135,23 @@
     world.run(1_500);
     world.crash(0);
     world.lose_leader();
-    world.take_over();
+    world.start_new_leader();
     let before = world.paces_ordered;
     world.run(1_000);
-    assert!(world.in_survey(), "the recovery scan ended before the silent worker's leases");
+    assert!(world.in_recovery_scan(), "the recovery scan ended before the silent worker's leases");
     assert_eq!(world.paces_ordered, before, "paces were ordered early in the recovery scan");
     world.run(2_000);
     assert!(
-        world.in_survey() && world.paces_ordered > before,
+        world.in_recovery_scan() && world.paces_ordered > before,
         "a long recovery scan must not keep paces from being ordered"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_run_with_an_uncertain_pace_costs_about_one_order_a_second() {
     let mut world = best_effort_beside_serving(115, 1);
-    world.workers[0].delays_paces.extend([1]);
+    world.workers[0].pace_delays_ms.extend([1]);
     set_tail_over_target(&mut world, true);
     run_until_halted(&mut world);
     set_tail_over_target(&mut world, false);
@@ -165,10 +165,10 @@
 #[test]
 fn a_refused_order_leaves_no_pace_uncertain() {
     let mut world = best_effort_beside_serving(114, 1);
-    world.workers[0].unwell = true;
+    world.workers[0].unhealthy = true;
     set_tail_over_target(&mut world, true);
     world.run(2_500);
-    world.workers[0].unwell = false;
+    world.workers[0].unhealthy = false;
     set_tail_over_target(&mut world, true);
     world.run(3_000);
     set_tail_over_target(&mut world, false);
@@ -177,7 +177,7 @@
     let before = world.paces_ordered;
     world.run(10_000);
     assert_eq!(world.paces_ordered, before, "paces were ordered again although none is uncertain");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -188,7 +188,7 @@
             lost_per_mille: 60,
             unanswered_per_mille: 100,
             late_per_mille: 200,
-            unwell_per_mille: 100,
+            unhealthy_per_mille: 100,
             ..Faults::default()
         };
         for turn in 0..6 {
@@ -197,7 +197,7 @@
             world.run(span);
             if turn == 3 {
                 world.lose_leader();
-                world.take_over();
+                world.start_new_leader();
             }
         }
         set_tail_over_target(&mut world, false);
@@ -212,13 +212,13 @@
 
 /// Returns the paces of three best-effort tasks beside a serving task that tolerates only part of
 /// them, after the first order that lifted a halt was answered or got no answer.
-fn paces_after_lifted_halt(world: &mut World, unanswered: bool) -> Vec<u32> {
+fn paces_after_lifted_halt(world: &mut Simulation, unanswered: bool) -> Vec<u32> {
     set_tail_over_target(world, true);
     run_until_halted(world);
     world.run(500);
     assert_eq!(world.paces_of(2), vec![0; 3]);
     if unanswered {
-        world.workers[0].delays_paces.extend([60_000]);
+        world.workers[0].pace_delays_ms.extend([60_000]);
     }
     world.readings.insert(JobKey(1), 10);
     world.run(2_500);
@@ -244,14 +244,14 @@
 
 #[test]
 fn a_late_halt_is_lifted_once_the_tail_is_below_its_target() {
-    let mut world = World::open(95, 1);
+    let mut world = Simulation::open(95, 1);
     world.work_ms = 60_000;
     world.submit(serving_job(1));
     world.run(500);
     world.submit(best_effort_job(2, 1));
     world.run(500);
     assert_eq!(world.paces_of(2), [100]);
-    world.workers[0].delays_paces.push_back(12_000);
+    world.workers[0].pace_delays_ms.push_back(12_000);
     set_tail_over_target(&mut world, true);
     world.run(3_000);
     assert_eq!(world.paces_of(2), [0]);
--- a/crates/sched/tests/fleet/late_writes.rs
+++ b/crates/sched/tests/fleet/late_writes.rs
@@ -9,7 +9,9 @@
 //! considers stored is what the store holds, and that no task starts after its end was
 //! acknowledged.
 
-use crate::world::{assert_all_end, assert_kept, job, step, Faults, World, WriteFaults};
+use crate::simulation::{
+    assert_all_jobs_end, assert_no_violations, job, step, Faults, Simulation, WriteFaults,
+};
 
 /// No write gets an answer, and each is carried out seconds later.
 const ALL_WRITES_LATE: WriteFaults = WriteFaults {
@@ -33,12 +35,12 @@
     unanswered_per_mille: 50,
     late_per_mille: 50,
     failing_per_mille: 20,
-    unwell_per_mille: 0,
+    unhealthy_per_mille: 0,
 };
 
 #[test]
 fn a_commit_carried_out_after_its_repeat_was_refused_is_not_taken_for_a_newer_one() {
-    let mut world = World::open(101, 2);
+    let mut world = Simulation::open(101, 2);
     world.run(100);
     world.write_faults = ALL_WRITES_LATE;
     world.submit(job(1, vec![step(4, &[]), step(4, &[0])]));
@@ -48,32 +50,32 @@
     world.run(9_000);
     world.store_down = false;
     world.run(2_000);
-    world.take_over();
+    world.start_new_leader();
     world.run(3_000);
     assert!(world.is_completed(1));
     assert_eq!(world.starts, 8, "tasks were started again after their ends");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_late_commit_of_a_previous_leader_changes_nothing() {
-    let mut world = World::open(102, 2);
+    let mut world = Simulation::open(102, 2);
     world.run(100);
     world.write_faults = ALL_WRITES_LATE;
     world.submit(job(1, vec![step(4, &[])]));
     world.run(1_000);
-    world.take_over();
+    world.start_new_leader();
     world.write_faults = WriteFaults::default();
     world.run(12_000);
     assert!(world.is_completed(1));
     assert_eq!(world.starts, 4, "tasks were started again after their ends");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn late_writes_and_orders_run_no_task_twice_across_leaders() {
     for seed in 0..30 {
-        let mut world = World::open(seed, 6);
+        let mut world = Simulation::open(seed, 6);
         world.faults = ORDER_FAULTS;
         world.write_faults = MIXED_WRITE_FAULTS;
         for key in 0..20 {
@@ -85,18 +87,18 @@
                 _ => {}
             }
         }
-        assert_all_end(&mut world, seed);
+        assert_all_jobs_end(&mut world, seed);
     }
 }
 
-fn change_leader(world: &mut World) {
+fn change_leader(world: &mut Simulation) {
     let gap = world.draw(3_000);
     world.change_leader(gap);
 }
 
 /// Makes the store refuse writes for up to 6 s while tasks end, whether or not a commit is under
 /// way.
-fn refuse_writes_for_a_while(world: &mut World) {
+fn refuse_writes_for_a_while(world: &mut Simulation) {
     let length = world.draw(6_000);
     world.store_down = true;
     world.run(length);
--- a/crates/sched/tests/fleet/main.rs
+++ b/crates/sched/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the scheduler against a simulated fleet on virtual time. [`world`] simulates the workers, the
-//! store, the calls between them and their faults; each other module holds the tests of one subject.
+//! Tests of the scheduler against a simulated fleet on virtual time. [`simulation`] simulates the workers,
+//! the store, the calls between them and their faults; each other module holds the tests of one subject.
 
 mod backlogs;
 mod best_effort;
@@ -28,8 +28,8 @@
 mod packing;
 mod renewals;
 mod restarts;
+mod simulation;
 mod slow_workers;
 mod suspect_isolation;
 mod takeovers;
 mod withdrawn_starts;
-mod world;
--- a/crates/sched/tests/fleet/packing.rs
+++ b/crates/sched/tests/fleet/packing.rs
@@ -5,7 +5,7 @@
 use gaplock_sched::free_capacity;
 use gaplock_types::sizes::{MilliCores, Resources};
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 const WORKERS: usize = 8;
 
@@ -34,8 +34,8 @@
 }
 
 /// Builds a fleet whose long-running tasks leave free capacity on one worker only.
-fn fleet_with_one_free_worker(seed: u64) -> World {
-    let mut world = World::open(seed, WORKERS);
+fn fleet_with_one_free_worker(seed: u64) -> Simulation {
+    let mut world = Simulation::open(seed, WORKERS);
     world.work_ms = SHORT_TASK_MS;
     world.submit(long_running_job(1, 2 * (WORKERS as u32 - 1), WORKER_MILLICORES / 2));
     world.run(2_000);
@@ -50,7 +50,7 @@
 /// Submits `rounds` short jobs, one after the other, of two tasks that take a whole worker each,
 /// and returns how many jobs are completed at the end. One task of each job has to wait for the
 /// other, and the capacity is idle for a moment between two jobs.
-fn run_short_jobs(world: &mut World, first_key: u64, rounds: u64) -> usize {
+fn run_short_jobs(world: &mut Simulation, first_key: u64, rounds: u64) -> usize {
     for key in first_key..first_key + rounds {
         world.submit(short_job(key, 2, WORKER_MILLICORES));
         world.run(SHORT_JOB_PERIOD_MS);
@@ -60,7 +60,7 @@
 
 #[test]
 fn long_running_tasks_leave_whole_workers_to_large_short_tasks() {
-    let mut world = World::open(131, WORKERS);
+    let mut world = Simulation::open(131, WORKERS);
     world.work_ms = SHORT_TASK_MS;
     // The job uses half of the fleet's processors and fits on half of the workers.
     world.submit(long_running_job(1, WORKERS as u32, WORKER_MILLICORES / 2));
@@ -73,19 +73,19 @@
     world.submit(short_job(2, WORKERS as u32 / 2, WORKER_MILLICORES));
     world.run(PROMPT_START_MS);
     assert_eq!(world.running_of(2), WORKERS / 2);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn small_short_tasks_leave_whole_workers_to_large_ones() {
-    let mut world = World::open(132, WORKERS);
+    let mut world = Simulation::open(132, WORKERS);
     world.work_ms = 5_000;
     world.submit(short_job(1, WORKERS as u32, WORKER_MILLICORES / 8));
     world.run(PROMPT_START_MS);
     world.submit(short_job(2, WORKERS as u32 - 1, WORKER_MILLICORES));
     world.run(PROMPT_START_MS);
     assert_eq!(world.running_of(2), WORKERS - 1);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let done = run_short_jobs(&mut world, 100, rounds);
     assert!(done >= rounds as usize - 1, "only {done} of {rounds} short jobs completed");
     assert_eq!(world.running_of(2), 0);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -107,7 +107,7 @@
     world.submit(long_running_job(2, 4, WORKER_MILLICORES / 4));
     world.run(4_000);
     assert_eq!(world.running_of(2), 4);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -119,7 +119,7 @@
     world.run(PROMPT_START_MS);
     assert_eq!(world.running_of(10), 1);
     assert_eq!(world.running_of(2), 2);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -129,12 +129,12 @@
     world.submit(long_running_job(2, 4, WORKER_MILLICORES / 4));
     run_short_jobs(&mut world, 100, 28);
     assert!(world.running_of(2) > 0, "no long-running task started within 36 s");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Drains one of the workers that are full of long-running tasks, so that two of these tasks have
 /// to restart while short tasks contend for the only free capacity.
-fn drain_a_full_worker(world: &mut World) {
+fn drain_a_full_worker(world: &mut Simulation) {
     let full = (0..WORKERS)
         .find(|&at| world.running_at(at) == 2)
         .expect("all workers but one run two long-running tasks");
@@ -148,7 +148,7 @@
     drain_a_full_worker(&mut world);
     run_short_jobs(&mut world, 100, 6);
     assert_eq!(world.running_of(1), 2 * (WORKERS - 1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The time between two short jobs of an endless backlog, in milliseconds: less than each job takes
@@ -175,18 +175,18 @@
         world.run(BACKLOG_JOB_PERIOD_MS);
     }
     assert_eq!(world.running_of(1), 2 * (WORKERS - 1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn a_successor_knows_that_long_running_tasks_ran_before() {
     let mut world = fleet_with_one_free_worker(138);
     run_short_jobs(&mut world, 10, 2);
-    world.take_over();
+    world.start_new_leader();
     world.run(500);
     run_short_jobs(&mut world, 50, 2);
     drain_a_full_worker(&mut world);
     run_short_jobs(&mut world, 100, 6);
     assert_eq!(world.running_of(1), 2 * (WORKERS - 1));
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/renewals.rs
+++ b/crates/sched/tests/fleet/renewals.rs
@@ -3,7 +3,7 @@
 use gaplock_sched::renewals;
 use gaplock_types::time::Millis;
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 const WORKERS: usize = 60;
 
@@ -11,7 +11,7 @@
 const BURST_WINDOW_MS: u64 = 50;
 
 /// Returns the size of the largest burst of renewals that was sent from `since` on.
-fn largest_burst(world: &World, since: u64) -> usize {
+fn largest_burst(world: &Simulation, since: u64) -> usize {
     let times = world.renewals.iter().map(|(at, _)| *at);
     let sent: Vec<u64> = times.filter(|at| *at >= since).collect();
     let within =
@@ -21,11 +21,11 @@
 
 #[test]
 fn renewals_are_spread_out_after_a_takeover() {
-    let mut world = World::open(71, WORKERS);
+    let mut world = Simulation::open(71, WORKERS);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(WORKERS as u32 * 2, &[])]));
     world.run(2_000);
-    world.take_over();
+    world.start_new_leader();
     world.run(300);
     let since = world.now;
     world.run(4_000);
@@ -34,13 +34,13 @@
         most < WORKERS / 3,
         "{most} of {WORKERS} workers got a renewal within {BURST_WINDOW_MS} ms"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// Returns how many entries of the queue of due renewals are examined per renewal on a fleet of
 /// `workers` workers with running tasks.
 fn entries_examined_per_renewal(workers: usize) -> f64 {
-    let mut world = World::open(72, workers);
+    let mut world = Simulation::open(72, workers);
     world.work_ms = 60_000;
     world.submit(job(1, vec![step(workers as u32, &[])]));
     world.run(1_000);
--- a/crates/sched/tests/fleet/world/builders.rs
+++ b/crates/sched/tests/fleet/simulation/builders.rs
@@ -41,7 +41,7 @@
 }
 
 /// Builds a step of `count` long-running tasks, which run until their job is cancelled.
-pub fn lasting(count: u32) -> Step {
+pub fn long_running_step(count: u32) -> Step {
     Step { lasting: true, ..step(count, &[]) }
 }
 
--- a/crates/sched/tests/fleet/world/calls.rs
+++ b/crates/sched/tests/fleet/simulation/calls.rs
@@ -15,7 +15,7 @@
 use super::hosts::HostOrder;
 use super::worker::SimWorker;
 use super::writes::{Write, WriteNotice};
-use super::World;
+use super::Simulation;
 
 /// A call of the leader to a worker.
 #[derive(Debug, Clone)]
@@ -101,7 +101,7 @@
 /// How late a call without an answer may arrive, in milliseconds. Some arrive after every lease has ended.
 const LATE_MS: std::ops::Range<u64> = 2_000..12_000;
 
-impl World {
+impl Simulation {
     /// Schedules a delivery after so many milliseconds.
     pub(super) fn send(&mut self, after: u64, delivery: Delivery) {
         self.next_delivery += 1;
@@ -168,17 +168,17 @@
         let (token, leader) = (self.token, self.term);
         let roll = self.rng.random_range(0..1_000);
         let f = self.faults;
-        if self.workers[worker].replaced && !self.workers[worker].cut {
+        if self.workers[worker].replaced && !self.workers[worker].partitioned {
             self.record_fault(worker, 0);
             let event = other_incarnation(ix, &call);
             return self.send(1, Delivery::ToLeader { event, leader });
         }
-        let reached = self.workers[worker].up && !self.workers[worker].cut;
+        let reached = self.workers[worker].up && !self.workers[worker].partitioned;
         let lost = roll < f.lost_per_mille || !reached;
         let late = roll >= f.lost_per_mille && roll < f.lost_per_mille + f.late_per_mille;
         let delay = match call {
-            Call::Start { .. } => self.workers[worker].delays_start.take(),
-            Call::Pace { .. } => self.workers[worker].delays_paces.pop_front(),
+            Call::Start { .. } => self.workers[worker].next_start_delay_ms.take(),
+            Call::Pace { .. } => self.workers[worker].pace_delays_ms.pop_front(),
             _ => None,
         };
         let late = late || delay.is_some();
--- a/crates/sched/tests/fleet/world/cancellations.rs
+++ b/crates/sched/tests/fleet/simulation/cancellations.rs
@@ -10,7 +10,7 @@
 use gaplock_sched::Event;
 
 use super::checks::end_faults_and_settle;
-use super::World;
+use super::Simulation;
 
 /// How long a run of a cancelled job may go on without any faults, in milliseconds: the time for the worker
 /// report that shows the run, and for a stop.
@@ -44,7 +44,7 @@
 
 /// Ends all faults, lets the simulation settle, and fails the test if a guarantee of a cancellation was
 /// violated; other violations are not considered.
-pub fn assert_cancellations_kept(simulation: &mut World) {
+pub fn assert_cancellation_guarantees(simulation: &mut Simulation) {
     end_faults_and_settle(simulation);
     assert!(
         simulation.cancellations.violations.is_empty(),
@@ -55,7 +55,7 @@
 }
 
 /// Fails the test if a run goes on whose job has ended.
-pub(super) fn assert_no_runs_of_finished_jobs(simulation: &World) {
+pub(super) fn assert_no_runs_of_finished_jobs(simulation: &Simulation) {
     let left = simulation.runs_of_finished_jobs();
     assert!(
         left.is_empty(),
@@ -74,9 +74,9 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Cancels a job that is submitted to the leader only `gap` milliseconds after its cancellation.
-    pub fn cancel_ahead(&mut self, job: Job, gap: u64) {
+    pub fn cancel_before_submit(&mut self, job: Job, gap: u64) {
         let key = job.key;
         let job = Arc::new(job);
         self.jobs.insert(key, Arc::clone(&job));
--- a/crates/sched/tests/fleet/world/checkpoints.rs
+++ b/crates/sched/tests/fleet/simulation/checkpoints.rs
@@ -7,7 +7,7 @@
 use gaplock_sched::message::{EndCause, Run};
 
 use super::worker::SimRun;
-use super::World;
+use super::Simulation;
 
 /// The checkpoint that a start carries, if any.
 pub type StartCheckpoint = Option<String>;
@@ -33,11 +33,11 @@
 #[derive(Debug, Default)]
 pub struct Checkpoints {
     /// Workers list a checkpoint also for tasks of steps that save no progress.
-    pub lists_all: bool,
+    pub list_for_all_steps: bool,
     /// How much work that was saved and listed to a leader is done again, in milliseconds.
-    pub thrown_away_ms: u64,
+    pub repeated_work_ms: u64,
     /// How many starts carried a checkpoint.
-    pub brought: u64,
+    pub starts_with_checkpoint: u64,
     /// All checkpoints that each task has saved.
     saved: BTreeMap<TaskKey, BTreeSet<String>>,
     /// The checkpoint that the starts of each run carried; it must be the same for all of them.
@@ -65,7 +65,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn step_of(&self, task: TaskKey) -> &Step {
         &self.jobs[&task.job].steps[usize::from(task.step)]
     }
@@ -99,7 +99,7 @@
         }
         self.checkpoints.by_run.insert((task, run), carried.clone());
         let Some(text) = carried else { return };
-        self.checkpoints.brought += 1;
+        self.checkpoints.starts_with_checkpoint += 1;
         let sources = self.checkpoint_sources(task);
         let saved = sources.iter().filter_map(|member| self.checkpoints.saved.get(member));
         if !self.step_of(task).checkpoints || !saved.into_iter().any(|texts| texts.contains(text)) {
@@ -118,7 +118,7 @@
     ) -> CheckpointState {
         let from_ms = carried.as_deref().map_or(0, done_ms);
         let furthest = self.checkpoints.furthest_ms.get(&task).copied().unwrap_or(0);
-        self.checkpoints.thrown_away_ms += furthest.saturating_sub(from_ms);
+        self.checkpoints.repeated_work_ms += furthest.saturating_sub(from_ms);
         CheckpointState { from_ms, start_checkpoint: carried.clone(), slowness }
     }
 
@@ -151,7 +151,7 @@
     fn save(&mut self, task: TaskKey, saved_ms: u64) -> StartCheckpoint {
         let text = text(task, saved_ms);
         if !self.step_of(task).checkpoints {
-            return self.checkpoints.lists_all.then_some(text);
+            return self.checkpoints.list_for_all_steps.then_some(text);
         }
         self.checkpoints.saved.entry(task).or_default().insert(text.clone());
         Some(text)
--- a/crates/sched/tests/fleet/world/checks.rs
+++ b/crates/sched/tests/fleet/simulation/checks.rs
@@ -6,15 +6,15 @@
 use super::builders::{job, step};
 use super::cancellations::assert_no_runs_of_finished_jobs;
 use super::worker::SimWorker;
-use super::{Faults, World, WriteFaults, MAX_ATTEMPTS};
+use super::{Faults, Simulation, WriteFaults, MAX_ATTEMPTS};
 
 /// Fails the test if a guarantee was violated while the simulation ran.
-pub fn assert_kept(simulation: &World) {
+pub fn assert_no_violations(simulation: &Simulation) {
     assert!(simulation.violations.is_empty(), "{:#?}", simulation.violations);
 }
 
 /// Runs twenty jobs of two steps with random changes of the leader in between, and checks that all of them end.
-pub fn play(simulation: &mut World, seed: u64) {
+pub fn run_twenty_jobs(simulation: &mut Simulation, seed: u64) {
     for key in 0..20 {
         simulation.submit(job(key, vec![step(5, &[]), step(3, &[0])]));
         simulation.run(200);
@@ -23,23 +23,23 @@
             simulation.change_leader(gap);
         }
     }
-    assert_all_end(simulation, seed);
+    assert_all_jobs_end(simulation, seed);
 }
 
 /// Ends all faults, and fails the test if a guarantee was violated or one of twenty jobs never ends.
-pub fn assert_all_end(simulation: &mut World, seed: u64) {
+pub fn assert_all_jobs_end(simulation: &mut Simulation, seed: u64) {
     simulation.faults = Faults::default();
     simulation.write_faults = WriteFaults::default();
     simulation.run(40_000);
     assert!(simulation.violations.is_empty(), "seed {seed}: {:#?}", simulation.violations);
     let left = (0..20).filter(|&key| simulation.state(key).is_none_or(|s| !s.is_final())).count();
     assert_eq!(left, 0, "seed {seed}: {left} of 20 jobs never ended");
-    assert_nothing_waits(simulation);
+    assert_no_runnable_task_waits(simulation);
 }
 
 /// Ends all faults, lets the simulation settle, and fails the test if a task waits that could run, or a run
 /// goes on whose job has ended.
-pub fn assert_nothing_waits(simulation: &mut World) {
+pub fn assert_no_runnable_task_waits(simulation: &mut Simulation) {
     end_faults_and_settle(simulation);
     let waiting = simulation.waiting();
     assert!(waiting.is_empty(), "{} tasks wait that could run: {waiting:?}", waiting.len());
@@ -47,7 +47,7 @@
 }
 
 /// Ends all faults and lets so much time pass that every task that fits on a worker has been started.
-pub(super) fn end_faults_and_settle(simulation: &mut World) {
+pub(super) fn end_faults_and_settle(simulation: &mut Simulation) {
     simulation.faults = Faults::default();
     simulation.write_faults = WriteFaults::default();
     simulation.workers.iter_mut().for_each(SimWorker::recover);
@@ -58,7 +58,7 @@
 /// milliseconds: the longest lease, and the time for tasks that are held back after crashes to be tried again.
 const SETTLE_MS: u64 = 20_000;
 
-impl World {
+impl Simulation {
     /// Lists the tasks that run nowhere although the steps before theirs are done at the workers and some
     /// worker has free capacity for them.
     fn waiting(&self) -> Vec<TaskKey> {
--- a/crates/sched/tests/fleet/world/crashes.rs
+++ b/crates/sched/tests/fleet/simulation/crashes.rs
@@ -7,7 +7,7 @@
 use gaplock_types::ids;
 
 use super::calls::Delivery;
-use super::World;
+use super::Simulation;
 
 /// How many workers a task may crash before its further starts are counted.
 const TOLERATED_CRASHES: usize = 3;
@@ -28,15 +28,15 @@
     crash_after_ms: BTreeMap<TaskKey, u64>,
     /// Whether the directory keeps the entries of crashed workers, so that it never shows a crash, and their
     /// hosts stay down.
-    pub silent: bool,
+    pub keep_entries: bool,
     /// Whether crashed workers restart under their names instead of being replaced by others.
-    pub same_names: bool,
+    pub restart_under_same_name: bool,
     /// The incarnations of workers that each crashing task has crashed.
     crashed_under: BTreeMap<TaskKey, BTreeSet<ids::WorkerId>>,
     /// How often each crashing task was started after it had caused [`TOLERATED_CRASHES`] crashes.
     starts_after_crashes: BTreeMap<TaskKey, usize>,
     /// How many runs of other tasks were lost in these crashes.
-    pub innocent_runs: usize,
+    pub other_runs_lost: usize,
 }
 
 impl Crashes {
@@ -57,7 +57,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Lets time pass until a job's tasks have crashed so many workers, or for `most_ms` milliseconds at most.
     pub fn run_until_crashes(&mut self, key: u64, crashes: usize, most_ms: u64) {
         let until = self.now + most_ms;
@@ -68,7 +68,7 @@
 
     /// Makes the first task of a job's step crash each worker that runs it, so many milliseconds after
     /// its start.
-    pub fn crash_under(&mut self, key: u64, step: u16, after_ms: u64) {
+    pub fn make_task_crash_workers(&mut self, key: u64, step: u16, after_ms: u64) {
         let task = TaskKey { job: JobKey(key), round: 0, step, index: 0 };
         self.crashes.crash_after_ms.insert(task, after_ms);
     }
@@ -92,18 +92,18 @@
         let id = self.workers[at].info.id.clone();
         self.crashes.crashed_under.entry(task).or_default().insert(id);
         let runs = self.workers[at].running.keys();
-        self.crashes.innocent_runs +=
+        self.crashes.other_runs_lost +=
             runs.filter(|run| !self.crashes.crash_after_ms.contains_key(run)).count();
-        self.crash_and_return(at);
+        self.crash_and_replace(at);
     }
 
     /// Crashes a worker. Some seconds later its host gets a replacement, unless [`Crashes`] says otherwise.
-    pub fn crash_and_return(&mut self, at: usize) {
-        if self.crashes.same_names {
-            return self.start_over(at);
+    pub fn crash_and_replace(&mut self, at: usize) {
+        if self.crashes.restart_under_same_name {
+            return self.restart_worker(at);
         }
         self.crash(at);
-        if !self.crashes.silent {
+        if !self.crashes.keep_entries {
             self.send(UNLISTED_AFTER_MS, Delivery::Unlisted { at });
             self.send(REPLACED_AFTER_MS, Delivery::Replaced { at });
         }
--- a/crates/sched/tests/fleet/world/directory.rs
+++ b/crates/sched/tests/fleet/simulation/directory.rs
@@ -8,7 +8,7 @@
 use gaplock_sched::Event;
 use gaplock_types::time::{Instant, Millis};
 
-use super::World;
+use super::Simulation;
 
 /// The time between two reads of the directory, in milliseconds.
 const READ_EVERY_MS: u64 = 100;
@@ -18,13 +18,13 @@
 
 /// What the leader's reads of the directory return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
+pub enum DirectoryReads {
     /// Each answer is incomplete: it holds only what was written until so many milliseconds ago.
-    Late(u64),
+    Stale(u64),
     /// Each answer is complete and contains nothing new.
-    Quiet,
+    NoChanges,
     /// No answer comes.
-    Silent,
+    NoAnswer,
 }
 
 /// The directory. The store's revision is the time of the last write in milliseconds.
@@ -32,15 +32,15 @@
 pub struct Directory {
     /// What reads return. If unset, the leader sees each change at once and learns nothing of the directory's
     /// age.
-    pub reading: Option<Reading>,
+    pub reads: Option<DirectoryReads>,
     /// Workers that have announced that they drain: when, and whether the leader has read it.
     leaving: BTreeMap<usize, (u64, bool)>,
 }
 
-impl World {
+impl Simulation {
     /// Lets a worker announce in the directory that it drains and stays for `remaining` milliseconds. The
     /// leader learns of it only from a later read.
-    pub fn says_it_leaves(&mut self, worker: usize, remaining: u64) {
+    pub fn announce_drain(&mut self, worker: usize, remaining: u64) {
         let info = &mut self.workers[worker].info;
         info.draining = true;
         info.remaining = Some(Millis(remaining));
@@ -49,7 +49,7 @@
 
     /// Lets the leader read the directory, and the store answer the leader's other calls, when these are due.
     pub(super) fn read_directory(&mut self) {
-        let Some(reading) = self.directory.reading else { return };
+        let Some(reading) = self.directory.reads else { return };
         if self.store_down {
             return;
         }
@@ -64,9 +64,11 @@
             return;
         }
         let read = match reading {
-            Reading::Late(by) => DirectoryRead { sent, revision: self.now - by, complete: false },
-            Reading::Quiet => DirectoryRead { sent, revision: 0, complete: true },
-            Reading::Silent => return,
+            DirectoryReads::Stale(by) => {
+                DirectoryRead { sent, revision: self.now - by, complete: false }
+            }
+            DirectoryReads::NoChanges => DirectoryRead { sent, revision: 0, complete: true },
+            DirectoryReads::NoAnswer => return,
         };
         self.deliver_drain_notices(read.revision);
         self.notify_leader(Event::DirectoryRead(read));
--- a/crates/sched/tests/fleet/world/evacuations.rs
+++ b/crates/sched/tests/fleet/simulation/evacuations.rs
@@ -9,7 +9,7 @@
 use gaplock_types::ids;
 
 use super::worker::domain_of;
-use super::World;
+use super::Simulation;
 
 /// The time between two reads of the operators' instruction, in milliseconds.
 const READ_EVERY_MS: u64 = 500;
@@ -30,7 +30,7 @@
     store_down_until: u64,
 }
 
-impl World {
+impl Simulation {
     /// Evacuates the failure domain of a worker.
     pub fn evacuate(&mut self, worker: usize) {
         let now = self.now;
@@ -39,7 +39,7 @@
     }
 
     /// Ends the evacuation of a worker's failure domain.
-    pub fn take_back(&mut self, worker: usize) {
+    pub fn end_evacuation(&mut self, worker: usize) {
         self.evacuation_requests.revision += 1;
         self.evacuation_requests.since.remove(&domain_of(worker));
     }
@@ -51,7 +51,7 @@
     }
 
     /// Delivers an instruction that was read from the store, perhaps long ago, to the leader.
-    pub fn hear_evacuated(&mut self, evacuated: Evacuated) {
+    pub fn deliver_evacuated(&mut self, evacuated: Evacuated) {
         self.notify_leader(Event::Evacuated(evacuated));
     }
 
@@ -65,7 +65,7 @@
         }
         self.evacuation_requests.last_read = self.now;
         if !self.store_down {
-            self.hear_evacuated(self.evacuated());
+            self.deliver_evacuated(self.evacuated());
         }
     }
 
--- a/crates/sched/tests/fleet/world/hosts.rs
+++ b/crates/sched/tests/fleet/simulation/hosts.rs
@@ -13,7 +13,7 @@
 
 use super::calls::Delivery;
 use super::worker::SimWorker;
-use super::World;
+use super::Simulation;
 
 /// How long a call to the platform takes, in milliseconds.
 const CALL_MS: u64 = 5;
@@ -29,7 +29,7 @@
 
 /// The outcome of a maintenance order, which takes a host down.
 #[derive(Debug, Clone, Copy)]
-pub enum OrderFate {
+pub enum OrderOutcome {
     /// It is carried out after so many milliseconds and answered.
     Answered(u64),
     /// It is carried out after so many milliseconds and gets no answer.
@@ -58,15 +58,15 @@
     down_until: BTreeMap<ids::HostId, u64>,
     waves: BTreeMap<WaveNumber, WaveRequest>,
     /// How often each host has gone down for maintenance.
-    pub upkeeps: BTreeMap<ids::HostId, u32>,
+    pub maintenances: BTreeMap<ids::HostId, u32>,
     /// The largest number of hosts that were down at one time.
-    pub most_down: usize,
+    pub max_hosts_down: usize,
     /// The outcomes of the next orders. That of any further order is drawn by the faults of the simulation.
-    pub fates: VecDeque<OrderFate>,
+    pub order_outcomes: VecDeque<OrderOutcome>,
     /// The hosts whose maintenance was ordered, in the order of sending.
-    pub ordered: Vec<ids::HostId>,
+    pub maintenance_ordered: Vec<ids::HostId>,
     /// How much longer than the answer to an order a list of hosts takes, in milliseconds.
-    pub list_slow_ms: u64,
+    pub host_list_delay_ms: u64,
 }
 
 /// Returns the name of the n-th host.
@@ -74,7 +74,7 @@
     ids::HostId(format!("h{at}"))
 }
 
-impl World {
+impl Simulation {
     /// Gives a new worker a host of its own.
     pub(super) fn add_host(&mut self, worker: usize) {
         self.hosts.of_worker.push(host_name(worker));
@@ -91,7 +91,7 @@
     }
 
     /// Requests a maintenance wave for the first `hosts` hosts.
-    pub fn ask_wave(&mut self, number: u64, hosts: usize, within: u64, at_once: u32) {
+    pub fn request_wave(&mut self, number: u64, hosts: usize, within: u64, at_once: u32) {
         let number = WaveNumber(number);
         let hosts = (0..hosts).map(host_name).collect();
         let wave = WaveRequest { number, hosts, within: Millis(within), at_once };
@@ -116,19 +116,20 @@
         }
         let hosts = Some(hosts.into_values().collect());
         let event = Event::Hosts { sent, hosts };
-        self.send(CALL_MS + self.hosts.list_slow_ms, Delivery::ToLeader { event, leader });
+        self.send(CALL_MS + self.hosts.host_list_delay_ms, Delivery::ToLeader { event, leader });
     }
 
     /// Sends a maintenance order for a host to the platform.
     pub(super) fn send_maintenance_order(&mut self, wave: WaveNumber, host: ids::HostId) {
-        self.hosts.ordered.push(host.clone());
-        let outcome = self.hosts.fates.pop_front().unwrap_or_else(|| self.draw_order_outcome());
+        self.hosts.maintenance_ordered.push(host.clone());
+        let outcome =
+            self.hosts.order_outcomes.pop_front().unwrap_or_else(|| self.draw_order_outcome());
         let order = HostOrder { wave, host, leader: self.term };
         let (after, answered) = match outcome {
-            OrderFate::Answered(ms) => (Some(ms), true),
-            OrderFate::Unanswered(ms) => (Some(ms), false),
-            OrderFate::Lost => (None, false),
-            OrderFate::Refused(answer) => return self.answer_order(&order, CALL_MS, answer),
+            OrderOutcome::Answered(ms) => (Some(ms), true),
+            OrderOutcome::Unanswered(ms) => (Some(ms), false),
+            OrderOutcome::Lost => (None, false),
+            OrderOutcome::Refused(answer) => return self.answer_order(&order, CALL_MS, answer),
         };
         if !answered {
             self.answer_order(&order, ORDER_TIMEOUT_MS, MaintenanceAnswer::Unclear);
@@ -139,18 +140,18 @@
     }
 
     /// Draws the outcome of an order by the faults of the simulation.
-    fn draw_order_outcome(&mut self) -> OrderFate {
+    fn draw_order_outcome(&mut self) -> OrderOutcome {
         let f = self.faults;
         let roll = self.rng.random_range(0..1_000);
         let late = f.lost_per_mille + f.late_per_mille;
         let unanswered = late + f.unanswered_per_mille;
-        let refused = unanswered + f.unwell_per_mille;
+        let refused = unanswered + f.unhealthy_per_mille;
         match roll {
-            r if r < f.lost_per_mille => OrderFate::Lost,
-            r if r < late => OrderFate::Unanswered(self.rng.random_range(LATE_MS)),
-            r if r < unanswered => OrderFate::Unanswered(0),
-            r if r < refused => OrderFate::Refused(MaintenanceAnswer::Busy),
-            _ => OrderFate::Answered(0),
+            r if r < f.lost_per_mille => OrderOutcome::Lost,
+            r if r < late => OrderOutcome::Unanswered(self.rng.random_range(LATE_MS)),
+            r if r < unanswered => OrderOutcome::Unanswered(0),
+            r if r < refused => OrderOutcome::Refused(MaintenanceAnswer::Busy),
+            _ => OrderOutcome::Answered(0),
         }
     }
 
@@ -166,7 +167,7 @@
         let of_wave =
             self.hosts.waves.get(&order.wave).is_some_and(|w| w.hosts.contains(&order.host));
         let host = &order.host;
-        if of_wave && !self.hosts.upkeeps.contains_key(host) {
+        if of_wave && !self.hosts.maintenances.contains_key(host) {
             let at = self
                 .hosts
                 .of_worker
@@ -176,9 +177,9 @@
             self.check_tasks_away(at, host);
             self.crash(at);
             self.unlist(at);
-            self.hosts.upkeeps.insert(host.clone(), 1);
+            self.hosts.maintenances.insert(host.clone(), 1);
             self.hosts.down_until.insert(host.clone(), self.now + MAINTENANCE_MS);
-            self.hosts.most_down = self.hosts.most_down.max(self.hosts.down_until.len());
+            self.hosts.max_hosts_down = self.hosts.max_hosts_down.max(self.hosts.down_until.len());
         }
         if answered {
             let answer =
@@ -210,7 +211,7 @@
     /// not begun.
     pub(super) fn check_wave(&mut self, progress: &WaveProgress) {
         let Some(wave) = self.hosts.waves.get(&progress.number) else { return };
-        let has_not_begun = |h: &&ids::HostId| !self.hosts.upkeeps.contains_key(*h);
+        let has_not_begun = |h: &&ids::HostId| !self.hosts.maintenances.contains_key(*h);
         if let Some(host) = wave.hosts.iter().find(has_not_begun).filter(|_| progress.completed) {
             let text = format!(
                 "a wave is stored as completed, and the maintenance of {host} has not begun"
--- a/crates/sched/tests/fleet/world/mod.rs
+++ b/crates/sched/tests/fleet/simulation/mod.rs
@@ -50,18 +50,20 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-pub use builders::{job, lasting, step};
+pub use builders::{job, long_running_step, step};
 use calls::Delivery;
-pub use cancellations::assert_cancellations_kept;
+pub use cancellations::assert_cancellation_guarantees;
 use cancellations::Cancellations;
 use checkpoints::Checkpoints;
-pub use checks::{assert_all_end, assert_kept, assert_nothing_waits, play};
+pub use checks::{
+    assert_all_jobs_end, assert_no_runnable_task_waits, assert_no_violations, run_twenty_jobs,
+};
 use crashes::Crashes;
 use directory::Directory;
-pub use directory::Reading;
+pub use directory::DirectoryReads;
 use evacuations::EvacuationRequests;
 use hosts::Hosts;
-pub use hosts::{host_name, OrderFate};
+pub use hosts::{host_name, OrderOutcome};
 use worker::SimWorker;
 pub use writes::WriteFaults;
 use writes::Writes;
@@ -94,11 +96,11 @@
     /// Runs that fail.
     pub failing_per_mille: u32,
     /// Calls that a worker refuses because it is unhealthy.
-    pub unwell_per_mille: u32,
+    pub unhealthy_per_mille: u32,
 }
 
 /// The simulated fleet, its store, and the leader under test.
-pub struct World {
+pub struct Simulation {
     /// The virtual clock, in milliseconds.
     pub now: u64,
     /// The present leader, if there is one.
@@ -122,7 +124,7 @@
     /// The settings for asking the advice service on which workers steps may run, if it is used.
     pub advice: Option<Advice>,
     /// The learned interference model that a successor finds in the store.
-    pub learnt: Learned,
+    pub learned: Learned,
     /// The tail reading that workers report of each job's tasks.
     pub readings: BTreeMap<JobKey, u32>,
     /// The hosts on which the workers run.
@@ -172,7 +174,7 @@
     failed: BTreeMap<TaskKey, u32>,
 }
 
-impl World {
+impl Simulation {
     /// Builds a simulation of `workers` workers with 8 cores each, which has a leader from the start.
     pub fn open(seed: u64, workers: usize) -> Self {
         log::open();
@@ -191,7 +193,7 @@
             store_down: false,
             work_ms: 500,
             advice: None,
-            learnt: Learned::default(),
+            learned: Learned::default(),
             readings: BTreeMap::new(),
             hosts: Hosts::default(),
             crashes: Crashes::default(),
@@ -220,7 +222,7 @@
         for n in 0..workers {
             simulation.add_worker(&format!("w{n}"));
         }
-        simulation.take_over();
+        simulation.start_new_leader();
         simulation
     }
 
@@ -266,7 +268,7 @@
     }
 
     /// Delivers an earlier worker report to the leader, as the answer to a renewal that was sent at `sent`.
-    pub fn hear_of(&mut self, worker: usize, sent: Instant, report: WorkerReport) {
+    pub fn deliver_report(&mut self, worker: usize, sent: Instant, report: WorkerReport) {
         let id = &self.workers[worker].info.id;
         let ix = self.cx.as_ref().and_then(|cx| cx.by_id.get(id).copied());
         let worker = ix.expect("the leader knows the worker whose report arrives");
@@ -280,14 +282,14 @@
     }
 
     /// Adds a worker of another pool and lists it.
-    pub fn add_worker_of(&mut self, id: &str, pool: &str) {
+    pub fn add_worker_of_pool(&mut self, id: &str, pool: &str) {
         let at = self.add_unlisted_worker(id);
         self.workers[at].info.service = pool.into();
         self.list_again(at);
     }
 
     /// Sends the leader a configuration with one more pool.
-    pub fn name_pool(&mut self, pool: &str) {
+    pub fn add_pool_to_config(&mut self, pool: &str) {
         let mut config = Config::clone(&builders::config(self.advice));
         config.version += 1;
         let added = Pool { service: pool.into(), guards_capacity: true, headroom: false };
@@ -303,13 +305,13 @@
     }
 
     /// Makes a worker's entry in the directory unreadable.
-    pub fn spoil_entry(&mut self, worker: usize) {
+    pub fn make_entry_unreadable(&mut self, worker: usize) {
         let id = self.workers[worker].info.id.clone();
         self.notify_leader(Event::Unreadable(id));
     }
 
     /// Lists a worker at another address, as another process that writes to the directory may do.
-    pub fn list_at(&mut self, worker: usize, addr: &str) {
+    pub fn list_at_address(&mut self, worker: usize, addr: &str) {
         let mut info = self.workers[worker].info.clone();
         info.addr = addr.to_string();
         self.notify_leader(Event::Listed(info));
@@ -322,7 +324,7 @@
     }
 
     /// Notifies the leader that the directory is readable again after an outage.
-    pub fn directory_back(&mut self) {
+    pub fn recover_directory(&mut self) {
         self.notify_leader(Event::DirectoryRecovered);
     }
 
--- a/crates/sched/tests/fleet/world/renewals.rs
+++ b/crates/sched/tests/fleet/simulation/renewals.rs
@@ -9,9 +9,9 @@
 
 use super::calls::{Call, CallRoute, Delivery, Renewal};
 use super::worker::SimRun;
-use super::World;
+use super::Simulation;
 
-impl World {
+impl Simulation {
     /// Answers a renewal that a worker holds back, if there is one, at once.
     pub(super) fn wake_renewal(&mut self, at: usize) {
         let waiting = self.deliveries.iter().find(
@@ -74,17 +74,17 @@
     /// Answers a renewal with the worker's report.
     pub(super) fn answer_renewal(&mut self, route: CallRoute, sent: Instant) {
         let worker = &self.workers[route.worker];
-        if !worker.up || worker.cut {
+        if !worker.up || worker.partitioned {
             let renewal = Renewal { stored: EndSeq(0), until: None, wait: 0, sent };
             return self.time_out(route, &Call::Renew(renewal));
         }
         let Some(worker) = self.answer_target(route) else { return };
-        let outcome = Outcome::Done(self.account(route.worker));
+        let outcome = Outcome::Done(self.report(route.worker));
         self.reply(route, Event::Renewed { worker, sent, outcome });
     }
 
     /// Returns the report of a worker: its clock, its runs and its ends.
-    pub fn account(&mut self, at: usize) -> WorkerReport {
+    pub fn report(&mut self, at: usize) -> WorkerReport {
         let runs: Vec<(TaskKey, SimRun)> =
             self.workers[at].running.iter().map(|(task, r)| (*task, r.clone())).collect();
         let running: Vec<RunningTask> =
--- a/crates/sched/tests/fleet/world/store.rs
+++ b/crates/sched/tests/fleet/simulation/store.rs
@@ -12,11 +12,11 @@
 use gaplock_types::time::Instant;
 
 use super::builders::config;
-use super::World;
+use super::Simulation;
 
-impl World {
+impl Simulation {
     /// Replaces the leader by a new one that knows only what the store and the directory hold.
-    pub fn take_over(&mut self) {
+    pub fn start_new_leader(&mut self) {
         self.term += 1;
         self.record_leader_change();
         self.token += 10;
@@ -30,7 +30,7 @@
             unreadable: self.unreadable.clone(),
             cancelled: self.cancelled.iter().copied().collect(),
             roster: self.roster.values().cloned().collect(),
-            learned: self.learnt.clone(),
+            learned: self.learned.clone(),
             waves: self.wave_progress.values().cloned().collect(),
             evacuated: self.evacuated(),
         };
@@ -58,7 +58,7 @@
     }
 
     /// Makes the stored progress of a job unreadable.
-    pub fn spoil_progress(&mut self, key: u64) {
+    pub fn make_progress_unreadable(&mut self, key: u64) {
         self.unreadable.insert(JobKey(key));
     }
 
@@ -66,7 +66,7 @@
     pub fn change_leader(&mut self, gap: u64) {
         self.lose_leader();
         self.run(gap);
-        self.take_over();
+        self.start_new_leader();
     }
 
     /// Begins the next commit, if one is due.
--- a/crates/sched/tests/fleet/world/views.rs
+++ b/crates/sched/tests/fleet/simulation/views.rs
@@ -8,9 +8,9 @@
 use gaplock_sched::worker::{Phase, Worker};
 
 use super::worker::SimWorker;
-use super::World;
+use super::Simulation;
 
-impl World {
+impl Simulation {
     /// Returns whether a job is stored as completed.
     pub fn is_completed(&self, key: u64) -> bool {
         let state = self.progress.get(&JobKey(key)).map(|p| p.state);
@@ -45,12 +45,12 @@
     }
 
     /// Returns how many candidate evaluations the last dispatch pass took.
-    pub fn looks(&self) -> usize {
+    pub fn evaluations(&self) -> usize {
         self.cx.as_ref().map_or(0, |cx| cx.pass_evaluations)
     }
 
     /// Returns how many searches for better workers the last rebalancing check made.
-    pub fn places_searched(&self) -> usize {
+    pub fn rebalance_searches(&self) -> usize {
         self.cx.as_ref().map_or(0, |cx| cx.rebalance_searches)
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Returns whether the leader's recovery scan for runs of its predecessors is still under way.
-    pub fn in_survey(&self) -> bool {
+    pub fn in_recovery_scan(&self) -> bool {
         self.cx.as_ref().is_some_and(|cx| cx.recovery_scan.is_some())
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Returns how many tasks a worker has had a run of, whether it has ended or not.
-    pub fn runs_given_to(&self, worker: usize) -> usize {
+    pub fn tasks_given_to(&self, worker: usize) -> usize {
         let worker = &self.workers[worker];
         let running = worker.running.keys().filter(|task| !worker.last_ended.contains_key(task));
         worker.last_ended.len() + running.count()
--- a/crates/sched/tests/fleet/world/worker.rs
+++ b/crates/sched/tests/fleet/simulation/worker.rs
@@ -14,7 +14,7 @@
 
 use super::calls::{self, Call, CallRoute, Delivery, Work};
 use super::checkpoints::{CheckpointState, StartCheckpoint};
-use super::{World, SERVICE};
+use super::{Simulation, SERVICE};
 
 /// How long after a change of a worker's capacity a start may still be sent by the previous capacity, in
 /// milliseconds: the users of the platform count a reduced capacity as in force 3 s and a heartbeat later.
@@ -71,19 +71,19 @@
     /// Whether it runs: unset after a crash.
     pub up: bool,
     /// Whether it carries out starts beyond its capacity.
-    pub unguarded: bool,
+    pub ignores_capacity: bool,
     /// When its capacity last changed.
     pub(super) resized: u64,
     /// Whether another incarnation answers at its address.
     pub replaced: bool,
     /// Whether it is partitioned: no call gets through in either direction.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Whether every run fails.
     pub failing: bool,
     /// Whether it refuses every call as unhealthy, without carrying it out.
-    pub unwell: bool,
+    pub unhealthy: bool,
     /// Whether it refuses a start as late by its own lease instead of the lease that the start carries.
-    pub late_by_own_lease: bool,
+    pub checks_own_lease: bool,
     /// How many of a thousand calls it refuses as unhealthy.
     pub refuses_per_mille: u32,
     /// Whether it refuses all stops as unhealthy.
@@ -99,9 +99,9 @@
     /// How many stops have arrived.
     pub stops: u64,
     /// If set, the next start gets no answer and arrives after so many milliseconds.
-    pub delays_start: Option<u64>,
+    pub next_start_delay_ms: Option<u64>,
     /// The next orders to change a pace get no answer, and each arrives after so many milliseconds.
-    pub delays_paces: VecDeque<u64>,
+    pub pace_delays_ms: VecDeque<u64>,
     /// How many times as long as elsewhere work takes.
     pub slowness: u64,
     /// The runs that go on.
@@ -141,13 +141,13 @@
         Self {
             info,
             up: true,
-            unguarded: false,
+            ignores_capacity: false,
             resized: 0,
             replaced: false,
-            cut: false,
+            partitioned: false,
             failing: false,
-            unwell: false,
-            late_by_own_lease: false,
+            unhealthy: false,
+            checks_own_lease: false,
             refuses_per_mille: 0,
             refuses_stops: false,
             refuses_checkpoints: false,
@@ -155,8 +155,8 @@
             invalid_starts: 0,
             stop_ms: 0,
             stops: 0,
-            delays_start: None,
-            delays_paces: VecDeque::new(),
+            next_start_delay_ms: None,
+            pace_delays_ms: VecDeque::new(),
             slowness: 1,
             running: BTreeMap::new(),
             ends: Vec::new(),
@@ -174,11 +174,11 @@
 impl SimWorker {
     /// Ends all faults that a test has set for this worker, except a crash.
     pub(super) fn recover(&mut self) {
-        (self.cut, self.failing, self.unwell, self.late_by_own_lease) =
+        (self.partitioned, self.failing, self.unhealthy, self.checks_own_lease) =
             (false, false, false, false);
         (self.refuses_stops, self.refuses_checkpoints, self.refuses_starts) = (false, false, false);
         self.refuses_per_mille = 0;
-        self.delays_start = None;
+        self.next_start_delay_ms = None;
     }
 
     /// Returns whether a task of a step fits here, and the worker is up, not replaced and not draining.
@@ -189,19 +189,19 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Restarts a worker under its name: it has no runs, and its list of ends and its clock are reset. Calls on
     /// their way to it that get no answer are dropped. The directory lists the new incarnation some time later.
-    pub fn start_over(&mut self, at: usize) {
+    pub fn restart_worker(&mut self, at: usize) {
         let is_dropped = |route: &CallRoute| route.worker == at && !route.answered;
         self.deliveries
             .retain(|_, d| !matches!(d, Delivery::ToWorker { route, .. } if is_dropped(route)));
-        self.start_over_before_calls(at);
+        self.restart_worker_keeping_calls(at);
     }
 
     /// Restarts a worker under its name; its new incarnation receives the unanswered calls that are on their
     /// way to the previous one.
-    pub fn start_over_before_calls(&mut self, at: usize) {
+    pub fn restart_worker_keeping_calls(&mut self, at: usize) {
         self.record_fault(at, RESTART_LISTED_AFTER_MS);
         let mut info = self.workers[at].info.clone();
         let previous = info.id.clone();
@@ -264,7 +264,7 @@
     /// Handles a call that has arrived at a worker.
     pub(super) fn call_arrives(&mut self, route: CallRoute, call: Call, token: u64) {
         let at = route.worker;
-        if !self.workers[at].up || self.workers[at].cut {
+        if !self.workers[at].up || self.workers[at].partitioned {
             return self.time_out(route, &call);
         }
         let is_stop = matches!(call, Call::Stop { .. });
@@ -291,8 +291,8 @@
     /// Returns whether a worker refuses a call as unhealthy. This does not concern calls that are carried out
     /// late without an answer: the worker accepted these before.
     fn refuses_call(&mut self, at: usize) -> bool {
-        let per_mille = self.faults.unwell_per_mille.max(self.workers[at].refuses_per_mille);
-        self.workers[at].unwell || per_mille > 0 && self.rng.random_range(0..1_000) < per_mille
+        let per_mille = self.faults.unhealthy_per_mille.max(self.workers[at].refuses_per_mille);
+        self.workers[at].unhealthy || per_mille > 0 && self.rng.random_range(0..1_000) < per_mille
     }
 
     /// Refuses a call as unhealthy, without carrying it out.
@@ -370,7 +370,7 @@
         if worker.running.get(&task).is_some_and(|r| r.run == run) {
             return Ok(());
         }
-        let lease_end = if worker.late_by_own_lease { worker.lease_until } else { until.0 };
+        let lease_end = if worker.checks_own_lease { worker.lease_until } else { until.0 };
         if lease_end <= clock {
             return Err(Refusal::Late);
         }
@@ -381,7 +381,7 @@
         let taken: u32 = worker.running.values().map(|r| r.takes.cpu.0).sum();
         let cores = taken + work.takes.cpu.0;
         let exceeds_capacity = cores > worker.info.capacity.cpu.0;
-        if exceeds_capacity && !worker.unguarded {
+        if exceeds_capacity && !worker.ignores_capacity {
             return Err(Refusal::Room);
         }
         if exceeds_capacity && work.sent >= worker.resized + RESIZE_EFFECTIVE_MS {
--- a/crates/sched/tests/fleet/world/writes.rs
+++ b/crates/sched/tests/fleet/simulation/writes.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 
 use super::calls::Delivery;
-use super::World;
+use super::Simulation;
 
 /// How long a call to the store takes, in milliseconds; the store in production answers in some 4 ms.
 const CALL_MS: u64 = 4;
@@ -119,7 +119,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Begins to commit records.
     pub(super) fn write(&mut self, records: Vec<Record>) {
         let writes = &mut self.writes;
--- a/crates/sched/tests/fleet/suspect_isolation.rs
+++ b/crates/sched/tests/fleet/suspect_isolation.rs
@@ -9,7 +9,7 @@
 
 use gaplock_jobs::Step;
 
-use crate::world::{assert_kept, job, step, World};
+use crate::simulation::{assert_no_violations, job, step, Simulation};
 
 /// How long short tasks may wait while suspects run alone, in milliseconds: the second for which
 /// each suspect runs alone in any case, and the time that orders and ends take.
@@ -20,8 +20,8 @@
 
 /// Builds a fleet of `workers` workers, each of which was lost twice under long-running tasks of
 /// one job.
-fn pool_lost_twice(seed: u64, workers: usize) -> World {
-    let mut world = World::open(seed, workers);
+fn pool_lost_twice(seed: u64, workers: usize) -> Simulation {
+    let mut world = Simulation::open(seed, workers);
     world.work_ms = SHORT_TASK_MS;
     let long_running =
         Step { lasting: true, most_per_worker: Some(1), ..step(workers as u32, &[]) };
@@ -32,7 +32,7 @@
             let running = |at: &usize| world.workers[*at].up && world.running_at(*at) > 0;
             let at =
                 (0..world.workers.len()).find(running).expect("a worker that is up runs a task");
-            world.crash_and_return(at);
+            world.crash_and_replace(at);
             world.run(200);
         }
         world.run(if round == 0 { 12_000 } else { 0 });
@@ -45,7 +45,7 @@
 
 /// Submits a short job every quarter of a second for a while, and returns how long the slowest
 /// took, in milliseconds.
-fn slowest_short_job(world: &mut World) -> u64 {
+fn slowest_short_job(world: &mut Simulation) -> u64 {
     let (every, jobs) = (250, 40);
     let mut slowest = 0;
     let mut waiting: Vec<(u64, u64)> = Vec::new();
@@ -70,7 +70,7 @@
         "a short job took {slowest} ms, expected at most {MAX_WAIT_MS} + {SHORT_TASK_MS} ms"
     );
     assert_eq!(world.running_of(1), 2);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -82,5 +82,5 @@
         "a short job took {slowest} ms, expected at most {MAX_WAIT_MS} + {SHORT_TASK_MS} ms"
     );
     assert_eq!(world.running_of(1), 1);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/withdrawn_starts.rs
+++ b/crates/sched/tests/fleet/withdrawn_starts.rs
@@ -13,7 +13,7 @@
 
 use gaplock_jobs::Step;
 
-use crate::world::{assert_kept, job, lasting, step, Faults, World};
+use crate::simulation::{assert_no_violations, job, long_running_step, step, Faults, Simulation};
 
 /// How late a delayed start arrives, in milliseconds.
 const DELIVERY_DELAY_MS: u64 = 3_000;
@@ -22,17 +22,17 @@
 /// meanwhile.
 #[test]
 fn a_slow_stop_does_not_make_the_leader_send_renewals_without_pause() {
-    let mut world = World::open(91, 8);
+    let mut world = Simulation::open(91, 8);
     for worker in &mut world.workers {
         worker.stop_ms = 850;
     }
-    world.submit(job(1, vec![lasting(32)]));
+    world.submit(job(1, vec![long_running_step(32)]));
     world.run(3_000);
     let usual = world.renewals_within(850);
     world.cancel(1);
     let while_stopping = world.renewals_within(850);
     world.run(2_000);
-    assert_kept(&world);
+    assert_no_violations(&world);
     assert!(
         while_stopping <= 8 * 8,
         "{usual} renewals in 850 ms before, {while_stopping} in 850 ms while stopping"
@@ -43,8 +43,8 @@
 /// flooded with stops.
 #[test]
 fn a_worker_that_refuses_stops_is_not_flooded_with_calls() {
-    let mut world = World::open(92, 8);
-    world.submit(job(1, vec![lasting(32)]));
+    let mut world = Simulation::open(92, 8);
+    world.submit(job(1, vec![long_running_step(32)]));
     world.run(3_000);
     for worker in &mut world.workers {
         worker.refuses_stops = true;
@@ -62,73 +62,73 @@
 /// elsewhere once a lease has ended.
 #[test]
 fn a_withdrawn_start_whose_stop_is_refused_does_not_block_its_task_for_ever() {
-    let mut world = World::open(93, 2);
+    let mut world = Simulation::open(93, 2);
     world.run(100);
     for worker in &mut world.workers {
-        worker.delays_start = Some(60_000);
+        worker.next_start_delay_ms = Some(60_000);
     }
     world.submit(job(1, vec![step(1, &[])]));
     world.run(1);
     let asked = world
         .workers
         .iter()
-        .position(|w| w.delays_start.is_none())
+        .position(|w| w.next_start_delay_ms.is_none())
         .expect("the start was sent to one of the workers");
-    world.workers[1 - asked].delays_start = None;
-    world.workers[asked].unwell = true;
+    world.workers[1 - asked].next_start_delay_ms = None;
+    world.workers[asked].unhealthy = true;
     world.run(450);
-    world.workers[asked].unwell = false;
+    world.workers[asked].unhealthy = false;
     world.workers[asked].refuses_stops = true;
     world.run(30_000);
     assert!(
         world.is_completed(1),
         "the task waited 30 s for a stop although another worker is empty"
     );
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// A worker whose leases are left to expire because it refuses a stop gets no tasks meanwhile.
 #[test]
 fn a_worker_whose_leases_are_left_to_expire_gets_no_tasks() {
-    let mut world = World::open(98, 2);
+    let mut world = Simulation::open(98, 2);
     world.run(100);
     for worker in &mut world.workers {
-        worker.delays_start = Some(60_000);
+        worker.next_start_delay_ms = Some(60_000);
     }
     world.submit(job(1, vec![step(1, &[])]));
     world.run(1);
     let asked = world
         .workers
         .iter()
-        .position(|w| w.delays_start.is_none())
+        .position(|w| w.next_start_delay_ms.is_none())
         .expect("the start was sent to one of the workers");
-    world.workers[1 - asked].delays_start = None;
-    world.workers[asked].unwell = true;
+    world.workers[1 - asked].next_start_delay_ms = None;
+    world.workers[asked].unhealthy = true;
     world.run(450);
-    world.workers[asked].unwell = false;
+    world.workers[asked].unhealthy = false;
     world.workers[asked].refuses_stops = true;
     world.run(7_000);
     world.submit(job(2, vec![step(8, &[])]));
     world.run(1_000);
     assert!(world.is_completed(2), "tasks wait at a worker whose leases are left to expire");
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
 /// The only faults are one late start and refused orders. This test already passed before the
 /// faults named above were fixed.
 #[test]
 fn a_gang_one_of_whose_starts_is_withdrawn_restarts_soon() {
-    let mut world = World::open(94, 6);
+    let mut world = Simulation::open(94, 6);
     world.run(100);
     let gang = Step { gang: true, ..step(20, &[]) };
-    world.workers[0].delays_start = Some(DELIVERY_DELAY_MS);
+    world.workers[0].next_start_delay_ms = Some(DELIVERY_DELAY_MS);
     world.submit(job(1, vec![gang]));
     world.run(1);
-    world.workers[0].unwell = true;
+    world.workers[0].unhealthy = true;
     world.run(450);
-    world.workers[0].unwell = false;
+    world.workers[0].unhealthy = false;
     world.run(20_000);
-    assert_kept(&world);
+    assert_no_violations(&world);
     assert!(world.is_completed(1));
 }
 
@@ -138,21 +138,21 @@
 fn no_run_of_a_cancelled_job_continues_and_every_job_ends() {
     let (mut broken, mut runs, mut longest_overall) = (Vec::new(), 0, 0);
     for seed in 300..420 {
-        let mut world = World::open(seed, 6);
+        let mut world = Simulation::open(seed, 6);
         world.faults = Faults {
             lost_per_mille: 20,
             unanswered_per_mille: 60,
             late_per_mille: 150,
             failing_per_mille: 10,
-            unwell_per_mille: 250,
+            unhealthy_per_mille: 250,
         };
         for worker in &mut world.workers {
-            worker.late_by_own_lease = seed % 2 == 0;
+            worker.checks_own_lease = seed % 2 == 0;
             worker.stop_ms = seed % 3 * 300;
         }
         for key in 0..20 {
             let copies = Step { duplicates: true, ..step(3, &[]) };
-            world.submit(job(key, vec![step(5, &[]), copies, lasting(1)]));
+            world.submit(job(key, vec![step(5, &[]), copies, long_running_step(1)]));
             let pause = world.draw(600);
             world.run(pause);
             let at = world.draw(6) as usize;
@@ -164,7 +164,7 @@
                         world.list_again(w);
                     }
                 }
-                1 | 2 => world.workers[at].cut ^= true,
+                1 | 2 => world.workers[at].partitioned ^= true,
                 3 => world.unlist(at),
                 4 => world.list_again(at),
                 5 | 6 if key > 1 => world.cancel(key - 2),
@@ -174,7 +174,7 @@
         }
         world.faults = Faults::default();
         for at in 0..6 {
-            world.workers[at].cut = false;
+            world.workers[at].partitioned = false;
             world.workers[at].slowness = 1;
             world.list_again(at);
         }
@@ -213,11 +213,11 @@
 /// not send many more renewals than usual.
 #[test]
 fn a_cancellation_on_a_large_fleet_does_not_multiply_renewals() {
-    let mut world = World::open(96, 490);
+    let mut world = Simulation::open(96, 490);
     for worker in &mut world.workers {
         worker.stop_ms = 850;
     }
-    world.submit(job(1, vec![Step { most_per_worker: Some(1), ..lasting(490) }]));
+    world.submit(job(1, vec![Step { most_per_worker: Some(1), ..long_running_step(490) }]));
     world.run(3_000);
     assert_eq!(world.running_of(1), 490);
     let usual = world.renewals_within(850);
@@ -237,20 +237,20 @@
     for refuses in [300, 600, 900] {
         let mut waits = Vec::new();
         for seed in 1_000..1_200 {
-            let mut world = World::open(seed, 4);
+            let mut world = Simulation::open(seed, 4);
             world.run(100);
             for worker in &mut world.workers {
-                worker.delays_start = Some(60_000);
+                worker.next_start_delay_ms = Some(60_000);
             }
             world.submit(job(1, vec![step(1, &[])]));
             world.run(1);
             let asked = world
                 .workers
                 .iter()
-                .position(|w| w.delays_start.is_none())
+                .position(|w| w.next_start_delay_ms.is_none())
                 .expect("the start was sent to one of the workers");
             for worker in &mut world.workers {
-                worker.delays_start = None;
+                worker.next_start_delay_ms = None;
             }
             world.workers[asked].refuses_per_mille = refuses;
             let began = world.now;
@@ -258,7 +258,7 @@
                 world.run(10);
             }
             waits.push(world.now - began);
-            assert_kept(&world);
+            assert_no_violations(&world);
         }
         waits.sort_unstable();
         let over = waits.iter().filter(|w| **w >= 3_000).count();
@@ -279,7 +279,7 @@
 #[test]
 fn an_unanswered_start_is_withdrawn_where_no_lease_can_be_granted() {
     for early in (0..1_000).step_by(50) {
-        let mut world = World::open(901, 1);
+        let mut world = Simulation::open(901, 1);
         world.work_ms = 60_000;
         world.submit(job(1, vec![step(1, &[])]));
         world.run(1_000);
@@ -287,7 +287,7 @@
         world.cancel(1);
         world.run(6_000 - early);
         world.work_ms = 300;
-        world.workers[0].delays_start = Some(20_000);
+        world.workers[0].next_start_delay_ms = Some(20_000);
         world.submit(job(2, vec![step(1, &[])]));
         world.run(early + 1_500);
         world.workers[0].refuses_stops = false;
