--- a/crates/soak/src/bin/processes.rs
+++ b/crates/soak/src/bin/processes.rs
@@ -8,16 +8,22 @@
 use gaplock_soak::processes::{run_with, Options, Report};
 use gaplock_soak::seeds::{self, Seeds};
 
-const ANY: Kind = Kind::Number { min: 0, max: u64::MAX };
+const ANY_NUMBER: Kind = Kind::Number { min: 0, max: u64::MAX };
 const TABLE: &[Setting] = &[
-    setting("seeds", ANY, "N", Some("4"), "How many seeds are run."),
-    setting("from", ANY, "S", Some("1"), "The first seed."),
+    setting("seeds", ANY_NUMBER, "N", Some("4"), "How many seeds are run."),
+    setting("from", ANY_NUMBER, "S", Some("1"), "The first seed."),
     setting("program", Kind::Text, "PATH", Some("target/release/gaplock-node"), "The daemon."),
-    setting("seconds", ANY, "N", Some("8"), "How long faults and jobs come."),
-    setting("workers", ANY, "N", Some("0"), "How many workers there are; 0: as the seed says."),
+    setting("seconds", ANY_NUMBER, "N", Some("8"), "How long faults and jobs come."),
+    setting(
+        "workers",
+        ANY_NUMBER,
+        "N",
+        Some("0"),
+        "How many workers there are; 0: as the seed says.",
+    ),
     setting(
         "node-threads",
-        ANY,
+        ANY_NUMBER,
         "N",
         Some("0"),
         "Threads of each daemon; 0: as its library likes.",
@@ -48,12 +54,12 @@
             ..Report::default()
         })
     });
-    reports.iter().for_each(|r| tell_of_saved_work(r, values.switch("stories")));
+    reports.iter().for_each(|r| print_checkpoint_use(r, values.switch("stories")));
     summarise(&reports)
 }
 
 /// Prints what became of saved work in one seed.
-fn tell_of_saved_work(report: &Report, stories: bool) {
+fn print_checkpoint_use(report: &Report, stories: bool) {
     let (seed, resumed, thrown) = (report.seed, report.resumed, &report.thrown_away);
     if resumed == 0 && thrown.is_empty() {
         return;
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -12,8 +12,8 @@
 /// Lists everything that does not hold.
 pub fn violations(w: &mut World, clients: &Clients) -> Vec<String> {
     let mut found = w.violations.clone();
-    let mut judges = judges(w);
-    join_loans(w, &mut judges);
+    let mut judges = collect_verdicts(w);
+    attribute_borrowed_runs(w, &mut judges);
     let findings = Findings::of(&judges, w.now);
     found.extend(findings.violations.iter().cloned());
     found.extend(
@@ -28,7 +28,7 @@
     found
 }
 
-fn judges(w: &mut World) -> Vec<Verdicts> {
+fn collect_verdicts(w: &mut World) -> Vec<Verdicts> {
     (0..w.workers.len())
         .flat_map(|i| {
             let now = w.worker_clock(i);
@@ -49,7 +49,7 @@
 }
 
 /// Counts a lent run's stretches as its lender's, so that a task that runs at both is seen.
-fn join_loans(w: &World, judges: &mut [Verdicts]) {
+fn attribute_borrowed_runs(w: &World, judges: &mut [Verdicts]) {
     let mut lenders: BTreeMap<ids::TaskId, wire::Run> = BTreeMap::new();
     for e in &w.entries {
         let Some(node) = &e.node else { continue };
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -12,7 +12,7 @@
 
 /// A job that a caller submits until it is told that the job is stored.
 #[derive(Debug, Clone)]
-pub struct JobWish {
+pub struct JobRequest {
     key: ids::RequestKey,
     spec: api::JobSpec,
     asked: Vec<u64>,
@@ -25,12 +25,12 @@
 
 /// A request that must not be repeated, sent with one key through several entries.
 #[derive(Debug, Clone)]
-pub struct OnceWish {
+pub struct OnceRequest {
     /// The caller's key.
     pub key: ids::RequestKey,
     /// Claims by number, with their claimers.
     claims: BTreeMap<u64, String>,
-    tries_left: u32,
+    attempts_left: u32,
     next_try: At,
     /// How often it ran.
     pub runs: u32,
@@ -40,9 +40,9 @@
 #[derive(Debug, Default)]
 pub struct Clients {
     /// Jobs.
-    pub jobs: Vec<JobWish>,
+    pub jobs: Vec<JobRequest>,
     /// Requests that must not be repeated.
-    pub once: Vec<OnceWish>,
+    pub once: Vec<OnceRequest>,
     /// Confirmations by number, with the plan.
     pub confirmations: BTreeMap<u64, api::Plan>,
     next_key: u64,
@@ -92,7 +92,7 @@
     }
 
     /// Adds a job.
-    pub fn wish_job(&mut self, w: &mut World) {
+    pub fn add_job(&mut self, w: &mut World) {
         let spec = api::JobSpec {
             class: "bundle".into(),
             demand: sizes::Resources::new(w.rng.random_range(200..1_500), 256, 0),
@@ -102,7 +102,7 @@
         };
         let key = self.key("job");
         let next_try = w.now;
-        self.jobs.push(JobWish {
+        self.jobs.push(JobRequest {
             key,
             spec,
             asked: Vec::new(),
@@ -113,11 +113,11 @@
     }
 
     /// Adds a request that must not be repeated.
-    pub fn wish_once(&mut self, w: &mut World) {
+    pub fn add_once(&mut self, w: &mut World) {
         let key = self.key("once");
         let (tries_left, next_try) = (w.rng.random_range(1..6), w.now);
         let claims = BTreeMap::new();
-        self.once.push(OnceWish { key, claims, tries_left, next_try, runs: 0 });
+        self.once.push(OnceRequest { key, claims, attempts_left: tries_left, next_try, runs: 0 });
     }
 
     /// Confirms a plan at a random entry, made against what is in force there.
@@ -224,10 +224,10 @@
             w.command(entry, home, command);
         }
         let wish = &mut self.once[i];
-        if wish.tries_left == 0 || w.now < wish.next_try {
+        if wish.attempts_left == 0 || w.now < wish.next_try {
             return;
         }
-        wish.tries_left -= 1;
+        wish.attempts_left -= 1;
         wish.next_try = w.now + w.rng.random_range(1..RETRY);
         let number = w.fresh_number();
         let claimer = format!("c{number}");
--- a/crates/soak/src/processes.rs
+++ b/crates/soak/src/processes.rs
@@ -29,8 +29,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use callers::Told;
-use faults::Besides;
+use callers::JobFact;
+use faults::ExtraFaults;
 
 /// What a seed led to.
 #[derive(Debug, Default)]
@@ -62,13 +62,13 @@
 
 impl Default for Options {
     fn default() -> Self {
-        Self { faulty: FAULTY_TIME, workers: None, threads: None }
+        Self { faulty: FAULT_DURATION, workers: None, threads: None }
     }
 }
 
 /// What a seed plays besides harm to processes and links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Play {
+struct FaultProfile {
     /// Workers that carry orders out late and are unwell.
     orders: bool,
     /// A store that writes late, loses answers and refuses.
@@ -83,55 +83,55 @@
     faulty: Duration,
 }
 
-impl Play {
+impl FaultProfile {
     /// Tells whether nothing but single faults is played.
-    fn only_single(self) -> bool {
+    fn only_single_faults(self) -> bool {
         !self.orders && !self.writes
     }
 }
 
 /// Every so many seeds one has many hosts.
-const MANY_EVERY: u64 = 16;
+const MANY_HOSTS_EVERY_SEEDS: u64 = 16;
 
 /// How long faults and jobs come where nothing else is said.
-const FAULTY_TIME: Duration = Duration::from_secs(8);
+const FAULT_DURATION: Duration = Duration::from_secs(8);
 
 /// How long accepted jobs may take to end once everything is whole again: a lease of 6 s, a change
 /// of leader, and their own work twice over. It does not count while every worker is full.
-const SETTLE_LIMIT: Duration = Duration::from_secs(25);
+const JOB_END_LIMIT: Duration = Duration::from_secs(25);
 
 /// How long that may be: few workers get more work than they can do in that time.
-const FULL_LIMIT: Duration = Duration::from_secs(90);
+const JOB_END_LIMIT_WHILE_FULL: Duration = Duration::from_secs(90);
 
 /// How long the judge looks at the calm after the faults where orders come late: what is left of
 /// the 6 s by which the last one is late, 3 s to see its run, 0.9 s to stop it, and a little more.
-const CALM_WATCHED: Duration = Duration::from_millis(7_000);
+const QUIET_WATCH_TIME: Duration = Duration::from_millis(7_000);
 
 /// How long runs of cancelled jobs may be there after all else is checked: a start that was carried out late at
 /// the end of the watched calm is stopped in that time.
-const CANCELLED_LIMIT: Duration = judge::OUTSTAY_LIMIT;
+const CANCELLED_STOP_LIMIT: Duration = judge::OUTSTAY_LIMIT;
 
 /// How many starts of workers may end under a task before it may be given up as one that crashes them; counted only
 /// where all workers crash together, beside which an innocent task cannot be told from others.
-const LOST_FREE: u32 = 3;
+const MIN_LOSSES_TO_FAIL: u32 = 3;
 
 /// How long the hosts may take to become ready.
 const READY_LIMIT: Duration = Duration::from_secs(10);
 
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const LOCK: &str = "no holder of the lock panics";
 
 /// Returns what a seed plays: by its remainder nothing more, late orders, late writes, or both.
 /// Where more is played, there are fewer single faults: a leader must live to take a late write for
 /// another.
-fn play(seed: u64, faulty: Duration, rng: &mut ChaCha8Rng) -> Play {
+fn fault_profile(seed: u64, faulty: Duration, rng: &mut ChaCha8Rng) -> FaultProfile {
     let kind = seed % 4;
     let single_one_of = if kind == 1 { 1 } else { rng.random_range(2..7) };
-    Play {
+    FaultProfile {
         orders: kind == 2 || kind == 0,
         writes: kind == 3 || kind == 0,
-        many: seed.is_multiple_of(MANY_EVERY),
-        losses: seed >= callers::FIRST_WITH_SAVES,
+        many: seed.is_multiple_of(MANY_HOSTS_EVERY_SEEDS),
+        losses: seed >= callers::FIRST_SEED_WITH_CHECKPOINTS,
         single_one_of,
         faulty,
     }
@@ -151,32 +151,32 @@
 /// Returns why the site could not be started or its processes not be handled.
 pub fn run_with(program: PathBuf, seed: u64, options: Options) -> io::Result<Report> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let play = play(seed, options.faulty, &mut rng);
+    let play = fault_profile(seed, options.faulty, &mut rng);
     let plan = plan(program, seed, play, options, &mut rng);
     let mut report = Report { seed, ..Report::default() };
     let site = Mutex::new(site::open(&plan)?);
     faults::prepare(&site.lock().expect(LOCK), seed, play, &mut rng);
-    let besides = Besides {
+    let besides = ExtraFaults {
         wider: wider::prepare(&site.lock().expect(LOCK), seed),
         restarts: restarts::prepare(seed),
-        crashes: cancels::Crashes::prepare(seed),
+        crashes: cancels::JointCrashes::prepare(seed),
     };
     wait(READY_LIMIT, || site.lock().expect(LOCK).hosts.iter().any(site::Host::is_ready));
-    let jobs: Mutex<Vec<(JobKey, Told)>> = Mutex::default();
+    let jobs: Mutex<Vec<(JobKey, JobFact)>> = Mutex::default();
     report.faults = thread::scope(|scope| {
-        for caller in 0..callers::COUNT {
+        for caller in 0..callers::CALLERS {
             let (site, jobs) = (&site, &jobs);
-            scope.spawn(move || callers::call(site, jobs, caller, seed, play.faulty));
+            scope.spawn(move || callers::run_caller(site, jobs, caller, seed, play.faulty));
         }
         faults::inject(&site, play, besides, &mut rng)
     })?;
     let mut jobs = jobs.into_inner().expect(LOCK);
     let site = site.into_inner().expect(LOCK);
-    if cancels::plays(seed) {
+    if cancels::applies_to(seed) {
         wait(READY_LIMIT, || site.leader().is_some_and(|leader| site.hosts[leader].is_ready()));
-        cancels::finish(&site, &mut jobs, &mut rng);
+        cancels::crash_and_cancel(&site, &mut jobs, &mut rng);
     }
-    watch_calm(&site, play);
+    watch_quiet_phase(&site, play);
     check(&site, &jobs, &mut report);
     if report.violations.is_empty() {
         std::fs::remove_dir_all(&plan.dir)?;
@@ -187,9 +187,15 @@
 }
 
 /// Draws what a seed's site consists of.
-fn plan(program: PathBuf, seed: u64, play: Play, options: Options, rng: &mut ChaCha8Rng) -> Plan {
+fn plan(
+    program: PathBuf,
+    seed: u64,
+    play: FaultProfile,
+    options: Options,
+    rng: &mut ChaCha8Rng,
+) -> Plan {
     let hosts = if play.many { rng.random_range(16..21) } else { rng.random_range(2..6) };
-    let most = if cancels::plays(seed) { cancels::MOST_WORKERS } else { usize::MAX };
+    let most = if cancels::applies_to(seed) { cancels::MAX_WORKERS } else { usize::MAX };
     let workers = rng.random_range(2..9).min(most);
     Plan {
         program,
@@ -203,13 +209,13 @@
 }
 
 /// Lets the judge look at a site that nothing harms, once a host leads it.
-fn watch_calm(site: &Site, play: Play) {
+fn watch_quiet_phase(site: &Site, play: FaultProfile) {
     wait(READY_LIMIT, || site.leader().is_some_and(|leader| site.hosts[leader].is_ready()));
     site.fleet.note_calm();
     if play.orders {
-        thread::sleep(CALM_WATCHED);
+        thread::sleep(QUIET_WATCH_TIME);
     } else {
-        thread::sleep(judge::OUTSTAY_LIMIT + POLL);
+        thread::sleep(judge::OUTSTAY_LIMIT + POLL_INTERVAL);
     }
 }
 
@@ -219,20 +225,20 @@
         if met() {
             return true;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
     false
 }
 
 /// How long jobs may still take to settle, over all checks.
-struct Patience {
+struct WaitBudget {
     /// While a worker has room.
     left: Duration,
     /// While none has.
     full: Duration,
 }
 
-impl Patience {
+impl WaitBudget {
     /// Waits until something is met; looks twice at least.
     fn wait(&mut self, site: &Site, mut met: impl FnMut() -> bool) -> bool {
         loop {
@@ -241,7 +247,7 @@
             }
             let left = if site.fleet.has_room() { &mut self.left } else { &mut self.full };
             let before = Instant::now();
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
             *left = left.saturating_sub(before.elapsed());
             if left.is_zero() {
                 return met();
@@ -250,25 +256,25 @@
     }
 }
 
-fn check(site: &Site, jobs: &[(JobKey, Told)], report: &mut Report) {
-    let told = |key: JobKey, what: Told| jobs.contains(&(key, what));
+fn check(site: &Site, jobs: &[(JobKey, JobFact)], report: &mut Report) {
+    let told = |key: JobKey, what: JobFact| jobs.contains(&(key, what));
     let mut keys: Vec<JobKey> = jobs.iter().map(|(key, _)| *key).collect();
     keys.sort_unstable();
     keys.dedup();
-    let mut patience = Patience { left: SETTLE_LIMIT, full: FULL_LIMIT };
+    let mut patience = WaitBudget { left: JOB_END_LIMIT, full: JOB_END_LIMIT_WHILE_FULL };
     for &key in &keys {
         report.checks += 1;
-        if told(key, Told::Refused) && site.has_started(key) {
+        if told(key, JobFact::Refused) && site.has_started(key) {
             let starts = site.fleet.starts_of(key).join("; ");
             report.violations.push(format!("{key} was refused and ran: {starts}"));
         }
-        let ends = !told(key, Told::Lasts) || told(key, Told::Cancelled);
-        if told(key, Told::Accepted) && ends {
-            let end = if told(key, Told::Crashes) { "failed" } else { "completed" };
+        let ends = !told(key, JobFact::Lasts) || told(key, JobFact::Cancelled);
+        if told(key, JobFact::Accepted) && ends {
+            let end = if told(key, JobFact::Crashes) { "failed" } else { "completed" };
             check_ended(site, key, end, &mut patience, report);
         }
-        let may_be_cancelled = told(key, Told::Cancelled) || told(key, Told::Unclear);
-        if told(key, Told::Accepted) && told(key, Told::Kept) && !may_be_cancelled {
+        let may_be_cancelled = told(key, JobFact::Cancelled) || told(key, JobFact::OutcomeUnknown);
+        if told(key, JobFact::Accepted) && told(key, JobFact::NotCancelled) && !may_be_cancelled {
             check_runs(site, key, &mut patience, report);
         }
     }
@@ -281,12 +287,12 @@
 /// Checks that nothing of a cancelled job runs at the quiet end, where late starts have been carried out and stopped.
 fn check_cancelled(site: &Site, report: &mut Report) {
     report.checks += 1;
-    wait(CANCELLED_LIMIT, || site.fleet.cancelled_runs().is_empty());
+    wait(CANCELLED_STOP_LIMIT, || site.fleet.cancelled_runs().is_empty());
     report.violations.extend(site.fleet.cancelled_runs());
 }
 
 /// Checks that all tasks of a job that lasts are at work, for which there is room.
-fn check_runs(site: &Site, key: JobKey, patience: &mut Patience, report: &mut Report) {
+fn check_runs(site: &Site, key: JobKey, patience: &mut WaitBudget, report: &mut Report) {
     let wanted = site::LASTING_TASKS;
     if !patience.wait(site, || site.fleet.running_of(key) == wanted) {
         let running = site.fleet.running_of(key);
@@ -295,9 +301,16 @@
 }
 
 /// Checks that an accepted job comes to its end, or is cancelled, and that its caller is shown that.
-fn check_ended(site: &Site, key: JobKey, end: &str, patience: &mut Patience, report: &mut Report) {
+fn check_ended(
+    site: &Site,
+    key: JobKey,
+    end: &str,
+    patience: &mut WaitBudget,
+    report: &mut Report,
+) {
     let mut last = None;
-    let may_fail = cancels::plays(report.seed) && site.fleet.most_lost(key) >= LOST_FREE;
+    let may_fail =
+        cancels::applies_to(report.seed) && site.fleet.most_lost(key) >= MIN_LOSSES_TO_FAIL;
     let ended = patience.wait(site, || {
         last = site.hosts.iter().find_map(|h| h.state(key));
         let word = last.as_ref().map(|(_, word)| word.as_str());
--- a/crates/soak/src/processes/callers.rs
+++ b/crates/soak/src/processes/callers.rs
@@ -12,54 +12,54 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::cancels::{self, Cancels};
+use super::cancels::{self, EarlyCancellations};
 use super::{restarts, LOCK};
 
 /// What the callers of one job were told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Told {
+pub(super) enum JobFact {
     Accepted,
     Refused,
-    Unclear,
+    OutcomeUnknown,
     Cancelled,
     /// Its tasks run until it is cancelled.
     Lasts,
     /// It is not cancelled.
-    Kept,
+    NotCancelled,
     /// One of its tasks crashes its workers.
     Crashes,
 }
 
 /// How many callers there are: one that waits for a frozen host leaves the others to go on.
-pub(super) const COUNT: u64 = 3;
+pub(super) const CALLERS: u64 = 3;
 
 /// The distance between the first jobs of two callers.
-const KEYS: u64 = 1_000_000;
+const KEY_DISTANCE: u64 = 1_000_000;
 
 /// How many hosts a caller tries for one call.
-const TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// Every so many jobs one lasts.
-const LASTS_EVERY: u64 = 6;
+const LONG_RUNNING_EVERY: u64 = 6;
 
 /// Seeds from here on also hand in jobs that crash workers; earlier ones keep the course that they had.
-const FIRST_WITH_CRASHES: u64 = 8_000;
+const FIRST_SEED_WITH_CRASHES: u64 = 8_000;
 
 /// Every so many jobs of theirs one is such a job, beginning with the fourth.
 const CRASHES_EVERY: u64 = 9;
 
 /// Seeds from here on also hand in jobs that save their progress.
-pub(super) const FIRST_WITH_SAVES: u64 = 20_000;
+pub(super) const FIRST_SEED_WITH_CHECKPOINTS: u64 = 20_000;
 
 /// Every so many jobs of theirs one is such a job, beginning with the second; every other one is a gang,
 /// and of the rest every other one runs twice.
-const SAVES_EVERY: u64 = 3;
+const CHECKPOINTS_EVERY: u64 = 3;
 
 /// Seeds from here on hand in no jobs that crash workers, beside which whole sites wait for trials.
-const FIRST_WITHOUT_CRASHES: u64 = 30_000;
+const FIRST_SEED_WITHOUT_CRASHES: u64 = 30_000;
 
 /// Every so many jobs that end by themselves one is cancelled.
-const CANCELLED_EVERY: u32 = 8;
+const CANCEL_ONE_IN: u32 = 8;
 
 /// Pauses between two jobs of one caller, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 60..450;
@@ -68,8 +68,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Kind {
     TwoSteps,
-    Saves,
-    SavesTwice,
+    Checkpoints,
+    CheckpointsTwice,
     Gang,
     Lasts,
     Crashes,
@@ -77,19 +77,20 @@
 
 /// Returns what a caller's job is by its number.
 fn kind(seed: u64, n: u64) -> Kind {
-    let crashes = (FIRST_WITH_CRASHES..FIRST_WITHOUT_CRASHES).contains(&seed);
+    let crashes = (FIRST_SEED_WITH_CRASHES..FIRST_SEED_WITHOUT_CRASHES).contains(&seed);
     if crashes && n % CRASHES_EVERY == 4 {
         return Kind::Crashes;
     }
-    let lasts_every = if cancels::plays(seed) { cancels::LASTS_EVERY } else { LASTS_EVERY };
+    let lasts_every =
+        if cancels::applies_to(seed) { cancels::LONG_RUNNING_EVERY } else { LONG_RUNNING_EVERY };
     if n.is_multiple_of(lasts_every) {
         return Kind::Lasts;
     }
-    let saves = seed >= FIRST_WITH_SAVES && n % SAVES_EVERY == 2;
-    match n / SAVES_EVERY % 4 {
+    let saves = seed >= FIRST_SEED_WITH_CHECKPOINTS && n % CHECKPOINTS_EVERY == 2;
+    match n / CHECKPOINTS_EVERY % 4 {
         _ if !saves => Kind::TwoSteps,
-        0 => Kind::Saves,
-        2 => Kind::SavesTwice,
+        0 => Kind::Checkpoints,
+        2 => Kind::CheckpointsTwice,
         _ => Kind::Gang,
     }
 }
@@ -97,8 +98,8 @@
 fn body(kind: Kind) -> String {
     match kind {
         Kind::TwoSteps => two_steps(),
-        Kind::Saves => saving(0),
-        Kind::SavesTwice => saving(2),
+        Kind::Checkpoints => saving(0),
+        Kind::CheckpointsTwice => saving(2),
         Kind::Gang => gang(),
         Kind::Lasts => lasting(),
         Kind::Crashes => crashing(),
@@ -106,9 +107,9 @@
 }
 
 /// Hands in and cancels jobs until the faulty time is over; then cancels what lasts.
-pub(super) fn call(
+pub(super) fn run_caller(
     site: &Mutex<Site>,
-    jobs: &Mutex<Vec<(JobKey, Told)>>,
+    jobs: &Mutex<Vec<(JobKey, JobFact)>>,
     caller: u64,
     seed: u64,
     faulty: Duration,
@@ -122,58 +123,58 @@
     let note = |key, told| jobs.lock().expect(LOCK).push((key, told));
     let began = Instant::now();
     let mut lasting_jobs = Vec::new();
-    let mut soon = Cancels::prepare(seed, caller);
+    let mut soon = EarlyCancellations::prepare(seed, caller);
     for n in 1.. {
         if began.elapsed() >= faulty {
             break;
         }
-        let key = JobKey(caller * KEYS + n);
+        let key = JobKey(caller * KEY_DISTANCE + n);
         let kind = kind(seed, n);
         let told = submit(&mut hosts, key, &body(kind), &mut rng);
         note(key, told);
-        traits(kind).into_iter().for_each(|what| note(key, what));
+        known_facts(kind).into_iter().for_each(|what| note(key, what));
         if kind == Kind::Lasts {
             lasting_jobs.push((key, told));
         }
-        let one_of = if kind == Kind::Lasts && soon.is_none() { 2 } else { CANCELLED_EVERY };
-        if told == Told::Accepted && rng.random_range(0..one_of) == 0 {
+        let one_of = if kind == Kind::Lasts && soon.is_none() { 2 } else { CANCEL_ONE_IN };
+        if told == JobFact::Accepted && rng.random_range(0..one_of) == 0 {
             note(key, cancel(&judge, &mut hosts, (key, told), &mut rng));
         }
         if let Some(soon) = &mut soon {
-            for key in soon.take_due((told == Told::Accepted).then_some(key)) {
-                note(key, cancel(&judge, &mut hosts, (key, Told::Accepted), &mut rng));
+            for key in soon.take_due((told == JobFact::Accepted).then_some(key)) {
+                note(key, cancel(&judge, &mut hosts, (key, JobFact::Accepted), &mut rng));
             }
         }
         thread::sleep(Duration::from_millis(rng.random_range(PAUSE_MS)));
     }
     // One job of each caller goes on to the end, where all of its tasks must run; not where all workers crash at the
     // end, under which a task may be given up.
-    let kept = lasting_jobs.pop_if(|_| restarts::plays(seed) && !cancels::plays(seed));
-    kept.into_iter().for_each(|(key, _)| note(key, Told::Kept));
+    let kept = lasting_jobs.pop_if(|_| restarts::applies_to(seed) && !cancels::applies_to(seed));
+    kept.into_iter().for_each(|(key, _)| note(key, JobFact::NotCancelled));
     // What these seeds leave is cancelled at their end.
-    for (key, told) in lasting_jobs.into_iter().filter(|_| !cancels::plays(seed)) {
+    for (key, told) in lasting_jobs.into_iter().filter(|_| !cancels::applies_to(seed)) {
         note(key, cancel(&judge, &mut hosts, (key, told), &mut rng));
     }
 }
 
 /// Returns what more is told of a job, by its kind.
-fn traits(kind: Kind) -> Option<Told> {
+fn known_facts(kind: Kind) -> Option<JobFact> {
     match kind {
-        Kind::Crashes => Some(Told::Crashes),
-        Kind::Lasts => Some(Told::Lasts),
-        Kind::TwoSteps | Kind::Saves | Kind::SavesTwice | Kind::Gang => None,
+        Kind::Crashes => Some(JobFact::Crashes),
+        Kind::Lasts => Some(JobFact::Lasts),
+        Kind::TwoSteps | Kind::Checkpoints | Kind::CheckpointsTwice | Kind::Gang => None,
     }
 }
 
 /// Sends a job to one host after the other.
-fn submit(hosts: &mut [Caller], key: JobKey, body: &str, rng: &mut ChaCha8Rng) -> Told {
-    let mut told = Told::Refused;
-    for _ in 0..TRIES {
+fn submit(hosts: &mut [Caller], key: JobKey, body: &str, rng: &mut ChaCha8Rng) -> JobFact {
+    let mut told = JobFact::Refused;
+    for _ in 0..MAX_ATTEMPTS {
         let at = rng.random_range(0..hosts.len());
         match hosts[at].submit(key, body) {
-            Some(200) => return Told::Accepted,
+            Some(200) => return JobFact::Accepted,
             Some(503 | 429) => {}
-            _ => told = Told::Unclear,
+            _ => told = JobFact::OutcomeUnknown,
         }
     }
     told
@@ -184,17 +185,17 @@
 fn cancel(
     judge: &Acknowledgements,
     hosts: &mut [Caller],
-    (key, handed_in): (JobKey, Told),
+    (key, handed_in): (JobKey, JobFact),
     rng: &mut ChaCha8Rng,
-) -> Told {
-    for _ in 0..TRIES {
+) -> JobFact {
+    for _ in 0..MAX_ATTEMPTS {
         let at = rng.random_range(0..hosts.len());
         let answer = hosts[at].cancel(key);
-        let is_known = answer == Some(200) || handed_in == Told::Accepted;
+        let is_known = answer == Some(200) || handed_in == JobFact::Accepted;
         if is_known && answer.is_some_and(acknowledges) {
             judge.note_cancelled(key);
-            return Told::Cancelled;
+            return JobFact::Cancelled;
         }
     }
-    Told::Unclear
+    JobFact::OutcomeUnknown
 }
--- a/crates/soak/src/processes/cancels.rs
+++ b/crates/soak/src/processes/cancels.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::callers::Told;
+use super::callers::JobFact;
 use super::faults::millis;
 use super::wait;
 
@@ -24,49 +24,49 @@
 const CANCEL_STREAM: u64 = 1 << 35;
 
 /// Every so many jobs one lasts: only these tell of a run that is never stopped.
-pub(super) const LASTS_EVERY: u64 = 2;
+pub(super) const LONG_RUNNING_EVERY: u64 = 2;
 
 /// The most workers: with more of them no suspect waits for a trial.
-pub(super) const MOST_WORKERS: usize = 4;
+pub(super) const MAX_WORKERS: usize = 4;
 
 /// How long after its hand-in a job is cancelled, in milliseconds, unless that is done at once.
-const AFTER_MS: std::ops::Range<u64> = 20..2_500;
+const CANCEL_DELAY_MS: std::ops::Range<u64> = 20..2_500;
 
 /// When all workers crash during the faulty time, and how much earlier they crash before that, in milliseconds. Two
 /// losses let a task wait for a trial; one under which three or four workers end is given up, and so would be an
 /// innocent one.
-const FIRST_MS: std::ops::Range<u64> = 1_000..5_000;
-const BEFORE_MS: std::ops::Range<u64> = 300..900;
+const CRASH_AT_MS: std::ops::Range<u64> = 1_000..5_000;
+const EARLIER_CRASH_BY_MS: std::ops::Range<u64> = 300..900;
 
 /// How long tasks may take to be started again after the crashes at the end.
-const AGAIN_LIMIT: Duration = Duration::from_secs(2);
+const RESTART_LIMIT: Duration = Duration::from_secs(2);
 
 /// Tells whether a seed plays this.
-pub(super) fn plays(seed: u64) -> bool {
+pub(super) fn applies_to(seed: u64) -> bool {
     seed >= FIRST_SEED
 }
 
 /// When one caller's jobs are cancelled.
 #[derive(Debug)]
-pub(super) struct Cancels {
+pub(super) struct EarlyCancellations {
     rng: ChaCha8Rng,
     due: Vec<(Instant, JobKey)>,
 }
 
-impl Cancels {
+impl EarlyCancellations {
     /// Prepares what a caller cancels besides, if it does.
     pub(super) fn prepare(seed: u64, caller: u64) -> Option<Self> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(CANCEL_STREAM + caller);
-        plays(seed).then_some(Self { rng, due: Vec::new() })
+        applies_to(seed).then_some(Self { rng, due: Vec::new() })
     }
 
     /// Takes in an accepted job; two of five are cancelled, some of them at once. What lasts of the others is
     /// cancelled together at the end.
-    fn accepted(&mut self, key: JobKey) {
+    fn schedule_cancellation(&mut self, key: JobKey) {
         let after = match self.rng.random_range(0..10) {
             0 => Duration::ZERO,
-            1..4 => millis(&mut self.rng, AFTER_MS),
+            1..4 => millis(&mut self.rng, CANCEL_DELAY_MS),
             _ => return,
         };
         self.due.push((Instant::now() + after, key));
@@ -74,7 +74,7 @@
 
     /// Takes in a job if it was accepted, and returns those to cancel now.
     pub(super) fn take_due(&mut self, accepted: Option<JobKey>) -> Vec<JobKey> {
-        accepted.into_iter().for_each(|key| self.accepted(key));
+        accepted.into_iter().for_each(|key| self.schedule_cancellation(key));
         let now = Instant::now();
         let due = self.due.extract_if(.., |(at, _)| *at <= now);
         due.map(|(_, key)| key).collect()
@@ -83,19 +83,19 @@
 
 /// Crashes of all workers, to come.
 #[derive(Debug)]
-pub(super) struct Crashes {
+pub(super) struct JointCrashes {
     rng: ChaCha8Rng,
     due: Vec<Instant>,
 }
 
-impl Crashes {
+impl JointCrashes {
     /// Prepares what a seed plays besides, if it does.
     pub(super) fn prepare(seed: u64) -> Option<Self> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(CRASH_STREAM);
-        let first = Instant::now() + millis(&mut rng, FIRST_MS);
-        let due = vec![first - millis(&mut rng, BEFORE_MS), first];
-        plays(seed).then_some(Self { rng, due })
+        let first = Instant::now() + millis(&mut rng, CRASH_AT_MS);
+        let due = vec![first - millis(&mut rng, EARLIER_CRASH_BY_MS), first];
+        applies_to(seed).then_some(Self { rng, due })
     }
 
     /// Does what is due where more faults are to come; returns how many faults that were.
@@ -117,21 +117,25 @@
 
 /// Crashes all workers of a whole site twice and cancels at once what lasts: no later fault ends what is started
 /// wrongly then.
-pub(super) fn finish(site: &Site, jobs: &mut Vec<(JobKey, Told)>, rng: &mut ChaCha8Rng) {
-    let told = |key: JobKey, what: Told| jobs.contains(&(key, what));
-    let lasts = jobs.iter().filter(|(_, what)| *what == Told::Lasts).map(|(key, _)| *key);
-    let open = lasts.filter(|&key| told(key, Told::Accepted) && !told(key, Told::Cancelled));
+pub(super) fn crash_and_cancel(
+    site: &Site,
+    jobs: &mut Vec<(JobKey, JobFact)>,
+    rng: &mut ChaCha8Rng,
+) {
+    let told = |key: JobKey, what: JobFact| jobs.contains(&(key, what));
+    let lasts = jobs.iter().filter(|(_, what)| *what == JobFact::Lasts).map(|(key, _)| *key);
+    let open = lasts.filter(|&key| told(key, JobFact::Accepted) && !told(key, JobFact::Cancelled));
     let open: Vec<JobKey> = open.collect();
     for _ in 0..2 {
         let before = site.fleet.starts();
         (0..site.fleet.len()).for_each(|worker| site.fleet.crash(worker));
-        wait(AGAIN_LIMIT, || site.fleet.starts() > before);
+        wait(RESTART_LIMIT, || site.fleet.starts() > before);
     }
     for key in open {
         let host = rng.random_range(0..site.hosts.len());
         if site.hosts[host].cancel(key).is_some_and(acknowledges) {
             site.fleet.note_cancelled(key);
-            jobs.push((key, Told::Cancelled));
+            jobs.push((key, JobFact::Cancelled));
         }
     }
 }
--- a/crates/soak/src/processes/restarts.rs
+++ b/crates/soak/src/processes/restarts.rs
@@ -30,7 +30,7 @@
 }
 
 /// Tells whether a seed plays this.
-pub(super) fn plays(seed: u64) -> bool {
+pub(super) fn applies_to(seed: u64) -> bool {
     seed >= FIRST_SEED
 }
 
@@ -38,7 +38,7 @@
 pub(super) fn prepare(seed: u64) -> Option<Restarts> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(STREAM);
-    plays(seed).then(|| {
+    applies_to(seed).then(|| {
         let next = Instant::now() + millis(&mut rng, PAUSE_MS);
         Restarts { rng, next }
     })
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -8,9 +8,9 @@
 use crate::faults::{Enabled, Fault};
 use crate::world::{At, World};
 
-const FAULTY: At = 40_000;
-const QUIET: At = 45_000;
-const SLICE: At = 50;
+const FAULTY_MS: At = 40_000;
+const QUIET_MS: At = 45_000;
+const SLICE_MS: At = 50;
 const ENTRIES: usize = 3;
 const WORKERS: usize = 4;
 
@@ -35,18 +35,18 @@
     let mut w = World::open(rng, ENTRIES, WORKERS, enabled);
     let mut clients = Clients::default();
     let mut until = 0;
-    while until < FAULTY + QUIET {
-        until += SLICE;
+    while until < FAULTY_MS + QUIET_MS {
+        until += SLICE_MS;
         while w.step(until) {}
         w.now = until;
-        if until == FAULTY {
-            calm(&mut w);
+        if until == FAULTY_MS {
+            end_faults(&mut w);
         }
         if w.faulty {
-            strike(&mut w);
-            wish(&mut w, &mut clients);
+            inject_faults(&mut w);
+            add_requests(&mut w, &mut clients);
         }
-        let unconfigured = until > FAULTY + 3_000 && until % 1_000 == 0 && generation(&w) == 0;
+        let unconfigured = until > FAULTY_MS + 3_000 && until % 1_000 == 0 && generation(&w) == 0;
         if unconfigured {
             clients.confirm(&mut w);
         }
@@ -77,12 +77,12 @@
     (enabled, report)
 }
 
-fn wish(w: &mut World, clients: &mut Clients) {
+fn add_requests(w: &mut World, clients: &mut Clients) {
     if w.rng.random_ratio(1, 12) {
-        clients.wish_job(w);
+        clients.add_job(w);
     }
     if w.rng.random_ratio(1, 16) {
-        clients.wish_once(w);
+        clients.add_once(w);
     }
     let first = w.now >= 1_500 && clients.confirmations.len() < 3 && w.rng.random_ratio(1, 4);
     if first || w.rng.random_ratio(1, 90) {
@@ -90,72 +90,72 @@
     }
 }
 
-fn draw(w: &mut World, fault: Fault, one_in: u32) -> bool {
+fn draw_fault(w: &mut World, fault: Fault, one_in: u32) -> bool {
     let struck = w.enabled.has(fault) && w.rng.random_ratio(1, one_in);
     w.faults += u64::from(struck);
     struck
 }
 
 /// Lets bigger faults happen.
-fn strike(w: &mut World) {
-    strike_entries(w);
-    strike_workers(w);
-    if draw(w, Fault::StoreDown, 250) {
+fn inject_faults(w: &mut World) {
+    inject_entry_faults(w);
+    inject_worker_faults(w);
+    if draw_fault(w, Fault::StoreDown, 250) {
         let long = w.rng.random_range(200..7_000);
         w.store_down_until = w.now + long;
         w.note(format!("the store is down for {long}"));
     }
-    if draw(w, Fault::StoreLoses, 200) {
+    if draw_fault(w, Fault::StoreLoses, 200) {
         w.store.faults.lose_percent = w.rng.random_range(0..40);
     }
 }
 
-fn strike_entries(w: &mut World) {
+fn inject_entry_faults(w: &mut World) {
     let i = w.rng.random_range(0..w.entries.len());
-    if draw(w, Fault::KillEntry, 150) {
+    if draw_fault(w, Fault::KillEntry, 150) {
         w.kill_entry(i);
     }
-    if draw(w, Fault::FreezeEntry, 150) {
+    if draw_fault(w, Fault::FreezeEntry, 150) {
         let long = w.rng.random_range(100..9_000);
         w.note(format!("e{i} is frozen for {long}"));
         w.entries[i].frozen_until = w.now + long;
     }
-    if draw(w, Fault::StopEntry, 200) && w.entries[i].stopping_since.is_none() {
+    if draw_fault(w, Fault::StopEntry, 200) && w.entries[i].stopping_since.is_none() {
         w.note(format!("e{i} is told to stop"));
         w.entries[i].stopping_since = Some(w.now);
         w.handle(i, gaplock_coord::node::Event::Stop);
     }
-    if draw(w, Fault::CutStore, 150) {
+    if draw_fault(w, Fault::CutStore, 150) {
         let long = w.rng.random_range(100..8_000);
         w.note(format!("e{i} is cut from the store for {long}"));
         w.entries[i].cut_store_until = w.now + long;
     }
     let j = (i + 1) % w.entries.len();
-    if draw(w, Fault::CutPeers, 120) {
+    if draw_fault(w, Fault::CutPeers, 120) {
         let until = w.now + w.rng.random_range(100..8_000);
         w.note(format!("e{i} and e{j} are cut until {until}"));
         w.peer_cuts.insert((i.min(j), i.max(j)), until);
     }
     let k = w.rng.random_range(0..w.workers.len());
-    if draw(w, Fault::CutWorker, 100) {
+    if draw_fault(w, Fault::CutWorker, 100) {
         let until = w.now + w.rng.random_range(100..9_000);
         w.note(format!("e{i} and w{k} are cut until {until}"));
         w.worker_cuts.insert((i, k), until);
     }
 }
 
-fn strike_workers(w: &mut World) {
+fn inject_worker_faults(w: &mut World) {
     let k = w.rng.random_range(0..w.workers.len());
-    if draw(w, Fault::FreezeWorker, 150) {
+    if draw_fault(w, Fault::FreezeWorker, 150) {
         let until = w.now + w.rng.random_range(100..9_000);
         w.note(format!("w{k} is frozen until {until}"));
         w.workers[k].frozen_until = until;
     }
-    if draw(w, Fault::ReplaceWorker, 250) {
+    if draw_fault(w, Fault::ReplaceWorker, 250) {
         w.note(format!("w{k} is replaced"));
         w.replace_worker(k);
     }
-    if draw(w, Fault::LeaveWorker, 250) {
+    if draw_fault(w, Fault::LeaveWorker, 250) {
         let leaving = !w.hosts[k].leaving;
         set_leaving(w, k, leaving);
     }
@@ -190,7 +190,7 @@
 }
 
 /// Ends every fault.
-fn calm(w: &mut World) {
+fn end_faults(w: &mut World) {
     w.faulty = false;
     w.note("faults end".to_string());
     w.store.faults.lose_percent = 0;
--- a/crates/verify/src/lib.rs
+++ b/crates/verify/src/lib.rs
@@ -156,7 +156,7 @@
 
     /// Forgets a task whose job has been removed from the journal.
     pub fn forget(&mut self, task: ids::TaskId) {
-        self.leave_worker(task);
+        self.release_reservation(task);
         self.places.remove(&task);
     }
 
@@ -266,7 +266,7 @@
             let evidence = format!("{run:?} from {checkpoint_ms}, known {known:?}");
             return violated(Invariant::ResumeOnce, evidence);
         }
-        self.leave_worker(run.task);
+        self.release_reservation(run.task);
         if let Some(place) = self.places.get_mut(&run.task) {
             place.checkpoint_ms = checkpoint_ms;
         }
@@ -274,14 +274,14 @@
     }
 
     fn ended(&mut self, run: wire::Run) -> Result<()> {
-        self.leave_worker(run.task);
+        self.release_reservation(run.task);
         if let Some(place) = self.places.get_mut(&run.task) {
             place.ended = true;
         }
         Ok(())
     }
 
-    fn leave_worker(&mut self, task: ids::TaskId) {
+    fn release_reservation(&mut self, task: ids::TaskId) {
         let Some(place) = self.places.get_mut(&task) else { return };
         let Some(worker) = place.worker.take() else { return };
         if let Some(r) = self.reserved.get_mut(&worker) {
