--- a/crates/verify/src/lib.rs
+++ b/crates/verify/src/lib.rs
@@ -1,37 +1,38 @@
-//! Asserts the invariants inside the running program, apart from the code that it checks.
+//! Run-time checks of the scheduler's invariants, independent of the code that they check.
 //!
-//! Each transition is stated as a [`Fact`] before its effect leaves the process. The checks keep
-//! their own small model, built only from facts; a fact that contradicts it is a [`Violation`],
-//! and the caller must not carry out the action. `docs/PROOFS.md` names the invariants.
+//! The caller reports each transition as a [`Fact`] before the effect of the transition leaves the
+//! process. The checks keep a small model of their own, built only from facts. A fact that
+//! contradicts the model is a [`Violation`], and the caller must not carry out the action.
+//! `docs/PROOFS.md` names the invariants.
 
 use gaplock_types::{codes, ids, sizes, wire};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// An invariant that a fact contradicts.
+/// An invariant that the checks enforce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// A worker carries no more than its processors, memory and accelerators.
+    /// The runs assigned to a worker need no more than its processors, memory and accelerators.
     Capacity,
-    /// A task runs in at most one place.
+    /// A task is assigned to at most one worker at a time.
     OnePlace,
-    /// Evicted work resumes exactly once, from its checkpoint.
+    /// An evicted task resumes exactly once, from its checkpoint.
     ResumeOnce,
-    /// A start leaves the process only after its assignment is stored.
+    /// A start command leaves the process only after the assignment of its run is stored.
     StoredFirst,
-    /// A partition's epoch rises.
+    /// Each takeover of a partition uses a higher epoch than the one before.
     EpochRises,
-    /// The configuration's generation rises.
+    /// Each configuration put in force has a higher generation than the one before.
     GenerationRises,
     /// A request that must not be repeated is sent at most once.
     AtMostOnce,
-    /// A refusal that says "not run" is told only where the work did not run.
+    /// The caller gets a refusal that says "not run" only if the work did not run.
     NotRunIsTrue,
-    /// A leaving worker gets no new work.
+    /// A worker that is leaving gets no new work.
     LeavingGetsNothing,
 }
 
 impl Invariant {
-    /// Every invariant.
+    /// All invariants.
     pub const ALL: &'static [Self] = &[
         Self::Capacity,
         Self::OnePlace,
@@ -45,12 +46,12 @@
     ];
 }
 
-/// A contradicted invariant with its evidence.
+/// An invariant that a fact contradicts, with the evidence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// The invariant.
+    /// The invariant that does not hold.
     pub invariant: Invariant,
-    /// The contradicting fact and what was known.
+    /// The contradicting fact and the state of the model.
     pub evidence: String,
 }
 
@@ -60,19 +61,19 @@
 /// A transition that is about to take effect in one partition.
 #[derive(Debug, Clone)]
 pub enum Fact<'a> {
-    /// The partition is owned under an epoch.
+    /// This process takes the partition over under an epoch.
     Owned(ids::Epoch),
-    /// A run is assigned to a worker and will hold `demand` there.
+    /// A run is assigned to a worker and reserves `demand` there.
     Assigned {
         /// The run.
         run: wire::Run,
         /// The worker.
         worker: &'a ids::WorkerId,
-        /// What is reserved for it.
+        /// The resources reserved for the run.
         demand: sizes::Resources,
-        /// What the worker can carry, where it is known.
+        /// The capacity of the worker; `None` where it is not known.
         capacity: Option<sizes::Resources>,
-        /// The checkpoint from which it resumes.
+        /// The checkpoint from which the run resumes, in milliseconds of work.
         resume_ms: u64,
     },
     /// The assignment of a run is stored.
@@ -85,17 +86,17 @@
         worker: &'a ids::WorkerId,
         /// The epoch of the command.
         epoch: ids::Epoch,
-        /// Whether the worker is known to be leaving and the run has not been sent before.
+        /// Whether the worker is known to be leaving and no start of the run was sent before.
         leaving_and_new: bool,
     },
-    /// A run is proven to have stopped, and its task waits again from a checkpoint.
+    /// A run has provably stopped, and its task is queued again to resume from a checkpoint.
     Requeued {
         /// The run.
         run: wire::Run,
         /// The checkpoint, in milliseconds of work.
         checkpoint_ms: u64,
     },
-    /// A run has ended for good.
+    /// A run has ended, and its task is not started again.
     Ended(wire::Run),
 }
 
@@ -122,7 +123,7 @@
 }
 
 impl PartitionCheck {
-    /// Checks a fact and, if nothing contradicts it, takes it in.
+    /// Checks a fact and, if nothing contradicts it, applies it to the model.
     ///
     /// # Errors
     /// Returns the violated invariant; the caller must not carry out the action.
@@ -141,26 +142,26 @@
         }
     }
 
-    /// Forgets every task, as before a takeover restores them from the journal; the epoch stays, so
-    /// that a later ownership under an older one is still seen.
+    /// Removes every task from the model before a takeover restores the tasks from the journal.
+    /// The epoch stays, so that a later takeover under an older epoch is still detected.
     pub fn restart(&mut self) {
         self.places.clear();
         self.reserved.clear();
     }
 
-    /// Takes in that a task which another partition lends begins at a checkpoint.
+    /// Records the checkpoint from which a task lent by another partition starts.
     pub fn start_from(&mut self, task: ids::TaskId, checkpoint_ms: u64) {
         let run = wire::Run { task, attempt: ids::Attempt(0) };
         self.restore(run, None, sizes::Resources::default(), false, checkpoint_ms);
     }
 
-    /// Forgets a task whose job has been removed from the journal.
+    /// Removes a task whose job has been removed from the journal.
     pub fn forget(&mut self, task: ids::TaskId) {
         self.release_reservation(task);
         self.places.remove(&task);
     }
 
-    /// Takes in a task as the journal's snapshot states it, when a partition is taken over.
+    /// Adds a task in the state that the journal's snapshot gives, when a partition is taken over.
     pub fn restore(
         &mut self,
         run: wire::Run,
@@ -245,10 +246,10 @@
             return violated(Invariant::LeavingGetsNothing, evidence);
         }
         let place = self.places.get(&run.task);
-        let here = place.is_some_and(|p| {
+        let is_assigned = place.is_some_and(|p| {
             p.attempt == run.attempt && p.worker.as_ref() == Some(worker) && !p.ended
         });
-        if !here || epoch != self.epoch {
+        if !is_assigned || epoch != self.epoch {
             let evidence = format!("{run:?} to {worker} under {epoch}, known {place:?}");
             return violated(Invariant::OnePlace, evidence);
         }
@@ -260,9 +261,9 @@
 
     fn requeued(&mut self, run: wire::Run, checkpoint_ms: u64) -> Result<()> {
         let known = self.places.get(&run.task);
-        let here = known.is_some_and(|p| p.attempt == run.attempt && p.worker.is_some());
-        let lost = known.is_some_and(|p| checkpoint_ms < p.checkpoint_ms);
-        if !here || lost {
+        let is_assigned = known.is_some_and(|p| p.attempt == run.attempt && p.worker.is_some());
+        let loses_progress = known.is_some_and(|p| checkpoint_ms < p.checkpoint_ms);
+        if !is_assigned || loses_progress {
             let evidence = format!("{run:?} from {checkpoint_ms}, known {known:?}");
             return violated(Invariant::ResumeOnce, evidence);
         }
@@ -298,10 +299,10 @@
 }
 
 impl EntryCheck {
-    /// Checks that a configuration put in force is newer than the one before.
+    /// Checks that a configuration about to be put in force is newer than the one before.
     ///
     /// # Errors
-    /// Returns a violation where the generation does not rise.
+    /// Returns a violation if the generation is not higher than the one before.
     pub fn generation(&mut self, generation: ids::Generation) -> Result<()> {
         if generation <= self.generation {
             let evidence = format!("{generation} after {}", self.generation);
@@ -311,10 +312,10 @@
         Ok(())
     }
 
-    /// Checks that a request which must not be repeated is sent for the first time.
+    /// Checks that this entry has not sent a request that must not be repeated.
     ///
     /// # Errors
-    /// Returns a violation where this entry has sent it before.
+    /// Returns a violation if this entry has sent the request before.
     pub fn once(&mut self, partner: &ids::PartnerId, key: &ids::RequestKey) -> Result<()> {
         if self.sent_once.insert((partner.clone(), key.clone())) {
             return Ok(());
@@ -322,21 +323,21 @@
         violated(Invariant::AtMostOnce, format!("{partner} {key} is sent again"))
     }
 
-    /// Takes in that a request certainly did not run, so that its key may be sent again.
+    /// Records that a request certainly did not run, so that its key may be sent again.
     pub fn once_not_run(&mut self, partner: &ids::PartnerId, key: &ids::RequestKey) {
         self.sent_once.remove(&(partner.clone(), key.clone()));
     }
 
-    /// Takes in that a claim is held by the journal for good, so that it need not be kept here.
+    /// Drops a key whose claim the journal keeps permanently, so that it need not be kept here.
     pub fn once_settled(&mut self, partner: &ids::PartnerId, key: &ids::RequestKey) {
         self.sent_once.remove(&(partner.clone(), key.clone()));
     }
 
-    /// Checks what a caller is about to be told about a request.
+    /// Checks the result code about to be returned to a caller for a request.
     ///
     /// # Errors
-    /// Returns a violation where "not run" would be told although the request reached a worker
-    /// that did not refuse it.
+    /// Returns a violation if the code says "not run" although the request reached a worker that
+    /// did not refuse it.
     pub fn refusal(&self, code: codes::Code, may_have_run: bool) -> Result<()> {
         if code.row().ran == codes::Ran::No && may_have_run {
             return violated(Invariant::NotRunIsTrue, format!("{code} after it was sent"));
