--- a/crates/verify/tests/checks.rs
+++ b/crates/verify/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each check fails when it should.
+//! Tests that each check reports a violation of its invariant.
 
 use gaplock_types::codes::Code;
 use gaplock_types::sizes::Resources;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_worker_is_not_overfilled_and_an_epoch_rises() {
+fn assignments_stay_within_a_workers_capacity_and_epochs_rise() {
     let mut c = PartitionCheck::default();
     let w = ids::WorkerId::from("w");
     c.check(&assigned(1, &w, 0)).unwrap();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_entry_repeats_nothing_goes_back_in_nothing_and_calls_nothing_not_run_that_may_have_run() {
+fn an_entry_sends_once_keeps_generations_rising_and_reports_not_run_only_if_true() {
     let mut c = EntryCheck::default();
     let (partner, key) = ("p".into(), "k".into());
     c.once(&partner, &key).unwrap();
@@ -84,9 +84,9 @@
     c.once_not_run(&partner, &key);
     c.once(&partner, &key).unwrap();
     c.generation(ids::Generation(4)).unwrap();
-    let back = c.generation(ids::Generation(3)).unwrap_err();
-    assert_eq!(back.invariant, Invariant::GenerationRises);
-    let told = c.refusal(Code::Overloaded, true).unwrap_err();
-    assert_eq!(told.invariant, Invariant::NotRunIsTrue);
+    let older = c.generation(ids::Generation(3)).unwrap_err();
+    assert_eq!(older.invariant, Invariant::GenerationRises);
+    let false_refusal = c.refusal(Code::Overloaded, true).unwrap_err();
+    assert_eq!(false_refusal.invariant, Invariant::NotRunIsTrue);
     c.refusal(Code::UpstreamFailed, true).unwrap();
 }
