--- a/crates/soak/src/bin/processes.rs
+++ b/crates/soak/src/bin/processes.rs
@@ -1,4 +1,5 @@
-//! `gaplock-soak-processes`: soaks the real daemon in processes of its own and prints one line.
+//! `gaplock-soak-processes`: runs randomised fault tests against real daemon processes and prints a
+//! summary line.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -58,16 +59,16 @@
     summarise(&reports)
 }
 
-/// Prints what became of saved work in one seed.
+/// Prints how many starts of one seed resumed from a checkpoint and how many discarded saved work.
 fn print_checkpoint_use(report: &Report, stories: bool) {
-    let (seed, resumed, thrown) = (report.seed, report.resumed, &report.thrown_away);
-    if resumed == 0 && thrown.is_empty() {
+    let (seed, resumed, discarded) = (report.seed, report.resumed, &report.thrown_away);
+    if resumed == 0 && discarded.is_empty() {
         return;
     }
-    let ms: u128 = thrown.iter().map(|(lost, _)| lost.as_millis()).sum();
-    let starts = thrown.len();
+    let ms: u128 = discarded.iter().map(|(lost, _)| lost.as_millis()).sum();
+    let starts = discarded.len();
     println!("saved work: seed={seed} resumed={resumed} threw_away={starts} ms={ms}");
-    for (_, story) in thrown.iter().filter(|_| stories) {
+    for (_, story) in discarded.iter().filter(|_| stories) {
         println!("saved work: seed={seed} {story}");
     }
 }
--- a/crates/soak/src/processes.rs
+++ b/crates/soak/src/processes.rs
@@ -1,22 +1,23 @@
-//! A randomised soak of the real daemon in processes of its own.
+//! Randomised fault tests of the real daemon, which runs in processes of its own.
 //!
-//! Faults come from outside: signals, links to the store and to workers that are delayed, reset, silenced
-//! or cut one way, workers that crash, answer late or are unwell, and a store that writes late, loses
-//! answers or refuses. Some seeds also play entries of other writers, rooms that shrink and grow, hosts
-//! that are suspended for longer than their leases, workers that start again under their names, and workers that crash
-//! together beside jobs that are cancelled soon after their hand-in. All come in series and overlap.
+//! Faults are injected from outside: signals to the daemons; links to the store and to workers that are
+//! delayed, reset, silenced or cut in one direction; workers that crash, answer late or are overloaded; and a
+//! store that writes late, loses answers or refuses transactions. Some seeds add directory entries written by
+//! other programs, workers whose capacity shrinks and grows, hosts that are suspended for longer than their
+//! leases, workers that restart under their names, and workers that all crash together while jobs are
+//! cancelled soon after submission. Faults come in series and overlap.
 //!
-//! What callers and workers see is checked against the promises of the users' pages: nothing runs twice at
-//! one time, or again after its end was acknowledged, or from what its task has not saved; a task that
-//! crashes its workers is given up and no other one is; what was refused never runs, what was cancelled
-//! stops, and what was accepted comes to an end and is shown. At the quiet end nothing that fits still waits: what
-//! ends by itself has ended, and what lasts runs.
+//! The checks compare what callers and workers observe with the documented guarantees. No task runs twice at
+//! one time, or again after its end was acknowledged, or from progress that it has not saved. A task that
+//! crashes its workers fails, and no other task does. A refused job never runs, a cancelled job stops, and an
+//! accepted job ends and its end is shown. At the end of the quiet phase no task that fits is still waiting:
+//! jobs that end by themselves have ended, and long-running jobs run.
 
 mod callers;
 mod cancels;
+mod environment;
 mod faults;
 mod restarts;
-mod wider;
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -32,31 +33,31 @@
 use callers::JobFact;
 use faults::ExtraFaults;
 
-/// What a seed led to.
+/// The result of one seed.
 #[derive(Debug, Default)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// Faults that were injected.
+    /// Number of injected faults.
     pub faults: u64,
-    /// Checks that were made.
+    /// Number of checks made.
     pub checks: u64,
-    /// Broken promises, in words.
+    /// Descriptions of the violated guarantees.
     pub violations: Vec<String>,
-    /// Starts that resumed from a checkpoint.
+    /// Number of starts that resumed from a checkpoint.
     pub resumed: u64,
-    /// How much saved work each start threw away that did, with its story; that breaks no promise.
+    /// For each start that discarded saved work: how much, and a description. This violates no guarantee.
     pub thrown_away: Vec<(Duration, String)>,
 }
 
-/// What differs from the plays of the tests.
+/// Settings that differ from those of the tests.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// How long faults and jobs come.
+    /// How long faults are injected and jobs are submitted.
     pub faulty: Duration,
-    /// How many workers there are, if not as many as the seed says.
+    /// Number of workers; `None` for the number drawn from the seed.
     pub workers: Option<usize>,
-    /// How many threads each daemon has, if not as many as its library likes.
+    /// Number of threads of each daemon; `None` for the default of its runtime library.
     pub threads: Option<u64>,
 }
 
@@ -66,53 +67,55 @@
     }
 }
 
-/// What a seed plays besides harm to processes and links.
+/// Which faults a seed injects in addition to those of processes and links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FaultProfile {
-    /// Workers that carry orders out late and are unwell.
-    orders: bool,
-    /// A store that writes late, loses answers and refuses.
-    writes: bool,
-    /// As many hosts as one machine bears.
-    many: bool,
-    /// Workers that crash, leave or are cut off more often, so that tasks resume.
-    losses: bool,
-    /// Every so many moments one brings a single fault besides.
-    single_one_of: u32,
-    /// How long faults and jobs come.
+    /// Workers carry orders out late and are overloaded.
+    late_orders: bool,
+    /// The store writes late, loses answers and refuses transactions.
+    late_writes: bool,
+    /// There are as many hosts as one machine can run.
+    many_hosts: bool,
+    /// Workers crash, leave or are partitioned more often, so that tasks resume from checkpoints.
+    worker_losses: bool,
+    /// One in this many fault times also injects a single fault.
+    single_fault_one_in: u32,
+    /// How long faults are injected and jobs are submitted.
     faulty: Duration,
 }
 
 impl FaultProfile {
-    /// Tells whether nothing but single faults is played.
+    /// Returns whether only single faults are injected.
     fn only_single_faults(self) -> bool {
-        !self.orders && !self.writes
+        !self.late_orders && !self.late_writes
     }
 }
 
-/// Every so many seeds one has many hosts.
+/// One in this many seeds has many hosts.
 const MANY_HOSTS_EVERY_SEEDS: u64 = 16;
 
-/// How long faults and jobs come where nothing else is said.
+/// How long faults are injected and jobs are submitted by default.
 const FAULT_DURATION: Duration = Duration::from_secs(8);
 
-/// How long accepted jobs may take to end once everything is whole again: a lease of 6 s, a change
-/// of leader, and their own work twice over. It does not count while every worker is full.
+/// How long accepted jobs may take to end once all faults are over: a lease of 6 s, a change of
+/// leader, and twice their own work. Time during which every worker is full does not count.
 const JOB_END_LIMIT: Duration = Duration::from_secs(25);
 
-/// How long that may be: few workers get more work than they can do in that time.
+/// How long all workers may be full: a small number of workers gets more work than it can do in
+/// [`JOB_END_LIMIT`].
 const JOB_END_LIMIT_WHILE_FULL: Duration = Duration::from_secs(90);
 
-/// How long the judge looks at the calm after the faults where orders come late: what is left of
-/// the 6 s by which the last one is late, 3 s to see its run, 0.9 s to stop it, and a little more.
+/// How long the checker watches the quiet phase after the faults where orders come late: the rest
+/// of the 6 s by which the last one is late, 3 s to see its run, 0.9 s to stop it, and a margin.
 const QUIET_WATCH_TIME: Duration = Duration::from_millis(7_000);
 
-/// How long runs of cancelled jobs may be there after all else is checked: a start that was carried out late at
-/// the end of the watched calm is stopped in that time.
+/// How long runs of cancelled jobs may still exist after all other checks: a start that was carried out late at
+/// the end of the watched quiet phase is stopped within that time.
 const CANCELLED_STOP_LIMIT: Duration = judge::OUTSTAY_LIMIT;
 
-/// How many starts of workers may end under a task before it may be given up as one that crashes them; counted only
-/// where all workers crash together, beside which an innocent task cannot be told from others.
+/// Number of worker incarnations that must have ended under a task before the task may fail as one that crashes
+/// workers. It counts only in seeds where all workers crash together: there an innocent task cannot be
+/// distinguished from one that crashes them.
 const MIN_LOSSES_TO_FAIL: u32 = 3;
 
 /// How long the hosts may take to become ready.
@@ -121,18 +124,18 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const LOCK: &str = "no holder of the lock panics";
 
-/// Returns what a seed plays: by its remainder nothing more, late orders, late writes, or both.
-/// Where more is played, there are fewer single faults: a leader must live to take a late write for
-/// another.
+/// Returns the faults of a seed. The remainder of the seed selects single faults only, late orders,
+/// late writes, or both. Seeds with late calls have fewer single faults, since a leader must live long
+/// enough to mistake a late write for another one.
 fn fault_profile(seed: u64, faulty: Duration, rng: &mut ChaCha8Rng) -> FaultProfile {
     let kind = seed % 4;
-    let single_one_of = if kind == 1 { 1 } else { rng.random_range(2..7) };
+    let single_fault_one_in = if kind == 1 { 1 } else { rng.random_range(2..7) };
     FaultProfile {
-        orders: kind == 2 || kind == 0,
-        writes: kind == 3 || kind == 0,
-        many: seed.is_multiple_of(MANY_HOSTS_EVERY_SEEDS),
-        losses: seed >= callers::FIRST_SEED_WITH_CHECKPOINTS,
-        single_one_of,
+        late_orders: kind == 2 || kind == 0,
+        late_writes: kind == 3 || kind == 0,
+        many_hosts: seed.is_multiple_of(MANY_HOSTS_EVERY_SEEDS),
+        worker_losses: seed >= callers::FIRST_SEED_WITH_CHECKPOINTS,
+        single_fault_one_in,
         faulty,
     }
 }
@@ -140,24 +143,24 @@
 /// Runs one seed.
 ///
 /// # Errors
-/// Returns why the site could not be started or its processes not be handled.
+/// Returns an error if the site could not be started or its processes could not be controlled.
 pub fn run(program: PathBuf, seed: u64) -> io::Result<Report> {
     run_with(program, seed, Options::default())
 }
 
-/// Runs one seed with what differs from the plays of the tests.
+/// Runs one seed with settings that differ from those of the tests.
 ///
 /// # Errors
-/// Returns why the site could not be started or its processes not be handled.
+/// Returns an error if the site could not be started or its processes could not be controlled.
 pub fn run_with(program: PathBuf, seed: u64, options: Options) -> io::Result<Report> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let play = fault_profile(seed, options.faulty, &mut rng);
-    let plan = plan(program, seed, play, options, &mut rng);
+    let profile = fault_profile(seed, options.faulty, &mut rng);
+    let plan = plan(program, seed, profile, options, &mut rng);
     let mut report = Report { seed, ..Report::default() };
     let site = Mutex::new(site::open(&plan)?);
-    faults::prepare(&site.lock().expect(LOCK), seed, play, &mut rng);
-    let besides = ExtraFaults {
-        wider: wider::prepare(&site.lock().expect(LOCK), seed),
+    faults::prepare(&site.lock().expect(LOCK), seed, profile, &mut rng);
+    let extra = ExtraFaults {
+        environment: environment::prepare(&site.lock().expect(LOCK), seed),
         restarts: restarts::prepare(seed),
         crashes: cancels::JointCrashes::prepare(seed),
     };
@@ -166,9 +169,9 @@
     report.faults = thread::scope(|scope| {
         for caller in 0..callers::CALLERS {
             let (site, jobs) = (&site, &jobs);
-            scope.spawn(move || callers::run_caller(site, jobs, caller, seed, play.faulty));
+            scope.spawn(move || callers::run_caller(site, jobs, caller, seed, profile.faulty));
         }
-        faults::inject(&site, play, besides, &mut rng)
+        faults::inject(&site, profile, extra, &mut rng)
     })?;
     let mut jobs = jobs.into_inner().expect(LOCK);
     let site = site.into_inner().expect(LOCK);
@@ -176,7 +179,7 @@
         wait(READY_LIMIT, || site.leader().is_some_and(|leader| site.hosts[leader].is_ready()));
         cancels::crash_and_cancel(&site, &mut jobs, &mut rng);
     }
-    watch_quiet_phase(&site, play);
+    watch_quiet_phase(&site, profile);
     check(&site, &jobs, &mut report);
     if report.violations.is_empty() {
         std::fs::remove_dir_all(&plan.dir)?;
@@ -186,17 +189,17 @@
     Ok(report)
 }
 
-/// Draws what a seed's site consists of.
+/// Draws the hosts, workers and task lengths of a seed's site.
 fn plan(
     program: PathBuf,
     seed: u64,
-    play: FaultProfile,
+    profile: FaultProfile,
     options: Options,
     rng: &mut ChaCha8Rng,
 ) -> Plan {
-    let hosts = if play.many { rng.random_range(16..21) } else { rng.random_range(2..6) };
-    let most = if cancels::applies_to(seed) { cancels::MAX_WORKERS } else { usize::MAX };
-    let workers = rng.random_range(2..9).min(most);
+    let hosts = if profile.many_hosts { rng.random_range(16..21) } else { rng.random_range(2..6) };
+    let max_workers = if cancels::applies_to(seed) { cancels::MAX_WORKERS } else { usize::MAX };
+    let workers = rng.random_range(2..9).min(max_workers);
     Plan {
         program,
         dir: std::env::temp_dir().join(format!("gaplock-soak-{}-{seed}", std::process::id())),
@@ -208,11 +211,11 @@
     }
 }
 
-/// Lets the judge look at a site that nothing harms, once a host leads it.
-fn watch_quiet_phase(site: &Site, play: FaultProfile) {
+/// Lets the checker watch the site without faults, once one host is its leader.
+fn watch_quiet_phase(site: &Site, profile: FaultProfile) {
     wait(READY_LIMIT, || site.leader().is_some_and(|leader| site.hosts[leader].is_ready()));
     site.fleet.note_calm();
-    if play.orders {
+    if profile.late_orders {
         thread::sleep(QUIET_WATCH_TIME);
     } else {
         thread::sleep(judge::OUTSTAY_LIMIT + POLL_INTERVAL);
@@ -230,16 +233,16 @@
     false
 }
 
-/// How long jobs may still take to settle, over all checks.
+/// How long jobs may still take to end, over all checks.
 struct WaitBudget {
-    /// While a worker has room.
+    /// Time left while some worker has free capacity.
     left: Duration,
-    /// While none has.
+    /// Time left while no worker has any.
     full: Duration,
 }
 
 impl WaitBudget {
-    /// Waits until something is met; looks twice at least.
+    /// Waits until the condition is met or the time is over; evaluates it at least twice.
     fn wait(&mut self, site: &Site, mut met: impl FnMut() -> bool) -> bool {
         loop {
             if met() {
@@ -257,25 +260,29 @@
 }
 
 fn check(site: &Site, jobs: &[(JobKey, JobFact)], report: &mut Report) {
-    let told = |key: JobKey, what: JobFact| jobs.contains(&(key, what));
+    let has_fact = |key: JobKey, what: JobFact| jobs.contains(&(key, what));
     let mut keys: Vec<JobKey> = jobs.iter().map(|(key, _)| *key).collect();
     keys.sort_unstable();
     keys.dedup();
-    let mut patience = WaitBudget { left: JOB_END_LIMIT, full: JOB_END_LIMIT_WHILE_FULL };
+    let mut budget = WaitBudget { left: JOB_END_LIMIT, full: JOB_END_LIMIT_WHILE_FULL };
     for &key in &keys {
         report.checks += 1;
-        if told(key, JobFact::Refused) && site.has_started(key) {
+        if has_fact(key, JobFact::Refused) && site.has_started(key) {
             let starts = site.fleet.starts_of(key).join("; ");
             report.violations.push(format!("{key} was refused and ran: {starts}"));
         }
-        let ends = !told(key, JobFact::Lasts) || told(key, JobFact::Cancelled);
-        if told(key, JobFact::Accepted) && ends {
-            let end = if told(key, JobFact::Crashes) { "failed" } else { "completed" };
-            check_ended(site, key, end, &mut patience, report);
+        let ends = !has_fact(key, JobFact::LongRunning) || has_fact(key, JobFact::Cancelled);
+        if has_fact(key, JobFact::Accepted) && ends {
+            let end = if has_fact(key, JobFact::Crashes) { "failed" } else { "completed" };
+            check_ended(site, key, end, &mut budget, report);
         }
-        let may_be_cancelled = told(key, JobFact::Cancelled) || told(key, JobFact::OutcomeUnknown);
-        if told(key, JobFact::Accepted) && told(key, JobFact::NotCancelled) && !may_be_cancelled {
-            check_runs(site, key, &mut patience, report);
+        let may_be_cancelled =
+            has_fact(key, JobFact::Cancelled) || has_fact(key, JobFact::OutcomeUnknown);
+        if has_fact(key, JobFact::Accepted)
+            && has_fact(key, JobFact::NotCancelled)
+            && !may_be_cancelled
+        {
+            check_runs(site, key, &mut budget, report);
         }
     }
     check_cancelled(site, report);
@@ -284,34 +291,29 @@
     report.thrown_away = site.fleet.thrown_away();
 }
 
-/// Checks that nothing of a cancelled job runs at the quiet end, where late starts have been carried out and stopped.
+/// Checks that no task of a cancelled job runs at the end of the quiet phase. Starts that were carried out late
+/// have been stopped by then.
 fn check_cancelled(site: &Site, report: &mut Report) {
     report.checks += 1;
     wait(CANCELLED_STOP_LIMIT, || site.fleet.cancelled_runs().is_empty());
     report.violations.extend(site.fleet.cancelled_runs());
 }
 
-/// Checks that all tasks of a job that lasts are at work, for which there is room.
-fn check_runs(site: &Site, key: JobKey, patience: &mut WaitBudget, report: &mut Report) {
+/// Checks that all tasks of a long-running job run; there is enough capacity for them.
+fn check_runs(site: &Site, key: JobKey, budget: &mut WaitBudget, report: &mut Report) {
     let wanted = site::LASTING_TASKS;
-    if !patience.wait(site, || site.fleet.running_of(key) == wanted) {
+    if !budget.wait(site, || site.fleet.running_of(key) == wanted) {
         let running = site.fleet.running_of(key);
         report.violations.push(format!("{key} lasts, and {running} of its {wanted} tasks run"));
     }
 }
 
-/// Checks that an accepted job comes to its end, or is cancelled, and that its caller is shown that.
-fn check_ended(
-    site: &Site,
-    key: JobKey,
-    end: &str,
-    patience: &mut WaitBudget,
-    report: &mut Report,
-) {
+/// Checks that an accepted job ends or is cancelled, and that its state is shown to its caller.
+fn check_ended(site: &Site, key: JobKey, end: &str, budget: &mut WaitBudget, report: &mut Report) {
     let mut last = None;
     let may_fail =
         cancels::applies_to(report.seed) && site.fleet.most_lost(key) >= MIN_LOSSES_TO_FAIL;
-    let ended = patience.wait(site, || {
+    let ended = budget.wait(site, || {
         last = site.hosts.iter().find_map(|h| h.state(key));
         let word = last.as_ref().map(|(_, word)| word.as_str());
         word == Some(end) || word == Some("canceled") || (may_fail && word == Some("failed"))
--- a/crates/soak/src/processes/callers.rs
+++ b/crates/soak/src/processes/callers.rs
@@ -1,4 +1,4 @@
-//! The callers: they hand in jobs and cancel some, on connections that they keep open.
+//! The callers, which submit jobs and cancel some of them on connections that they keep open.
 
 use std::sync::Mutex;
 use std::thread;
@@ -15,80 +15,80 @@
 use super::cancels::{self, EarlyCancellations};
 use super::{restarts, LOCK};
 
-/// What the callers of one job were told.
+/// What is known of a job: how its calls were answered, and what kind of job it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum JobFact {
     Accepted,
     Refused,
     OutcomeUnknown,
     Cancelled,
-    /// Its tasks run until it is cancelled.
-    Lasts,
-    /// It is not cancelled.
+    /// The tasks of the job run until it is cancelled.
+    LongRunning,
+    /// The caller does not cancel the job.
     NotCancelled,
-    /// One of its tasks crashes its workers.
+    /// One of the tasks crashes its workers.
     Crashes,
 }
 
-/// How many callers there are: one that waits for a frozen host leaves the others to go on.
+/// Number of callers. There are several, so that one that waits for a frozen host does not hold up the others.
 pub(super) const CALLERS: u64 = 3;
 
-/// The distance between the first jobs of two callers.
+/// Difference between the first job keys of two callers.
 const KEY_DISTANCE: u64 = 1_000_000;
 
-/// How many hosts a caller tries for one call.
+/// Maximum number of attempts for one call, each at a random host.
 const MAX_ATTEMPTS: usize = 4;
 
-/// Every so many jobs one lasts.
+/// One in this many jobs is long-running.
 const LONG_RUNNING_EVERY: u64 = 6;
 
-/// Seeds from here on also hand in jobs that crash workers; earlier ones keep the course that they had.
+/// First seed that also submits jobs that crash workers. Earlier seeds keep their sequence of events.
 const FIRST_SEED_WITH_CRASHES: u64 = 8_000;
 
-/// Every so many jobs of theirs one is such a job, beginning with the fourth.
+/// One in this many jobs of these seeds crashes workers, beginning with the fourth.
 const CRASHES_EVERY: u64 = 9;
 
-/// Seeds from here on also hand in jobs that save their progress.
+/// First seed that also submits jobs that save checkpoints.
 pub(super) const FIRST_SEED_WITH_CHECKPOINTS: u64 = 20_000;
 
-/// Every so many jobs of theirs one is such a job, beginning with the second; every other one is a gang,
-/// and of the rest every other one runs twice.
+/// One in this many jobs of these seeds saves checkpoints, beginning with the second. Every other one of
+/// them is a gang, and of the rest every other one runs twice.
 const CHECKPOINTS_EVERY: u64 = 3;
 
-/// Seeds from here on hand in no jobs that crash workers, beside which whole sites wait for trials.
+/// First seed that submits no jobs that crash workers: with such jobs, whole sites wait for trial runs.
 const FIRST_SEED_WITHOUT_CRASHES: u64 = 30_000;
 
-/// Every so many jobs that end by themselves one is cancelled.
+/// One in this many jobs that end by themselves is cancelled.
 const CANCEL_ONE_IN: u32 = 8;
 
 /// Pauses between two jobs of one caller, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 60..450;
 
-/// What a job is.
+/// The kind of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Kind {
     TwoSteps,
     Checkpoints,
     CheckpointsTwice,
     Gang,
-    Lasts,
+    LongRunning,
     Crashes,
 }
 
-/// Returns what a caller's job is by its number.
+/// Returns the kind of a caller's job from its number.
 fn kind(seed: u64, n: u64) -> Kind {
     let crashes = (FIRST_SEED_WITH_CRASHES..FIRST_SEED_WITHOUT_CRASHES).contains(&seed);
     if crashes && n % CRASHES_EVERY == 4 {
         return Kind::Crashes;
     }
-    let lasts_every =
+    let long_running_every =
         if cancels::applies_to(seed) { cancels::LONG_RUNNING_EVERY } else { LONG_RUNNING_EVERY };
-    if n.is_multiple_of(lasts_every) {
-        return Kind::Lasts;
+    if n.is_multiple_of(long_running_every) {
+        return Kind::LongRunning;
     }
-    let saves = seed >= FIRST_SEED_WITH_CHECKPOINTS && n % CHECKPOINTS_EVERY == 2;
+    let checkpoints = seed >= FIRST_SEED_WITH_CHECKPOINTS && n % CHECKPOINTS_EVERY == 2;
     match n / CHECKPOINTS_EVERY % 4 {
-        _ if !saves => Kind::TwoSteps,
+        _ if !checkpoints => Kind::TwoSteps,
         0 => Kind::Checkpoints,
         2 => Kind::CheckpointsTwice,
         _ => Kind::Gang,
@@ -101,12 +101,12 @@
         Kind::Checkpoints => saving(0),
         Kind::CheckpointsTwice => saving(2),
         Kind::Gang => gang(),
-        Kind::Lasts => lasting(),
+        Kind::LongRunning => lasting(),
         Kind::Crashes => crashing(),
     }
 }
 
-/// Hands in and cancels jobs until the faulty time is over; then cancels what lasts.
+/// Submits and cancels jobs until the fault phase is over, then cancels the long-running jobs.
 pub(super) fn run_caller(
     site: &Mutex<Site>,
     jobs: &Mutex<Vec<(JobKey, JobFact)>>,
@@ -118,82 +118,87 @@
     rng.set_stream(caller);
     let open = |site: &Site| site.hosts.iter().map(|h| Caller::new(&h.callers)).collect();
     let mut hosts: Vec<Caller> = open(&site.lock().expect(LOCK));
-    // The site itself is locked for seconds when it is made whole.
-    let judge = site.lock().expect(LOCK).fleet.acknowledgements();
-    let note = |key, told| jobs.lock().expect(LOCK).push((key, told));
+    // Obtained once, since the site stays locked for seconds while its faults are ended.
+    let acknowledgements = site.lock().expect(LOCK).fleet.acknowledgements();
+    let record = |key, outcome| jobs.lock().expect(LOCK).push((key, outcome));
     let began = Instant::now();
-    let mut lasting_jobs = Vec::new();
-    let mut soon = EarlyCancellations::prepare(seed, caller);
+    let mut long_running_jobs = Vec::new();
+    let mut early = EarlyCancellations::prepare(seed, caller);
     for n in 1.. {
         if began.elapsed() >= faulty {
             break;
         }
         let key = JobKey(caller * KEY_DISTANCE + n);
         let kind = kind(seed, n);
-        let told = submit(&mut hosts, key, &body(kind), &mut rng);
-        note(key, told);
-        known_facts(kind).into_iter().for_each(|what| note(key, what));
-        if kind == Kind::Lasts {
-            lasting_jobs.push((key, told));
+        let outcome = submit(&mut hosts, key, &body(kind), &mut rng);
+        record(key, outcome);
+        known_facts(kind).into_iter().for_each(|fact| record(key, fact));
+        if kind == Kind::LongRunning {
+            long_running_jobs.push((key, outcome));
         }
-        let one_of = if kind == Kind::Lasts && soon.is_none() { 2 } else { CANCEL_ONE_IN };
-        if told == JobFact::Accepted && rng.random_range(0..one_of) == 0 {
-            note(key, cancel(&judge, &mut hosts, (key, told), &mut rng));
+        let one_of = if kind == Kind::LongRunning && early.is_none() { 2 } else { CANCEL_ONE_IN };
+        if outcome == JobFact::Accepted && rng.random_range(0..one_of) == 0 {
+            record(key, cancel(&acknowledgements, &mut hosts, (key, outcome), &mut rng));
         }
-        if let Some(soon) = &mut soon {
-            for key in soon.take_due((told == JobFact::Accepted).then_some(key)) {
-                note(key, cancel(&judge, &mut hosts, (key, JobFact::Accepted), &mut rng));
+        if let Some(early) = &mut early {
+            for key in early.take_due((outcome == JobFact::Accepted).then_some(key)) {
+                record(
+                    key,
+                    cancel(&acknowledgements, &mut hosts, (key, JobFact::Accepted), &mut rng),
+                );
             }
         }
         thread::sleep(Duration::from_millis(rng.random_range(PAUSE_MS)));
     }
-    // One job of each caller goes on to the end, where all of its tasks must run; not where all workers crash at the
-    // end, under which a task may be given up.
-    let kept = lasting_jobs.pop_if(|_| restarts::applies_to(seed) && !cancels::applies_to(seed));
-    kept.into_iter().for_each(|(key, _)| note(key, JobFact::NotCancelled));
-    // What these seeds leave is cancelled at their end.
-    for (key, told) in lasting_jobs.into_iter().filter(|_| !cancels::applies_to(seed)) {
-        note(key, cancel(&judge, &mut hosts, (key, told), &mut rng));
+    // One job of each caller runs to the end, where all of its tasks must run. This does not apply to seeds in which
+    // all workers crash at the end, since a task may fail because of that.
+    let kept =
+        long_running_jobs.pop_if(|_| restarts::applies_to(seed) && !cancels::applies_to(seed));
+    kept.into_iter().for_each(|(key, _)| record(key, JobFact::NotCancelled));
+    // Seeds with joint crashes cancel their remaining jobs at their end.
+    for (key, outcome) in long_running_jobs.into_iter().filter(|_| !cancels::applies_to(seed)) {
+        record(key, cancel(&acknowledgements, &mut hosts, (key, outcome), &mut rng));
     }
 }
 
-/// Returns what more is told of a job, by its kind.
+/// Returns what is known of a job from its kind.
 fn known_facts(kind: Kind) -> Option<JobFact> {
     match kind {
         Kind::Crashes => Some(JobFact::Crashes),
-        Kind::Lasts => Some(JobFact::Lasts),
+        Kind::LongRunning => Some(JobFact::LongRunning),
         Kind::TwoSteps | Kind::Checkpoints | Kind::CheckpointsTwice | Kind::Gang => None,
     }
 }
 
-/// Sends a job to one host after the other.
+/// Submits a job to random hosts until one accepts it or the attempts are used up.
 fn submit(hosts: &mut [Caller], key: JobKey, body: &str, rng: &mut ChaCha8Rng) -> JobFact {
-    let mut told = JobFact::Refused;
+    let mut outcome = JobFact::Refused;
     for _ in 0..MAX_ATTEMPTS {
         let at = rng.random_range(0..hosts.len());
         match hosts[at].submit(key, body) {
             Some(200) => return JobFact::Accepted,
             Some(503 | 429) => {}
-            _ => told = JobFact::OutcomeUnknown,
+            _ => outcome = JobFact::OutcomeUnknown,
         }
     }
-    told
+    outcome
 }
 
-/// Sends a cancellation to one host after the other, and tells the judge of the first acknowledgement. Where it
-/// isn't known whether the job is stored, the answer that there is none tells nothing of a hand-in still to come.
+/// Sends a cancellation to random hosts and reports the first acknowledgement to the checker. Where it is not
+/// known whether the job is stored, an answer that there is no such job does not count: the submission may
+/// still be stored later.
 fn cancel(
-    judge: &Acknowledgements,
+    acknowledgements: &Acknowledgements,
     hosts: &mut [Caller],
-    (key, handed_in): (JobKey, JobFact),
+    (key, submitted): (JobKey, JobFact),
     rng: &mut ChaCha8Rng,
 ) -> JobFact {
     for _ in 0..MAX_ATTEMPTS {
         let at = rng.random_range(0..hosts.len());
         let answer = hosts[at].cancel(key);
-        let is_known = answer == Some(200) || handed_in == JobFact::Accepted;
+        let is_known = answer == Some(200) || submitted == JobFact::Accepted;
         if is_known && answer.is_some_and(acknowledges) {
-            judge.note_cancelled(key);
+            acknowledgements.note_cancelled(key);
             return JobFact::Cancelled;
         }
     }
--- a/crates/soak/src/processes/cancels.rs
+++ b/crates/soak/src/processes/cancels.rs
@@ -1,7 +1,7 @@
-//! What some seeds play besides: jobs that are cancelled soon after their hand-in, some at once, and workers that
-//! crash together and again a moment later, so that what they ran waits for trials when its job is cancelled.
+//! Additional faults of some seeds: jobs that are cancelled soon after submission, some at once, and workers that
+//! all crash together and again a moment later, so that their tasks wait for trial runs when the jobs are cancelled.
 //!
-//! Both draw from sequences of their own, so that what else a seed plays stays as it is without them.
+//! Both draw from random sequences of their own, so that the other faults of a seed do not change.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -16,37 +16,37 @@
 use super::faults::millis;
 use super::wait;
 
-/// The seeds that play this.
+/// First seed with these faults.
 const FIRST_SEED: u64 = 50_000;
 
-/// The sequences of a seed that are drawn from; each caller has one of its own behind the second.
+/// The random streams of these faults. Each caller has a stream of its own, numbered from the second one.
 const CRASH_STREAM: u64 = 1 << 34;
 const CANCEL_STREAM: u64 = 1 << 35;
 
-/// Every so many jobs one lasts: only these tell of a run that is never stopped.
+/// One in this many jobs is long-running: only these show that a run is never stopped.
 pub(super) const LONG_RUNNING_EVERY: u64 = 2;
 
-/// The most workers: with more of them no suspect waits for a trial.
+/// Maximum number of workers: with more of them no suspected task waits for a trial run.
 pub(super) const MAX_WORKERS: usize = 4;
 
-/// How long after its hand-in a job is cancelled, in milliseconds, unless that is done at once.
+/// How long after its submission a job is cancelled, in milliseconds, unless it is cancelled at once.
 const CANCEL_DELAY_MS: std::ops::Range<u64> = 20..2_500;
 
-/// When all workers crash during the faulty time, and how much earlier they crash before that, in milliseconds. Two
-/// losses let a task wait for a trial; one under which three or four workers end is given up, and so would be an
-/// innocent one.
+/// When all workers crash during the fault phase, and how much earlier they crash a first time, in milliseconds.
+/// After two losses a task waits for a trial run. A task under which three or four workers end fails, and so would
+/// an innocent one; therefore there are only two crashes.
 const CRASH_AT_MS: std::ops::Range<u64> = 1_000..5_000;
 const EARLIER_CRASH_BY_MS: std::ops::Range<u64> = 300..900;
 
-/// How long tasks may take to be started again after the crashes at the end.
+/// How long the wait for a restarted task may take after each crash at the end.
 const RESTART_LIMIT: Duration = Duration::from_secs(2);
 
-/// Tells whether a seed plays this.
+/// Returns whether a seed has these faults.
 pub(super) fn applies_to(seed: u64) -> bool {
     seed >= FIRST_SEED
 }
 
-/// When one caller's jobs are cancelled.
+/// The pending early cancellations of one caller's jobs.
 #[derive(Debug)]
 pub(super) struct EarlyCancellations {
     rng: ChaCha8Rng,
@@ -54,15 +54,15 @@
 }
 
 impl EarlyCancellations {
-    /// Prepares what a caller cancels besides, if it does.
+    /// Creates the cancellations of a caller; `None` if the seed has none.
     pub(super) fn prepare(seed: u64, caller: u64) -> Option<Self> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(CANCEL_STREAM + caller);
         applies_to(seed).then_some(Self { rng, due: Vec::new() })
     }
 
-    /// Takes in an accepted job; two of five are cancelled, some of them at once. What lasts of the others is
-    /// cancelled together at the end.
+    /// Schedules the cancellation of an accepted job. Two of five jobs are cancelled, some of them at once. The
+    /// long-running jobs among the others are cancelled together at the end.
     fn schedule_cancellation(&mut self, key: JobKey) {
         let after = match self.rng.random_range(0..10) {
             0 => Duration::ZERO,
@@ -72,7 +72,7 @@
         self.due.push((Instant::now() + after, key));
     }
 
-    /// Takes in a job if it was accepted, and returns those to cancel now.
+    /// Adds a job if it was accepted, and returns the jobs to cancel now.
     pub(super) fn take_due(&mut self, accepted: Option<JobKey>) -> Vec<JobKey> {
         accepted.into_iter().for_each(|key| self.schedule_cancellation(key));
         let now = Instant::now();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Crashes of all workers, to come.
+/// The pending crashes of all workers.
 #[derive(Debug)]
 pub(super) struct JointCrashes {
     rng: ChaCha8Rng,
@@ -89,7 +89,7 @@
 }
 
 impl JointCrashes {
-    /// Prepares what a seed plays besides, if it does.
+    /// Draws the times of the crashes; `None` if the seed has none.
     pub(super) fn prepare(seed: u64) -> Option<Self> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(CRASH_STREAM);
@@ -98,7 +98,7 @@
         applies_to(seed).then_some(Self { rng, due })
     }
 
-    /// Does what is due where more faults are to come; returns how many faults that were.
+    /// Crashes all workers if a crash is due and faults are still injected. Returns the number of faults.
     pub(super) fn tick(&mut self, site: &mut Site, more: bool) -> io::Result<u64> {
         let now = Instant::now();
         let is_due = self.due.extract_if(.., |at| *at <= now).count() > 0;
@@ -115,21 +115,23 @@
     }
 }
 
-/// Crashes all workers of a whole site twice and cancels at once what lasts: no later fault ends what is started
-/// wrongly then.
+/// Crashes all workers of a site without other faults twice, and at once cancels the long-running jobs. No later
+/// fault then ends a run that was started by mistake.
 pub(super) fn crash_and_cancel(
     site: &Site,
     jobs: &mut Vec<(JobKey, JobFact)>,
     rng: &mut ChaCha8Rng,
 ) {
-    let told = |key: JobKey, what: JobFact| jobs.contains(&(key, what));
-    let lasts = jobs.iter().filter(|(_, what)| *what == JobFact::Lasts).map(|(key, _)| *key);
-    let open = lasts.filter(|&key| told(key, JobFact::Accepted) && !told(key, JobFact::Cancelled));
+    let has_fact = |key: JobKey, fact: JobFact| jobs.contains(&(key, fact));
+    let long_running =
+        jobs.iter().filter(|(_, fact)| *fact == JobFact::LongRunning).map(|(key, _)| *key);
+    let open = long_running
+        .filter(|&key| has_fact(key, JobFact::Accepted) && !has_fact(key, JobFact::Cancelled));
     let open: Vec<JobKey> = open.collect();
     for _ in 0..2 {
-        let before = site.fleet.starts();
+        let starts_before = site.fleet.starts();
         (0..site.fleet.len()).for_each(|worker| site.fleet.crash(worker));
-        wait(RESTART_LIMIT, || site.fleet.starts() > before);
+        wait(RESTART_LIMIT, || site.fleet.starts() > starts_before);
     }
     for key in open {
         let host = rng.random_range(0..site.hosts.len());
--- a/crates/soak/src/processes/wider.rs
+++ b/crates/soak/src/processes/environment.rs
@@ -1,7 +1,8 @@
-//! What some seeds play besides: entries of other writers, rooms that shrink and grow, and hosts that are
-//! suspended for longer than their leases, in series and beside kills and an absent store.
+//! Additional faults of some seeds: directory entries and keys written by other programs, workers whose capacity
+//! shrinks and grows, and hosts that are suspended for longer than their leases, in series and together with kills
+//! and an unavailable store.
 //!
-//! It draws from a sequence of its own, so that what else a seed plays stays as it is without it.
+//! They draw from a random sequence of their own, so that the other faults of a seed do not change.
 
 use std::io;
 use std::time::Instant;
@@ -15,24 +16,24 @@
 
 use super::faults::millis;
 
-/// The seeds that play this, without jobs that crash workers and with them. Above them neither is played, so that
-/// tasks which save their progress get far enough to resume.
+/// The seeds with these faults, first without jobs that crash workers and then with them. Higher seeds have
+/// neither, so that tasks with checkpoints get far enough to resume.
 const SEEDS_WITHOUT_CRASHES: std::ops::Range<u64> = 7_000..8_000;
 const SEEDS_WITH_CRASHES: std::ops::Range<u64> = 9_000..30_000;
 
-/// The sequence of a seed that is drawn from.
+/// The random stream of these faults.
 const STREAM: u64 = 1 << 32;
 
 /// Pauses between two such faults, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 150..1_000;
 
-/// How long an entry stands, in milliseconds.
+/// How long a foreign entry replaces a worker's own, in milliseconds.
 const FOREIGN_ENTRY_MS: std::ops::Range<u64> = 200..5_000;
 
-/// How long a room is small, in milliseconds: mostly longer than a leader has to hear of it.
+/// How long a capacity is small, in milliseconds: mostly longer than a leader may take to learn of it.
 const SMALL_CAPACITY_MS: std::ops::Range<u64> = 2_500..8_000;
 
-/// Rooms that workers shrink to, in thousandths of a core; their whole room is 16,000.
+/// Capacities that workers shrink to, in thousandths of a core. Their full capacity is 16,000.
 const SMALL_CAPACITIES_MILLICORES: [u32; 4] = [0, 1_000, 1_000, 4_000];
 const FULL_CAPACITY_MILLICORES: u32 = 16_000;
 
@@ -40,38 +41,39 @@
 /// leases of what runs at workers.
 const SUSPENDED_MS: std::ops::Range<u64> = 2_100..7_000;
 
-/// How long it is awake between two suspensions of a series, in milliseconds.
+/// How long a host runs between two suspensions of a series, in milliseconds.
 const AWAKE_MS: std::ops::Range<u64> = 20..600;
 
-/// The longest series.
+/// Maximum number of suspensions in a series.
 const MAX_SUSPENSIONS: u32 = 3;
 
-/// How long the store is away beside a suspension, in milliseconds.
+/// How long the store is unavailable together with a suspension, in milliseconds.
 const STORE_UNAVAILABLE_MS: std::ops::Range<u64> = 500..3_000;
 
-/// Something that is on for a while.
+/// A fault that lasts for a period.
 #[derive(Debug, Clone, Copy)]
 struct FaultPeriod {
-    what: EnvironmentFault,
+    fault: EnvironmentFault,
     from: Instant,
-    over: Instant,
-    begun: bool,
+    until: Instant,
+    active: bool,
 }
 
+/// A fault of the environment.
 #[derive(Debug, Clone, Copy)]
 enum EnvironmentFault {
-    /// A worker's entry is overwritten, by the entry of this number.
+    /// A worker's directory entry is overwritten with the foreign entry of this index.
     ForeignEntry(usize, usize),
-    /// A worker has this room.
+    /// A worker has this capacity, in thousandths of a core.
     Capacity(usize, u32),
-    /// A host is suspended, also if something else wakes it.
+    /// A host is suspended, and suspended again if another fault resumes it.
     Suspended(usize),
     /// The store refuses all calls.
     StoreUnavailable,
 }
 
 impl EnvironmentFault {
-    /// Tells whether both are of one kind at one place.
+    /// Returns whether both are faults of one kind at the same worker or host.
     fn same_target(self, other: EnvironmentFault) -> bool {
         match (self, other) {
             (Self::ForeignEntry(a, _), Self::ForeignEntry(b, _)) => a == b,
@@ -83,16 +85,16 @@
     }
 }
 
-/// All that is on or to come.
+/// All active and pending faults of the environment.
 #[derive(Debug)]
 pub(super) struct EnvironmentFaults {
     rng: ChaCha8Rng,
-    spells: Vec<FaultPeriod>,
+    periods: Vec<FaultPeriod>,
     next: Instant,
 }
 
-/// Prepares what a seed plays besides, if it does; half of these seeds have workers that do not guard their
-/// room.
+/// Creates the faults of a seed; `None` if it has none. In half of these seeds the workers do not enforce their
+/// capacity.
 pub(super) fn prepare(site: &Site, seed: u64) -> Option<EnvironmentFaults> {
     if !SEEDS_WITHOUT_CRASHES.contains(&seed) && !SEEDS_WITH_CRASHES.contains(&seed) {
         return None;
@@ -102,11 +104,12 @@
     if rng.random_range(0..2) == 0 {
         site.leave_room_unguarded();
     }
-    Some(EnvironmentFaults { rng, spells: Vec::new(), next: Instant::now() })
+    Some(EnvironmentFaults { rng, periods: Vec::new(), next: Instant::now() })
 }
 
 impl EnvironmentFaults {
-    /// Begins and ends what is due, and adds to it where more faults are to come; returns how many it added.
+    /// Begins and ends the faults that are due, and adds new ones while faults are still injected. Returns the
+    /// number of added faults.
     pub(super) fn tick(&mut self, site: &mut Site, more: bool) -> io::Result<u64> {
         let now = Instant::now();
         let mut added = 0;
@@ -115,17 +118,17 @@
             self.next = now + millis(&mut self.rng, PAUSE_MS);
         }
         self.end_due(site, now);
-        for spell in self.spells.iter_mut().filter(|s| s.from <= now) {
-            begin(site, spell.what, !spell.begun);
-            spell.begun = true;
+        for period in self.periods.iter_mut().filter(|s| s.from <= now) {
+            begin(site, period.fault, !period.active);
+            period.active = true;
         }
         site.note_readable();
         Ok(added)
     }
 
-    /// Ends everything.
+    /// Ends all faults.
     pub(super) fn end(&mut self, site: &mut Site) {
-        self.spells.clear();
+        self.periods.clear();
         for worker in 0..site.fleet.len() {
             site.fleet.set_room(worker, FULL_CAPACITY_MILLICORES);
         }
@@ -133,15 +136,15 @@
     }
 
     fn end_due(&mut self, site: &mut Site, now: Instant) {
-        let over: Vec<FaultPeriod> =
-            self.spells.iter().filter(|s| s.over <= now).copied().collect();
-        self.spells.retain(|s| s.over > now);
-        // One that ends leaves another of its kind at the same place alone.
-        let on = |what: EnvironmentFault| {
-            self.spells.iter().any(|s| s.begun && s.what.same_target(what))
+        let ended: Vec<FaultPeriod> =
+            self.periods.iter().filter(|s| s.until <= now).copied().collect();
+        self.periods.retain(|s| s.until > now);
+        // A fault that ends does not end an active one of its kind at the same place.
+        let other_active = |fault: EnvironmentFault| {
+            self.periods.iter().any(|s| s.active && s.fault.same_target(fault))
         };
-        for spell in over.iter().filter(|s| s.begun && !on(s.what)) {
-            match spell.what {
+        for period in ended.iter().filter(|s| s.active && !other_active(s.fault)) {
+            match period.fault {
                 EnvironmentFault::ForeignEntry(worker, _) => site.fleet.enter_again(worker),
                 EnvironmentFault::Capacity(worker, _) => {
                     site.fleet.set_room(worker, FULL_CAPACITY_MILLICORES)
@@ -158,8 +161,8 @@
             0..3 => {
                 let entry =
                     self.rng.random_range(0..foreign::entries(&site.fleet.entry(worker)).len());
-                let over = now + millis(&mut self.rng, FOREIGN_ENTRY_MS);
-                self.schedule(EnvironmentFault::ForeignEntry(worker, entry), now, over);
+                let until = now + millis(&mut self.rng, FOREIGN_ENTRY_MS);
+                self.schedule(EnvironmentFault::ForeignEntry(worker, entry), now, until);
             }
             3..6 => self.shrink_capacity(site, now),
             6..8 => self.write_key(site, worker),
@@ -168,24 +171,24 @@
         Ok(1)
     }
 
-    fn schedule(&mut self, what: EnvironmentFault, from: Instant, over: Instant) {
-        self.spells.push(FaultPeriod { what, from, over, begun: false });
+    fn schedule(&mut self, fault: EnvironmentFault, from: Instant, until: Instant) {
+        self.periods.push(FaultPeriod { fault, from, until, active: false });
     }
 
-    /// Lets about half of the workers have a small room.
+    /// Gives about half of the workers a small capacity.
     fn shrink_capacity(&mut self, site: &Site, now: Instant) {
         for worker in 0..site.fleet.len() {
-            let room = *SMALL_CAPACITIES_MILLICORES
+            let capacity = *SMALL_CAPACITIES_MILLICORES
                 .choose(&mut self.rng)
                 .unwrap_or(&FULL_CAPACITY_MILLICORES);
-            let over = now + millis(&mut self.rng, SMALL_CAPACITY_MS);
+            let until = now + millis(&mut self.rng, SMALL_CAPACITY_MS);
             if self.rng.random_range(0..2) == 0 {
-                self.schedule(EnvironmentFault::Capacity(worker, room), now, over);
+                self.schedule(EnvironmentFault::Capacity(worker, capacity), now, until);
             }
         }
     }
 
-    /// Writes a key that is nobody's.
+    /// Writes a key that no part of the system uses.
     fn write_key(&mut self, site: &Site, worker: usize) {
         let mut keys = foreign::own_keys();
         keys.extend(foreign::directory_keys(&site.fleet.entry(worker)));
@@ -194,39 +197,40 @@
         }
     }
 
-    /// Suspends a host, often the leader, once or in series, at times beside a kill or an absent store.
+    /// Suspends a host, often the leader, once or in series, sometimes together with a kill or an unavailable store.
     fn suspend(&mut self, site: &mut Site, now: Instant) -> io::Result<u64> {
         let any = self.rng.random_range(0..site.hosts.len());
         let host = site.leader().filter(|_| self.rng.random_range(0..3) != 0).unwrap_or(any);
         let times = self.rng.random_range(1..=MAX_SUSPENSIONS);
         let mut from = now;
         for _ in 0..times {
-            let over = from + millis(&mut self.rng, SUSPENDED_MS) / times;
-            self.schedule(EnvironmentFault::Suspended(host), from, over);
-            from = over + millis(&mut self.rng, AWAKE_MS);
+            let until = from + millis(&mut self.rng, SUSPENDED_MS) / times;
+            self.schedule(EnvironmentFault::Suspended(host), from, until);
+            from = until + millis(&mut self.rng, AWAKE_MS);
         }
-        let (kills, away) = (self.rng.random_range(0..3) == 0, self.rng.random_range(0..4) == 0);
+        let (kills, store_unavailable) =
+            (self.rng.random_range(0..3) == 0, self.rng.random_range(0..4) == 0);
         if kills && any != host {
             site.hosts[any].kill()?;
         }
-        if away {
-            let over = now + millis(&mut self.rng, STORE_UNAVAILABLE_MS);
-            self.schedule(EnvironmentFault::StoreUnavailable, now, over);
+        if store_unavailable {
+            let until = now + millis(&mut self.rng, STORE_UNAVAILABLE_MS);
+            self.schedule(EnvironmentFault::StoreUnavailable, now, until);
         }
-        Ok(u64::from(times) + u64::from(kills && any != host) + u64::from(away))
+        Ok(u64::from(times) + u64::from(kills && any != host) + u64::from(store_unavailable))
     }
 }
 
-/// Begins a spell, or sees to it that a host which should be suspended still is.
-fn begin(site: &mut Site, what: EnvironmentFault, first: bool) {
-    match what {
+/// Begins a fault, or suspends again a host that should still be suspended.
+fn begin(site: &mut Site, fault: EnvironmentFault, first: bool) {
+    match fault {
         EnvironmentFault::Suspended(host) => site.hosts[host].signal(Signal::STOP),
         _ if !first => {}
         EnvironmentFault::ForeignEntry(worker, entry) => {
             let all = foreign::entries(&site.fleet.entry(worker));
             site.fleet.overwrite(worker, &all[entry].1);
         }
-        EnvironmentFault::Capacity(worker, room) => site.fleet.set_room(worker, room),
+        EnvironmentFault::Capacity(worker, capacity) => site.fleet.set_room(worker, capacity),
         EnvironmentFault::StoreUnavailable => site.store.set_down(true),
     }
 }
--- a/crates/soak/src/processes/faults.rs
+++ b/crates/soak/src/processes/faults.rs
@@ -1,5 +1,5 @@
-//! Faults from outside: single ones, and spells of trouble at workers and the store that overlap
-//! with them.
+//! Faults injected from outside: single ones, and overlapping periods of faults at workers and the
+//! store.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -14,134 +14,135 @@
 use rustix::process::Signal;
 
 use super::cancels::JointCrashes;
+use super::environment::EnvironmentFaults;
 use super::restarts::Restarts;
-use super::wider::EnvironmentFaults;
 use super::{FaultProfile, LOCK, POLL_INTERVAL};
 
-/// How long a process that was told to stop may take, by the sites' settings.
+/// How long a process may take to stop after a signal, by the settings of the sites.
 const STOP_LIMIT: Duration = Duration::from_millis(3_500);
 
-/// How long a spell lasts, in milliseconds: up to half of the faulty time.
+/// How long a fault period lasts, in milliseconds: up to half of the fault phase.
 const FAULT_PERIOD_MS: std::ops::Range<u64> = 500..4_000;
 
-/// The shares of calls that are in trouble during a spell, in percent.
+/// The percentage of calls that fail or are late during a fault period.
 const CALL_PERCENT: std::ops::Range<u32> = 5..40;
 
-/// The share of transactions that are late; the repeat of a late one is often late too.
+/// The percentage of transactions that are late. The repeat of a late one is often late too.
 const LATE_WRITE_PERCENT: std::ops::Range<u32> = 15..60;
 
-/// How long the store writes late before it refuses, and how long it refuses then, in milliseconds:
-/// a commit is sent again for about a second, and is late by up to 6 s.
+/// How long the store writes late before it refuses transactions, and how long it refuses them, in
+/// milliseconds: a commit is repeated for about a second, and is late by up to 6 s.
 const LATE_WRITES_MS: std::ops::Range<u64> = 300..1_200;
 const REFUSING_MS: std::ops::Range<u64> = 2_000..5_000;
 
-/// How long after that the leader is killed, in milliseconds: what it learnt in between must be
+/// How long after that the leader is killed, in milliseconds: what it learned in between must be
 /// stored.
 const LEADER_KILL_DELAY_MS: std::ops::Range<u64> = 100..1_500;
 
-/// How long a worker is cut off, in milliseconds: its leases lapse in most of it.
+/// How long a worker is partitioned, in milliseconds: its leases expire during most of these times.
 const NETWORK_CUT_MS: std::ops::Range<u64> = 3_000..9_000;
 
-/// How long a worker has left that announces that it leaves, in milliseconds.
+/// How long a worker still runs after it announces that it leaves, in milliseconds.
 const LEAVING_NOTICE_MS: std::ops::Range<u64> = 500..3_000;
 
-/// A spell of trouble, from its beginning to its end.
+/// A fault that lasts for a period.
 #[derive(Debug, Clone, Copy)]
 struct FaultPeriod {
-    trouble: PeriodFault,
+    fault: PeriodFault,
     from: Instant,
-    over: Instant,
-    begun: bool,
+    until: Instant,
+    active: bool,
 }
 
-/// What trouble there is.
+/// The fault of a period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeriodFault {
+    /// A worker carries orders out late or is overloaded.
     Worker(usize, WorkerTrouble),
-    /// The store writes late and loses answers, by a seed.
+    /// The store writes late and loses answers, as drawn from a seed.
     Writes(StoreTrouble, u64),
     /// The store refuses transactions.
     Refusals,
     /// The leader is killed.
     KillLeader,
-    /// Nothing passes on the way to a worker.
+    /// No data passes on the link to a worker.
     NetworkCut(usize),
 }
 
-/// All spells that are on or to come.
+/// All active and pending fault periods.
 #[derive(Debug, Default)]
 struct FaultPeriods {
     list: Vec<FaultPeriod>,
 }
 
-/// Gives each worker a way of judging lateness, and a time that its runs take to stop. A seed of
-/// single faults only draws nothing here, and so keeps the course that it had before there were
-/// others.
-pub(super) fn prepare(site: &Site, seed: u64, play: FaultProfile, rng: &mut ChaCha8Rng) {
+/// Sets for each worker how it decides whether an order is too late, and how long its runs take to
+/// stop. A seed with only single faults draws nothing here, so that its sequence of events stays the
+/// same as before the other faults existed.
+pub(super) fn prepare(site: &Site, seed: u64, profile: FaultProfile, rng: &mut ChaCha8Rng) {
     site.fleet.seed(seed);
     for worker in 0..site.fleet.len() {
-        let by_leases = !play.only_single_faults() && rng.random_range(0..2) == 0;
+        let by_leases = !profile.only_single_faults() && rng.random_range(0..2) == 0;
         let lateness = if by_leases { Lateness::ByLeases } else { Lateness::ByStart };
         site.fleet.set_lateness(worker, lateness);
         site.fleet.set_trouble(worker, healthy_worker(worker));
     }
 }
 
-/// A worker in no trouble; its runs take a time of its own to stop, at most half of what they may,
-/// every third refuses checkpoints that it cannot use, and every second lists a text beside tasks that save
-/// nothing, too.
+/// Returns the settings of a worker without faults. How long its runs take to stop depends on the
+/// worker and is at most half of the limit. Every third worker refuses checkpoints that it cannot use, and
+/// every second one also lists a checkpoint text for tasks that save nothing.
 fn healthy_worker(n: usize) -> WorkerTrouble {
     let stop_takes = judge::STOP_LIMIT * (n as u32 % 4) / 6;
     let (refuses_checkpoints, lists_unsaved) = (n % 3 == 1, n.is_multiple_of(2));
     WorkerTrouble { stop_takes, refuses_checkpoints, lists_unsaved, ..WorkerTrouble::default() }
 }
 
-/// Injects faults until the faulty time and the store's trouble are over, then makes everything
-/// whole again.
+/// Injects faults until the fault phase and the faults of the store are over, then ends all faults.
+/// Returns the number of injected faults.
 pub(super) fn inject(
     site: &Mutex<Site>,
-    play: FaultProfile,
-    mut besides: ExtraFaults,
+    profile: FaultProfile,
+    mut extra: ExtraFaults,
     rng: &mut ChaCha8Rng,
 ) -> io::Result<u64> {
     let began = Instant::now();
     let (mut faults, mut next) = (0, began);
-    let mut spells = FaultPeriods::default();
+    let mut periods = FaultPeriods::default();
     let faulty =
-        |spells: &FaultPeriods| began.elapsed() < play.faulty || spells.store_fault_pending();
-    while faulty(&spells) {
+        |periods: &FaultPeriods| began.elapsed() < profile.faulty || periods.store_fault_pending();
+    while faulty(&periods) {
         let mut locked = site.lock().expect(LOCK);
-        spells.tick(&mut locked)?;
-        if Instant::now() >= next && began.elapsed() < play.faulty {
-            faults += inject_due(&mut locked, play, &mut spells, rng)?;
+        periods.tick(&mut locked)?;
+        if Instant::now() >= next && began.elapsed() < profile.faulty {
+            faults += inject_due(&mut locked, profile, &mut periods, rng)?;
             next = Instant::now() + millis(rng, 50..900);
         }
-        faults += besides.tick(&mut locked, began.elapsed() < play.faulty)?;
+        faults += extra.tick(&mut locked, began.elapsed() < profile.faulty)?;
         drop(locked);
         thread::sleep(POLL_INTERVAL);
     }
     let mut locked = site.lock().expect(LOCK);
     end_all_faults(&mut locked)?;
-    if let Some(wider) = &mut besides.wider {
-        wider.end(&mut locked);
+    if let Some(environment) = &mut extra.environment {
+        environment.end(&mut locked);
     }
     Ok(faults)
 }
 
-/// What a seed plays besides, each from a sequence of its own.
+/// The additional faults of a seed, each drawn from a random sequence of its own.
 #[derive(Debug)]
 pub(super) struct ExtraFaults {
-    pub(super) wider: Option<EnvironmentFaults>,
+    pub(super) environment: Option<EnvironmentFaults>,
     pub(super) restarts: Option<Restarts>,
     pub(super) crashes: Option<JointCrashes>,
 }
 
 impl ExtraFaults {
-    /// Does what is due; returns how many faults were added.
+    /// Injects the additional faults that are due and returns their number.
     fn tick(&mut self, site: &mut Site, more: bool) -> io::Result<u64> {
         let mut faults = 0;
-        if let Some(wider) = &mut self.wider {
-            faults += wider.tick(site, more)?;
+        if let Some(environment) = &mut self.environment {
+            faults += environment.tick(site, more)?;
         }
         if let Some(restarts) = &mut self.restarts {
             faults += restarts.tick(site, more)?;
@@ -153,85 +154,86 @@
     }
 }
 
-/// Injects what is due at one moment and returns how many faults that were.
+/// Injects the faults drawn for one moment and returns their number.
 fn inject_due(
     site: &mut Site,
-    play: FaultProfile,
-    spells: &mut FaultPeriods,
+    profile: FaultProfile,
+    periods: &mut FaultPeriods,
     rng: &mut ChaCha8Rng,
 ) -> io::Result<u64> {
-    let before = spells.list.len();
-    if play.orders && rng.random_range(0..2) == 0 {
-        spells.add_worker_faults(site.fleet.len(), rng);
+    let before = periods.list.len();
+    if profile.late_orders && rng.random_range(0..2) == 0 {
+        periods.add_worker_faults(site.fleet.len(), rng);
     }
-    if play.writes && !spells.store_fault_pending() && rng.random_range(0..2) == 0 {
-        spells.add_store_faults(rng);
+    if profile.late_writes && !periods.store_fault_pending() && rng.random_range(0..2) == 0 {
+        periods.add_store_faults(rng);
     }
-    let mut faults = (spells.list.len() - before) as u64;
-    if play.losses && rng.random_range(0..3) == 0 {
-        lose_worker(site, spells, rng);
+    let mut faults = (periods.list.len() - before) as u64;
+    if profile.worker_losses && rng.random_range(0..3) == 0 {
+        lose_worker(site, periods, rng);
         faults += 1;
     }
-    if play.only_single_faults() || rng.random_range(0..play.single_one_of) == 0 {
+    if profile.only_single_faults() || rng.random_range(0..profile.single_fault_one_in) == 0 {
         inject_single_fault(site, rng)?;
         faults += 1;
     }
     Ok(faults)
 }
 
-/// Draws a time.
+/// Draws a duration in milliseconds from a range.
 pub(super) fn millis(rng: &mut ChaCha8Rng, range: std::ops::Range<u64>) -> Duration {
     Duration::from_millis(rng.random_range(range))
 }
 
 impl FaultPeriods {
-    fn add(&mut self, trouble: PeriodFault, from: Instant, over: Instant) {
-        self.list.push(FaultPeriod { trouble, from, over, begun: false });
+    fn add(&mut self, fault: PeriodFault, from: Instant, until: Instant) {
+        self.list.push(FaultPeriod { fault, from, until, active: false });
     }
 
-    /// Begins and ends what is due.
+    /// Begins and ends the periods that are due.
     fn tick(&mut self, site: &mut Site) -> io::Result<()> {
         let now = Instant::now();
-        let over: Vec<FaultPeriod> = self.list.iter().filter(|s| s.over <= now).copied().collect();
-        self.list.retain(|s| s.over > now);
-        over.iter().filter(|s| s.begun).for_each(|s| self.end(site, s.trouble));
-        for spell in self.list.iter_mut().filter(|s| s.from <= now && !s.begun) {
-            spell.begun = true;
-            begin(site, spell.trouble)?;
+        let ended: Vec<FaultPeriod> =
+            self.list.iter().filter(|s| s.until <= now).copied().collect();
+        self.list.retain(|s| s.until > now);
+        ended.iter().filter(|s| s.active).for_each(|s| self.end(site, s.fault));
+        for period in self.list.iter_mut().filter(|s| s.from <= now && !s.active) {
+            period.active = true;
+            begin(site, period.fault)?;
         }
         Ok(())
     }
 
-    /// Ends a spell, unless another one of its kind is on at the same place.
-    fn end(&self, site: &Site, trouble: PeriodFault) {
-        let on =
-            |is: &dyn Fn(PeriodFault) -> bool| self.list.iter().any(|s| s.begun && is(s.trouble));
-        match trouble {
+    /// Ends a fault, unless another one of its kind is active at the same place.
+    fn end(&self, site: &Site, fault: PeriodFault) {
+        let other_active =
+            |is: &dyn Fn(PeriodFault) -> bool| self.list.iter().any(|s| s.active && is(s.fault));
+        match fault {
             PeriodFault::Worker(n, _)
-                if !on(&|t| matches!(t, PeriodFault::Worker(m, _) if m == n)) =>
+                if !other_active(&|t| matches!(t, PeriodFault::Worker(m, _) if m == n)) =>
             {
                 site.fleet.set_trouble(n, healthy_worker(n));
             }
-            PeriodFault::Writes(..) if !on(&|t| matches!(t, PeriodFault::Writes(..))) => {
+            PeriodFault::Writes(..) if !other_active(&|t| matches!(t, PeriodFault::Writes(..))) => {
                 site.store.set_trouble(StoreTrouble::default(), 0);
             }
-            PeriodFault::NetworkCut(n) if !on(&|t| t == trouble) => {
+            PeriodFault::NetworkCut(n) if !other_active(&|t| t == fault) => {
                 site.fleet.set_link(n, Mode::Pass)
             }
-            PeriodFault::Refusals if !on(&|t| t == PeriodFault::Refusals) => {
+            PeriodFault::Refusals if !other_active(&|t| t == PeriodFault::Refusals) => {
                 site.store.set_writes_refused(false);
             }
             _ => {}
         }
     }
 
-    /// Tells whether the store is in trouble or will be.
+    /// Returns whether a fault of the store or a kill of the leader is active or pending.
     fn store_fault_pending(&self) -> bool {
         let of_workers = |t| matches!(t, PeriodFault::Worker(..) | PeriodFault::NetworkCut(_));
-        self.list.iter().any(|s| !of_workers(s.trouble))
+        self.list.iter().any(|s| !of_workers(s.fault))
     }
 
-    /// Lets some workers carry orders out late and be unwell.
+    /// Adds periods in which some workers carry orders out late and are overloaded.
     fn add_worker_faults(&mut self, workers: usize, rng: &mut ChaCha8Rng) {
         let one_of = rng.random_range(1..4);
         for worker in 0..workers {
@@ -239,14 +241,14 @@
                 continue;
             }
             let (late, unwell) = (rng.random_range(CALL_PERCENT), rng.random_range(CALL_PERCENT));
-            let trouble = WorkerTrouble { late, unwell, ..healthy_worker(worker) };
-            let over = Instant::now() + millis(rng, FAULT_PERIOD_MS);
-            self.add(PeriodFault::Worker(worker, trouble), Instant::now(), over);
+            let fault = WorkerTrouble { late, unwell, ..healthy_worker(worker) };
+            let until = Instant::now() + millis(rng, FAULT_PERIOD_MS);
+            self.add(PeriodFault::Worker(worker, fault), Instant::now(), until);
         }
     }
 
-    /// Lets the store write late and lose answers, then often refuse transactions, and then often
-    /// has the leader killed.
+    /// Adds a period in which the store writes late and loses answers, often followed by one in which
+    /// it refuses transactions, and often then by a kill of the leader.
     fn add_store_faults(&mut self, rng: &mut ChaCha8Rng) {
         let now = Instant::now();
         let late = rng.random_range(LATE_WRITE_PERCENT);
@@ -269,10 +271,10 @@
     }
 }
 
-fn begin(site: &mut Site, trouble: PeriodFault) -> io::Result<()> {
-    match trouble {
-        PeriodFault::Worker(n, trouble) => site.fleet.set_trouble(n, trouble),
-        PeriodFault::Writes(trouble, seed) => site.store.set_trouble(trouble, seed),
+fn begin(site: &mut Site, fault: PeriodFault) -> io::Result<()> {
+    match fault {
+        PeriodFault::Worker(n, fault) => site.fleet.set_trouble(n, fault),
+        PeriodFault::Writes(fault, seed) => site.store.set_trouble(fault, seed),
         PeriodFault::Refusals => site.store.set_writes_refused(true),
         PeriodFault::NetworkCut(n) => site.fleet.set_link(n, Mode::Silent),
         PeriodFault::KillLeader => {
@@ -284,7 +286,7 @@
     Ok(())
 }
 
-/// Makes everything whole again.
+/// Ends all faults and restarts all hosts.
 fn end_all_faults(site: &mut Site) -> io::Result<()> {
     site.store.set_down(false);
     site.store.set_writes_refused(false);
@@ -297,7 +299,7 @@
         host.store_link.set(Mode::Pass);
         host.signal(Signal::CONT);
     }
-    // The platform starts again what has ended, also a process that is still stopping now.
+    // The platform restarts every process that has ended, including those that are still stopping.
     let began = Instant::now();
     while began.elapsed() < STOP_LIMIT {
         site.hosts.iter_mut().try_for_each(site::Host::restart)?;
@@ -326,15 +328,16 @@
         9 => site.hosts[at].store_link.silence_open(),
         _ => return repair_host(site, rng),
     }
-    // Half of the time something else is mended meanwhile, so that faults overlap but do not pile
-    // up until nothing runs.
+    // Half of the time another fault is repaired, so that faults overlap but do not accumulate until
+    // nothing runs.
     if rng.random_range(0..2) == 0 {
         repair_host(site, rng)?;
     }
     Ok(())
 }
 
-/// Crashes a worker, or harms the way to it; about half of the ways are whole at any time.
+/// Crashes a worker or injects a fault into the link to it. About half of the links are free of faults
+/// at any time.
 fn worker_fault(site: &Site, rng: &mut ChaCha8Rng) {
     let at = rng.random_range(0..site.fleet.len());
     match rng.random_range(0..10) {
@@ -348,13 +351,13 @@
     }
 }
 
-/// Crashes a worker, lets it leave, or cuts it off for a while.
-fn lose_worker(site: &Site, spells: &mut FaultPeriods, rng: &mut ChaCha8Rng) {
+/// Crashes a worker, lets it leave, or partitions it for a while.
+fn lose_worker(site: &Site, periods: &mut FaultPeriods, rng: &mut ChaCha8Rng) {
     let (at, now) = (rng.random_range(0..site.fleet.len()), Instant::now());
     match rng.random_range(0..3) {
         0 => site.fleet.crash(at),
         1 => site.fleet.leave(at, millis(rng, LEAVING_NOTICE_MS)),
-        _ => spells.add(PeriodFault::NetworkCut(at), now, now + millis(rng, NETWORK_CUT_MS)),
+        _ => periods.add(PeriodFault::NetworkCut(at), now, now + millis(rng, NETWORK_CUT_MS)),
     }
 }
 
--- a/crates/soak/src/processes/restarts.rs
+++ b/crates/soak/src/processes/restarts.rs
@@ -1,7 +1,7 @@
-//! What some seeds play besides: workers that start again under their names, one by one and most of them at one
-//! time, at times beside the loss of the leader.
+//! Additional faults of some seeds: workers that restart under their names, one by one or most of them at once,
+//! sometimes together with the loss of the leader.
 //!
-//! It draws from a sequence of its own, so that what else a seed plays stays as it is without it.
+//! They draw from a random sequence of their own, so that the other faults of a seed do not change.
 
 use std::io;
 use std::time::Instant;
@@ -12,29 +12,29 @@
 
 use super::faults::millis;
 
-/// The seeds that play this.
+/// First seed with these faults.
 const FIRST_SEED: u64 = 40_000;
 
-/// The sequence of a seed that is drawn from.
+/// The random stream of these faults.
 const STREAM: u64 = 1 << 33;
 
-/// Pauses between two such faults, in milliseconds: a task under which three or four starts of workers end is given
-/// up, and so would be an innocent one.
+/// Pauses between two such faults, in milliseconds. Shorter ones would fail innocent tasks: a task fails if three or
+/// four worker incarnations end under it.
 const PAUSE_MS: std::ops::Range<u64> = 1_500..4_500;
 
-/// Workers that start again, to come.
+/// The pending restarts of workers.
 #[derive(Debug)]
 pub(super) struct Restarts {
     rng: ChaCha8Rng,
     next: Instant,
 }
 
-/// Tells whether a seed plays this.
+/// Returns whether a seed has these faults.
 pub(super) fn applies_to(seed: u64) -> bool {
     seed >= FIRST_SEED
 }
 
-/// Prepares what a seed plays besides, if it does.
+/// Draws the time of the first restart; `None` if the seed has none.
 pub(super) fn prepare(seed: u64) -> Option<Restarts> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(STREAM);
@@ -45,7 +45,7 @@
 }
 
 impl Restarts {
-    /// Does what is due where more faults are to come; returns how many faults that were.
+    /// Restarts workers if that is due and faults are still injected. Returns the number of faults.
     pub(super) fn tick(&mut self, site: &mut Site, more: bool) -> io::Result<u64> {
         let now = Instant::now();
         if !more || now < self.next {
