--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! What must hold at the end of a run.
+//! Checks what must hold at the end of a run.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use gaplock_types::{ids, wire};
 
 use crate::clients::Clients;
-use crate::world::World;
+use crate::simulation::Simulation;
 
-/// Lists everything that does not hold.
-pub fn violations(w: &mut World, clients: &Clients) -> Vec<String> {
+/// Returns a description of each violation.
+pub fn violations(w: &mut Simulation, clients: &Clients) -> Vec<String> {
     let mut found = w.violations.clone();
-    let mut judges = collect_verdicts(w);
-    attribute_borrowed_runs(w, &mut judges);
-    let findings = Findings::of(&judges, w.now);
+    let mut verdicts = collect_verdicts(w);
+    attribute_borrowed_runs(w, &mut verdicts);
+    let findings = Findings::of(&verdicts, w.now);
     found.extend(findings.violations.iter().cloned());
     found.extend(
         clients
@@ -28,7 +28,7 @@
     found
 }
 
-fn collect_verdicts(w: &mut World) -> Vec<Verdicts> {
+fn collect_verdicts(w: &mut Simulation) -> Vec<Verdicts> {
     (0..w.workers.len())
         .flat_map(|i| {
             let now = w.worker_clock(i);
@@ -48,8 +48,9 @@
         .collect()
 }
 
-/// Counts a lent run's stretches as its lender's, so that a task that runs at both is seen.
-fn attribute_borrowed_runs(w: &World, judges: &mut [Verdicts]) {
+/// Attributes the time that a borrowed run ran to the lender's run, so that a task that runs at both
+/// is detected.
+fn attribute_borrowed_runs(w: &Simulation, verdicts: &mut [Verdicts]) {
     let mut lenders: BTreeMap<ids::TaskId, wire::Run> = BTreeMap::new();
     for e in &w.entries {
         let Some(node) = &e.node else { continue };
@@ -66,24 +67,25 @@
             }
         }
     }
-    for s in judges.iter_mut().flat_map(|j| j.stretches.iter_mut()) {
+    for s in verdicts.iter_mut().flat_map(|j| j.stretches.iter_mut()) {
         if let Some(run) = lenders.get(&s.run.task) {
             s.run = *run;
         }
     }
 }
 
-/// An accepted generation has one content everywhere, and no process goes back.
-fn configuration(w: &World, clients: &Clients) -> Vec<String> {
+/// Checks that an accepted generation has the same content everywhere, and that no process returns
+/// to an older one.
+fn configuration(w: &Simulation, clients: &Clients) -> Vec<String> {
     let mut found = Vec::new();
     let mut by_generation: BTreeMap<ids::Generation, ids::PlanId> = BTreeMap::new();
-    let mut claim = |generation: ids::Generation, plan: &ids::PlanId, who: &str| {
+    let mut conflict = |generation: ids::Generation, plan: &ids::PlanId, who: &str| {
         let known = by_generation.entry(generation).or_insert_with(|| plan.clone());
         (known != plan).then(|| format!("{generation} is {known} and, for {who}, {plan}"))
     };
     for (i, e) in w.entries.iter().enumerate() {
         for (generation, plan) in &e.in_force {
-            found.extend(claim(*generation, plan, &format!("e{i}")));
+            found.extend(conflict(*generation, plan, &format!("e{i}")));
         }
         let rises = e.in_force.windows(2).all(|pair| pair[0].0 < pair[1].0);
         if !rises {
@@ -93,7 +95,7 @@
     let mut newest = ids::Generation(0);
     for (number, outcome) in &w.confirmations {
         if let (Ok(generation), Some(plan)) = (outcome, clients.confirmations.get(number)) {
-            found.extend(claim(*generation, &plan.id, "its operator"));
+            found.extend(conflict(*generation, &plan.id, "its operator"));
             newest = newest.max(*generation);
         }
     }
@@ -107,7 +109,7 @@
     found
 }
 
-/// Says what is wrong with a stored task that should have ended.
+/// Describes what is wrong with a stored task that should have ended; `None` if nothing is.
 fn unfinished_task(
     task: ids::TaskId,
     state: &str,
@@ -117,12 +119,12 @@
     let runs = findings.by_task.get(&task);
     let done = runs.map_or(0, |s| s.iter().filter(|s| s.done).count());
     let unsure = runs.is_some_and(|s| s.iter().any(|s| s.unsure));
-    let fine = match state {
+    let as_expected = match state {
         "done" => done == 1 || (done == 0 && unsure),
         "cancelled" => cancelled,
         _ => false,
     };
-    if fine {
+    if as_expected {
         return None;
     }
     let each = runs.into_iter().flatten().map(|s| {
@@ -133,8 +135,8 @@
     Some(format!("finished {done} times: {}", each.join("; ")))
 }
 
-/// Every stored job has ended: each task done once, unless the job was cancelled.
-fn unfinished(w: &World, clients: &Clients, findings: &Findings) -> Vec<String> {
+/// Checks that every stored job has ended: each task is done once, unless the job was cancelled.
+fn unfinished(w: &Simulation, clients: &Clients, findings: &Findings) -> Vec<String> {
     let mut found = Vec::new();
     let mut jobs = BTreeMap::new();
     let mut whys = BTreeMap::new();
@@ -159,8 +161,8 @@
             }
         }
     }
-    for wish in &clients.jobs {
-        let Some(id) = wish.job else {
+    for request in &clients.jobs {
+        let Some(id) = request.job else {
             found.push("a job could not be stored in the quiet time".to_string());
             continue;
         };
@@ -170,7 +172,7 @@
         };
         for (i, t) in job.tasks.iter().enumerate() {
             let task = ids::TaskId { job: id, index: i as u32 };
-            let fault = unfinished_task(task, t.is.name(), wish.cancelled, findings);
+            let fault = unfinished_task(task, t.is.name(), request.cancelled, findings);
             found.extend(
                 fault.map(|what| format!("{task} is {} ({}), {what}", t.is.name(), whys[&task])),
             );
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,4 +1,4 @@
-//! What callers and operators do in a run, and what they were told.
+//! What callers and operators do in a run, and the replies that they got.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use rand::Rng;
 
 use crate::faults::Fault;
-use crate::world::{At, World};
+use crate::simulation::{SimMillis, Simulation};
 
-/// A job that a caller submits until it is told that the job is stored.
+/// A job that a caller submits repeatedly until a reply says that the job is stored.
 #[derive(Debug, Clone)]
 pub struct JobRequest {
     key: ids::RequestKey,
     spec: api::JobSpec,
-    asked: Vec<u64>,
-    next_try: At,
-    /// The stored job, once told.
+    commands: Vec<u64>,
+    next_attempt: SimMillis,
+    /// The stored job, once a reply has named it.
     pub job: Option<ids::JobId>,
     /// Whether the caller has asked to cancel it.
     pub cancelled: bool,
@@ -28,11 +28,11 @@
 pub struct OnceRequest {
     /// The caller's key.
     pub key: ids::RequestKey,
-    /// Claims by number, with their claimers.
+    /// Unanswered claims: the claimer by the number of the command.
     claims: BTreeMap<u64, String>,
     attempts_left: u32,
-    next_try: At,
-    /// How often it ran.
+    next_attempt: SimMillis,
+    /// How many times the request ran.
     pub runs: u32,
 }
 
@@ -43,17 +43,17 @@
     pub jobs: Vec<JobRequest>,
     /// Requests that must not be repeated.
     pub once: Vec<OnceRequest>,
-    /// Confirmations by number, with the plan.
+    /// The confirmed plans by the number of the confirmation.
     pub confirmations: BTreeMap<u64, api::Plan>,
     next_key: u64,
 }
 
-/// The partner of every caller.
+/// The partner to which all callers belong.
 pub const PARTNER: &str = "alpina";
-const RETRY: At = 700;
+const RETRY_INTERVAL_MS: SimMillis = 700;
 
 /// Returns the first configuration.
-pub fn first_config() -> config::Config {
+pub fn initial_config() -> config::Config {
     let hash = |c: char| c.to_string().repeat(64);
     config::Config {
         placements: vec![config::Placement {
@@ -92,7 +92,7 @@
     }
 
     /// Adds a job.
-    pub fn add_job(&mut self, w: &mut World) {
+    pub fn add_job(&mut self, w: &mut Simulation) {
         let spec = api::JobSpec {
             class: "bundle".into(),
             demand: sizes::Resources::new(w.rng.random_range(200..1_500), 256, 0),
@@ -101,38 +101,44 @@
             urgent: w.rng.random_ratio(1, 5),
         };
         let key = self.key("job");
-        let next_try = w.now;
+        let next_attempt = w.now;
         self.jobs.push(JobRequest {
             key,
             spec,
-            asked: Vec::new(),
-            next_try,
+            commands: Vec::new(),
+            next_attempt,
             job: None,
             cancelled: false,
         });
     }
 
     /// Adds a request that must not be repeated.
-    pub fn add_once(&mut self, w: &mut World) {
+    pub fn add_once(&mut self, w: &mut Simulation) {
         let key = self.key("once");
-        let (tries_left, next_try) = (w.rng.random_range(1..6), w.now);
+        let (tries_left, next_attempt) = (w.rng.random_range(1..6), w.now);
         let claims = BTreeMap::new();
-        self.once.push(OnceRequest { key, claims, attempts_left: tries_left, next_try, runs: 0 });
+        self.once.push(OnceRequest {
+            key,
+            claims,
+            attempts_left: tries_left,
+            next_attempt,
+            runs: 0,
+        });
     }
 
-    /// Confirms a plan at a random entry, made against what is in force there.
-    pub fn confirm(&mut self, w: &mut World) {
+    /// Confirms a plan at a random entry, based on the configuration in force there.
+    pub fn confirm(&mut self, w: &mut Simulation) {
         let i = w.rng.random_range(0..w.entries.len());
         let Some(node) = &w.entries[i].node else { return };
         let doc = node.generations.doc.clone();
         let mut wanted = match doc.config.generation {
-            ids::Generation(0) => first_config(),
+            ids::Generation(0) => initial_config(),
             _ => doc.config.clone(),
         };
         for p in &mut wanted.placements {
             p.services[0].replicas = w.rng.random_range(1..6);
         }
-        let number = w.fresh_number();
+        let number = w.next_number();
         let plan = api::Plan {
             id: ids::PlanId(format!("plan{number}")),
             base: doc.config.generation,
@@ -142,63 +148,63 @@
             wanted,
         };
         self.confirmations.insert(number, plan.clone());
-        // Two operators may race with one plan at two entries.
+        // Two operators may confirm the same plan at two entries at the same time.
         let twice = w.rng.random_ratio(1, 4);
         let by = "ana".to_string();
         let event = Event::Confirm { id: ReplyId(number), plan: Box::new(plan.clone()), by };
         w.handle(i, event);
         if twice {
             let other = (i + 1) % w.entries.len();
-            let again = w.fresh_number();
+            let again = w.next_number();
             self.confirmations.insert(again, plan.clone());
             let by = "bor".to_string();
             w.handle(other, Event::Confirm { id: ReplyId(again), plan: Box::new(plan), by });
         }
     }
 
-    /// Lets every caller do what it does next.
-    pub fn act(&mut self, w: &mut World) {
+    /// Lets every caller take its next action.
+    pub fn act(&mut self, w: &mut Simulation) {
         for i in 0..self.jobs.len() {
             self.act_on_job(w, i);
         }
         for i in 0..self.once.len() {
             self.act_on_once(w, i);
         }
-        let wave = w.faulty && w.enabled.has(Fault::Cancel) && w.rng.random_ratio(1, 200);
-        if wave {
-            self.cancel_wave(w);
+        let cancels = w.faulty && w.enabled.has(Fault::Cancel) && w.rng.random_ratio(1, 200);
+        if cancels {
+            self.cancel_some_jobs(w);
         }
     }
 
-    fn act_on_job(&mut self, w: &mut World, i: usize) {
-        let wish = &mut self.jobs[i];
-        if wish.job.is_some() {
+    fn act_on_job(&mut self, w: &mut Simulation, i: usize) {
+        let request = &mut self.jobs[i];
+        if request.job.is_some() {
             return;
         }
-        for id in &wish.asked {
+        for id in &request.commands {
             if let Some(api::Reply::Submitted(job)) = w.replies.get(id) {
-                wish.job = Some(*job);
+                request.job = Some(*job);
                 return;
             }
         }
-        if w.now < wish.next_try {
+        if w.now < request.next_attempt {
             return;
         }
-        wish.next_try = w.now + RETRY;
+        request.next_attempt = w.now + RETRY_INTERVAL_MS;
         let partner = ids::PartnerId::from(PARTNER);
-        let home = crate::world::layout().home_of(&partner, &wish.key);
+        let home = crate::simulation::layout().home_of(&partner, &request.key);
         let command =
-            api::Command::Submit { partner, key: wish.key.clone(), spec: wish.spec.clone() };
+            api::Command::Submit { partner, key: request.key.clone(), spec: request.spec.clone() };
         let entry = w.rng.random_range(0..w.entries.len());
         let id = w.command(entry, home, command);
-        self.jobs[i].asked.push(id);
+        self.jobs[i].commands.push(id);
     }
 
-    fn act_on_once(&mut self, w: &mut World, i: usize) {
+    fn act_on_once(&mut self, w: &mut Simulation, i: usize) {
         let partner = ids::PartnerId::from(PARTNER);
-        let home = crate::world::layout().home_of(&partner, &self.once[i].key);
+        let home = crate::simulation::layout().home_of(&partner, &self.once[i].key);
         let key = self.once[i].key.clone();
-        // A claimer that was granted runs the request once, then stores how it ended.
+        // A claimer whose claim was granted runs the request once, then stores how it ended.
         let answered: Vec<(u64, String, api::Reply)> = self.once[i]
             .claims
             .iter()
@@ -223,13 +229,13 @@
             let entry = w.rng.random_range(0..w.entries.len());
             w.command(entry, home, command);
         }
-        let wish = &mut self.once[i];
-        if wish.attempts_left == 0 || w.now < wish.next_try {
+        let request = &mut self.once[i];
+        if request.attempts_left == 0 || w.now < request.next_attempt {
             return;
         }
-        wish.attempts_left -= 1;
-        wish.next_try = w.now + w.rng.random_range(1..RETRY);
-        let number = w.fresh_number();
+        request.attempts_left -= 1;
+        request.next_attempt = w.now + w.rng.random_range(1..RETRY_INTERVAL_MS);
+        let number = w.next_number();
         let claimer = format!("c{number}");
         let command = api::Command::OnceClaim {
             partner,
@@ -242,7 +248,7 @@
         self.once[i].claims.insert(id, claimer);
     }
 
-    fn cancel_wave(&mut self, w: &mut World) {
+    fn cancel_some_jobs(&mut self, w: &mut Simulation) {
         for i in 0..self.jobs.len() {
             let Some(job) = self.jobs[i].job.filter(|_| w.rng.random_ratio(1, 3)) else { continue };
             self.jobs[i].cancelled = true;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! The kinds of faults, each of which can be left out to narrow a failing seed down.
+//! The kinds of faults. Each can be left out to find out which ones a failing seed needs.
 
 use std::fmt;
 
@@ -7,25 +7,25 @@
 pub enum Fault {
     /// Messages are lost.
     Lose,
-    /// Messages arrive twice.
+    /// Messages are delivered twice.
     Double,
-    /// Messages are late, some by seconds.
+    /// Messages are delayed, some by seconds.
     Delay,
-    /// An entry's process dies; another takes its place later.
+    /// An entry's process is killed; another one replaces it later.
     KillEntry,
-    /// An entry is frozen and thawed.
+    /// An entry is suspended and later resumed.
     FreezeEntry,
-    /// An entry stops as planned.
+    /// An entry performs a planned stop.
     StopEntry,
-    /// An entry does not reach the store.
+    /// An entry is partitioned from the store.
     CutStore,
-    /// Two entries do not reach each other.
+    /// Two entries are partitioned from each other.
     CutPeers,
-    /// An entry does not reach a worker.
+    /// An entry is partitioned from a worker.
     CutWorker,
-    /// A worker is frozen and thawed.
+    /// A worker is suspended and later resumed.
     FreezeWorker,
-    /// A worker is replaced under the same address.
+    /// A worker is replaced by a new one at the same address.
     ReplaceWorker,
     /// A worker leaves and comes back.
     LeaveWorker,
@@ -33,19 +33,19 @@
     StoreDown,
     /// The store loses answers after the change took effect.
     StoreLoses,
-    /// Callers cancel in waves.
+    /// Callers cancel many jobs at one time.
     Cancel,
     /// Writes get no answer in time and are carried out seconds later, if their condition still
     /// holds.
     LateWrites,
-    /// Starts, stops and speeds get no answer in time and are carried out seconds later.
+    /// Start, stop and speed orders get no answer in time and are carried out seconds later.
     LateOrders,
-    /// Workers refuse a start and do nothing, whatever came of earlier tries.
+    /// Workers refuse a start and do nothing, whatever the outcome of earlier attempts was.
     RefusedStarts,
 }
 
 impl Fault {
-    /// Every kind.
+    /// All kinds except those of [`Fault::LATE`].
     pub const ALL: &'static [Self] = &[
         Self::Lose,
         Self::Double,
@@ -66,7 +66,8 @@
 }
 
 impl Fault {
-    /// Kinds that are switched on besides all others, so that the draws of earlier seeds stay.
+    /// Kinds that are used only on request, in addition to all others, so that the random draws of
+    /// older seeds stay the same.
     pub const LATE: &'static [Self] = &[Self::LateWrites, Self::LateOrders, Self::RefusedStarts];
 }
 
@@ -81,12 +82,12 @@
 pub struct Enabled(Vec<Fault>);
 
 impl Enabled {
-    /// Returns the set of all kinds.
+    /// Returns the set of all kinds except those of [`Fault::LATE`].
     pub fn all() -> Self {
         Self(Fault::ALL.to_vec())
     }
 
-    /// Returns the set of all kinds and of those that carry calls out late.
+    /// Returns the set of all kinds, including those of [`Fault::LATE`].
     pub fn late() -> Self {
         Self([Fault::ALL, Fault::LATE].concat())
     }
@@ -96,7 +97,7 @@
         Self(self.0.iter().copied().filter(|f| *f != fault).collect())
     }
 
-    /// Tells whether a kind is in the set.
+    /// Returns whether a kind is in the set.
     pub fn has(&self, fault: Fault) -> bool {
         self.0.contains(&fault)
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,11 @@
-//! Long randomised runs of the coordination parts on virtual time.
+//! Long randomised runs of the coordination code on virtual time.
 //!
-//! A seed decides everything: which messages are lost, doubled, delayed and so reordered, which
-//! entries and workers are killed, frozen, cut off or replaced, when the store is down, slow or
-//! loses answers, and what callers and operators do. The nodes are the daemons' own; the store
-//! and the workers are the stand-ins' models. A run ends with a quiet time in which everything
-//! must finish, and the judges are read. The same seed gives the same run.
+//! The seed determines everything: which messages are lost, duplicated, delayed and thereby
+//! reordered; which entries and workers are killed, frozen, partitioned or replaced; when the store
+//! is down, slow or loses answers; and what callers and operators do. The nodes are those of the
+//! daemons; the store and the workers are the models of the stand-ins. A run ends with a quiet phase
+//! in which all work must finish, and then the checkers report their findings. The same seed gives
+//! the same run.
 
 pub mod check;
 pub mod clients;
@@ -12,4 +13,4 @@
 pub mod processes;
 pub mod run;
 pub mod seeds;
-pub mod world;
+pub mod simulation;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! `gaplock-soak`: runs many seeds and prints one line, or the first failing seed with its trace.
+//! `gaplock-soak`: runs many seeds and prints a summary line, after the trace of the first failing
+//! seed if there is one.
 
 use std::process::ExitCode;
 
@@ -58,10 +59,10 @@
     let failed: Vec<&Report> = reports.iter().filter(|r| !r.violations.is_empty()).collect();
     let violations: usize = failed.iter().map(|r| r.violations.len()).sum();
     if let Some(first) = failed.first() {
-        let (enabled, shortest) = narrow(first.seed, enabled.clone());
-        print_trace(&shortest);
+        let (enabled, narrowed) = narrow(first.seed, enabled.clone());
+        print_trace(&narrowed);
         println!("seed {} with only {:?}:", first.seed, enabled.kinds());
-        for violation in shortest.violations.iter().take(20) {
+        for violation in narrowed.violations.iter().take(20) {
             println!("  {violation}");
         }
         let seeds: Vec<String> = failed.iter().map(|r| r.seed.to_string()).collect();
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a time of faults, a quiet time, the verdict.
+//! One run: a phase with faults, a quiet phase, and the final checks.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,33 +6,33 @@
 use crate::check;
 use crate::clients::Clients;
 use crate::faults::{Enabled, Fault};
-use crate::world::{At, World};
+use crate::simulation::{SimMillis, Simulation};
 
-const FAULTY_MS: At = 40_000;
-const QUIET_MS: At = 45_000;
-const SLICE_MS: At = 50;
+const FAULTY_MS: SimMillis = 40_000;
+const QUIET_MS: SimMillis = 45_000;
+const SLICE_MS: SimMillis = 50;
 const ENTRIES: usize = 3;
 const WORKERS: usize = 4;
 
-/// What a run gave.
+/// The result of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// Events handled.
+    /// Number of handled events.
     pub steps: u64,
-    /// Faults that happened.
+    /// Number of injected faults.
     pub faults: u64,
-    /// What did not hold.
+    /// Descriptions of the violations.
     pub violations: Vec<String>,
-    /// The latest things that happened.
+    /// The most recent trace lines.
     pub trace: Vec<String>,
 }
 
-/// Runs a seed with some kinds of faults.
+/// Runs a seed with the enabled kinds of faults.
 pub fn run(seed: u64, enabled: Enabled) -> Report {
     let rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut w = World::open(rng, ENTRIES, WORKERS, enabled);
+    let mut w = Simulation::open(rng, ENTRIES, WORKERS, enabled);
     let mut clients = Clients::default();
     let mut until = 0;
     while until < FAULTY_MS + QUIET_MS {
@@ -58,26 +58,26 @@
     Report { seed, steps: w.steps, faults: w.faults, violations, trace }
 }
 
-fn generation(w: &World) -> u64 {
+fn generation(w: &Simulation) -> u64 {
     let in_force = w.entries.iter().flat_map(|e| e.in_force.iter());
     in_force.map(|(generation, _)| generation.0).max().unwrap_or(0)
 }
 
-/// Removes kinds of faults one by one as long as the seed still fails.
+/// Disables kinds of faults one by one, keeping each one disabled if the seed still fails without it.
 pub fn narrow(seed: u64, mut enabled: Enabled) -> (Enabled, Report) {
     let mut report = run(seed, enabled.clone());
     for fault in enabled.clone().kinds() {
         let fewer = enabled.without(*fault);
-        let tried = run(seed, fewer.clone());
-        if !tried.violations.is_empty() {
+        let without = run(seed, fewer.clone());
+        if !without.violations.is_empty() {
             enabled = fewer;
-            report = tried;
+            report = without;
         }
     }
     (enabled, report)
 }
 
-fn add_requests(w: &mut World, clients: &mut Clients) {
+fn add_requests(w: &mut Simulation, clients: &mut Clients) {
     if w.rng.random_ratio(1, 12) {
         clients.add_job(w);
     }
@@ -90,35 +90,36 @@
     }
 }
 
-fn draw_fault(w: &mut World, fault: Fault, one_in: u32) -> bool {
-    let struck = w.enabled.has(fault) && w.rng.random_ratio(1, one_in);
-    w.faults += u64::from(struck);
-    struck
+fn draw_fault(w: &mut Simulation, fault: Fault, one_in: u32) -> bool {
+    let happens = w.enabled.has(fault) && w.rng.random_ratio(1, one_in);
+    w.faults += u64::from(happens);
+    happens
 }
 
-/// Lets bigger faults happen.
-fn inject_faults(w: &mut World) {
+/// Injects faults of entries, workers and the store, as drawn; the message faults are drawn when a
+/// message is sent.
+fn inject_faults(w: &mut Simulation) {
     inject_entry_faults(w);
     inject_worker_faults(w);
     if draw_fault(w, Fault::StoreDown, 250) {
-        let long = w.rng.random_range(200..7_000);
-        w.store_down_until = w.now + long;
-        w.note(format!("the store is down for {long}"));
+        let duration = w.rng.random_range(200..7_000);
+        w.store_down_until = w.now + duration;
+        w.note(format!("the store is down for {duration}"));
     }
     if draw_fault(w, Fault::StoreLoses, 200) {
         w.store.faults.lose_percent = w.rng.random_range(0..40);
     }
 }
 
-fn inject_entry_faults(w: &mut World) {
+fn inject_entry_faults(w: &mut Simulation) {
     let i = w.rng.random_range(0..w.entries.len());
     if draw_fault(w, Fault::KillEntry, 150) {
         w.kill_entry(i);
     }
     if draw_fault(w, Fault::FreezeEntry, 150) {
-        let long = w.rng.random_range(100..9_000);
-        w.note(format!("e{i} is frozen for {long}"));
-        w.entries[i].frozen_until = w.now + long;
+        let duration = w.rng.random_range(100..9_000);
+        w.note(format!("e{i} is frozen for {duration}"));
+        w.entries[i].frozen_until = w.now + duration;
     }
     if draw_fault(w, Fault::StopEntry, 200) && w.entries[i].stopping_since.is_none() {
         w.note(format!("e{i} is told to stop"));
@@ -126,9 +127,9 @@
         w.handle(i, gaplock_coord::node::Event::Stop);
     }
     if draw_fault(w, Fault::CutStore, 150) {
-        let long = w.rng.random_range(100..8_000);
-        w.note(format!("e{i} is cut from the store for {long}"));
-        w.entries[i].cut_store_until = w.now + long;
+        let duration = w.rng.random_range(100..8_000);
+        w.note(format!("e{i} is cut from the store for {duration}"));
+        w.entries[i].cut_store_until = w.now + duration;
     }
     let j = (i + 1) % w.entries.len();
     if draw_fault(w, Fault::CutPeers, 120) {
@@ -144,7 +145,7 @@
     }
 }
 
-fn inject_worker_faults(w: &mut World) {
+fn inject_worker_faults(w: &mut Simulation) {
     let k = w.rng.random_range(0..w.workers.len());
     if draw_fault(w, Fault::FreezeWorker, 150) {
         let until = w.now + w.rng.random_range(100..9_000);
@@ -161,16 +162,16 @@
     }
 }
 
-fn set_leaving(w: &mut World, k: usize, leaving: bool) {
+fn set_leaving(w: &mut Simulation, k: usize, leaving: bool) {
     w.note(format!("w{k} leaving: {leaving}"));
     let now = w.worker_clock(k);
     w.workers[k].model.set_leaving(now, leaving);
     w.hosts[k].leaving = leaving;
-    w.tell_hosts();
+    w.publish_hosts();
 }
 
-/// Starts what has died, thaws what is due, ends planned stops.
-fn recover(w: &mut World) {
+/// Restarts entries that have died, resumes workers whose suspension is over, and ends planned stops.
+fn recover(w: &mut Simulation) {
     for i in 0..w.entries.len() {
         let dead = w.entries[i].node.is_none();
         if dead && (!w.faulty || w.rng.random_ratio(1, 40)) {
@@ -184,13 +185,13 @@
     for k in 0..w.workers.len() {
         let until = w.workers[k].frozen_until;
         if until > 0 && until <= w.now {
-            w.thaw_worker(k);
+            w.resume_worker(k);
         }
     }
 }
 
-/// Ends every fault.
-fn end_faults(w: &mut World) {
+/// Ends all faults.
+fn end_faults(w: &mut Simulation) {
     w.faulty = false;
     w.note("faults end".to_string());
     w.store.faults.lose_percent = 0;
@@ -202,7 +203,7 @@
         e.frozen_until = e.frozen_until.min(w.now);
     }
     for k in 0..w.workers.len() {
-        w.thaw_worker(k);
+        w.resume_worker(k);
         if w.hosts[k].leaving {
             set_leaving(w, k, false);
         }
--- a/crates/soak/src/seeds.rs
+++ b/crates/soak/src/seeds.rs
@@ -1,4 +1,4 @@
-//! Runs seeds on several threads and puts their reports in order.
+//! Runs seeds on several threads and returns their reports in order.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -8,13 +8,13 @@
 pub struct Seeds {
     /// The first seed.
     pub from: u64,
-    /// How many seeds.
+    /// Number of seeds.
     pub count: u64,
-    /// How many run at once.
+    /// Number of seeds that run at once.
     pub threads: u64,
 }
 
-/// Runs each seed once and returns what came of them, in the order of the seeds.
+/// Runs each seed once and returns the reports in the order of the seeds.
 pub fn run_each<R: Send>(seeds: Seeds, run: impl Fn(u64) -> R + Sync) -> Vec<R> {
     let next = AtomicU64::new(seeds.from);
     let reports: Mutex<Vec<(u64, R)>> = Mutex::default();
--- a/crates/soak/src/world/actions.rs
+++ b/crates/soak/src/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the nodes decide: calls, messages, heartbeats.
+//! Carries out the actions of the nodes: calls, messages and heartbeats.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
 use gaplock_coord::node::{Event, Located};
 use gaplock_types::{api, config, ids};
 
-use super::{entry_number, Due, World};
+use super::{entry_number, Due, Simulation};
 use crate::faults::Fault;
 
-impl World {
-    pub(super) fn carry_out(&mut self, i: usize, life: u64, action: Action) {
+impl Simulation {
+    pub(super) fn carry_out(&mut self, i: usize, process_number: u64, action: Action) {
         match action {
-            Action::Store { call, req } => self.call_store(i, life, call, req),
+            Action::Store { call, req } => self.call_store(i, process_number, call, req),
             Action::Worker { partition, worker, req, .. } => {
-                self.call_worker(i, life, partition, &worker, req);
+                self.call_worker(i, process_number, partition, &worker, req);
             }
             Action::Reply { id, reply } => self.route_reply(id.0, reply),
             Action::Confirmed { id, outcome } => {
@@ -24,20 +24,20 @@
             Action::Beat(beat) => self.beat(i, &beat),
             Action::HandOver { to, partition } => {
                 let to = entry_number(&to);
-                if !self.cut_peers(i, to) {
-                    let life = self.entries[to].life;
+                if !self.peers_partitioned(i, to) {
+                    let process_number = self.entries[to].process_number;
                     let event = Box::new(Event::HandOver(partition));
-                    self.send(Due::ToNode { to, life, event });
+                    self.send(Due::ToNode { to, process_number, event });
                 }
             }
             Action::Ask { from, to, run, command } => {
                 let id = self.command(i, to, command);
-                self.asks.insert(id, (i, life, from, run));
+                self.loan_queries.insert(id, (i, process_number, from, run));
             }
             Action::FetchConfig { from } => {
                 let to = entry_number(&from);
-                if !self.cut_peers(i, to) {
-                    self.send(Due::PeerConfigAsked { from: i, life, to });
+                if !self.peers_partitioned(i, to) {
+                    self.send(Due::PeerConfigRequested { from: i, process_number, to });
                 }
             }
             Action::InForce(config) => self.put_in_force(i, &config),
@@ -52,21 +52,21 @@
         }
     }
 
-    /// Sends a call to the store, if the entry reaches it.
-    fn call_store(&mut self, i: usize, life: u64, call: CallId, req: StoreCall) {
-        let reach = self.entries[i].cut_store_until <= self.now;
+    /// Sends a call to the store, unless the entry is partitioned from it.
+    fn call_store(&mut self, i: usize, process_number: u64, call: CallId, req: StoreCall) {
+        let reachable = self.entries[i].cut_store_until <= self.now;
         let write = matches!(req, StoreCall::Cas { .. } | StoreCall::Delete { .. });
-        let due = Due::ToStore { from: i, life, call, req };
-        let due = match reach && write {
+        let due = Due::ToStore { from: i, process_number, call, req };
+        let due = match reachable && write {
             true => self.send_late(Fault::LateWrites, due),
-            false => Some(due).filter(|_| reach),
+            false => Some(due).filter(|_| reachable),
         };
         if let Some(due) = due {
             self.send(due);
         }
-        // Whatever happens to the call, the caller's own limit ends it.
+        // The caller's own timeout ends the call if no answer arrives before.
         let event = Event::Store { call, answer: StoreAnswer::Unclear };
-        self.at(500, Due::ToNode { to: i, life, event: Box::new(event) });
+        self.schedule(500, Due::ToNode { to: i, process_number, event: Box::new(event) });
     }
 
     pub(super) fn put_in_force(&mut self, i: usize, config: &Arc<config::Config>) {
@@ -77,15 +77,25 @@
 
     pub(super) fn beat(&mut self, i: usize, beat: &api::Heartbeat) {
         for to in 0..self.entries.len() {
-            if to == i || self.cut_peers(i, to) {
+            if to == i || self.peers_partitioned(i, to) {
                 continue;
             }
-            let life = self.entries[to].life;
-            self.send(Due::ToNode { to, life, event: Box::new(Event::Beat(beat.clone())) });
+            let process_number = self.entries[to].process_number;
+            self.send(Due::ToNode {
+                to,
+                process_number,
+                event: Box::new(Event::Beat(beat.clone())),
+            });
         }
     }
 
-    pub(super) fn serve_store(&mut self, from: usize, life: u64, call: CallId, req: &StoreCall) {
+    pub(super) fn serve_store(
+        &mut self,
+        from: usize,
+        process_number: u64,
+        call: CallId,
+        req: &StoreCall,
+    ) {
         if self.store_down_until > self.now {
             return;
         }
@@ -96,10 +106,11 @@
             return;
         }
         let event = Box::new(Event::Store { call, answer });
-        self.send(Due::ToNode { to: from, life, event });
+        self.send(Due::ToNode { to: from, process_number, event });
     }
 
-    /// Sends a command to an entry, which passes it to the partition's owner.
+    /// Sends a command to an entry, which forwards it to the owner of the partition. Returns the number
+    /// of the command.
     pub fn command(&mut self, entry: usize, part: ids::PartitionId, command: api::Command) -> u64 {
         self.next += 1;
         let id = self.next;
@@ -107,12 +118,12 @@
         let Some(node) = &e.node else { return id };
         match node.locate(&e.cx, part) {
             Located::Here => {
-                self.at(1, Due::CommandTo { from: None, to: entry, part, id, command })
+                self.schedule(1, Due::CommandTo { from: None, to: entry, part, id, command })
             }
             Located::Peer(peer) => {
                 let to = entry_number(&peer);
-                if !self.cut_peers(entry, to) {
-                    let from = Some((entry, e.life, id));
+                if !self.peers_partitioned(entry, to) {
+                    let from = Some((entry, e.process_number, id));
                     self.send(Due::CommandTo { from, to, part, id, command });
                 }
             }
@@ -125,7 +136,7 @@
         let due = Due::ReplyTo { id, reply };
         match self.routes.remove(&id) {
             Some(Some(_)) => self.send(due),
-            _ => self.at(1, due),
+            _ => self.schedule(1, due),
         }
     }
 }
--- a/crates/soak/src/world/entries.rs
+++ b/crates/soak/src/simulation/entries.rs
@@ -1,4 +1,4 @@
-//! The entries of a run: their processes, clocks and what they are handed.
+//! The entries of a run: their processes, their clocks and the events that they handle.
 
 use gaplock_coord::action::{StoreAnswer, StoreCall};
 use gaplock_coord::context::Context;
@@ -7,9 +7,11 @@
 use gaplock_types::{ids, time};
 use rand::Rng;
 
-use super::{layout, local, serde_json_doc, timing, Due, World, CONFIG_EVERY, TICK};
+use super::{
+    layout, local, parse_document, timing, Due, Simulation, CONFIG_READ_INTERVAL, TICK_INTERVAL,
+};
 
-impl World {
+impl Simulation {
     /// Starts a new process for an entry.
     pub fn start_entry(&mut self, i: usize) {
         let incarnation = ids::Incarnation(self.rng.random());
@@ -18,19 +20,19 @@
         let mut node = Node::open(me, format!("e{i}"), domain, layout());
         let mut cx = Context::open(timing());
         let e = &mut self.entries[i];
-        e.life += 1;
+        e.process_number += 1;
         cx.now = local(self.now, e);
         node.handle(&mut cx, Event::Hosts(self.hosts.clone()));
         cx.actions.clear();
         e.node = Some(node);
         e.cx = cx;
-        e.held.clear();
+        e.pending.clear();
         e.frozen_until = 0;
         e.stopping_since = None;
         e.in_force.clear();
         self.note(format!("e{i} starts"));
-        self.at(1, Due::Tick(i));
-        self.at(2, Due::ReadConfig(i));
+        self.schedule(1, Due::Tick(i));
+        self.schedule(2, Due::ReadConfig(i));
     }
 
     /// Kills an entry's process.
@@ -38,8 +40,8 @@
         self.note(format!("e{i} is killed"));
         let e = &mut self.entries[i];
         e.node = None;
-        e.life += 1;
-        e.held.clear();
+        e.process_number += 1;
+        e.pending.clear();
     }
 
     pub(super) fn tick(&mut self, i: usize) {
@@ -48,22 +50,22 @@
             return;
         }
         if e.frozen_until > self.now {
-            let wait = e.frozen_until - self.now;
-            self.at(wait, Due::Tick(i));
+            let delay = e.frozen_until - self.now;
+            self.schedule(delay, Due::Tick(i));
             return;
         }
-        while let Some(event) = self.entries[i].held.pop_front() {
+        while let Some(event) = self.entries[i].pending.pop_front() {
             self.handle(i, event);
         }
         self.handle(i, Event::Tick);
-        self.at(TICK, Due::Tick(i));
+        self.schedule(TICK_INTERVAL, Due::Tick(i));
     }
 
     pub(super) fn read_config(&mut self, i: usize) {
         if self.entries[i].node.is_none() {
             return;
         }
-        self.at(CONFIG_EVERY, Due::ReadConfig(i));
+        self.schedule(CONFIG_READ_INTERVAL, Due::ReadConfig(i));
         let e = &self.entries[i];
         if self.store_down_until > self.now
             || e.cut_store_until > self.now
@@ -72,32 +74,32 @@
             return;
         }
         let sent_at = local(self.now, e);
-        let life = e.life;
+        let process_number = e.process_number;
         let answer = self.store.carry_out(&StoreCall::Get { key: keys::CONFIG.to_string() });
         let StoreAnswer::Read(kvs) = answer else { return };
         let doc = kvs.first().and_then(|kv| {
-            let doc = serde_json_doc(&kv.value)?;
+            let doc = parse_document(&kv.value)?;
             Some((doc, kv.index))
         });
-        self.send(Due::ConfigRead { to: i, life, sent_at, doc });
+        self.send(Due::ConfigRead { to: i, process_number, sent_at, doc });
     }
 
-    pub(super) fn deliver(&mut self, to: usize, life: u64, event: Event) {
+    pub(super) fn deliver(&mut self, to: usize, process_number: u64, event: Event) {
         let e = &mut self.entries[to];
-        if e.life != life || e.node.is_none() {
+        if e.process_number != process_number || e.node.is_none() {
             return;
         }
         if e.frozen_until > self.now {
-            e.held.push_back(event);
+            e.pending.push_back(event);
             return;
         }
-        while let Some(earlier) = self.entries[to].held.pop_front() {
+        while let Some(earlier) = self.entries[to].pending.pop_front() {
             self.handle(to, earlier);
         }
         self.handle(to, event);
     }
 
-    /// Hands an event to an entry now and carries out its actions.
+    /// Delivers an event to an entry now and carries out the resulting actions.
     pub fn handle(&mut self, i: usize, event: Event) {
         let e = &mut self.entries[i];
         let Some(node) = &mut e.node else { return };
@@ -105,9 +107,9 @@
         e.cx.unix_ms = 1_000_000 + self.now;
         node.handle(&mut e.cx, event);
         let actions = std::mem::take(&mut e.cx.actions);
-        let life = e.life;
+        let process_number = e.process_number;
         for action in actions {
-            self.carry_out(i, life, action);
+            self.carry_out(i, process_number, action);
         }
     }
 }
--- a/crates/soak/src/world/workers.rs
+++ b/crates/soak/src/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! The workers of a run: their models, clocks, freezes and replacements.
+//! The workers of a run: their models, clocks, suspensions and replacements.
 
 use std::collections::VecDeque;
 
@@ -9,20 +9,20 @@
 
 use crate::faults::Fault;
 
-use super::{local, Due, WorkerHost, World, CAPACITY, WORKER_CALL_LIMIT};
+use super::{local, Due, Simulation, WorkerHost, CAPACITY, WORKER_CALL_TIMEOUT};
 
-/// Of so many starts one is refused, where such faults are in use.
+/// One in this many starts is refused where such faults are enabled.
 const REFUSED_ONE_IN: u32 = 3;
 
-impl World {
+impl Simulation {
     pub(super) fn add_worker(&mut self, i: usize) {
         let rate_per_mille = self.draw_rate();
         let traits = worker::Traits {
             capacity: CAPACITY,
             usage_lag_ms: 500,
             checkpoint_every_ms: 200,
-            // A command may be six seconds late here and then lie at a frozen worker for as long
-            // as two freezes in a row.
+            // A command may be six seconds late here and then wait at a suspended worker for as long
+            // as two suspensions in a row.
             leaving_grace_ms: 25_000,
             seed: i as u64,
             ..worker::Traits::default()
@@ -33,7 +33,7 @@
             past: Vec::new(),
             past_counts: Vec::new(),
             frozen_until: 0,
-            held: VecDeque::new(),
+            pending: VecDeque::new(),
             rate_per_mille,
         });
         self.hosts.push(wire::Host {
@@ -51,20 +51,20 @@
     pub(super) fn call_worker(
         &mut self,
         from: usize,
-        life: u64,
+        process_number: u64,
         part: ids::PartitionId,
         worker: &ids::WorkerId,
         req: WorkerCall,
     ) {
-        let to: usize = worker.0[1..].parse().expect("workers are numbered");
+        let to: usize = worker.0[1..].parse().expect("worker names are `w` and a number");
         let sent_at = local(self.now, &self.entries[from]);
         self.next += 1;
         let answered = self.next;
-        if !self.cut_worker(from, to) {
-            let order = !matches!(req, WorkerCall::Lease(_));
+        if !self.worker_partitioned(from, to) {
+            let is_order = !matches!(req, WorkerCall::Lease(_));
             let req = req.clone();
-            let due = Due::ToWorker { from, life, to, sent_at, part, req, answered };
-            let due = match order {
+            let due = Due::ToWorker { from, process_number, to, sent_at, part, req, answered };
+            let due = match is_order {
                 true => self.send_late(Fault::LateOrders, due),
                 false => Some(due),
             };
@@ -75,13 +75,14 @@
         let answer = WorkerAnswer::Unclear;
         let worker = worker.clone();
         let event = Event::Worker { partition: part, worker, req, sent_at, answer };
-        let due = Due::WorkerAnswered { to: from, life, event: Box::new(event), answered };
-        self.at(WORKER_CALL_LIMIT, due);
+        let due =
+            Due::WorkerAnswered { to: from, process_number, event: Box::new(event), answered };
+        self.schedule(WORKER_CALL_TIMEOUT, due);
     }
 
     pub(super) fn serve_worker(&mut self, to: usize, req: &WorkerCall) -> WorkerAnswer {
         let start = matches!(req, WorkerCall::Start(_));
-        if start && self.strikes(Fault::RefusedStarts, REFUSED_ONE_IN) {
+        if start && self.draw_fault(Fault::RefusedStarts, REFUSED_ONE_IN) {
             return WorkerAnswer::Verdict(wire::CommandOutcome::NoRoom);
         }
         let now = self.worker_clock(to);
@@ -98,7 +99,7 @@
         time::Instant(self.now * self.workers[i].rate_per_mille / 1000)
     }
 
-    /// Returns what ran on a worker under all its boots, by the run's clock.
+    /// Returns when which runs ran on a worker, over all its boots, by the clock of the simulation.
     pub fn stretches(&self, i: usize) -> Vec<worker::Stretch> {
         let w = &self.workers[i];
         let rate = w.rate_per_mille;
@@ -112,17 +113,17 @@
         all
     }
 
-    /// Lets a frozen worker go on with what arrived meanwhile.
-    pub fn thaw_worker(&mut self, i: usize) {
+    /// Resumes a suspended worker, which then handles what arrived in the meantime.
+    pub fn resume_worker(&mut self, i: usize) {
         self.workers[i].frozen_until = 0;
         let now = self.worker_clock(i);
         self.workers[i].model.advance(now);
-        while let Some(due) = self.workers[i].held.pop_front() {
-            self.arrive(due);
+        while let Some(due) = self.workers[i].pending.pop_front() {
+            self.handle_due(due);
         }
     }
 
-    /// Replaces a worker under the same address: everything on it ends now.
+    /// Replaces a worker by a new one at the same address; all runs on the old one end now.
     pub fn replace_worker(&mut self, i: usize) {
         let now = self.worker_clock(i);
         self.workers[i].model.advance(now);
@@ -139,12 +140,12 @@
         w.past = past;
         w.past_counts.push(w.model.counts.clone());
         w.model = worker::Model::open(traits, boot, now);
-        w.held.clear();
+        w.pending.clear();
         w.frozen_until = 0;
         w.model.set_leaving(now, self.hosts[i].leaving);
     }
 
-    pub(super) fn cut_worker(&self, entry: usize, worker: usize) -> bool {
+    pub(super) fn worker_partitioned(&self, entry: usize, worker: usize) -> bool {
         self.worker_cuts.get(&(entry, worker)).is_some_and(|until| *until > self.now)
     }
 }
--- a/crates/soak/tests/late_calls.rs
+++ b/crates/soak/tests/late_calls.rs
@@ -16,7 +16,7 @@
 use gaplock_coord::action::{Action, ReplyId, StoreAnswer, WorkerAnswer, WorkerCall};
 use gaplock_coord::context::{Context, Shares, Timing};
 use gaplock_coord::partition::Partition;
-use gaplock_soak::{clients, world};
+use gaplock_soak::{clients, simulation};
 use gaplock_standin::{store, worker};
 use gaplock_types::{api, codes, config, ids, sizes, time, wire};
 
@@ -47,7 +47,7 @@
 fn owner(name: &str, timing: Timing) -> Owner {
     let me = ids::Member { entry: name.into(), incarnation: ids::Incarnation(1) };
     let mut cx = Context::open(timing);
-    let mut config: config::Config = clients::first_config();
+    let mut config: config::Config = clients::initial_config();
     config.placements[0].services.clear();
     cx.config = Arc::new(config);
     let partition = Partition::open(ids::PartitionId(0), me);
@@ -212,7 +212,7 @@
 
 /// A right to renew that outlives every wait of a successor, as the default's 75 minutes do.
 fn long_right() -> Timing {
-    Timing { renew_right: time::Millis(600_000), ..world::timing() }
+    Timing { renew_right: time::Millis(600_000), ..simulation::timing() }
 }
 
 #[test]
@@ -242,7 +242,7 @@
 #[test]
 fn a_start_under_way_to_a_worker_that_was_off_the_list_begins_nothing_anew() {
     let mut w = World::open(&["w0"]);
-    let mut a = owner("a", world::timing());
+    let mut a = owner("a", simulation::timing());
     w.set_hosts(&mut a, &["w0"]);
     w.claim(&mut a);
     w.tick(&mut [&mut a], 400);
@@ -263,7 +263,7 @@
 #[test]
 fn a_late_word_that_a_host_is_off_says_nothing_of_a_newer_boot() {
     let mut w = World::open(&["w0", "w1"]);
-    let (mut a, mut b) = (owner("a", world::timing()), owner("b", world::timing()));
+    let (mut a, mut b) = (owner("a", simulation::timing()), owner("b", simulation::timing()));
     let worker = ids::WorkerId::from("w0");
     w.set_hosts(&mut a, &["w0"]);
     w.claim(&mut a);
@@ -292,7 +292,7 @@
 #[test]
 fn a_repeat_in_an_outage_is_not_refused_as_never_taken() {
     let mut w = World::open(&["w0"]);
-    let mut a = owner("a", world::timing());
+    let mut a = owner("a", simulation::timing());
     w.set_hosts(&mut a, &["w0"]);
     w.claim(&mut a);
     w.tick(&mut [&mut a], 400);
--- a/crates/soak/tests/scenarios.rs
+++ b/crates/soak/tests/scenarios.rs
@@ -15,7 +15,7 @@
 use gaplock_coord::action::{Action, ReplyId, StoreAnswer, StoreCall, WorkerAnswer, WorkerCall};
 use gaplock_coord::context::{Context, Shares};
 use gaplock_coord::partition::Partition;
-use gaplock_soak::{clients, world};
+use gaplock_soak::{clients, simulation};
 use gaplock_standin::{store, worker};
 use gaplock_types::{api, config, ids, sizes, time, wire};
 
@@ -40,8 +40,8 @@
 
 impl Runner {
     fn new() -> Self {
-        let mut cx = Context::open(world::timing());
-        let mut config: config::Config = clients::first_config();
+        let mut cx = Context::open(simulation::timing());
+        let mut config: config::Config = clients::initial_config();
         config.placements[0].services.clear();
         cx.config = Arc::new(config);
         Self {
