--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -8,8 +8,11 @@
 use crate::faults::{Enabled, Fault};
 use crate::simulation::{SimMillis, Simulation};
 
+/// Length of the phase with faults.
 const FAULTY_MS: SimMillis = 40_000;
+/// Length of the phase without faults, in which all work must finish.
 const QUIET_MS: SimMillis = 45_000;
+/// How often faults and requests are drawn and callers act.
 const SLICE_MS: SimMillis = 50;
 const ENTRIES: usize = 3;
 const WORKERS: usize = 4;
