--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -115,15 +115,9 @@
     /// Adds a request that must not be repeated.
     pub fn add_once(&mut self, w: &mut Simulation) {
         let key = self.key("once");
-        let (tries_left, next_attempt) = (w.rng.random_range(1..6), w.now);
+        let (attempts_left, next_attempt) = (w.rng.random_range(1..6), w.now);
         let claims = BTreeMap::new();
-        self.once.push(OnceRequest {
-            key,
-            claims,
-            attempts_left: tries_left,
-            next_attempt,
-            runs: 0,
-        });
+        self.once.push(OnceRequest { key, claims, attempts_left, next_attempt, runs: 0 });
     }
 
     /// Confirms a plan at a random entry, based on the configuration in force there.
