--- a/crates/soak/tests/late_calls.rs
+++ b/crates/soak/tests/late_calls.rs
@@ -1,14 +1,17 @@
-//! Orders and writes that are carried out late, with two owners of one partition and real models.
+//! Tests orders and writes that are carried out late, with two owners of one partition and the
+//! models of the store and the workers.
 //!
-//! Seen: by reading, not in a run. A former owner went on renewing leases after its release had
-//! been carried out without an answer, while its successor took the stored release as proof that it
-//! would not; and an owner forgot until when an order may still be carried out at a worker that was
-//! off the host list for a moment, acknowledged the ended run, and the order under way began it
-//! anew; and an operator's word that a host is off, carried out late, held for a boot that came
-//! after it; and a repeat in an outage was refused as never taken, though its first try had been
-//! carried out. Cause: a stored release says nothing of when its writer learns of it; a link was
-//! dropped with what bounds its orders; the declaration named no boot; a refusal of a try was given
-//! for all tries under its key. Proof: the tests below failed before and hold since.
+//! They guard against four failures:
+//! - A previous owner continued to renew leases after its release had been carried out without an
+//!   answer, while its successor took the stored release as proof that it would not. A stored
+//!   release does not tell when its writer learns of it.
+//! - An owner lost the time until which an order may still be carried out at a worker that was off
+//!   the host list for a moment, since the bound was dropped together with the link. It acknowledged
+//!   the ended run, and the order under way started the run again.
+//! - An operator's instruction that a host is off, carried out late, was applied to a later boot,
+//!   since it named no boot.
+//! - A repeated command during an outage was refused as not run, although its first attempt had been
+//!   carried out: the refusal of one attempt was returned for all attempts under its key.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,26 +24,27 @@
 use gaplock_types::{api, codes, config, ids, sizes, time, wire};
 
 const CAPACITY: sizes::Resources = sizes::Resources::new(4_000, 8_192, 0);
-const STEP: u64 = 50;
+const STEP_MS: u64 = 50;
 
-/// One entry's part, with what it cannot reach.
+/// One entry's view of the partition, with the calls that do not reach their target.
 struct Owner {
     partition: Partition,
     cx: Context,
-    /// Whether its writes are carried out without an answer and its reads get none.
+    /// Whether all answers of the store are lost; its writes are still carried out.
     store_lost: bool,
-    cut: BTreeSet<String>,
+    /// Workers from which the entry is partitioned.
+    partitioned: BTreeSet<String>,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     store: store::Model,
     workers: BTreeMap<String, worker::Model>,
-    /// Start orders that are kept back, with their workers.
+    /// Copies of start orders that are delivered late, with their workers.
     late: Vec<(String, wire::StartRequest)>,
-    /// Whether a copy of each start order is kept back.
+    /// Whether a copy of each start order is kept for late delivery.
     copy_starts: bool,
-    /// What was replied, by command.
+    /// Replies by the number of the command.
     replies: BTreeMap<u64, api::Reply>,
 }
 
@@ -51,7 +55,7 @@
     config.placements[0].services.clear();
     cx.config = Arc::new(config);
     let partition = Partition::open(ids::PartitionId(0), me);
-    Owner { partition, cx, store_lost: false, cut: BTreeSet::new() }
+    Owner { partition, cx, store_lost: false, partitioned: BTreeSet::new() }
 }
 
 fn host(name: &str) -> wire::Host {
@@ -67,7 +71,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn open(workers: &[&str]) -> Self {
         let model = |i: usize| {
             let traits = worker::Traits { capacity: CAPACITY, ..worker::Traits::default() };
@@ -84,7 +88,7 @@
         }
     }
 
-    fn pump(&mut self, o: &mut Owner) {
+    fn carry_out_all(&mut self, o: &mut Owner) {
         while !o.cx.actions.is_empty() {
             for action in std::mem::take(&mut o.cx.actions) {
                 match action {
@@ -110,7 +114,7 @@
             self.late.push((name.0.clone(), start.clone()));
         }
         let answer = match self.workers.get_mut(name.as_str()) {
-            Some(model) if !o.cut.contains(name.as_str()) => match req {
+            Some(model) if !o.partitioned.contains(name.as_str()) => match req {
                 WorkerCall::Lease(req) => WorkerAnswer::Lease(model.lease(now, req)),
                 WorkerCall::Start(req) => WorkerAnswer::Verdict(model.start(now, req)),
                 WorkerCall::Control(req) => WorkerAnswer::Verdict(model.control(now, req)),
@@ -121,26 +125,30 @@
     }
 
     fn tick(&mut self, owners: &mut [&mut Owner], ms: u64) {
-        for _ in 0..ms / STEP {
-            self.now += STEP;
+        for _ in 0..ms / STEP_MS {
+            self.now += STEP_MS;
             for o in owners.iter_mut() {
                 o.cx.now = time::Instant(self.now);
                 o.cx.unix_ms = self.now;
                 o.partition.tick(&mut o.cx);
-                self.pump(o);
+                self.carry_out_all(o);
             }
-            self.assert_nothing_doubled();
+            self.assert_no_task_runs_twice();
         }
     }
 
-    /// No task runs at two workers, and none runs twice at one.
-    fn assert_nothing_doubled(&mut self) {
+    /// Asserts that no task runs at two workers, or twice at one.
+    fn assert_no_task_runs_twice(&mut self) {
         let now = time::Instant(self.now);
         let mut running = BTreeSet::new();
         for (name, model) in &mut self.workers {
             model.advance(now);
             for (run, _) in model.active() {
-                assert!(running.insert(run.task), "{} runs at {name} too, at {now:?}", run.task);
+                assert!(
+                    running.insert(run.task),
+                    "{} runs a second time, at {name}, at {now:?}",
+                    run.task
+                );
             }
         }
     }
@@ -148,9 +156,12 @@
     fn carry_out_late_orders(&mut self) {
         let now = time::Instant(self.now);
         for (name, start) in std::mem::take(&mut self.late) {
-            self.workers.get_mut(&name).expect("it is known").start(now, &start);
+            self.workers
+                .get_mut(&name)
+                .expect("late orders are addressed to existing workers")
+                .start(now, &start);
         }
-        self.assert_nothing_doubled();
+        self.assert_no_task_runs_twice();
     }
 
     fn set_hosts(&mut self, o: &mut Owner, names: &[&str]) {
@@ -160,12 +171,12 @@
         o.cx.fleet_capacity = capacity;
         let shares = Shares { replicas: BTreeMap::new(), capacity };
         o.partition.set_hosts(&mut o.cx, &hosts, shares);
-        self.pump(o);
+        self.carry_out_all(o);
     }
 
     fn claim(&mut self, o: &mut Owner) {
         o.partition.want(&mut o.cx);
-        self.pump(o);
+        self.carry_out_all(o);
     }
 
     fn submit(&mut self, o: &mut Owner, work_ms: u64) {
@@ -183,7 +194,7 @@
         let (partner, key) = (clients::PARTNER.into(), ids::RequestKey("k".to_string()));
         let command = api::Command::Submit { partner, key, spec };
         o.partition.command(&mut o.cx, ReplyId(id), command);
-        self.pump(o);
+        self.carry_out_all(o);
     }
 
     fn claim_once(&mut self, o: &mut Owner, id: u64) {
@@ -194,7 +205,7 @@
             claimer: format!("c{id}"),
         };
         o.partition.command(&mut o.cx, ReplyId(id), command);
-        self.pump(o);
+        self.carry_out_all(o);
     }
 
     /// Returns whether the work behind a refused command may have run.
@@ -210,38 +221,40 @@
     }
 }
 
-/// A right to renew that outlives every wait of a successor, as the default's 75 minutes do.
-fn long_right() -> Timing {
+/// Returns a timing whose right to renew outlasts every wait of a successor, as the default of 75
+/// minutes does.
+fn timing_with_long_renew_right() -> Timing {
     Timing { renew_right: time::Millis(600_000), ..simulation::timing() }
 }
 
 #[test]
 fn a_release_whose_answer_was_lost_does_not_let_two_owners_keep_a_task_alive() {
-    let mut w = World::open(&["w0", "w1"]);
-    let (mut a, mut b) = (owner("a", long_right()), owner("b", long_right()));
+    let mut w = Simulation::open(&["w0", "w1"]);
+    let (mut a, mut b) =
+        (owner("a", timing_with_long_renew_right()), owner("b", timing_with_long_renew_right()));
     w.set_hosts(&mut a, &["w0", "w1"]);
     w.claim(&mut a);
     w.tick(&mut [&mut a], 400);
     w.submit(&mut a, 10_000_000);
     w.tick(&mut [&mut a], 1_000);
-    let (at, other) = if w.runs_at("w0") == 1 { ("w0", "w1") } else { ("w1", "w0") };
-    assert_eq!((w.runs_at(at), w.runs_at(other)), (1, 0));
-    // The release is carried out, and its writer hears of its successor nowhere.
+    let (current, other) = if w.runs_at("w0") == 1 { ("w0", "w1") } else { ("w1", "w0") };
+    assert_eq!((w.runs_at(current), w.runs_at(other)), (1, 0));
+    // The release is carried out, and its writer does not learn of its successor from any source.
     a.store_lost = true;
-    a.cut.insert(other.to_string());
+    a.partitioned.insert(other.to_string());
     a.partition.release(&mut a.cx);
     w.tick(&mut [&mut a], 200);
-    b.cut.insert(at.to_string());
+    b.partitioned.insert(current.to_string());
     w.set_hosts(&mut b, &["w0", "w1"]);
     w.claim(&mut b);
     assert!(b.partition.owns());
     w.tick(&mut [&mut a, &mut b], 200_000);
-    assert_eq!(w.runs_at(other), 1, "the task goes on elsewhere in the end");
+    assert_eq!(w.runs_at(other), 1, "the task must run at the other worker in the end");
 }
 
 #[test]
-fn a_start_under_way_to_a_worker_that_was_off_the_list_begins_nothing_anew() {
-    let mut w = World::open(&["w0"]);
+fn a_late_start_at_a_worker_that_was_off_the_host_list_does_not_repeat_an_ended_run() {
+    let mut w = Simulation::open(&["w0"]);
     let mut a = owner("a", simulation::timing());
     w.set_hosts(&mut a, &["w0"]);
     w.claim(&mut a);
@@ -249,54 +262,54 @@
     w.copy_starts = true;
     w.submit(&mut a, 200);
     w.tick(&mut [&mut a], 600);
-    let runs = |w: &World| w.workers["w0"].stretches.len();
-    assert_eq!((runs(&w), w.runs_at("w0")), (1, 0), "the task ran once and ended");
+    let runs = |w: &Simulation| w.workers["w0"].stretches.len();
+    assert_eq!((runs(&w), w.runs_at("w0")), (1, 0), "the task must have run once and ended");
     w.set_hosts(&mut a, &[]);
     w.tick(&mut [&mut a], 200);
     w.set_hosts(&mut a, &["w0"]);
     w.tick(&mut [&mut a], 1_000);
     w.carry_out_late_orders();
     w.tick(&mut [&mut a], 1_000);
-    assert_eq!(runs(&w), 1, "an order carried out late began the ended run again");
+    assert_eq!(runs(&w), 1, "an order carried out late must not start the ended run again");
 }
 
 #[test]
-fn a_late_word_that_a_host_is_off_says_nothing_of_a_newer_boot() {
-    let mut w = World::open(&["w0", "w1"]);
+fn a_late_instruction_that_a_host_is_off_does_not_apply_to_a_newer_boot() {
+    let mut w = Simulation::open(&["w0", "w1"]);
     let (mut a, mut b) = (owner("a", simulation::timing()), owner("b", simulation::timing()));
     let worker = ids::WorkerId::from("w0");
     w.set_hosts(&mut a, &["w0"]);
     w.claim(&mut a);
     w.tick(&mut [&mut a], 400);
-    let shown = a.partition.survey().workers[0].boot;
+    let old_boot = a.partition.survey().workers[0].boot;
     let now = time::Instant(w.now);
     let traits = w.workers["w0"].traits.clone();
     w.workers.insert("w0".to_string(), worker::Model::open(traits, wire::Boot(9), now));
     w.tick(&mut [&mut a], 1_000);
     w.submit(&mut a, 10_000_000);
     w.tick(&mut [&mut a], 1_000);
-    assert_eq!(w.runs_at("w0"), 1, "the task runs on the new boot");
-    // The next owner does not reach the worker, and the operator's word for the old boot comes
-    // late.
+    assert_eq!(w.runs_at("w0"), 1, "the task must run on the new boot");
+    // The next owner does not reach the worker, and the operator's instruction for the old boot
+    // arrives late.
     a.partition.release(&mut a.cx);
     w.tick(&mut [&mut a], 200);
-    b.cut.insert("w0".to_string());
+    b.partitioned.insert("w0".to_string());
     w.set_hosts(&mut b, &["w0", "w1"]);
     w.claim(&mut b);
-    let command = api::Command::ConfirmDead { worker, boot: shown };
+    let command = api::Command::ConfirmDead { worker, boot: old_boot };
     b.partition.command(&mut b.cx, ReplyId(2), command);
     w.tick(&mut [&mut b], 2_000);
     assert_eq!(w.runs_at("w1"), 0);
 }
 
 #[test]
-fn a_repeat_in_an_outage_is_not_refused_as_never_taken() {
-    let mut w = World::open(&["w0"]);
+fn a_repeat_in_an_outage_is_not_refused_as_not_run() {
+    let mut w = Simulation::open(&["w0"]);
     let mut a = owner("a", simulation::timing());
     w.set_hosts(&mut a, &["w0"]);
     w.claim(&mut a);
     w.tick(&mut [&mut a], 400);
-    // What is written is carried out, and no answer comes.
+    // Writes are carried out, but their answers are lost.
     a.store_lost = true;
     w.submit_as(&mut a, 1, 1_000);
     w.claim_once(&mut a, 2);
