--- a/crates/soak/tests/scenarios.rs
+++ b/crates/soak/tests/scenarios.rs
@@ -1,10 +1,11 @@
-//! Scripted scenarios of one partition: `tests/scenarios/*` in goldenscript's language.
+//! Runs the scripted scenarios of one partition in `tests/scenarios/*`, written in goldenscript's
+//! language.
 //!
 //! Commands: `claim`, `release`, `tick MS`, `hosts NAME... [leaving=NAME]`, `submit KEY [tasks=N]
 //! [work=MS] [cpu=M] [urgent=true]`, `cancel NUMBER`, `once KEY CLAIMER`, `done KEY CLAIMER END`,
 //! `dead NAME`, `cut NAME`, `mend NAME`, `replace NAME`, `bad NAME`, `store ok|down|lose`, `show`.
-//! Each prints the decisions that it led to. To write the expected output anew, run the tests with
-//! `UPDATE_GOLDENFILES=1` and read the difference.
+//! Each command prints the decisions that result from it. To update the expected output, run the
+//! tests with `UPDATE_GOLDENFILES=1` and review the difference.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -20,7 +21,7 @@
 use gaplock_types::{api, config, ids, sizes, time, wire};
 
 const CAPACITY: sizes::Resources = sizes::Resources::new(4_000, 8_192, 0);
-const STEP: u64 = 50;
+const STEP_MS: u64 = 50;
 
 struct Runner {
     partition: Partition,
@@ -28,7 +29,7 @@
     store: store::Model,
     store_mode: String,
     workers: BTreeMap<String, worker::Model>,
-    cut: BTreeSet<String>,
+    partitioned: BTreeSet<String>,
     hosts: Vec<wire::Host>,
     out: String,
     next_reply: u64,
@@ -50,7 +51,7 @@
             store: store::Model::default(),
             store_mode: "ok".to_string(),
             workers: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             hosts: Vec::new(),
             out: String::new(),
             next_reply: 0,
@@ -91,16 +92,17 @@
     }
 
     fn tick(&mut self, ms: u64) {
-        for _ in 0..ms.div_ceil(STEP) {
-            self.cx.now = self.cx.now + time::Millis(STEP);
+        for _ in 0..ms.div_ceil(STEP_MS) {
+            self.cx.now = self.cx.now + time::Millis(STEP_MS);
             self.cx.unix_ms = self.cx.now.0;
             self.partition.tick(&mut self.cx);
-            self.pump();
+            self.carry_out_all();
         }
     }
 
-    /// Carries out actions until nothing is left; unclear answers come at once here.
-    fn pump(&mut self) {
+    /// Carries out actions until none is left. A call without a clear answer gets that answer at once
+    /// here, without a timeout.
+    fn carry_out_all(&mut self) {
         while !self.cx.actions.is_empty() {
             for action in std::mem::take(&mut self.cx.actions) {
                 self.carry_out(action);
@@ -124,7 +126,7 @@
             Action::Worker { worker, req, .. } => {
                 let now = self.cx.now;
                 let answer = match self.workers.get_mut(worker.as_str()) {
-                    Some(model) if !self.cut.contains(worker.as_str()) => match &req {
+                    Some(model) if !self.partitioned.contains(worker.as_str()) => match &req {
                         WorkerCall::Lease(req) => WorkerAnswer::Lease(model.lease(now, req)),
                         WorkerCall::Start(req) => WorkerAnswer::Verdict(model.start(now, req)),
                         WorkerCall::Control(req) => WorkerAnswer::Verdict(model.control(now, req)),
@@ -157,7 +159,7 @@
     fn command(&mut self, command: api::Command) {
         self.next_reply += 1;
         self.partition.command(&mut self.cx, ReplyId(self.next_reply), command);
-        self.pump();
+        self.carry_out_all();
     }
 
     fn show(&mut self) {
@@ -186,18 +188,18 @@
         match command.name.as_str() {
             "claim" => {
                 self.partition.want(&mut self.cx);
-                self.pump();
+                self.carry_out_all();
             }
             "release" => {
                 self.partition.release(&mut self.cx);
-                self.pump();
+                self.carry_out_all();
             }
             "tick" => self.tick(args.next_pos().ok_or("ms")?.parse()?),
             "hosts" => {
                 let leaving = args.lookup("leaving").map(|a| a.value.clone()).unwrap_or_default();
                 let names: Vec<String> = args.rest_pos().iter().map(|a| a.value.clone()).collect();
                 self.set_hosts(&names, &leaving);
-                self.pump();
+                self.carry_out_all();
             }
             "submit" => {
                 let key = ids::RequestKey(args.next_pos().ok_or("key")?.value.clone());
@@ -244,10 +246,10 @@
                 self.command(api::Command::ConfirmDead { worker, boot });
             }
             "cut" => {
-                self.cut.insert(args.next_pos().ok_or("worker")?.value.clone());
+                self.partitioned.insert(args.next_pos().ok_or("worker")?.value.clone());
             }
             "mend" => {
-                self.cut.remove(&args.next_pos().ok_or("worker")?.value);
+                self.partitioned.remove(&args.next_pos().ok_or("worker")?.value);
             }
             "replace" => {
                 let name = args.next_pos().ok_or("worker")?.value.clone();
@@ -270,12 +272,12 @@
 }
 
 #[test]
-fn scenarios() {
+fn scenarios_give_their_expected_output() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let mut count = 0;
     for file in std::fs::read_dir(folder).unwrap() {
         goldenscript::run(&mut Runner::new(), file.unwrap().path()).unwrap();
         count += 1;
     }
-    assert!(count >= 8, "only {count} scenarios were found");
+    assert!(count >= 8, "expected at least 8 scenarios, found {count}");
 }
