--- a/crates/soak/src/bin/processes.rs
+++ b/crates/soak/src/bin/processes.rs
@@ -1,4 +1,5 @@
-//! `gaplock-soak-processes`: soaks the real daemon in processes of its own and prints one line.
+//! `gaplock-soak-processes`: runs randomised fault tests against real daemon processes and prints a
+//! summary line.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,16 +9,22 @@
 use gaplock_soak::processes::{run_with, Options, Report};
 use gaplock_soak::seeds::{self, Seeds};
 
-const ANY: Kind = Kind::Number { min: 0, max: u64::MAX };
+const ANY_NUMBER: Kind = Kind::Number { min: 0, max: u64::MAX };
 const TABLE: &[Setting] = &[
-    setting("seeds", ANY, "N", Some("4"), "How many seeds are run."),
-    setting("from", ANY, "S", Some("1"), "The first seed."),
+    setting("seeds", ANY_NUMBER, "N", Some("4"), "How many seeds are run."),
+    setting("from", ANY_NUMBER, "S", Some("1"), "The first seed."),
     setting("program", Kind::Text, "PATH", Some("target/release/gaplock-node"), "The daemon."),
-    setting("seconds", ANY, "N", Some("8"), "How long faults and jobs come."),
-    setting("workers", ANY, "N", Some("0"), "How many workers there are; 0: as the seed says."),
+    setting("seconds", ANY_NUMBER, "N", Some("8"), "How long faults and jobs come."),
+    setting(
+        "workers",
+        ANY_NUMBER,
+        "N",
+        Some("0"),
+        "How many workers there are; 0: as the seed says.",
+    ),
     setting(
         "node-threads",
-        ANY,
+        ANY_NUMBER,
         "N",
         Some("0"),
         "Threads of each daemon; 0: as its library likes.",
@@ -48,20 +55,20 @@
             ..Report::default()
         })
     });
-    reports.iter().for_each(|r| tell_of_saved_work(r, values.switch("stories")));
+    reports.iter().for_each(|r| print_checkpoint_use(r, values.switch("stories")));
     summarise(&reports)
 }
 
-/// Prints what became of saved work in one seed.
-fn tell_of_saved_work(report: &Report, stories: bool) {
-    let (seed, resumed, thrown) = (report.seed, report.resumed, &report.thrown_away);
-    if resumed == 0 && thrown.is_empty() {
+/// Prints how many starts of one seed resumed from a checkpoint and how many discarded saved work.
+fn print_checkpoint_use(report: &Report, stories: bool) {
+    let (seed, resumed, discarded) = (report.seed, report.resumed, &report.thrown_away);
+    if resumed == 0 && discarded.is_empty() {
         return;
     }
-    let ms: u128 = thrown.iter().map(|(lost, _)| lost.as_millis()).sum();
-    let starts = thrown.len();
+    let ms: u128 = discarded.iter().map(|(lost, _)| lost.as_millis()).sum();
+    let starts = discarded.len();
     println!("saved work: seed={seed} resumed={resumed} threw_away={starts} ms={ms}");
-    for (_, story) in thrown.iter().filter(|_| stories) {
+    for (_, story) in discarded.iter().filter(|_| stories) {
         println!("saved work: seed={seed} {story}");
     }
 }
