--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -20,7 +20,7 @@
 /// The window of a measurement, in milliseconds.
 pub const WINDOW_MS: u64 = 1_000;
 /// How late a measurement is, in milliseconds.
-pub const LAG_MS: u64 = 3_000;
+pub const MEASUREMENT_LAG_MS: u64 = 3_000;
 const NOISE: f64 = 0.05;
 const CHECKPOINT_MS: f64 = 30_000.0;
 const LOAD_PERIOD_MS: f64 = 300_000.0;
@@ -262,7 +262,7 @@
                 w.readings.push_back(reading);
             }
             let w = &mut self.workers[i];
-            let due = |r: &Reading| r.taken.0 + LAG_MS <= self.now_ms;
+            let due = |r: &Reading| r.taken.0 + MEASUREMENT_LAG_MS <= self.now_ms;
             while w.readings.front().is_some_and(due) {
                 arrived.extend(w.readings.pop_front().map(|r| (i, r)));
             }
