--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -22,7 +22,7 @@
 /// How late a measurement is, in milliseconds.
 pub const MEASUREMENT_LAG_MS: u64 = 3_000;
 const NOISE: f64 = 0.05;
-const CHECKPOINT_MS: f64 = 30_000.0;
+const CHECKPOINT_INTERVAL_MS: f64 = 30_000.0;
 const LOAD_PERIOD_MS: f64 = 300_000.0;
 const DRAWS_PER_STEP: usize = 4;
 const CLASSES: u64 = 6;
@@ -285,7 +285,9 @@
             let work = (STEP_MS as f64 * f64::from(t.speed) / 1000.0).min(t.work_ms - t.done_ms);
             t.done_ms += work;
             totals.work_core_s += work / 1000.0 * f64::from(t.demand.cpu.0) / 1000.0;
-            t.saved_ms = t.saved_ms.max((t.done_ms / CHECKPOINT_MS).floor() * CHECKPOINT_MS);
+            t.saved_ms = t
+                .saved_ms
+                .max((t.done_ms / CHECKPOINT_INTERVAL_MS).floor() * CHECKPOINT_INTERVAL_MS);
             let finished = t.done_ms >= t.work_ms;
             totals.finished += u64::from(finished);
             !finished
