--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -24,7 +24,7 @@
 const NOISE: f64 = 0.05;
 const CHECKPOINT_INTERVAL_MS: f64 = 30_000.0;
 const LOAD_PERIOD_MS: f64 = 300_000.0;
-const DRAWS_PER_STEP: usize = 4;
+const LATENCIES_PER_STEP: usize = 4;
 const CLASSES: u64 = 6;
 const SIGMA: f64 = 0.5;
 const NORMAL_P99: f64 = 2.326;
@@ -273,7 +273,7 @@
     /// Draws some requests' latencies, log-normal with the given 99th percentile.
     fn draw_latencies(&mut self, p99_us: f64) {
         let median = p99_us / (SIGMA * NORMAL_P99).exp();
-        for _ in 0..DRAWS_PER_STEP {
+        for _ in 0..LATENCIES_PER_STEP {
             let latency = median * (SIGMA * draw::normal(&mut self.rng)).exp();
             self.totals.latency_us.saturating_record(latency.max(1.0) as u64);
         }
