--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -26,7 +26,7 @@
 const LOAD_PERIOD_MS: f64 = 300_000.0;
 const LATENCIES_PER_STEP: usize = 4;
 const CLASSES: u64 = 6;
-const SIGMA: f64 = 0.5;
+const LATENCY_SIGMA: f64 = 0.5;
 const NORMAL_P99: f64 = 2.326;
 /// The service's 99th percentile alone and idle, in microseconds.
 pub const ALONE_US: f64 = 10_000.0;
@@ -255,7 +255,7 @@
                 let noise = 1.0 + NOISE * draw::normal(&mut self.rng);
                 let taken = wire::WorkerClock(self.now_ms);
                 let p99_us = p99_us * noise;
-                let p50_us = p99_us / (SIGMA * NORMAL_P99).exp();
+                let p50_us = p99_us / (LATENCY_SIGMA * NORMAL_P99).exp();
                 let reading = Reading { taken, p50_us, p99_us, load: self.load(i) };
                 let w = &mut self.workers[i];
                 w.last_reading_ms = self.now_ms;
@@ -272,9 +272,9 @@
 
     /// Draws some requests' latencies, log-normal with the given 99th percentile.
     fn draw_latencies(&mut self, p99_us: f64) {
-        let median = p99_us / (SIGMA * NORMAL_P99).exp();
+        let median = p99_us / (LATENCY_SIGMA * NORMAL_P99).exp();
         for _ in 0..LATENCIES_PER_STEP {
-            let latency = median * (SIGMA * draw::normal(&mut self.rng)).exp();
+            let latency = median * (LATENCY_SIGMA * draw::normal(&mut self.rng)).exp();
             self.totals.latency_us.saturating_record(latency.max(1.0) as u64);
         }
     }
