--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -21,7 +21,7 @@
 pub const WINDOW_MS: u64 = 1_000;
 /// How late a measurement is, in milliseconds.
 pub const MEASUREMENT_LAG_MS: u64 = 3_000;
-const NOISE: f64 = 0.05;
+const MEASUREMENT_NOISE: f64 = 0.05;
 const CHECKPOINT_INTERVAL_MS: f64 = 30_000.0;
 const LOAD_PERIOD_MS: f64 = 300_000.0;
 const LATENCIES_PER_STEP: usize = 4;
@@ -252,7 +252,7 @@
             self.draw_latencies(p99_us);
             self.run_tasks(i);
             if self.now_ms - self.workers[i].last_reading_ms >= WINDOW_MS {
-                let noise = 1.0 + NOISE * draw::normal(&mut self.rng);
+                let noise = 1.0 + MEASUREMENT_NOISE * draw::normal(&mut self.rng);
                 let taken = wire::WorkerClock(self.now_ms);
                 let p99_us = p99_us * noise;
                 let p50_us = p99_us / (LATENCY_SIGMA * NORMAL_P99).exp();
