--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -29,7 +29,7 @@
 const LATENCY_SIGMA: f64 = 0.5;
 const NORMAL_P99: f64 = 2.326;
 /// The service's 99th percentile alone and idle, in microseconds.
-pub const ALONE_US: f64 = 10_000.0;
+pub const UNLOADED_P99_US: f64 = 10_000.0;
 
 /// A batch task.
 #[derive(Debug, Clone)]
@@ -101,14 +101,14 @@
             service: "coldtrace".into(),
             workers: 65,
             capacity: sizes::Resources::new(16_000, 60 * 1024, 0),
-            objective_us: ALONE_US * room,
+            objective_us: UNLOADED_P99_US * room,
         },
         Deployment {
             name: "booking",
             service: "booking".into(),
             workers: 50,
             capacity: sizes::Resources::new(64_000, 250 * 1024, 0),
-            objective_us: ALONE_US * room,
+            objective_us: UNLOADED_P99_US * room,
         },
     ]
 }
@@ -225,7 +225,7 @@
         let shares = self.shares(worker);
         let service = &self.deployment.service;
         let factor = interference::slowdown(self.seed, service, &shares, self.now_ms);
-        ALONE_US * (1.0 + 0.5 * load * load) * factor
+        UNLOADED_P99_US * (1.0 + 0.5 * load * load) * factor
     }
 
     /// Returns the processors' share that each class uses on a worker.
