--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -13,7 +13,7 @@
 
 const WORKERS: usize = 20;
 const SLOTS: u32 = 8;
-const MEAN_MS: f64 = 40.0;
+const MEAN_SERVICE_MS: f64 = 40.0;
 const DEADLINE_MS: u64 = 400;
 const RUN_MS: u64 = 60_000;
 const MOST_RETRIES: u32 = 4;
@@ -112,7 +112,7 @@
         busy: 0,
         good: 0,
     };
-    let capacity_per_ms = WORKERS as f64 * f64::from(SLOTS) / MEAN_MS;
+    let capacity_per_ms = WORKERS as f64 * f64::from(SLOTS) / MEAN_SERVICE_MS;
     let mut at = 0.0;
     while (at as u64) < RUN_MS {
         at += draw::exponential(&mut r.rng, 1.0 / (capacity_per_ms * load));
@@ -189,7 +189,7 @@
     }
 
     fn begin(&mut self, request: u64, slot: Option<route::Slot>) {
-        let took = draw::exponential(&mut self.rng, MEAN_MS).max(1.0) as u64;
+        let took = draw::exponential(&mut self.rng, MEAN_SERVICE_MS).max(1.0) as u64;
         let r = &mut self.requests[request as usize];
         r.slot = slot;
         r.began_ms = self.now;
