--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -16,7 +16,7 @@
 const MEAN_SERVICE_MS: f64 = 40.0;
 const DEADLINE_MS: u64 = 400;
 const RUN_MS: u64 = 60_000;
-const MOST_RETRIES: u32 = 4;
+const MAX_RETRIES: u32 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
@@ -256,7 +256,7 @@
     fn again(&mut self, request: u64, wait_ms: u64) {
         let tries = self.requests[request as usize].tries + 1;
         let at = self.now + wait_ms + self.rng.random_range(0..5);
-        if self.retrying && tries <= MOST_RETRIES && at < RUN_MS {
+        if self.retrying && tries <= MAX_RETRIES && at < RUN_MS {
             self.add_request(at, tries);
         }
     }
