--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -30,7 +30,7 @@
 enum Event {
     Arrive { request: u64 },
     End { request: u64 },
-    GiveUp { request: u64 },
+    Timeout { request: u64 },
 }
 
 struct Request {
@@ -161,7 +161,7 @@
         match event {
             Event::Arrive { request } => self.arrive(request),
             Event::End { request } => self.end(request),
-            Event::GiveUp { request } => self.give_up(request),
+            Event::Timeout { request } => self.give_up(request),
         }
     }
 
@@ -169,7 +169,7 @@
         let deadline = self.requests[request as usize].deadline_ms;
         if self.policy == Policy::Queue {
             self.queue.push_back(request);
-            self.events.push(Reverse((deadline, Event::GiveUp { request })));
+            self.events.push(Reverse((deadline, Event::Timeout { request })));
             self.serve_queue();
             return;
         }
@@ -179,7 +179,7 @@
             route::RouteDecision::Wait(ticket) => {
                 self.requests[request as usize].ticket = Some(ticket);
                 self.waiting.insert(ticket, request);
-                self.events.push(Reverse((deadline.0, Event::GiveUp { request })));
+                self.events.push(Reverse((deadline.0, Event::Timeout { request })));
             }
             route::RouteDecision::Refuse { after_s } => {
                 self.refused(request, u64::from(after_s) * 1000)
