--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -161,7 +161,7 @@
         match event {
             Event::Arrive { request } => self.arrive(request),
             Event::End { request } => self.end(request),
-            Event::Timeout { request } => self.give_up(request),
+            Event::Timeout { request } => self.time_out(request),
         }
     }
 
@@ -230,7 +230,7 @@
         }
     }
 
-    fn give_up(&mut self, request: u64) {
+    fn time_out(&mut self, request: u64) {
         let r = &mut self.requests[request as usize];
         if r.ended {
             return;
