--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -34,7 +34,7 @@
 }
 
 struct Request {
-    tries: u32,
+    attempts: u32,
     deadline_ms: u64,
     slot: Option<route::Slot>,
     ticket: Option<route::Ticket>,
@@ -147,7 +147,7 @@
         let request = self.requests.len() as u64;
         let deadline_ms = at + DEADLINE_MS;
         self.requests.push(Request {
-            tries,
+            attempts: tries,
             deadline_ms,
             slot: None,
             ticket: None,
@@ -254,7 +254,7 @@
     }
 
     fn again(&mut self, request: u64, wait_ms: u64) {
-        let tries = self.requests[request as usize].tries + 1;
+        let tries = self.requests[request as usize].attempts + 1;
         let at = self.now + wait_ms + self.rng.random_range(0..5);
         if self.retrying && tries <= MAX_RETRIES && at < RUN_MS {
             self.add_request(at, tries);
