--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -182,9 +182,9 @@
                 self.events.push(Reverse((deadline.0, Event::Timeout { request })));
             }
             route::RouteDecision::Refuse { after_s } => {
-                self.refused(request, u64::from(after_s) * 1000)
+                self.handle_refusal(request, u64::from(after_s) * 1000)
             }
-            route::RouteDecision::NoWorker => self.refused(request, 1000),
+            route::RouteDecision::NoWorker => self.handle_refusal(request, 1000),
         }
     }
 
@@ -210,7 +210,7 @@
                     let Some(next) = self.waiting.remove(&ticket) else { continue };
                     match slot {
                         Some(slot) => self.begin(next, Some(slot)),
-                        None => self.refused(next, 1000),
+                        None => self.handle_refusal(next, 1000),
                     }
                 }
             }
@@ -238,7 +238,7 @@
         if let Some(ticket) = r.ticket {
             if r.slot.is_none() && self.router.remove_waiting(&service(), ticket) {
                 self.waiting.remove(&ticket);
-                self.refused(request, 1000);
+                self.handle_refusal(request, 1000);
             }
             return;
         }
@@ -247,7 +247,7 @@
         self.again(request, 0);
     }
 
-    fn refused(&mut self, request: u64, after_ms: u64) {
+    fn handle_refusal(&mut self, request: u64, after_ms: u64) {
         self.requests[request as usize].ended = true;
         let jitter = retry::backoff(1, time::Millis(500), time::Millis(500), &mut self.rng);
         self.again(request, after_ms + jitter.0);
