--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -244,16 +244,16 @@
         }
         // The baseline's caller has gone; its request stays in the queue and is served late.
         r.ended = true;
-        self.again(request, 0);
+        self.schedule_retry(request, 0);
     }
 
     fn handle_refusal(&mut self, request: u64, after_ms: u64) {
         self.requests[request as usize].ended = true;
         let jitter = retry::backoff(1, time::Millis(500), time::Millis(500), &mut self.rng);
-        self.again(request, after_ms + jitter.0);
+        self.schedule_retry(request, after_ms + jitter.0);
     }
 
-    fn again(&mut self, request: u64, wait_ms: u64) {
+    fn schedule_retry(&mut self, request: u64, wait_ms: u64) {
         let tries = self.requests[request as usize].attempts + 1;
         let at = self.now + wait_ms + self.rng.random_range(0..5);
         if self.retrying && tries <= MAX_RETRIES && at < RUN_MS {
