--- a/crates/measure/src/fairness.rs
+++ b/crates/measure/src/fairness.rs
@@ -15,7 +15,7 @@
 const TASK_S: u64 = 20;
 const FLOOD_FACTOR: f64 = 40.0;
 /// Tasks a second of an ordinary partner: together they use about 90 % of the capacity.
-const RATE: f64 = 1.2;
+const TASKS_PER_S: f64 = 1.2;
 
 #[derive(Clone)]
 struct Waiting {
@@ -146,7 +146,7 @@
             r.ends > now
         });
         for partner in 0..PARTNERS {
-            let rate = if flood && partner == 0 { RATE * FLOOD_FACTOR } else { RATE };
+            let rate = if flood && partner == 0 { TASKS_PER_S * FLOOD_FACTOR } else { TASKS_PER_S };
             let (queue, urgent) = (&mut self.queues[partner], &mut self.urgent[partner]);
             arrive(&mut self.rng, now, partner, rate, queue, urgent);
         }
