--- a/crates/measure/src/fairness.rs
+++ b/crates/measure/src/fairness.rs
@@ -12,7 +12,7 @@
 const PARTNERS: usize = 12;
 const CAPACITY: sizes::Resources = sizes::Resources::new(320_000, 1_200_000, 0);
 const RUN_S: u64 = 1_800;
-const TASK_S: u64 = 20;
+const MEAN_TASK_S: u64 = 20;
 const FLOOD_FACTOR: f64 = 40.0;
 /// Tasks a second of an ordinary partner: together they use about 90 % of the capacity.
 const TASKS_PER_S: f64 = 1.2;
@@ -186,7 +186,7 @@
         }
         queues[partner].pop_front();
         self.held[partner] = self.held[partner].plus(&task.demand);
-        let ends = now + self.rng.random_range(TASK_S / 2..=TASK_S * 3 / 2);
+        let ends = now + self.rng.random_range(MEAN_TASK_S / 2..=MEAN_TASK_S * 3 / 2);
         self.running.push(Running { ends, partner, demand: task.demand, urgent: is_urgent });
         self.got[partner] += f64::from(task.demand.cpu.0) / 1000.0 * (ends - now) as f64;
         if partner > 0 {
