--- a/crates/measure/src/fairness.rs
+++ b/crates/measure/src/fairness.rs
@@ -162,7 +162,7 @@
                 let held_back = urgent_waits && self.hold.blocks_ordinary_work(at);
                 pick_ours(&self.queues, &self.urgent, &self.held, &skip, held_back)
             } else {
-                pick_first(&self.queues, &self.urgent, &skip)
+                pick_oldest(&self.queues, &self.urgent, &skip)
             };
             let Some((partner, is_urgent)) = next else { return urgent_waits };
             if self.start(now, partner, is_urgent) {
@@ -242,7 +242,7 @@
     shares[turn].next.map(|(_, is_urgent)| (turn, is_urgent))
 }
 
-fn pick_first(
+fn pick_oldest(
     queues: &[VecDeque<Waiting>],
     urgent: &[VecDeque<Waiting>],
     skip: &[bool],
