--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -21,7 +21,7 @@
 use crate::report::Report;
 
 /// The users' sites, the two-year size, the largest that their sweep plays, their whole fleet, and twice that.
-const FLEETS: [usize; 6] = [66, 490, 1_300, 3_000, 6_000, 12_000];
+const FLEET_SIZES: [usize; 6] = [66, 490, 1_300, 3_000, 6_000, 12_000];
 
 /// How many workers there are for each host on the users' larger sites.
 const WORKERS_PER_HOST: usize = 10;
@@ -40,7 +40,7 @@
 
 /// Measures the slopes.
 pub fn measure(seed: u64) -> Report {
-    let rows = FLEETS.iter().map(|&workers| row(workers)).collect();
+    let rows = FLEET_SIZES.iter().map(|&workers| row(workers)).collect();
     let headings = vec![
         "workers",
         "account us",
--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -13,7 +13,7 @@
 
 use crate::report::Report;
 
-const FLEETS: [usize; 4] = [50, 200, 650, 1_300];
+const FLEET_SIZES: [usize; 4] = [50, 200, 650, 1_300];
 /// The two-year size's tasks by worker: 13,700 on 1,300 workers.
 const TASKS_PER_WORKER: usize = 11;
 const DECISIONS: usize = 2_000;
@@ -22,14 +22,14 @@
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut costs = Vec::new();
-    for workers in FLEETS {
+    for workers in FLEET_SIZES {
         let layout = layout_of(workers);
         let here = workers.div_ceil(layout.count() as usize);
         let decision_us = decision_cost_us(here);
         costs.push(decision_us);
         rows.push(row(workers, here, &layout, decision_us));
     }
-    let growth = costs[FLEETS.len() - 1] / costs[0];
+    let growth = costs[FLEET_SIZES.len() - 1] / costs[0];
     let findings = vec![
         format!(
             "one placement decision costs {growth:.2} times as much at 1,300 workers as at 50 \
