--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -36,7 +36,7 @@
              (26 times the fleet)"
         ),
         format!("one start adds {} bytes to the journal", start_bytes()),
-        format!("a heartbeat of an owner of 7 partitions has {} bytes", beat_bytes(7)),
+        format!("a heartbeat of an owner of 7 partitions has {} bytes", heartbeat_bytes(7)),
         format!(
             "a lease exchange has {} bytes for a worker without tasks, {} more for each task",
             lease_bytes(0),
@@ -183,7 +183,7 @@
     (bytes(50) - bytes(0)) / 50
 }
 
-fn beat_bytes(partitions: u32) -> usize {
+fn heartbeat_bytes(partitions: u32) -> usize {
     let beat = api::Heartbeat {
         from: ids::Member { entry: "entry-3".into(), incarnation: ids::Incarnation(u64::MAX) },
         store_ok: true,
