--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -36,7 +36,7 @@
 const WAITING_STEPS: u64 = 30;
 
 /// How often each thing is done for one figure.
-const TIMES: usize = 2_000;
+const REPETITIONS: usize = 2_000;
 
 /// Measures the slopes.
 pub fn measure(seed: u64) -> Report {
@@ -55,7 +55,7 @@
 
 fn row(workers: usize) -> Vec<String> {
     let mut fleet = open(workers);
-    let account = time(TIMES, |n| fleet.account(n % workers));
+    let account = time(REPETITIONS, |n| fleet.account(n % workers));
     let start = fleet.start_cost();
     let look = fleet.look_cost();
     let pass = fleet.pass_cost();
@@ -89,7 +89,7 @@
     };
     let mut followers = Followers::default();
     (0..hosts).for_each(|n| followers.record(beat(n, 0)));
-    time(TIMES, |n| {
+    time(REPETITIONS, |n| {
         let ms = n * BEAT_EVERY / hosts;
         followers.record(beat(n % hosts, ms));
         followers.best(Instant(ms as u64));
@@ -216,7 +216,7 @@
 
     /// Returns the time of one start of a short task, its place chosen among all workers.
     fn start_cost(&mut self) -> f64 {
-        let count = self.cx.workers.len().min(TIMES);
+        let count = self.cx.workers.len().min(REPETITIONS);
         self.now += 100;
         let short = Step { fills: true, ..step(count, 100) };
         let began = StdInstant::now();
@@ -233,7 +233,7 @@
     fn look_cost(&mut self) -> f64 {
         renewals::send_due(&mut self.cx);
         self.cx.take_actions();
-        time(TIMES, |_| renewals::send_due(&mut self.cx))
+        time(REPETITIONS, |_| renewals::send_due(&mut self.cx))
     }
 
     /// Returns the time of one pass in which no step finds room.
