--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -75,7 +75,7 @@
 }
 
 /// How many milliseconds pass between two heartbeats of one host.
-const BEAT_EVERY: usize = 400;
+const HEARTBEAT_INTERVAL_MS: usize = 400;
 
 /// Returns the time in which a heartbeat of one of so many hosts is taken in and a successor is named.
 fn heartbeat_cost(hosts: usize) -> f64 {
@@ -90,7 +90,7 @@
     let mut followers = Followers::default();
     (0..hosts).for_each(|n| followers.record(beat(n, 0)));
     time(REPETITIONS, |n| {
-        let ms = n * BEAT_EVERY / hosts;
+        let ms = n * HEARTBEAT_INTERVAL_MS / hosts;
         followers.record(beat(n % hosts, ms));
         followers.best(Instant(ms as u64));
     })
