--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -57,7 +57,7 @@
     let mut fleet = open(workers);
     let account = time(REPETITIONS, |n| fleet.account(n % workers));
     let start = fleet.start_cost();
-    let look = fleet.look_cost();
+    let look = fleet.renewal_check_cost();
     let pass = fleet.pass_cost();
     let checks = fleet.checks_cost();
     let heartbeat = heartbeat_cost(workers / WORKERS_PER_HOST);
@@ -230,7 +230,7 @@
     }
 
     /// Returns the time of a look for due renewals that finds none.
-    fn look_cost(&mut self) -> f64 {
+    fn renewal_check_cost(&mut self) -> f64 {
         renewals::send_due(&mut self.cx);
         self.cx.take_actions();
         time(REPETITIONS, |_| renewals::send_due(&mut self.cx))
