--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -58,7 +58,7 @@
     let account = time(REPETITIONS, |n| fleet.account(n % workers));
     let start = fleet.start_cost();
     let look = fleet.renewal_check_cost();
-    let pass = fleet.pass_cost();
+    let pass = fleet.dispatch_pass_cost();
     let checks = fleet.checks_cost();
     let heartbeat = heartbeat_cost(workers / WORKERS_PER_HOST);
     let figures = [account, start, look, pass, checks, heartbeat].map(|us| format!("{us:.1}"));
@@ -237,7 +237,7 @@
     }
 
     /// Returns the time of one pass in which no step finds room.
-    fn pass_cost(&mut self) -> f64 {
+    fn dispatch_pass_cost(&mut self) -> f64 {
         for n in 0..WAITING_STEPS {
             // Each asks for less than the one before, so that none is left out for its sake.
             self.submit(Step { lasting: true, ..step(2, 15_000 - n as u32 * 10) });
