--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -59,7 +59,7 @@
     let start = fleet.start_cost();
     let look = fleet.renewal_check_cost();
     let pass = fleet.dispatch_pass_cost();
-    let checks = fleet.checks_cost();
+    let checks = fleet.periodic_checks_cost();
     let heartbeat = heartbeat_cost(workers / WORKERS_PER_HOST);
     let figures = [account, start, look, pass, checks, heartbeat].map(|us| format!("{us:.1}"));
     [vec![workers.to_string()], figures.to_vec()].concat()
@@ -251,7 +251,7 @@
     }
 
     /// Returns the time of the checks that run twenty times a second, a pass included.
-    fn checks_cost(&mut self) -> f64 {
+    fn periodic_checks_cost(&mut self) -> f64 {
         time(50, |_| {
             self.now += 60;
             self.event(Event::Tick);
