--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -55,7 +55,7 @@
 
 fn row(workers: usize) -> Vec<String> {
     let mut fleet = open(workers);
-    let account = time(REPETITIONS, |n| fleet.account(n % workers));
+    let account = time(REPETITIONS, |n| fleet.report(n % workers));
     let start = fleet.start_cost();
     let look = fleet.renewal_check_cost();
     let pass = fleet.dispatch_pass_cost();
@@ -147,7 +147,7 @@
     }
     fleet.store();
     for n in 0..workers {
-        fleet.account(n);
+        fleet.report(n);
     }
     let lasting = Step { lasting: true, ..step(workers * TASKS_PER_WORKER, 4_000) };
     fleet.submit(lasting);
@@ -202,7 +202,7 @@
     }
 
     /// Hands in one worker's account.
-    fn account(&mut self, n: usize) {
+    fn report(&mut self, n: usize) {
         let worker = WorkerIx(n as u32);
         let slots = self.cx.worker(worker).slots.iter();
         let running = slots.map(|(task, slot)| running(*task, slot.run)).collect();
--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -159,7 +159,7 @@
     pub(super) fn answer_held(&mut self, at: usize) {
         let Some(held) = self.workers[at].held.take() else { return };
         self.changed(at, |_| {});
-        let account = self.workers[at].account(&self.load, self.now);
+        let account = self.workers[at].report(&self.load, self.now);
         let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Done(account));
         self.reply(held.term, Event::Renewed { worker, sent, outcome });
     }
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -263,7 +263,7 @@
     }
 
     /// Returns the worker's account of itself.
-    pub fn account(&self, load: &Load, now: u64) -> WorkerReport {
+    pub fn report(&self, load: &Load, now: u64) -> WorkerReport {
         let running = self.running.iter().map(|(task, r)| RunningTask {
             task: *task,
             run: r.run,
