--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -9,7 +9,7 @@
 
 const RUN_MS: u64 = 600_000;
 const STEP_MS: u64 = 500;
-const PARTITION: usize = 16;
+const WORKERS_PER_PARTITION: usize = 16;
 const BAD: usize = 3;
 const CAPACITY: sizes::Resources = sizes::Resources::new(16_000, 60 * 1024, 0);
 /// One job in this many is itself broken and fails everywhere.
@@ -179,9 +179,9 @@
         let fits = |i: &usize| CAPACITY.holds(&used(*i).plus(&demand));
         return (0..fleet.len()).find(fits).map(|i| (i, demand));
     }
-    let partitions = fleet.len().div_ceil(PARTITION);
+    let partitions = fleet.len().div_ceil(WORKERS_PER_PARTITION);
     let p = rng.random_range(0..partitions);
-    let range = p * PARTITION..((p + 1) * PARTITION).min(fleet.len());
+    let range = p * WORKERS_PER_PARTITION..((p + 1) * WORKERS_PER_PARTITION).min(fleet.len());
     let usable: Vec<usize> = range
         .filter(|i| {
             let worker = ids::WorkerId(format!("w{i}"));
--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -12,7 +12,7 @@
 /// Waiting tasks that a step looks at.
 const QUEUE_SHOWN: usize = 24;
 /// Workers of one partition; a decision looks at no others.
-const PARTITION: usize = 16;
+const WORKERS_PER_PARTITION: usize = 16;
 const STATIC_CAPS: [u32; 9] = [3, 6, 10, 15, 20, 30, 45, 60, 75];
 /// Objectives as multiples of the 99th percentile alone.
 const ROOMS: [f64; 3] = [1.6, 2.0, 3.0];
@@ -285,9 +285,10 @@
 }
 
 fn choose_ours(site: &mut Site, learnt: &Learnt, task: &Task) -> Option<usize> {
-    let partitions = site.workers.len().div_ceil(PARTITION);
+    let partitions = site.workers.len().div_ceil(WORKERS_PER_PARTITION);
     let partition = site.rng.random_range(0..partitions);
-    let range = partition * PARTITION..((partition + 1) * PARTITION).min(site.workers.len());
+    let range = partition * WORKERS_PER_PARTITION
+        ..((partition + 1) * WORKERS_PER_PARTITION).min(site.workers.len());
     let candidates: Vec<placement::Candidate> =
         range.clone().map(|i| candidate(site, learnt, i)).collect();
     let want = placement::BatchDemand {
