--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -10,7 +10,7 @@
 const RUN_MS: u64 = 600_000;
 const STEP_MS: u64 = 500;
 const WORKERS_PER_PARTITION: usize = 16;
-const BAD: usize = 3;
+const BAD_WORKER: usize = 3;
 const CAPACITY: sizes::Resources = sizes::Resources::new(16_000, 60 * 1024, 0);
 /// One job in this many is itself broken and fails everywhere.
 const BROKEN_JOBS: u64 = 200;
@@ -127,11 +127,11 @@
     ) -> bool {
         let broken = r.job.is_multiple_of(BROKEN_JOBS);
         let job = job_id(r.job);
-        if i != BAD && !broken {
+        if i != BAD_WORKER && !broken {
             self.health.record_success(worker, job);
             return false;
         }
-        self.out.lost += u64::from(i == BAD && !broken);
+        self.out.lost += u64::from(i == BAD_WORKER && !broken);
         match self.health.record_failure(at, worker, job) {
             health::FailureAction::FailJob if broken && self.ours => {
                 self.out.broken_given_up += 1;
@@ -139,7 +139,7 @@
             }
             health::FailureAction::Quarantine if self.ours => {
                 self.quarantined[i] = true;
-                self.out.good_workers_quarantined += u64::from(i != BAD);
+                self.out.good_workers_quarantined += u64::from(i != BAD_WORKER);
             }
             _ => {}
         }
@@ -155,7 +155,8 @@
                 continue;
             };
             let broken = job.is_multiple_of(BROKEN_JOBS);
-            let runs_ms = if i == BAD || broken { 200 } else { rng.random_range(20_000..60_000) };
+            let runs_ms =
+                if i == BAD_WORKER || broken { 200 } else { rng.random_range(20_000..60_000) };
             self.running[i].push(Running { job, ends_ms: now + runs_ms, demand });
         }
     }
