--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -13,7 +13,7 @@
 const BAD_WORKER: usize = 3;
 const CAPACITY: sizes::Resources = sizes::Resources::new(16_000, 60 * 1024, 0);
 /// One job in this many is itself broken and fails everywhere.
-const BROKEN_JOBS: u64 = 200;
+const BROKEN_JOB_INTERVAL: u64 = 200;
 
 struct Outcome {
     lost: u64,
@@ -91,7 +91,7 @@
         // About one start a second for each eight workers keeps the fleet two thirds full.
         for _ in 0..(workers as u64 * STEP_MS).div_ceil(8_000) {
             next_job += 1;
-            fleet.out.broken += u64::from(next_job.is_multiple_of(BROKEN_JOBS));
+            fleet.out.broken += u64::from(next_job.is_multiple_of(BROKEN_JOB_INTERVAL));
             fleet.waiting.push(next_job);
         }
         fleet.place_jobs(now, &mut rng);
@@ -125,7 +125,7 @@
         worker: &ids::WorkerId,
         r: &Running,
     ) -> bool {
-        let broken = r.job.is_multiple_of(BROKEN_JOBS);
+        let broken = r.job.is_multiple_of(BROKEN_JOB_INTERVAL);
         let job = job_id(r.job);
         if i != BAD_WORKER && !broken {
             self.health.record_success(worker, job);
@@ -154,7 +154,7 @@
                 self.waiting.push(job);
                 continue;
             };
-            let broken = job.is_multiple_of(BROKEN_JOBS);
+            let broken = job.is_multiple_of(BROKEN_JOB_INTERVAL);
             let runs_ms =
                 if i == BAD_WORKER || broken { 200 } else { rng.random_range(20_000..60_000) };
             self.running[i].push(Running { job, ends_ms: now + runs_ms, demand });
