--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -18,7 +18,7 @@
 struct Outcome {
     lost: u64,
     good_workers_quarantined: u64,
-    broken_given_up: u64,
+    broken_failed: u64,
     broken: u64,
 }
 
@@ -35,7 +35,7 @@
             ours.lost.to_string(),
             plain.lost.to_string(),
             ours.good_workers_quarantined.to_string(),
-            format!("{} of {}", ours.broken_given_up, ours.broken),
+            format!("{} of {}", ours.broken_failed, ours.broken),
         ]);
     }
     Report {
@@ -82,7 +82,7 @@
         quarantined: vec![false; workers],
         health: health::HealthTracker::default(),
         waiting: Vec::new(),
-        out: Outcome { lost: 0, good_workers_quarantined: 0, broken_given_up: 0, broken: 0 },
+        out: Outcome { lost: 0, good_workers_quarantined: 0, broken_failed: 0, broken: 0 },
     };
     for now in (0..RUN_MS).step_by(STEP_MS as usize) {
         for i in 0..workers {
@@ -134,7 +134,7 @@
         self.out.lost += u64::from(i == BAD_WORKER && !broken);
         match self.health.record_failure(at, worker, job) {
             health::FailureAction::FailJob if broken && self.ours => {
-                self.out.broken_given_up += 1;
+                self.out.broken_failed += 1;
                 return false;
             }
             health::FailureAction::Quarantine if self.ours => {
