--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -10,7 +10,7 @@
 
 const RUN_MS: u64 = 900_000;
 /// Waiting tasks that a step looks at.
-const QUEUE_SHOWN: usize = 24;
+const MAX_UNPLACED_PER_STEP: usize = 24;
 /// Workers of one partition; a decision looks at no others.
 const WORKERS_PER_PARTITION: usize = 16;
 const STATIC_CAPS: [u32; 9] = [3, 6, 10, 15, 20, 30, 45, 60, 75];
@@ -241,7 +241,7 @@
 /// not tried again in the same step, for every policy alike.
 fn place_all(site: &mut Site, learnt: &Learnt, policy: Policy) {
     let mut misses: Vec<Task> = Vec::new();
-    while misses.len() < QUEUE_SHOWN {
+    while misses.len() < MAX_UNPLACED_PER_STEP {
         let task = site.next_task();
         let known = misses.iter().any(|m| m.class == task.class && task.demand.holds(&m.demand));
         let chosen = if known { None } else { choose(site, learnt, policy, &task) };
