--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -13,7 +13,7 @@
 const MAX_UNPLACED_PER_STEP: usize = 24;
 /// Workers of one partition; a decision looks at no others.
 const WORKERS_PER_PARTITION: usize = 16;
-const STATIC_CAPS: [u32; 9] = [3, 6, 10, 15, 20, 30, 45, 60, 75];
+const STATIC_CAPS_PERCENT: [u32; 9] = [3, 6, 10, 15, 20, 30, 45, 60, 75];
 /// Objectives as multiples of the 99th percentile alone.
 const ROOMS: [f64; 3] = [1.6, 2.0, 3.0];
 
@@ -91,7 +91,7 @@
     let raw = run(d, seed, Policy::RawReadings);
     let guard_only = run(d, seed, Policy::GuardOnly);
     let best = |make: fn(u32) -> Policy| {
-        let runs = STATIC_CAPS.iter().map(|cap| run(d, seed, make(*cap)));
+        let runs = STATIC_CAPS_PERCENT.iter().map(|cap| run(d, seed, make(*cap)));
         let kept = runs.filter(|r| r.p99_us as f64 <= d.objective_us);
         kept.max_by(|a, b| a.work_core_s.total_cmp(&b.work_core_s))
     };
