--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -15,7 +15,7 @@
 const WORKERS_PER_PARTITION: usize = 16;
 const STATIC_CAPS_PERCENT: [u32; 9] = [3, 6, 10, 15, 20, 30, 45, 60, 75];
 /// Objectives as multiples of the 99th percentile alone.
-const ROOMS: [f64; 3] = [1.6, 2.0, 3.0];
+const OBJECTIVE_FACTORS: [f64; 3] = [1.6, 2.0, 3.0];
 
 /// A way to decide.
 #[derive(Debug, Clone, Copy)]
@@ -58,7 +58,7 @@
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut findings = Vec::new();
-    for room in ROOMS {
+    for room in OBJECTIVE_FACTORS {
         for d in site::deployments(room) {
             compare(&d, room, seed, &mut rows, &mut findings);
         }
