--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -41,14 +41,14 @@
 }
 
 /// What `Policy::Ours` has learnt.
-struct Learnt {
+struct LearnedState {
     pairing: interference::InterferenceModel,
     exposures: Vec<interference::ExposureHistory>,
     guards: Vec<guard::TailGuard>,
     tail: tail::TailController,
 }
 
-impl Learnt {
+impl LearnedState {
     fn ceiling_us(&self, site: &Site) -> f64 {
         site.deployment.objective_us * self.tail.allowance()
     }
@@ -128,7 +128,7 @@
 
 fn run(d: &Deployment, seed: u64, policy: Policy) -> Result {
     let mut site = Site::open(d, seed, ChaCha8Rng::seed_from_u64(seed));
-    let mut learnt = Learnt {
+    let mut learnt = LearnedState {
         pairing: interference::InterferenceModel::default(),
         exposures: (0..d.workers).map(|_| interference::ExposureHistory::default()).collect(),
         guards: vec![guard::TailGuard::default(); d.workers],
@@ -154,7 +154,7 @@
     }
 }
 
-fn react(site: &mut Site, learnt: &mut Learnt, policy: Policy, worker: usize, r: &Reading) {
+fn react(site: &mut Site, learnt: &mut LearnedState, policy: Policy, worker: usize, r: &Reading) {
     match policy {
         Policy::FirstFit(_) | Policy::RandomOfTwo(_) => {}
         Policy::RawReadings => react_raw(site, worker, r),
@@ -186,7 +186,7 @@
 
 fn react_guarded(
     site: &mut Site,
-    learnt: &mut Learnt,
+    learnt: &mut LearnedState,
     worker: usize,
     r: &Reading,
     band: interference::LoadBand,
@@ -224,7 +224,7 @@
     t: &Task,
     service: &ids::ServiceId,
     capacity: &sizes::Resources,
-    learnt: &Learnt,
+    learnt: &LearnedState,
     band: interference::LoadBand,
 ) -> guard::Victim {
     let share = f64::from(t.demand.cpu.0) / f64::from(capacity.cpu.0);
@@ -239,7 +239,7 @@
 
 /// Places tasks until as many as the queue shows have found no place. A shape that found none is
 /// not tried again in the same step, for every policy alike.
-fn place_all(site: &mut Site, learnt: &Learnt, policy: Policy) {
+fn place_all(site: &mut Site, learnt: &LearnedState, policy: Policy) {
     let mut misses: Vec<Task> = Vec::new();
     while misses.len() < MAX_UNPLACED_PER_STEP {
         let task = site.next_task();
@@ -261,7 +261,7 @@
     }
 }
 
-fn choose(site: &mut Site, learnt: &Learnt, policy: Policy, task: &Task) -> Option<usize> {
+fn choose(site: &mut Site, learnt: &LearnedState, policy: Policy, task: &Task) -> Option<usize> {
     let fits = |site: &Site, i: usize, cap: u32| {
         let batch: u32 = site.workers[i].tasks.iter().map(|t| t.demand.cpu.0).sum();
         let limit = u64::from(site.workers[i].capacity.cpu.0) * u64::from(cap) / 100;
@@ -284,7 +284,7 @@
     }
 }
 
-fn choose_ours(site: &mut Site, learnt: &Learnt, task: &Task) -> Option<usize> {
+fn choose_ours(site: &mut Site, learnt: &LearnedState, task: &Task) -> Option<usize> {
     let partitions = site.workers.len().div_ceil(WORKERS_PER_PARTITION);
     let partition = site.rng.random_range(0..partitions);
     let range = partition * WORKERS_PER_PARTITION
@@ -300,7 +300,7 @@
     placement::for_batch(&candidates, &want, &learnt.pairing).map(|i| range.start + i)
 }
 
-fn candidate(site: &Site, learnt: &Learnt, i: usize) -> placement::Candidate {
+fn candidate(site: &Site, learnt: &LearnedState, i: usize) -> placement::Candidate {
     let w = &site.workers[i];
     let service = site.deployment.service.clone();
     let band = interference::LoadBand::of(site.load(i));
