--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -4,7 +4,7 @@
 
 use std::process::ExitCode;
 
-use gaplock_measure::patterns::{self, Asked};
+use gaplock_measure::patterns::{self, RunOptions};
 use gaplock_settings::{setting, Kind, Setting, Values};
 
 const ABOUT: &str =
@@ -54,7 +54,7 @@
 
 fn play_patterns(values: &Values) -> ExitCode {
     let file = |name| Some(values.text(name)).filter(|text| !text.is_empty()).map(Into::into);
-    let asked = Asked {
+    let asked = RunOptions {
         names: values.free[1..].to_vec(),
         first_seed: values.number("seed"),
         seeds: values.number("seeds"),
--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -12,7 +12,7 @@
 use super::load::{self, Load};
 use super::shape::{Pattern, Trouble};
 use super::table::mean_and_error;
-use super::{world, Asked};
+use super::{world, RunOptions};
 use crate::report::Report;
 
 /// What is missing of all that a load is worth, by cause; with the worth itself the parts add up to 1.
@@ -44,7 +44,7 @@
 }
 
 /// Builds the table of patterns and causes, each with the standard error of its mean.
-pub fn report(patterns: &[&Pattern], lines: &[Line], asked: &Asked) -> Report {
+pub fn report(patterns: &[&Pattern], lines: &[Line], asked: &RunOptions) -> Report {
     let of_line = |n: usize| {
         let line: &Line = &lines[n];
         let pattern = patterns.iter().find(|p| p.name == line.pattern);
--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -31,7 +31,7 @@
 
 /// What is to be played, and where the results go.
 #[derive(Debug, Clone, Default)]
-pub struct Asked {
+pub struct RunOptions {
     /// The patterns; all of them where none is named.
     pub names: Vec<String>,
     /// The first seed.
@@ -61,7 +61,7 @@
 }
 
 /// Plays patterns with all their seeds, some at one time, and returns the results in order.
-pub fn play_all(patterns: &[&Pattern], asked: &Asked, settings: &Settings) -> Vec<Line> {
+pub fn play_all(patterns: &[&Pattern], asked: &RunOptions, settings: &Settings) -> Vec<Line> {
     let seeds = asked.first_seed..asked.first_seed + asked.seeds;
     let pairs = patterns.iter().flat_map(|&p| seeds.clone().map(move |seed| (p, seed)));
     let pairs: Vec<(&Pattern, u64)> = pairs.collect();
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 /// Returns why a pattern is not known, or a file can't be read or written.
-pub fn play_and_print(asked: &Asked) -> Result<(), String> {
+pub fn play_and_print(asked: &RunOptions) -> Result<(), String> {
     let patterns = named(&asked.names)?;
     let before = asked.against.as_deref().map(lines::read).transpose()?;
     let results = play_all(&patterns, asked, &Settings::default());
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -1,7 +1,7 @@
 //! The patterns: the same seed gives the same result, and what is worse shows as worse.
 
 use gaplock_measure::patterns::shape::{self, Pattern, Shape, Trouble};
-use gaplock_measure::patterns::{self, bound, compare, lines, load, losses, Asked};
+use gaplock_measure::patterns::{self, bound, compare, lines, load, losses, RunOptions};
 use gaplock_sched::Settings;
 use gaplock_types::time::Millis;
 
@@ -16,7 +16,7 @@
 }
 
 fn play(pattern: &Pattern, settings: &Settings) -> Vec<lines::Line> {
-    let asked = Asked { first_seed: 1, seeds: SEEDS, threads: 2, ..Asked::default() };
+    let asked = RunOptions { first_seed: 1, seeds: SEEDS, threads: 2, ..RunOptions::default() };
     patterns::play_all(&[pattern], &asked, settings)
 }
 
@@ -37,9 +37,9 @@
 #[test]
 fn results_come_in_order_however_many_are_played_at_one_time() {
     let pattern = quarter("half-load");
-    let one = Asked { first_seed: 3, seeds: 3, threads: 1, ..Asked::default() };
+    let one = RunOptions { first_seed: 3, seeds: 3, threads: 1, ..RunOptions::default() };
     let alone = patterns::play_all(&[&pattern], &one, &Settings::default());
-    let many = Asked { threads: 3, ..one };
+    let many = RunOptions { threads: 3, ..one };
     assert_eq!(patterns::play_all(&[&pattern], &many, &Settings::default()), alone);
     assert_eq!(alone.iter().map(|l| l.seed).collect::<Vec<_>>(), [3, 4, 5]);
 }
@@ -151,7 +151,8 @@
 
 #[test]
 fn an_unknown_pattern_is_refused() {
-    let asked = Asked { names: vec!["none".into()], seeds: 1, threads: 1, ..Asked::default() };
+    let asked =
+        RunOptions { names: vec!["none".into()], seeds: 1, threads: 1, ..RunOptions::default() };
     let why = patterns::play_and_print(&asked).expect_err("there is no such pattern");
     assert!(why.contains("leader-changes"), "{why}");
 }
