--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -24,7 +24,7 @@
     let mut best = 0.0_f64;
     for kept in KEPT {
         if best < 1.0 {
-            best = best.max(Packing::new(load, kept).play().mean);
+            best = best.max(Packing::new(load, kept).run().mean);
         }
     }
     best
@@ -122,7 +122,7 @@
         }
     }
 
-    fn play(mut self) -> ByClass {
+    fn run(mut self) -> ByClass {
         while self.now < BEGIN_MS + TRAFFIC_MS + REST_MS {
             self.end_tasks();
             self.hand_in();
--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -31,7 +31,7 @@
 /// Finds where the worth of a result went.
 pub fn of(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
     let calm = Pattern { trouble: Trouble::default(), ..*pattern };
-    let worth = |load: &Arc<Load>| world::play(&calm, load, line.seed, settings).worth.mean;
+    let worth = |load: &Arc<Load>| world::run(&calm, load, line.seed, settings).worth.mean;
     let load = load::draw(&calm, line.seed);
     let gentle = Arc::new(load.clone().without_disturbance());
     let (calm, gentle) = (worth(&Arc::new(load)), worth(&gentle));
--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -53,9 +53,9 @@
 }
 
 /// Plays one pattern with one seed.
-pub fn play(pattern: &Pattern, seed: u64, settings: &Settings) -> Line {
+pub fn run(pattern: &Pattern, seed: u64, settings: &Settings) -> Line {
     let load = Arc::new(load::draw(pattern, seed));
-    let outcome = world::play(pattern, &load, seed, settings);
+    let outcome = world::run(pattern, &load, seed, settings);
     let possible = bound::of(&load);
     Line { pattern: pattern.name.to_string(), seed, possible, outcome }
 }
@@ -65,7 +65,7 @@
     let seeds = asked.first_seed..asked.first_seed + asked.seeds;
     let pairs = patterns.iter().flat_map(|&p| seeds.clone().map(move |seed| (p, seed)));
     let pairs: Vec<(&Pattern, u64)> = pairs.collect();
-    at_one_time(pairs.len(), asked.threads, |n| play(pairs[n].0, pairs[n].1, settings))
+    at_one_time(pairs.len(), asked.threads, |n| run(pairs[n].0, pairs[n].1, settings))
 }
 
 /// Does so many things, some at one time, and returns what came of them in order.
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -90,7 +90,7 @@
 }
 
 /// Plays a pattern's load under the scheduler with these settings.
-pub fn play(pattern: &Pattern, load: &Arc<Load>, seed: u64, settings: &Settings) -> Outcome {
+pub fn run(pattern: &Pattern, load: &Arc<Load>, seed: u64, settings: &Settings) -> Outcome {
     let mut world = World::open(Arc::clone(load), settings.clone());
     trouble::plan(&mut world, &pattern.trouble, seed);
     world.run();
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -15,7 +15,7 @@
     Pattern { shape: Shape { workers, ..pattern.shape }, ..*pattern }
 }
 
-fn play(pattern: &Pattern, settings: &Settings) -> Vec<lines::Line> {
+fn run(pattern: &Pattern, settings: &Settings) -> Vec<lines::Line> {
     let asked = RunOptions { first_seed: 1, seeds: SEEDS, threads: 2, ..RunOptions::default() };
     patterns::play_all(&[pattern], &asked, settings)
 }
@@ -28,9 +28,9 @@
 fn the_same_seed_gives_the_same_result() {
     for name in ["leader-changes", "domain-lost"] {
         let pattern = quarter(name);
-        let first = patterns::play(&pattern, 7, &Settings::default());
-        assert_eq!(patterns::play(&pattern, 7, &Settings::default()), first);
-        assert_ne!(patterns::play(&pattern, 8, &Settings::default()).outcome, first.outcome);
+        let first = patterns::run(&pattern, 7, &Settings::default());
+        assert_eq!(patterns::run(&pattern, 7, &Settings::default()), first);
+        assert_ne!(patterns::run(&pattern, 8, &Settings::default()).outcome, first.outcome);
     }
 }
 
@@ -46,7 +46,7 @@
 
 #[test]
 fn half_the_load_earns_nearly_all() {
-    let lines = play(&quarter("half-load"), &Settings::default());
+    let lines = run(&quarter("half-load"), &Settings::default());
     assert!(worth(&lines) > 0.98, "{}", worth(&lines));
 }
 
@@ -60,10 +60,10 @@
 #[test]
 fn a_worse_policy_shows_as_worse() {
     let pattern = with_failing_images();
-    let ours = play(&pattern, &Settings::default());
+    let ours = run(&pattern, &Settings::default());
     let worse =
         Settings { max_worker_failures: 1, quarantine: Millis(30_000), ..Settings::default() };
-    let theirs = play(&pattern, &worse);
+    let theirs = run(&pattern, &worse);
     let (mean, error, pairs) =
         compare::difference(pattern.name, &ours, &theirs, |l| l.outcome.worth.mean);
     assert_eq!(pairs, SEEDS as usize);
@@ -72,9 +72,9 @@
 
 #[test]
 fn trouble_costs_worth() {
-    let calm = worth(&play(&quarter("small"), &Settings::default()));
+    let calm = worth(&run(&quarter("small"), &Settings::default()));
     for name in ["uneven", "domain-lost", "leader-changes"] {
-        let troubled = worth(&play(&quarter(name), &Settings::default()));
+        let troubled = worth(&run(&quarter(name), &Settings::default()));
         assert!(troubled < calm, "{name}: {troubled}, without trouble {calm}");
     }
 }
@@ -87,7 +87,7 @@
         retry_pause_max: Millis(40_000),
         ..Settings::default()
     };
-    let lines = play(&with_failing_images(), &seldom);
+    let lines = run(&with_failing_images(), &seldom);
     assert!(worth(&lines) > 0.98, "{}", worth(&lines));
 }
 
@@ -97,7 +97,7 @@
     let worse = Settings { max_worker_failures: 1, max_starts_in_flight: 1, ..Settings::default() };
     for pattern in ["small", "more-load", "uneven"].map(quarter) {
         for settings in [Settings::default(), worse.clone()] {
-            for line in play(&pattern, &settings) {
+            for line in run(&pattern, &settings) {
                 let (got, possible) = (line.outcome.worth.mean, line.possible);
                 assert!(got <= possible, "{}, seed {}: {got}", line.pattern, line.seed);
             }
@@ -108,7 +108,7 @@
 #[test]
 fn the_losses_and_the_worth_add_up() {
     let pattern = quarter("leader-changes");
-    let line = patterns::play(&pattern, 3, &Settings::default());
+    let line = patterns::run(&pattern, 3, &Settings::default());
     let l = losses::of(&pattern, &line, &Settings::default());
     let sum = l.no_room + l.trouble + l.disturbance + l.policy + line.outcome.worth.mean;
     assert!((sum - 1.0).abs() < 1e-9, "{sum}");
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_run_differs_in_nothing_from_its_own_lines() {
-    let now = play(&quarter("small"), &Settings::default());
+    let now = run(&quarter("small"), &Settings::default());
     let before = lines::parse(&lines::write(&now)).expect("own lines can be read");
     let report = compare::report(&before, &now, 1).expect("the seeds are the same");
     let figures = &report.rows[0][2..];
@@ -136,14 +136,14 @@
 
 #[test]
 fn other_seeds_are_not_compared() {
-    let now = vec![patterns::play(&quarter("half-load"), 1, &Settings::default())];
+    let now = vec![patterns::run(&quarter("half-load"), 1, &Settings::default())];
     let before = vec![lines::Line { seed: 2, ..now[0].clone() }];
     assert!(compare::report(&before, &now, 1).is_err());
 }
 
 #[test]
 fn a_line_that_cannot_be_read_is_named() {
-    let now = vec![patterns::play(&quarter("half-load"), 1, &Settings::default())];
+    let now = vec![patterns::run(&quarter("half-load"), 1, &Settings::default())];
     let text = lines::write(&now) + "{\"pattern\":1}\n";
     let why = lines::parse(&text).expect_err("the second line is wrong");
     assert!(why.starts_with("line 2: "), "{why}");
