--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// Plays patterns with all their seeds, some at one time, and returns the results in order.
-pub fn play_all(patterns: &[&Pattern], asked: &RunOptions, settings: &Settings) -> Vec<Line> {
+pub fn run_all(patterns: &[&Pattern], asked: &RunOptions, settings: &Settings) -> Vec<Line> {
     let seeds = asked.first_seed..asked.first_seed + asked.seeds;
     let pairs = patterns.iter().flat_map(|&p| seeds.clone().map(move |seed| (p, seed)));
     let pairs: Vec<(&Pattern, u64)> = pairs.collect();
@@ -96,7 +96,7 @@
 pub fn play_and_print(asked: &RunOptions) -> Result<(), String> {
     let patterns = named(&asked.names)?;
     let before = asked.against.as_deref().map(lines::read).transpose()?;
-    let results = play_all(&patterns, asked, &Settings::default());
+    let results = run_all(&patterns, asked, &Settings::default());
     table::of(&results, asked.first_seed).print(false);
     if asked.losses {
         println!();
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -17,7 +17,7 @@
 
 fn run(pattern: &Pattern, settings: &Settings) -> Vec<lines::Line> {
     let asked = RunOptions { first_seed: 1, seeds: SEEDS, threads: 2, ..RunOptions::default() };
-    patterns::play_all(&[pattern], &asked, settings)
+    patterns::run_all(&[pattern], &asked, settings)
 }
 
 fn worth(lines: &[lines::Line]) -> f64 {
@@ -38,9 +38,9 @@
 fn results_come_in_order_however_many_are_played_at_one_time() {
     let pattern = quarter("half-load");
     let one = RunOptions { first_seed: 3, seeds: 3, threads: 1, ..RunOptions::default() };
-    let alone = patterns::play_all(&[&pattern], &one, &Settings::default());
+    let alone = patterns::run_all(&[&pattern], &one, &Settings::default());
     let many = RunOptions { threads: 3, ..one };
-    assert_eq!(patterns::play_all(&[&pattern], &many, &Settings::default()), alone);
+    assert_eq!(patterns::run_all(&[&pattern], &many, &Settings::default()), alone);
     assert_eq!(alone.iter().map(|l| l.seed).collect::<Vec<_>>(), [3, 4, 5]);
 }
 
