--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -65,7 +65,7 @@
         against: file("against"),
         svg: file("svg"),
     };
-    match patterns::play_and_print(&asked) {
+    match patterns::run_and_print(&asked) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("error: {why}");
--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 /// Returns why a pattern is not known, or a file can't be read or written.
-pub fn play_and_print(asked: &RunOptions) -> Result<(), String> {
+pub fn run_and_print(asked: &RunOptions) -> Result<(), String> {
     let patterns = named(&asked.names)?;
     let before = asked.against.as_deref().map(lines::read).transpose()?;
     let results = run_all(&patterns, asked, &Settings::default());
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -153,6 +153,6 @@
 fn an_unknown_pattern_is_refused() {
     let asked =
         RunOptions { names: vec!["none".into()], seeds: 1, threads: 1, ..RunOptions::default() };
-    let why = patterns::play_and_print(&asked).expect_err("there is no such pattern");
+    let why = patterns::run_and_print(&asked).expect_err("there is no such pattern");
     assert!(why.contains("leader-changes"), "{why}");
 }
