--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -42,7 +42,7 @@
     let values = gaplock_settings::read_or_exit("gaplock-measure", ABOUT, TABLE);
     let name = values.free.first().map(String::as_str).unwrap_or_default();
     if name == "patterns" {
-        return play_patterns(&values);
+        return run_patterns(&values);
     }
     let Some(report) = gaplock_measure::measure(name, values.number("seed")) else {
         eprintln!("error: `{name}` is none of {}, patterns", gaplock_measure::NAMES);
@@ -52,7 +52,7 @@
     ExitCode::SUCCESS
 }
 
-fn play_patterns(values: &Values) -> ExitCode {
+fn run_patterns(values: &Values) -> ExitCode {
     let file = |name| Some(values.text(name)).filter(|text| !text.is_empty()).map(Into::into);
     let asked = RunOptions {
         names: values.free[1..].to_vec(),
