--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -50,7 +50,7 @@
         let pattern = patterns.iter().find(|p| p.name == line.pattern);
         pattern.map(|p| of(p, line, &Settings::default()))
     };
-    let losses = super::at_one_time(lines.len(), asked.threads, of_line);
+    let losses = super::run_concurrently(lines.len(), asked.threads, of_line);
     let rows = patterns.iter().map(|p| {
         let own = lines.iter().zip(&losses).filter(|(line, _)| line.pattern == p.name);
         let own: Vec<Losses> = own.filter_map(|(_, losses)| *losses).collect();
--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -65,11 +65,15 @@
     let seeds = asked.first_seed..asked.first_seed + asked.seeds;
     let pairs = patterns.iter().flat_map(|&p| seeds.clone().map(move |seed| (p, seed)));
     let pairs: Vec<(&Pattern, u64)> = pairs.collect();
-    at_one_time(pairs.len(), asked.threads, |n| run(pairs[n].0, pairs[n].1, settings))
+    run_concurrently(pairs.len(), asked.threads, |n| run(pairs[n].0, pairs[n].1, settings))
 }
 
 /// Does so many things, some at one time, and returns what came of them in order.
-fn at_one_time<T: Send>(count: usize, threads: usize, f: impl Fn(usize) -> T + Sync) -> Vec<T> {
+fn run_concurrently<T: Send>(
+    count: usize,
+    threads: usize,
+    f: impl Fn(usize) -> T + Sync,
+) -> Vec<T> {
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let work = || loop {
         let n = next.fetch_add(1, Ordering::Relaxed);
