--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -98,7 +98,7 @@
 /// # Errors
 /// Returns why a pattern is not known, or a file can't be read or written.
 pub fn run_and_print(asked: &RunOptions) -> Result<(), String> {
-    let patterns = named(&asked.names)?;
+    let patterns = find_patterns(&asked.names)?;
     let before = asked.against.as_deref().map(lines::read).transpose()?;
     let results = run_all(&patterns, asked, &Settings::default());
     table::of(&results, asked.first_seed).print(false);
@@ -126,7 +126,7 @@
     Ok(())
 }
 
-fn named(names: &[String]) -> Result<Vec<&'static Pattern>, String> {
+fn find_patterns(names: &[String]) -> Result<Vec<&'static Pattern>, String> {
     if names.is_empty() {
         return Ok(PATTERNS.iter().collect());
     }
