--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -7,7 +7,7 @@
 use gaplock_types::time::Instant;
 
 use super::worker::{self, Held};
-use super::world::{Happening, World};
+use super::world::{Happening, Simulation};
 
 /// How long a call takes to its worker, and its answer back, in milliseconds.
 const WAY_MS: u64 = 1;
@@ -39,7 +39,7 @@
     term: u64,
 }
 
-impl World {
+impl Simulation {
     /// Sends what the leader asks for.
     pub(super) fn act(&mut self, action: Action) {
         let (ix, call) = match action {
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -69,7 +69,7 @@
 }
 
 /// The whole world.
-pub struct World {
+pub struct Simulation {
     pub(super) now: u64,
     pub(super) load: Arc<Load>,
     pub(super) cx: Option<Context>,
@@ -91,13 +91,13 @@
 
 /// Plays a pattern's load under the scheduler with these settings.
 pub fn run(pattern: &Pattern, load: &Arc<Load>, seed: u64, settings: &Settings) -> Outcome {
-    let mut world = World::open(Arc::clone(load), settings.clone());
+    let mut world = Simulation::open(Arc::clone(load), settings.clone());
     trouble::plan(&mut world, &pattern.trouble, seed);
     world.run();
     world.tally.outcome(&world.load)
 }
 
-impl World {
+impl Simulation {
     fn open(load: Arc<Load>, settings: Settings) -> Self {
         let mut world = Self {
             now: BEGIN_MS,
