--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -35,7 +35,7 @@
 
 /// What happens at a time.
 #[derive(Debug, Clone)]
-pub enum Happening {
+pub enum SimEvent {
     /// A job is handed in.
     Arrives(usize),
     /// A job is cancelled.
@@ -80,7 +80,7 @@
     pub(super) by_ix: Vec<usize>,
     pub(super) by_id: BTreeMap<ids::WorkerId, usize>,
     settings: Settings,
-    happenings: BTreeMap<(u64, u64), Happening>,
+    happenings: BTreeMap<(u64, u64), SimEvent>,
     serial: u64,
     jobs: BTreeMap<JobKey, Arc<Job>>,
     cancelled: BTreeSet<JobKey>,
@@ -133,12 +133,12 @@
         }
         let load = Arc::clone(&world.load);
         for (at, job) in load.jobs.iter().enumerate() {
-            world.at(job.arrives, Happening::Arrives(at));
+            world.at(job.arrives, SimEvent::Arrives(at));
             if job.leaves < u64::MAX {
-                world.at(job.leaves, Happening::Leaves(job.job.key));
+                world.at(job.leaves, SimEvent::Leaves(job.job.key));
             }
         }
-        world.at(BEGIN_MS + LOOK_EVERY_MS, Happening::Look);
+        world.at(BEGIN_MS + LOOK_EVERY_MS, SimEvent::Look);
         world.take_over();
         world
     }
@@ -149,7 +149,7 @@
     }
 
     /// Lets something happen at a time.
-    pub(super) fn at(&mut self, at: u64, happening: Happening) {
+    pub(super) fn at(&mut self, at: u64, happening: SimEvent) {
         self.serial += 1;
         self.happenings.insert((at.max(self.now), self.serial), happening);
     }
@@ -170,38 +170,38 @@
         }
     }
 
-    fn happens(&mut self, happening: Happening) {
+    fn happens(&mut self, happening: SimEvent) {
         match happening {
-            Happening::Arrives(at) => self.arrives(at),
-            Happening::Leaves(key) => {
+            SimEvent::Arrives(at) => self.arrives(at),
+            SimEvent::Leaves(key) => {
                 self.cancelled.insert(key);
                 self.event(Event::Cancel(key));
             }
-            Happening::ToWorker(trip, call) => self.at_worker(trip, call),
-            Happening::ToLeader(term, event) if term == self.term => self.event(event),
-            Happening::ToLeader(..) => {}
-            Happening::Held(at, sent) => self.held_long_enough(at, sent),
-            Happening::Ends(at, task, run) => self.may_end(at, task, run),
-            Happening::Stopped(at, task, run) => {
+            SimEvent::ToWorker(trip, call) => self.at_worker(trip, call),
+            SimEvent::ToLeader(term, event) if term == self.term => self.event(event),
+            SimEvent::ToLeader(..) => {}
+            SimEvent::Held(at, sent) => self.held_long_enough(at, sent),
+            SimEvent::Ends(at, task, run) => self.may_end(at, task, run),
+            SimEvent::Stopped(at, task, run) => {
                 if self.workers[at].running.get(&task).is_some_and(|r| r.run == run) {
                     self.end(at, task, EndCause::Stopped);
                 }
             }
-            Happening::Lease(at) => self.check_lease(at),
-            Happening::Stored(term, records) => {
+            SimEvent::Lease(at) => self.check_lease(at),
+            SimEvent::Stored(term, records) => {
                 self.store(records);
                 if term == self.term {
                     self.event(Event::Committed);
                 }
             }
-            Happening::Look => self.look(),
-            Happening::Crashes(at) => self.crash(at),
-            Happening::Unlisted(at) => {
+            SimEvent::Look => self.look(),
+            SimEvent::Crashes(at) => self.crash(at),
+            SimEvent::Unlisted(at) => {
                 self.event(Event::Unlisted(self.workers[at].info.id.clone()));
             }
-            Happening::Reborn(at) => self.reborn(at),
-            Happening::LeaderLost => self.cx = None,
-            Happening::TakesOver => self.take_over(),
+            SimEvent::Reborn(at) => self.reborn(at),
+            SimEvent::LeaderLost => self.cx = None,
+            SimEvent::TakesOver => self.take_over(),
         }
     }
 
@@ -212,7 +212,7 @@
         cx.handle(now, UNIX_BASE + self.now, event);
         let actions = cx.take_actions();
         if let Some(records) = commits::take(cx, now) {
-            let stored = Happening::Stored(self.term, records);
+            let stored = SimEvent::Stored(self.term, records);
             self.at(self.now + STORE_MS, stored);
         }
         for action in actions {
@@ -281,7 +281,7 @@
             self.changed(at, |_| {});
         }
         self.tally.look(&self.load, &self.workers, self.now);
-        self.at(self.now + LOOK_EVERY_MS, Happening::Look);
+        self.at(self.now + LOOK_EVERY_MS, SimEvent::Look);
     }
 
     /// Changes what a worker runs; all its rates may differ then.
@@ -291,7 +291,7 @@
         change(worker);
         for (ends_at, task) in worker.set_rates(&self.load, now) {
             let run = self.workers[at].running[&task].run;
-            self.at(ends_at, Happening::Ends(at, task, run));
+            self.at(ends_at, SimEvent::Ends(at, task, run));
         }
     }
 
@@ -317,7 +317,7 @@
         let worker = &self.workers[at];
         if worker.lease_until > self.now {
             let until = worker.lease_until;
-            return self.at(until, Happening::Lease(at));
+            return self.at(until, SimEvent::Lease(at));
         }
         for task in worker.running.keys().copied().collect::<Vec<_>>() {
             self.end(at, task, EndCause::Lapsed);
@@ -332,7 +332,7 @@
         worker.lease_until = worker.lease_until.max(until.0.min(most));
         if ran_out {
             let until = worker.lease_until;
-            self.at(until, Happening::Lease(at));
+            self.at(until, SimEvent::Lease(at));
         }
     }
 
