--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -80,7 +80,7 @@
     pub(super) by_ix: Vec<usize>,
     pub(super) by_id: BTreeMap<ids::WorkerId, usize>,
     settings: Settings,
-    happenings: BTreeMap<(u64, u64), SimEvent>,
+    pending_events: BTreeMap<(u64, u64), SimEvent>,
     serial: u64,
     jobs: BTreeMap<JobKey, Arc<Job>>,
     cancelled: BTreeSet<JobKey>,
@@ -108,7 +108,7 @@
             by_ix: Vec::new(),
             by_id: BTreeMap::new(),
             settings,
-            happenings: BTreeMap::new(),
+            pending_events: BTreeMap::new(),
             serial: 0,
             jobs: BTreeMap::new(),
             cancelled: BTreeSet::new(),
@@ -151,17 +151,17 @@
     /// Lets something happen at a time.
     pub(super) fn at(&mut self, at: u64, happening: SimEvent) {
         self.serial += 1;
-        self.happenings.insert((at.max(self.now), self.serial), happening);
+        self.pending_events.insert((at.max(self.now), self.serial), happening);
     }
 
     fn run(&mut self) {
         let end = BEGIN_MS + TRAFFIC_MS + REST_MS;
         while self.now < end {
-            let next = self.happenings.first_key_value().map_or(u64::MAX, |(key, _)| key.0);
+            let next = self.pending_events.first_key_value().map_or(u64::MAX, |(key, _)| key.0);
             let wake = self.cx.as_ref().map_or(u64::MAX, |cx| cx.next_wake().0.max(self.now + 1));
             self.now = next.min(wake);
             if next <= wake {
-                if let Some((_, happening)) = self.happenings.pop_first() {
+                if let Some((_, happening)) = self.pending_events.pop_first() {
                     self.happens(happening);
                 }
             } else {
