--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -162,7 +162,7 @@
             self.now = next.min(wake);
             if next <= wake {
                 if let Some((_, happening)) = self.pending_events.pop_first() {
-                    self.happens(happening);
+                    self.handle_sim_event(happening);
                 }
             } else {
                 self.event(Event::Tick);
@@ -170,7 +170,7 @@
         }
     }
 
-    fn happens(&mut self, happening: SimEvent) {
+    fn handle_sim_event(&mut self, happening: SimEvent) {
         match happening {
             SimEvent::Arrives(at) => self.arrives(at),
             SimEvent::Leaves(key) => {
