--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -62,7 +62,7 @@
             | Action::ConfirmLeadership => return,
         };
         let trip = Trip { at: self.worker_of(ix), ix, term: self.term };
-        self.at(self.now + WAY_MS, SimEvent::ToWorker(trip, call));
+        self.schedule(self.now + WAY_MS, SimEvent::ToWorker(trip, call));
     }
 
     /// Finds the worker behind a position in the leader's table.
@@ -81,7 +81,7 @@
         if !worker.up {
             let event = answer(trip.ix, &call, Outcome::Unclear);
             let limit = self.now + CALL_LIMIT_MS;
-            return self.at(limit, SimEvent::ToLeader(trip.term, event));
+            return self.schedule(limit, SimEvent::ToLeader(trip.term, event));
         }
         let fenced = trip.term < worker.token;
         worker.token = worker.token.max(trip.term);
@@ -100,7 +100,7 @@
     }
 
     fn reply(&mut self, term: u64, event: Event) {
-        self.at(self.now + WAY_MS, SimEvent::ToLeader(term, event));
+        self.schedule(self.now + WAY_MS, SimEvent::ToLeader(term, event));
     }
 
     fn carry_out(&mut self, trip: Trip, call: &Call) -> Result<(), Refusal> {
@@ -143,7 +143,7 @@
         }
         self.workers[at].held = Some(Held { ix: trip.ix, term: trip.term, sent });
         if self.workers[at].ends.is_empty() && wait > 0 {
-            return self.at(self.now + wait, SimEvent::Held(at, sent));
+            return self.schedule(self.now + wait, SimEvent::Held(at, sent));
         }
         self.answer_held(at);
     }
@@ -169,7 +169,7 @@
         let Some(held) = self.workers[at].held.take() else { return };
         let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Unclear);
         let event = Event::Renewed { worker, sent, outcome };
-        self.at(self.now + CALL_LIMIT_MS, SimEvent::ToLeader(held.term, event));
+        self.schedule(self.now + CALL_LIMIT_MS, SimEvent::ToLeader(held.term, event));
     }
 
     fn start(
@@ -206,7 +206,7 @@
         let Some(r) = worker.running.get_mut(&task).filter(|r| r.run == run) else { return };
         if !r.stopping {
             r.stopping = true;
-            self.at(self.now + STOP_MS, SimEvent::Stopped(at, task, run));
+            self.schedule(self.now + STOP_MS, SimEvent::Stopped(at, task, run));
         }
     }
 }
--- a/crates/measure/src/patterns/trouble.rs
+++ b/crates/measure/src/patterns/trouble.rs
@@ -31,15 +31,15 @@
         let load = world.load.clone();
         let members = load.workers.iter().enumerate().filter(|(_, w)| w.domain == domain);
         for (worker, _) in members.step_by(3) {
-            world.at(at, SimEvent::Crashes(worker));
-            world.at(at + UNLISTED_AFTER_MS, SimEvent::Unlisted(worker));
-            world.at(at + REBORN_AFTER_MS, SimEvent::Reborn(worker));
+            world.schedule(at, SimEvent::Crashes(worker));
+            world.schedule(at + UNLISTED_AFTER_MS, SimEvent::Unlisted(worker));
+            world.schedule(at + REBORN_AFTER_MS, SimEvent::Reborn(worker));
         }
     }
     for n in 1..=trouble.leader_changes {
         let even = TRAFFIC_MS * n / (trouble.leader_changes + 1);
         let at = BEGIN_MS + even + rng.random_range(0..SPREAD_MS);
-        world.at(at, SimEvent::LeaderLost);
-        world.at(at + rng.random_range(NO_LEADER_MS), SimEvent::TakesOver);
+        world.schedule(at, SimEvent::LeaderLost);
+        world.schedule(at + rng.random_range(NO_LEADER_MS), SimEvent::TakesOver);
     }
 }
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -133,12 +133,12 @@
         }
         let load = Arc::clone(&world.load);
         for (at, job) in load.jobs.iter().enumerate() {
-            world.at(job.arrives, SimEvent::Arrives(at));
+            world.schedule(job.arrives, SimEvent::Arrives(at));
             if job.leaves < u64::MAX {
-                world.at(job.leaves, SimEvent::Leaves(job.job.key));
+                world.schedule(job.leaves, SimEvent::Leaves(job.job.key));
             }
         }
-        world.at(BEGIN_MS + LOOK_EVERY_MS, SimEvent::Look);
+        world.schedule(BEGIN_MS + LOOK_EVERY_MS, SimEvent::Look);
         world.take_over();
         world
     }
@@ -149,7 +149,7 @@
     }
 
     /// Lets something happen at a time.
-    pub(super) fn at(&mut self, at: u64, happening: SimEvent) {
+    pub(super) fn schedule(&mut self, at: u64, happening: SimEvent) {
         self.serial += 1;
         self.pending_events.insert((at.max(self.now), self.serial), happening);
     }
@@ -213,7 +213,7 @@
         let actions = cx.take_actions();
         if let Some(records) = commits::take(cx, now) {
             let stored = SimEvent::Stored(self.term, records);
-            self.at(self.now + STORE_MS, stored);
+            self.schedule(self.now + STORE_MS, stored);
         }
         for action in actions {
             self.act(action);
@@ -281,7 +281,7 @@
             self.changed(at, |_| {});
         }
         self.tally.look(&self.load, &self.workers, self.now);
-        self.at(self.now + LOOK_EVERY_MS, SimEvent::Look);
+        self.schedule(self.now + LOOK_EVERY_MS, SimEvent::Look);
     }
 
     /// Changes what a worker runs; all its rates may differ then.
@@ -291,7 +291,7 @@
         change(worker);
         for (ends_at, task) in worker.set_rates(&self.load, now) {
             let run = self.workers[at].running[&task].run;
-            self.at(ends_at, SimEvent::Ends(at, task, run));
+            self.schedule(ends_at, SimEvent::Ends(at, task, run));
         }
     }
 
@@ -317,7 +317,7 @@
         let worker = &self.workers[at];
         if worker.lease_until > self.now {
             let until = worker.lease_until;
-            return self.at(until, SimEvent::Lease(at));
+            return self.schedule(until, SimEvent::Lease(at));
         }
         for task in worker.running.keys().copied().collect::<Vec<_>>() {
             self.end(at, task, EndCause::Lapsed);
@@ -332,7 +332,7 @@
         worker.lease_until = worker.lease_until.max(until.0.min(most));
         if ran_out {
             let until = worker.lease_until;
-            self.at(until, SimEvent::Lease(at));
+            self.schedule(until, SimEvent::Lease(at));
         }
     }
 
