--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub enum SimEvent {
     /// A job is handed in.
-    Arrives(usize),
+    JobArrives(usize),
     /// A job is cancelled.
     Leaves(JobKey),
     /// A call arrives at a worker.
@@ -133,7 +133,7 @@
         }
         let load = Arc::clone(&world.load);
         for (at, job) in load.jobs.iter().enumerate() {
-            world.schedule(job.arrives, SimEvent::Arrives(at));
+            world.schedule(job.arrives, SimEvent::JobArrives(at));
             if job.leaves < u64::MAX {
                 world.schedule(job.leaves, SimEvent::Leaves(job.job.key));
             }
@@ -172,7 +172,7 @@
 
     fn handle_sim_event(&mut self, happening: SimEvent) {
         match happening {
-            SimEvent::Arrives(at) => self.arrives(at),
+            SimEvent::JobArrives(at) => self.arrives(at),
             SimEvent::Leaves(key) => {
                 self.cancelled.insert(key);
                 self.event(Event::Cancel(key));
