--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -39,7 +39,7 @@
     /// A job is handed in.
     JobArrives(usize),
     /// A job is cancelled.
-    Leaves(JobKey),
+    JobCancelled(JobKey),
     /// A call arrives at a worker.
     ToWorker(Trip, Call),
     /// An answer arrives; a later leader gets none.
@@ -135,7 +135,7 @@
         for (at, job) in load.jobs.iter().enumerate() {
             world.schedule(job.arrives, SimEvent::JobArrives(at));
             if job.leaves < u64::MAX {
-                world.schedule(job.leaves, SimEvent::Leaves(job.job.key));
+                world.schedule(job.leaves, SimEvent::JobCancelled(job.job.key));
             }
         }
         world.schedule(BEGIN_MS + LOOK_EVERY_MS, SimEvent::Look);
@@ -173,7 +173,7 @@
     fn handle_sim_event(&mut self, happening: SimEvent) {
         match happening {
             SimEvent::JobArrives(at) => self.arrives(at),
-            SimEvent::Leaves(key) => {
+            SimEvent::JobCancelled(key) => {
                 self.cancelled.insert(key);
                 self.event(Event::Cancel(key));
             }
