--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -143,7 +143,7 @@
         }
         self.workers[at].held = Some(Held { ix: trip.ix, term: trip.term, sent });
         if self.workers[at].ends.is_empty() && wait > 0 {
-            return self.schedule(self.now + wait, SimEvent::Held(at, sent));
+            return self.schedule(self.now + wait, SimEvent::RenewalWaitOver(at, sent));
         }
         self.answer_held(at);
     }
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -45,7 +45,7 @@
     /// An answer arrives; a later leader gets none.
     ToLeader(u64, Event),
     /// A renewal has waited long enough, sent at this time.
-    Held(usize, Instant),
+    RenewalWaitOver(usize, Instant),
     /// A run's work may be over.
     Ends(usize, TaskKey, Run),
     /// A run's stop is over.
@@ -180,7 +180,7 @@
             SimEvent::ToWorker(trip, call) => self.at_worker(trip, call),
             SimEvent::ToLeader(term, event) if term == self.term => self.event(event),
             SimEvent::ToLeader(..) => {}
-            SimEvent::Held(at, sent) => self.held_long_enough(at, sent),
+            SimEvent::RenewalWaitOver(at, sent) => self.held_long_enough(at, sent),
             SimEvent::Ends(at, task, run) => self.may_end(at, task, run),
             SimEvent::Stopped(at, task, run) => {
                 if self.workers[at].running.get(&task).is_some_and(|r| r.run == run) {
