--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -47,7 +47,7 @@
     /// A renewal has waited long enough, sent at this time.
     RenewalWaitOver(usize, Instant),
     /// A run's work may be over.
-    Ends(usize, TaskKey, Run),
+    RunMayEnd(usize, TaskKey, Run),
     /// A run's stop is over.
     Stopped(usize, TaskKey, Run),
     /// A worker's leases may be over.
@@ -181,7 +181,7 @@
             SimEvent::ToLeader(term, event) if term == self.term => self.event(event),
             SimEvent::ToLeader(..) => {}
             SimEvent::RenewalWaitOver(at, sent) => self.held_long_enough(at, sent),
-            SimEvent::Ends(at, task, run) => self.may_end(at, task, run),
+            SimEvent::RunMayEnd(at, task, run) => self.may_end(at, task, run),
             SimEvent::Stopped(at, task, run) => {
                 if self.workers[at].running.get(&task).is_some_and(|r| r.run == run) {
                     self.end(at, task, EndCause::Stopped);
@@ -291,7 +291,7 @@
         change(worker);
         for (ends_at, task) in worker.set_rates(&self.load, now) {
             let run = self.workers[at].running[&task].run;
-            self.schedule(ends_at, SimEvent::Ends(at, task, run));
+            self.schedule(ends_at, SimEvent::RunMayEnd(at, task, run));
         }
     }
 
