--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -55,7 +55,7 @@
     /// A commit is stored.
     Stored(u64, Vec<Record>),
     /// The world is looked at.
-    Look,
+    Sample,
     /// A worker crashes.
     Crashes(usize),
     /// The directory drops a worker that has crashed.
@@ -138,7 +138,7 @@
                 world.schedule(job.leaves, SimEvent::JobCancelled(job.job.key));
             }
         }
-        world.schedule(BEGIN_MS + LOOK_EVERY_MS, SimEvent::Look);
+        world.schedule(BEGIN_MS + LOOK_EVERY_MS, SimEvent::Sample);
         world.take_over();
         world
     }
@@ -194,7 +194,7 @@
                     self.event(Event::Committed);
                 }
             }
-            SimEvent::Look => self.look(),
+            SimEvent::Sample => self.look(),
             SimEvent::Crashes(at) => self.crash(at),
             SimEvent::Unlisted(at) => {
                 self.event(Event::Unlisted(self.workers[at].info.id.clone()));
@@ -281,7 +281,7 @@
             self.changed(at, |_| {});
         }
         self.tally.look(&self.load, &self.workers, self.now);
-        self.schedule(self.now + LOOK_EVERY_MS, SimEvent::Look);
+        self.schedule(self.now + LOOK_EVERY_MS, SimEvent::Sample);
     }
 
     /// Changes what a worker runs; all its rates may differ then.
