--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -130,7 +130,7 @@
                 self.place();
             }
             self.fill();
-            self.look();
+            self.sample();
             self.now += SLICE_MS;
         }
         let (mut earned, mut owed) = tally::worth_of_ending(self.load, &self.completed);
@@ -269,7 +269,7 @@
     }
 
     /// Counts the lasting tasks at work as often as in a play.
-    fn look(&mut self) {
+    fn sample(&mut self) {
         if !tally::is_look_due(self.now) {
             return;
         }
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -253,7 +253,7 @@
     }
 
     /// Looks at what runs and what is free.
-    pub fn look(&mut self, load: &Load, workers: &[Worker], now: u64) {
+    pub fn sample(&mut self, load: &Load, workers: &[Worker], now: u64) {
         if !is_looked_at(now) {
             return;
         }
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -194,7 +194,7 @@
                     self.event(Event::Committed);
                 }
             }
-            SimEvent::Sample => self.look(),
+            SimEvent::Sample => self.sample(),
             SimEvent::Crashes(at) => self.crash(at),
             SimEvent::Unlisted(at) => {
                 self.event(Event::Unlisted(self.workers[at].info.id.clone()));
@@ -276,11 +276,11 @@
     }
 
     /// Looks at the whole fleet, and lets the rates of what fills follow the loads.
-    fn look(&mut self) {
+    fn sample(&mut self) {
         for at in 0..self.workers.len() {
             self.changed(at, |_| {});
         }
-        self.tally.look(&self.load, &self.workers, self.now);
+        self.tally.sample(&self.load, &self.workers, self.now);
         self.schedule(self.now + LOOK_EVERY_MS, SimEvent::Sample);
     }
 
