--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -261,12 +261,12 @@
         let owed = load.jobs.iter().take_while(|j| j.arrives <= now).filter(|j| is_owed(j, now));
         self.owed_at_work += owed.map(|j| j.weight * span).sum::<f64>();
         for worker in workers.iter().filter(|w| w.up) {
-            self.look_at_tasks(load, worker, now, span);
+            self.sample_tasks(load, worker, now, span);
         }
         self.look_at_room(workers, now);
     }
 
-    fn look_at_tasks(&mut self, load: &Load, worker: &Worker, now: u64, span: f64) {
+    fn sample_tasks(&mut self, load: &Load, worker: &Worker, now: u64, span: f64) {
         for task in worker.running.keys() {
             let job = load.job(task.job);
             let target = job.job.steps[usize::from(task.step)].tail_target;
