--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -263,7 +263,7 @@
         for worker in workers.iter().filter(|w| w.up) {
             self.sample_tasks(load, worker, now, span);
         }
-        self.look_at_room(workers, now);
+        self.sample_free_capacity(workers, now);
     }
 
     fn sample_tasks(&mut self, load: &Load, worker: &Worker, now: u64, span: f64) {
@@ -281,7 +281,7 @@
         }
     }
 
-    fn look_at_room(&mut self, workers: &[Worker], now: u64) {
+    fn sample_free_capacity(&mut self, workers: &[Worker], now: u64) {
         let up = || workers.iter().filter(|w| w.up);
         let cpu = |w: &Worker| f64::from(w.info.capacity.cpu.0) / 1e3;
         let all: f64 = up().map(cpu).sum();
