--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -135,11 +135,11 @@
 }
 
 /// How often the fleet is looked at, in milliseconds.
-pub const LOOK_EVERY_MS: u64 = 250;
+pub const SAMPLE_INTERVAL_MS: u64 = 250;
 
 /// Tells whether it is time for a look that counts.
 pub fn is_look_due(now: u64) -> bool {
-    is_looked_at(now) && now.is_multiple_of(LOOK_EVERY_MS)
+    is_looked_at(now) && now.is_multiple_of(SAMPLE_INTERVAL_MS)
 }
 
 /// Tells whether a lasting job's tasks are owed at this time.
@@ -257,7 +257,7 @@
         if !is_looked_at(now) {
             return;
         }
-        let span = LOOK_EVERY_MS as f64 / 1e3;
+        let span = SAMPLE_INTERVAL_MS as f64 / 1e3;
         let owed = load.jobs.iter().take_while(|j| j.arrives <= now).filter(|j| is_owed(j, now));
         self.owed_at_work += owed.map(|j| j.weight * span).sum::<f64>();
         for worker in workers.iter().filter(|w| w.up) {
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -23,7 +23,7 @@
 use super::calls::{Call, Trip};
 use super::load::{Load, BEGIN_MS, CLASSES, REST_MS, TRAFFIC_MS, UNIX_BASE};
 use super::shape::Pattern;
-use super::tally::{Outcome, Tally, LOOK_EVERY_MS};
+use super::tally::{Outcome, Tally, SAMPLE_INTERVAL_MS};
 use super::trouble;
 use super::worker::Worker;
 
@@ -138,7 +138,7 @@
                 world.schedule(job.leaves, SimEvent::JobCancelled(job.job.key));
             }
         }
-        world.schedule(BEGIN_MS + LOOK_EVERY_MS, SimEvent::Sample);
+        world.schedule(BEGIN_MS + SAMPLE_INTERVAL_MS, SimEvent::Sample);
         world.take_over();
         world
     }
@@ -281,7 +281,7 @@
             self.changed(at, |_| {});
         }
         self.tally.sample(&self.load, &self.workers, self.now);
-        self.schedule(self.now + LOOK_EVERY_MS, SimEvent::Sample);
+        self.schedule(self.now + SAMPLE_INTERVAL_MS, SimEvent::Sample);
     }
 
     /// Changes what a worker runs; all its rates may differ then.
