--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -130,7 +130,7 @@
 }
 
 /// Tells whether the fleet is looked at at this time.
-fn is_looked_at(now: u64) -> bool {
+fn is_measured(now: u64) -> bool {
     (BEGIN_MS + WARM_MS..BEGIN_MS + TRAFFIC_MS).contains(&now)
 }
 
@@ -139,7 +139,7 @@
 
 /// Tells whether it is time for a look that counts.
 pub fn is_look_due(now: u64) -> bool {
-    is_looked_at(now) && now.is_multiple_of(SAMPLE_INTERVAL_MS)
+    is_measured(now) && now.is_multiple_of(SAMPLE_INTERVAL_MS)
 }
 
 /// Tells whether a lasting job's tasks are owed at this time.
@@ -254,7 +254,7 @@
 
     /// Looks at what runs and what is free.
     pub fn sample(&mut self, load: &Load, workers: &[Worker], now: u64) {
-        if !is_looked_at(now) {
+        if !is_measured(now) {
             return;
         }
         let span = SAMPLE_INTERVAL_MS as f64 / 1e3;
