--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -270,7 +270,7 @@
 
     /// Counts the lasting tasks at work as often as in a play.
     fn sample(&mut self) {
-        if !tally::is_look_due(self.now) {
+        if !tally::is_sample_due(self.now) {
             return;
         }
         let known = &self.load.jobs[..self.next_job];
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -138,7 +138,7 @@
 pub const SAMPLE_INTERVAL_MS: u64 = 250;
 
 /// Tells whether it is time for a look that counts.
-pub fn is_look_due(now: u64) -> bool {
+pub fn is_sample_due(now: u64) -> bool {
     is_measured(now) && now.is_multiple_of(SAMPLE_INTERVAL_MS)
 }
 
