--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -118,7 +118,7 @@
     owed_at_work: f64,
     serving: f64,
     over: f64,
-    looks: f64,
+    samples: f64,
     free: f64,
     in_halves: f64,
     largest: f64,
@@ -169,7 +169,7 @@
             owed_at_work: 0.0,
             serving: 0.0,
             over: 0.0,
-            looks: 0.0,
+            samples: 0.0,
             free: 0.0,
             in_halves: 0.0,
             largest: 0.0,
@@ -295,7 +295,7 @@
             largest = largest.max(share);
         }
         let free: f64 = pieces.iter().sum();
-        self.looks += 1.0;
+        self.samples += 1.0;
         self.free += free / all;
         self.in_halves += if free > 0.0 { pieces[2] / free } else { 0.0 };
         self.largest += largest;
@@ -313,7 +313,7 @@
         let (mut earned, mut owed) = worth_of_ending(load, &self.completed);
         earned[Class::Lasting as usize] = self.at_work;
         owed[Class::Lasting as usize] = self.owed_at_work;
-        let looks = self.looks.max(1.0);
+        let looks = self.samples.max(1.0);
         Outcome {
             worth: ByClass::shares(&earned, &owed),
             waits_ms,
