--- a/crates/measure/src/patterns/trouble.rs
+++ b/crates/measure/src/patterns/trouble.rs
@@ -33,7 +33,7 @@
         for (worker, _) in members.step_by(3) {
             world.schedule(at, SimEvent::Crashes(worker));
             world.schedule(at + UNLISTED_AFTER_MS, SimEvent::Unlisted(worker));
-            world.schedule(at + REBORN_AFTER_MS, SimEvent::Reborn(worker));
+            world.schedule(at + REBORN_AFTER_MS, SimEvent::WorkerReplaced(worker));
         }
     }
     for n in 1..=trouble.leader_changes {
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -61,7 +61,7 @@
     /// The directory drops a worker that has crashed.
     Unlisted(usize),
     /// The host of a worker that has crashed has another one.
-    Reborn(usize),
+    WorkerReplaced(usize),
     /// The leader is lost.
     LeaderLost,
     /// Another one takes over.
@@ -199,7 +199,7 @@
             SimEvent::Unlisted(at) => {
                 self.event(Event::Unlisted(self.workers[at].info.id.clone()));
             }
-            SimEvent::Reborn(at) => self.reborn(at),
+            SimEvent::WorkerReplaced(at) => self.reborn(at),
             SimEvent::LeaderLost => self.cx = None,
             SimEvent::TakesOver => self.take_over(),
         }
