--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -199,7 +199,7 @@
             SimEvent::Unlisted(at) => {
                 self.event(Event::Unlisted(self.workers[at].info.id.clone()));
             }
-            SimEvent::WorkerReplaced(at) => self.reborn(at),
+            SimEvent::WorkerReplaced(at) => self.replace_worker(at),
             SimEvent::LeaderLost => self.cx = None,
             SimEvent::TakesOver => self.take_over(),
         }
@@ -345,7 +345,7 @@
         self.leave_held(at);
     }
 
-    fn reborn(&mut self, at: usize) {
+    fn replace_worker(&mut self, at: usize) {
         let dead = &self.workers[at];
         let mut info = dead.info.clone();
         info.id = ids::WorkerId(format!("{}+", info.id));
