--- a/crates/measure/src/patterns/trouble.rs
+++ b/crates/measure/src/patterns/trouble.rs
@@ -40,6 +40,6 @@
         let even = TRAFFIC_MS * n / (trouble.leader_changes + 1);
         let at = BEGIN_MS + even + rng.random_range(0..SPREAD_MS);
         world.schedule(at, SimEvent::LeaderLost);
-        world.schedule(at + rng.random_range(NO_LEADER_MS), SimEvent::TakesOver);
+        world.schedule(at + rng.random_range(NO_LEADER_MS), SimEvent::LeaderTakesOver);
     }
 }
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -65,7 +65,7 @@
     /// The leader is lost.
     LeaderLost,
     /// Another one takes over.
-    TakesOver,
+    LeaderTakesOver,
 }
 
 /// The whole world.
@@ -201,7 +201,7 @@
             }
             SimEvent::WorkerReplaced(at) => self.replace_worker(at),
             SimEvent::LeaderLost => self.cx = None,
-            SimEvent::TakesOver => self.take_over(),
+            SimEvent::LeaderTakesOver => self.take_over(),
         }
     }
 
