--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -10,7 +10,7 @@
 use super::world::{SimEvent, Simulation};
 
 /// How long a call takes to its worker, and its answer back, in milliseconds.
-const WAY_MS: u64 = 1;
+const ONE_WAY_DELAY_MS: u64 = 1;
 
 /// How long a leader waits for an answer, in milliseconds, as in the product.
 const CALL_LIMIT_MS: u64 = 400;
@@ -62,7 +62,7 @@
             | Action::ConfirmLeadership => return,
         };
         let trip = Trip { at: self.worker_of(ix), ix, term: self.term };
-        self.schedule(self.now + WAY_MS, SimEvent::ToWorker(trip, call));
+        self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::ToWorker(trip, call));
     }
 
     /// Finds the worker behind a position in the leader's table.
@@ -100,7 +100,7 @@
     }
 
     fn reply(&mut self, term: u64, event: Event) {
-        self.schedule(self.now + WAY_MS, SimEvent::ToLeader(term, event));
+        self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::ToLeader(term, event));
     }
 
     fn carry_out(&mut self, trip: Trip, call: &Call) -> Result<(), Refusal> {
