--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -13,7 +13,7 @@
 const ONE_WAY_DELAY_MS: u64 = 1;
 
 /// How long a leader waits for an answer, in milliseconds, as in the product.
-const CALL_LIMIT_MS: u64 = 400;
+const CALL_TIMEOUT_MS: u64 = 400;
 
 /// How long a stop takes at a worker, in milliseconds.
 const STOP_MS: u64 = 200;
@@ -80,7 +80,7 @@
         let worker = &mut self.workers[trip.at];
         if !worker.up {
             let event = answer(trip.ix, &call, Outcome::Unclear);
-            let limit = self.now + CALL_LIMIT_MS;
+            let limit = self.now + CALL_TIMEOUT_MS;
             return self.schedule(limit, SimEvent::ToLeader(trip.term, event));
         }
         let fenced = trip.term < worker.token;
@@ -169,7 +169,7 @@
         let Some(held) = self.workers[at].held.take() else { return };
         let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Unclear);
         let event = Event::Renewed { worker, sent, outcome };
-        self.schedule(self.now + CALL_LIMIT_MS, SimEvent::ToLeader(held.term, event));
+        self.schedule(self.now + CALL_TIMEOUT_MS, SimEvent::ToLeader(held.term, event));
     }
 
     fn start(
