--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -16,7 +16,7 @@
 const CALL_TIMEOUT_MS: u64 = 400;
 
 /// How long a stop takes at a worker, in milliseconds.
-const STOP_MS: u64 = 200;
+const STOP_DURATION_MS: u64 = 200;
 
 /// What a leader asks of a worker.
 #[derive(Debug, Clone)]
@@ -206,7 +206,7 @@
         let Some(r) = worker.running.get_mut(&task).filter(|r| r.run == run) else { return };
         if !r.stopping {
             r.stopping = true;
-            self.schedule(self.now + STOP_MS, SimEvent::Stopped(at, task, run));
+            self.schedule(self.now + STOP_DURATION_MS, SimEvent::Stopped(at, task, run));
         }
     }
 }
