--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -33,7 +33,7 @@
 
 /// Whose call it is and where it goes.
 #[derive(Debug, Clone, Copy)]
-pub struct Trip {
+pub struct CallRoute {
     at: usize,
     ix: WorkerIx,
     term: u64,
@@ -61,7 +61,7 @@
             | Action::Maintenance { .. }
             | Action::ConfirmLeadership => return,
         };
-        let trip = Trip { at: self.worker_of(ix), ix, term: self.term };
+        let trip = CallRoute { at: self.worker_of(ix), ix, term: self.term };
         self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::ToWorker(trip, call));
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// Takes in a call that has arrived.
-    pub(super) fn at_worker(&mut self, trip: Trip, call: Call) {
+    pub(super) fn at_worker(&mut self, trip: CallRoute, call: Call) {
         let worker = &mut self.workers[trip.at];
         if !worker.up {
             let event = answer(trip.ix, &call, Outcome::Unclear);
@@ -103,7 +103,7 @@
         self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::ToLeader(term, event));
     }
 
-    fn carry_out(&mut self, trip: Trip, call: &Call) -> Result<(), Refusal> {
+    fn carry_out(&mut self, trip: CallRoute, call: &Call) -> Result<(), Refusal> {
         match *call {
             Call::Renew { stored, until, wait, sent } => {
                 self.renew(trip, stored, until, wait, sent);
@@ -130,7 +130,7 @@
 
     fn renew(
         &mut self,
-        trip: Trip,
+        trip: CallRoute,
         stored: EndSeq,
         until: Option<WorkerClock>,
         wait: u64,
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -20,7 +20,7 @@
 use gaplock_types::ids;
 use gaplock_types::time::{Instant, Millis};
 
-use super::calls::{Call, Trip};
+use super::calls::{Call, CallRoute};
 use super::load::{Load, BEGIN_MS, CLASSES, REST_MS, TRAFFIC_MS, UNIX_BASE};
 use super::shape::Pattern;
 use super::tally::{Outcome, Tally, SAMPLE_INTERVAL_MS};
@@ -41,7 +41,7 @@
     /// A job is cancelled.
     JobCancelled(JobKey),
     /// A call arrives at a worker.
-    ToWorker(Trip, Call),
+    ToWorker(CallRoute, Call),
     /// An answer arrives; a later leader gets none.
     ToLeader(u64, Event),
     /// A renewal has waited long enough, sent at this time.
