--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -41,7 +41,7 @@
 
 impl Simulation {
     /// Sends what the leader asks for.
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn carry_out_action(&mut self, action: Action) {
         let (ix, call) = match action {
             Action::Renew { worker, stored, until, wait } => {
                 let sent = Instant(self.now);
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -216,7 +216,7 @@
             self.schedule(self.now + STORE_MS, stored);
         }
         for action in actions {
-            self.act(action);
+            self.carry_out_action(action);
         }
     }
 
