--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -76,7 +76,7 @@
     }
 
     /// Takes in a call that has arrived.
-    pub(super) fn at_worker(&mut self, trip: CallRoute, call: Call) {
+    pub(super) fn deliver_call(&mut self, trip: CallRoute, call: Call) {
         let worker = &mut self.workers[trip.at];
         if !worker.up {
             let event = answer(trip.ix, &call, Outcome::Unclear);
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -177,7 +177,7 @@
                 self.cancelled.insert(key);
                 self.event(Event::Cancel(key));
             }
-            SimEvent::ToWorker(trip, call) => self.at_worker(trip, call),
+            SimEvent::ToWorker(trip, call) => self.deliver_call(trip, call),
             SimEvent::ToLeader(term, event) if term == self.term => self.event(event),
             SimEvent::ToLeader(..) => {}
             SimEvent::RenewalWaitOver(at, sent) => self.held_long_enough(at, sent),
