--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -149,7 +149,7 @@
     }
 
     /// Answers a renewal that still waits after all the time that it may.
-    pub(super) fn held_long_enough(&mut self, at: usize, sent: Instant) {
+    pub(super) fn end_renewal_wait(&mut self, at: usize, sent: Instant) {
         if self.workers[at].held.is_some_and(|held| held.sent == sent) {
             self.answer_held(at);
         }
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -180,7 +180,7 @@
             SimEvent::ToWorker(trip, call) => self.deliver_call(trip, call),
             SimEvent::ToLeader(term, event) if term == self.term => self.event(event),
             SimEvent::ToLeader(..) => {}
-            SimEvent::RenewalWaitOver(at, sent) => self.held_long_enough(at, sent),
+            SimEvent::RenewalWaitOver(at, sent) => self.end_renewal_wait(at, sent),
             SimEvent::RunMayEnd(at, task, run) => self.may_end(at, task, run),
             SimEvent::Stopped(at, task, run) => {
                 if self.workers[at].running.get(&task).is_some_and(|r| r.run == run) {
