--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -145,18 +145,18 @@
         if self.workers[at].ends.is_empty() && wait > 0 {
             return self.schedule(self.now + wait, SimEvent::RenewalWaitOver(at, sent));
         }
-        self.answer_held(at);
+        self.answer_pending_renewal(at);
     }
 
     /// Answers a renewal that still waits after all the time that it may.
     pub(super) fn end_renewal_wait(&mut self, at: usize, sent: Instant) {
         if self.workers[at].held.is_some_and(|held| held.sent == sent) {
-            self.answer_held(at);
+            self.answer_pending_renewal(at);
         }
     }
 
     /// Answers the renewal that waits at a worker, if one does.
-    pub(super) fn answer_held(&mut self, at: usize) {
+    pub(super) fn answer_pending_renewal(&mut self, at: usize) {
         let Some(held) = self.workers[at].held.take() else { return };
         self.changed(at, |_| {});
         let account = self.workers[at].report(&self.load, self.now);
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -310,7 +310,7 @@
         self.changed(at, |worker| ended = worker.end(task, how));
         let Some(running) = ended else { return };
         self.tally.ended(&self.load, (task, at), how, &running, self.now);
-        self.answer_held(at);
+        self.answer_pending_renewal(at);
     }
 
     fn check_lease(&mut self, at: usize) {
