--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -165,7 +165,7 @@
     }
 
     /// Leaves the renewal that waits at a worker without an answer, if one does.
-    pub(super) fn leave_held(&mut self, at: usize) {
+    pub(super) fn drop_pending_renewal(&mut self, at: usize) {
         let Some(held) = self.workers[at].held.take() else { return };
         let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Unclear);
         let event = Event::Renewed { worker, sent, outcome };
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -342,7 +342,7 @@
         for running in std::mem::take(&mut self.workers[at].running).into_values() {
             self.tally.crashed(&running);
         }
-        self.leave_held(at);
+        self.drop_pending_renewal(at);
     }
 
     fn replace_worker(&mut self, at: usize) {
