--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -141,7 +141,7 @@
         if let Some(until) = until {
             self.grant(at, until);
         }
-        self.workers[at].held = Some(Held { ix: trip.ix, term: trip.term, sent });
+        self.workers[at].pending_renewal = Some(Held { ix: trip.ix, term: trip.term, sent });
         if self.workers[at].ends.is_empty() && wait > 0 {
             return self.schedule(self.now + wait, SimEvent::RenewalWaitOver(at, sent));
         }
@@ -150,14 +150,14 @@
 
     /// Answers a renewal that still waits after all the time that it may.
     pub(super) fn end_renewal_wait(&mut self, at: usize, sent: Instant) {
-        if self.workers[at].held.is_some_and(|held| held.sent == sent) {
+        if self.workers[at].pending_renewal.is_some_and(|held| held.sent == sent) {
             self.answer_pending_renewal(at);
         }
     }
 
     /// Answers the renewal that waits at a worker, if one does.
     pub(super) fn answer_pending_renewal(&mut self, at: usize) {
-        let Some(held) = self.workers[at].held.take() else { return };
+        let Some(held) = self.workers[at].pending_renewal.take() else { return };
         self.changed(at, |_| {});
         let account = self.workers[at].report(&self.load, self.now);
         let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Done(account));
@@ -166,7 +166,7 @@
 
     /// Leaves the renewal that waits at a worker without an answer, if one does.
     pub(super) fn drop_pending_renewal(&mut self, at: usize) {
-        let Some(held) = self.workers[at].held.take() else { return };
+        let Some(held) = self.workers[at].pending_renewal.take() else { return };
         let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Unclear);
         let event = Event::Renewed { worker, sent, outcome };
         self.schedule(self.now + CALL_TIMEOUT_MS, SimEvent::ToLeader(held.term, event));
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -102,7 +102,7 @@
     /// The end of its leases.
     pub lease_until: u64,
     /// The renewal that waits for an end: whose call it is, and when it was sent.
-    pub held: Option<Held>,
+    pub pending_renewal: Option<Held>,
     next_seq: u64,
     last_ended: BTreeMap<TaskKey, Run>,
 }
@@ -129,7 +129,7 @@
             ends: Vec::new(),
             token: 0,
             lease_until: 0,
-            held: None,
+            pending_renewal: None,
             next_seq: 1,
             last_ended: BTreeMap::new(),
         }
