--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -194,7 +194,7 @@
     }
 
     /// Brings the progress of all runs up to date.
-    pub fn settle(&mut self, now: u64) {
+    pub fn update_progress(&mut self, now: u64) {
         for r in self.running.values_mut() {
             r.done_ms += r.rate * now.saturating_sub(r.since) as f64;
             r.since = now;
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -287,7 +287,7 @@
     /// Changes what a worker runs; all its rates may differ then.
     pub(super) fn changed(&mut self, at: usize, change: impl FnOnce(&mut Worker)) {
         let (now, worker) = (self.now, &mut self.workers[at]);
-        worker.settle(now);
+        worker.update_progress(now);
         change(worker);
         for (ends_at, task) in worker.set_rates(&self.load, now) {
             let run = self.workers[at].running[&task].run;
