--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -202,7 +202,7 @@
 
     fn stop(&mut self, at: usize, task: TaskKey, run: Run) {
         let worker = &mut self.workers[at];
-        worker.bar(task, run);
+        worker.refuse_run(task, run);
         let Some(r) = worker.running.get_mut(&task).filter(|r| r.run == run) else { return };
         if !r.stopping {
             r.stopping = true;
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -151,7 +151,7 @@
     }
 
     /// Refuses a run, and all before it, from now on.
-    pub fn bar(&mut self, task: TaskKey, run: Run) {
+    pub fn refuse_run(&mut self, task: TaskKey, run: Run) {
         let last = self.last_ended.entry(task).or_default();
         *last = (*last).max(run);
     }
@@ -185,7 +185,7 @@
     /// Ends a run and lists its end.
     pub fn end(&mut self, task: TaskKey, how: EndCause) -> Option<Running> {
         let running = self.running.remove(&task)?;
-        self.bar(task, running.run);
+        self.refuse_run(task, running.run);
         let seq = EndSeq(self.next_seq);
         self.next_seq += 1;
         let checkpoint = Some(running.saved_ms()).filter(|&ms| ms > 0).map(|ms| ms.to_string());
