--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -222,7 +222,7 @@
     }
 
     /// Returns how a run ends whose time is over.
-    pub fn how_it_ends(&self, task: TaskKey) -> EndCause {
+    pub fn end_cause(&self, task: TaskKey) -> EndCause {
         match self.running.get(&task).is_some_and(|r| r.fails) {
             true => EndCause::Failed,
             false => EndCause::Done,
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -300,7 +300,7 @@
         let worker = &self.workers[at];
         let due = worker.running.get(&task).is_some_and(|r| r.run == run && r.ends_at == self.now);
         if due {
-            self.end(at, task, worker.how_it_ends(task));
+            self.end(at, task, worker.end_cause(task));
         }
     }
 
