--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -203,7 +203,7 @@
 
     /// Works out anew at which rate each run goes on, and returns the ends that are expected now.
     pub fn set_rates(&mut self, load: &Load, now: u64) -> Vec<(u64, TaskKey)> {
-        let (speed, scale) = (self.truth.speed, self.filling_scale(load, now));
+        let (speed, scale) = (self.truth.speed, self.best_effort_scale(load, now));
         let mut ends = Vec::new();
         for (task, r) in &mut self.running {
             r.rate = match r.class {
@@ -230,7 +230,7 @@
     }
 
     /// Returns which part of what filling tasks want is left for them.
-    fn filling_scale(&self, load: &Load, now: u64) -> f64 {
+    fn best_effort_scale(&self, load: &Load, now: u64) -> f64 {
         let (mut taken, mut wanted) = (0.0, 0.0);
         for (task, r) in &self.running {
             match r.class {
