--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -12,7 +12,7 @@
 use super::load::{Class, Load, TrueWorker};
 
 /// How often a batch task saves its progress, in milliseconds of work.
-const SAVE_EVERY_MS: u64 = 1_000;
+const CHECKPOINT_EVERY_MS: u64 = 1_000;
 
 /// How long a run whose image fails goes on, in milliseconds.
 const FAILS_AFTER_MS: f64 = 100.0;
@@ -69,7 +69,7 @@
         if !self.saves {
             return 0;
         }
-        let saved = self.done_ms as u64 / SAVE_EVERY_MS * SAVE_EVERY_MS;
+        let saved = self.done_ms as u64 / CHECKPOINT_EVERY_MS * CHECKPOINT_EVERY_MS;
         saved.max(self.from_ms as u64)
     }
 
