--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -18,7 +18,7 @@
 const FAILS_AFTER_MS: f64 = 100.0;
 
 /// The tail of a serving task without any load, in milliseconds.
-const UNLOADED_MS: f64 = 10.0;
+const UNLOADED_TAIL_MS: f64 = 10.0;
 
 /// The utilisation beyond which tails only grow by what the clients give up.
 const MOST_UTILISATION: f64 = 0.99;
@@ -259,7 +259,7 @@
         }
         pressure += (share - CROWDED_SHARE).max(0.0) * load.crowding;
         let utilisation = job.swing.at(now) * (1.0 + pressure) / self.truth.speed.max(0.5);
-        UNLOADED_MS / (1.0 - utilisation.min(MOST_UTILISATION))
+        UNLOADED_TAIL_MS / (1.0 - utilisation.min(MOST_UTILISATION))
     }
 
     /// Returns the worker's account of itself.
