--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -21,7 +21,7 @@
 const UNLOADED_TAIL_MS: f64 = 10.0;
 
 /// The utilisation beyond which tails only grow by what the clients give up.
-const MOST_UTILISATION: f64 = 0.99;
+const MAX_UTILISATION: f64 = 0.99;
 
 /// The share of a worker's processors from which filling tasks of any image disturb what is served
 /// there, as measured (`docs/MEASUREMENTS.md`, section Disturbance).
@@ -259,7 +259,7 @@
         }
         pressure += (share - CROWDED_SHARE).max(0.0) * load.crowding;
         let utilisation = job.swing.at(now) * (1.0 + pressure) / self.truth.speed.max(0.5);
-        UNLOADED_TAIL_MS / (1.0 - utilisation.min(MOST_UTILISATION))
+        UNLOADED_TAIL_MS / (1.0 - utilisation.min(MAX_UTILISATION))
     }
 
     /// Returns the worker's account of itself.
