--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -25,7 +25,7 @@
 
 /// The share of a worker's processors from which filling tasks of any image disturb what is served
 /// there, as measured (`docs/MEASUREMENTS.md`, section Disturbance).
-const CROWDED_SHARE: f64 = 0.6;
+const CONTENTION_SHARE: f64 = 0.6;
 
 /// Returns what a task takes of a worker's room: one that fills reserves no processors.
 pub fn takes(step: &Step) -> Resources {
@@ -257,7 +257,7 @@
             share += used;
             pressure += used * load.factors[job.image][r.image];
         }
-        pressure += (share - CROWDED_SHARE).max(0.0) * load.crowding;
+        pressure += (share - CONTENTION_SHARE).max(0.0) * load.crowding;
         let utilisation = job.swing.at(now) * (1.0 + pressure) / self.truth.speed.max(0.5);
         UNLOADED_TAIL_MS / (1.0 - utilisation.min(MAX_UTILISATION))
     }
