--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -218,7 +218,7 @@
         let state = self.tasks.entry(task).or_default();
         let job = load.job(task.job);
         if how == EndCause::Done && !std::mem::replace(&mut state.done, true) {
-            return self.step_came_along(load, task, now);
+            return self.record_task_done(load, task, now);
         }
         if job.class != Class::Lasting {
             self.lost_core_s += run.unsaved_core_s();
@@ -231,7 +231,7 @@
     }
 
     /// Counts a task that is done; with the last one of its step those begin that wait for it.
-    fn step_came_along(&mut self, load: &Load, task: TaskKey, now: u64) {
+    fn record_task_done(&mut self, load: &Load, task: TaskKey, now: u64) {
         let steps = &mut self.steps[task.job.0 as usize];
         let of = usize::from(task.step);
         steps[of].1 -= 1;
