--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -192,10 +192,10 @@
             return;
         }
         let ready = self.steps[task.job.0 as usize][usize::from(task.step)].0;
-        self.waited(load.job(task.job), ready.unwrap_or(now), now);
+        self.record_wait(load.job(task.job), ready.unwrap_or(now), now);
     }
 
-    fn waited(&mut self, job: &TrueJob, ready: u64, now: u64) {
+    fn record_wait(&mut self, job: &TrueJob, ready: u64, now: u64) {
         if ready < BEGIN_MS + WARM_MS || job.fails {
             return;
         }
@@ -340,7 +340,7 @@
                 let started = |index| self.tasks.get(&task(index)).is_some_and(|t| t.started);
                 let never = (0..step.count).filter(|&index| !started(index)).count();
                 for _ in 0..never {
-                    self.waited(job, ready, end.min(job.leaves));
+                    self.record_wait(job, ready, end.min(job.leaves));
                 }
             }
         }
