--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -304,7 +304,7 @@
 
     /// Returns what came of it all.
     pub fn outcome(mut self, load: &Load) -> Outcome {
-        self.wait_on(load);
+        self.record_unstarted_waits(load);
         let waits = CLASSES.into_iter().zip(&self.waits).map(|(class, h)| {
             let [p50, p90, p99] = [0.5, 0.9, 0.99].map(|q| h.value_at_quantile(q));
             (class, Waits { p50, p90, p99, most: h.max() })
@@ -330,7 +330,7 @@
     }
 
     /// Counts the waits of tasks that never started, up to the end.
-    fn wait_on(&mut self, load: &Load) {
+    fn record_unstarted_waits(&mut self, load: &Load) {
         let end = BEGIN_MS + TRAFFIC_MS + REST_MS;
         for job in &load.jobs {
             let key = job.job.key;
