--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -13,7 +13,7 @@
 /// What a job is worth that is done late, against one in time, and how many times the time that it may take
 /// it may be late.
 const LATE_WORTH: f64 = 0.15;
-const LATE_TIMES: u64 = 3;
+const MAX_LATE_FACTOR: u64 = 3;
 
 /// The longest wait that is told apart, in milliseconds.
 const LONGEST_MS: u64 = 200_000;
@@ -357,7 +357,7 @@
         owed[class] += job.weight;
         earned[class] += match completed[job.job.key.0 as usize] {
             Some(at) if at <= job.due => job.weight,
-            Some(at) if at <= job.arrives + (job.due - job.arrives) * LATE_TIMES => {
+            Some(at) if at <= job.arrives + (job.due - job.arrives) * MAX_LATE_FACTOR => {
                 job.weight * LATE_WORTH
             }
             _ => 0.0,
