--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -16,7 +16,7 @@
 const MAX_LATE_FACTOR: u64 = 3;
 
 /// The longest wait that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 200_000;
+const MAX_RECORDED_WAIT_MS: u64 = 200_000;
 
 /// A value for each class and their mean.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
@@ -126,7 +126,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_MS, 3).expect("the bounds are sound")
+    Histogram::new_with_bounds(1, MAX_RECORDED_WAIT_MS, 3).expect("the bounds are sound")
 }
 
 /// Tells whether the fleet is looked at at this time.
