--- a/crates/measure/src/patterns/plots.rs
+++ b/crates/measure/src/patterns/plots.rs
@@ -10,7 +10,7 @@
 use super::lines::Line;
 use super::load::{Class, BEGIN_MS, CLASSES, TRAFFIC_MS};
 use super::table;
-use super::tally::Course;
+use super::tally::Timeline;
 
 /// The size of one plot, in pixels.
 const WIDTH: u32 = 460;
@@ -63,7 +63,7 @@
     (BEGIN_MS..BEGIN_MS + TRAFFIC_MS).step_by(SPAN_MS as usize)
 }
 
-fn waits(course: &Course) -> Vec<Series> {
+fn waits(course: &Timeline) -> Vec<Series> {
     let quantile = |q: f64| {
         let point = |from: u64| {
             let within = course.waits.iter().filter(|(at, _)| (from..from + SPAN_MS).contains(at));
@@ -77,12 +77,12 @@
     vec![("median", quantile(0.5)), ("9 of 10", quantile(0.9)), ("longest", quantile(1.0))]
 }
 
-fn room(course: &Course) -> Vec<Series> {
+fn room(course: &Timeline) -> Vec<Series> {
     let piece = |n: usize| course.free.iter().map(|(at, free)| (seconds(*at), free[n])).collect();
     vec![("half or more", piece(2)), ("a quarter to a half", piece(1)), ("less", piece(0))]
 }
 
-fn gave_way(course: &Course) -> Vec<Series> {
+fn gave_way(course: &Timeline) -> Vec<Series> {
     let of = |class: Class| {
         let count = |from: u64| {
             let within =
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -78,12 +78,12 @@
     pub largest: f64,
     /// What happened when, for the plots.
     #[serde(skip)]
-    pub course: Course,
+    pub course: Timeline,
 }
 
 /// What happened when.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Course {
+pub struct Timeline {
     /// The first starts of short tasks: when they could start, and how long they waited.
     pub waits: Vec<(u64, u64)>,
     /// The free processors at each look: when, and in pieces of less than a quarter, a half, and more of a
@@ -122,7 +122,7 @@
     free: f64,
     in_halves: f64,
     largest: f64,
-    course: Course,
+    course: Timeline,
 }
 
 fn histogram() -> Histogram<u64> {
@@ -173,7 +173,7 @@
             free: 0.0,
             in_halves: 0.0,
             largest: 0.0,
-            course: Course::default(),
+            course: Timeline::default(),
         }
     }
 
