--- a/crates/measure/src/patterns/plots.rs
+++ b/crates/measure/src/patterns/plots.rs
@@ -87,7 +87,7 @@
         let count = |from: u64| {
             let within =
                 |(at, of): &&(u64, Class)| *of == class && (from..from + SPAN_MS).contains(at);
-            (seconds(from), course.gave_way.iter().filter(within).count() as f64)
+            (seconds(from), course.preempted.iter().filter(within).count() as f64)
         };
         spans().map(count).collect()
     };
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -90,7 +90,7 @@
     /// worker, in cores.
     pub free: Vec<(u64, [f64; 3])>,
     /// Runs that gave way: when, and of which class.
-    pub gave_way: Vec<(u64, Class)>,
+    pub preempted: Vec<(u64, Class)>,
 }
 
 /// How far a task has come.
@@ -226,7 +226,7 @@
         if how == EndCause::Stopped && !state.done && now < job.leaves {
             state.stopped_at = Some(at);
             self.stops += 1;
-            self.course.gave_way.push((now, job.class));
+            self.course.preempted.push((now, job.class));
         }
     }
 
