--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -133,7 +133,7 @@
             self.sample();
             self.now += SLICE_MS;
         }
-        let (mut earned, mut owed) = tally::worth_of_ending(self.load, &self.completed);
+        let (mut earned, mut owed) = tally::worth_of_finite_jobs(self.load, &self.completed);
         earned[Class::Lasting as usize] = self.earned;
         owed[Class::Lasting as usize] = self.owed;
         ByClass::shares(&earned, &owed)
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -310,7 +310,7 @@
             (class, Waits { p50, p90, p99, most: h.max() })
         });
         let waits_ms = waits.collect();
-        let (mut earned, mut owed) = worth_of_ending(load, &self.completed);
+        let (mut earned, mut owed) = worth_of_finite_jobs(load, &self.completed);
         earned[Class::Lasting as usize] = self.at_work;
         owed[Class::Lasting as usize] = self.owed_at_work;
         let looks = self.samples.max(1.0);
@@ -348,7 +348,7 @@
 }
 
 /// Returns what jobs that end have earned, and what is owed, by class.
-pub fn worth_of_ending(load: &Load, completed: &[Option<u64>]) -> ([f64; 3], [f64; 3]) {
+pub fn worth_of_finite_jobs(load: &Load, completed: &[Option<u64>]) -> ([f64; 3], [f64; 3]) {
     let (mut earned, mut owed) = ([0.0; 3], [0.0; 3]);
     let end = BEGIN_MS + TRAFFIC_MS + REST_MS;
     let ending = |job: &&TrueJob| job.class != Class::Lasting && job.counts() && job.due <= end;
