--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -32,9 +32,9 @@
 
 /// The free processors of some workers, in thousandths of a core, by size.
 #[derive(Debug, Default)]
-struct Room(BTreeSet<(u32, usize)>);
+struct FreeCapacity(BTreeSet<(u32, usize)>);
 
-impl Room {
+impl FreeCapacity {
     /// Finds the smallest room that holds so much.
     fn tightest(&self, cpu: u32) -> Option<(u32, usize)> {
         self.0.range((cpu, 0)..).next().copied()
@@ -69,8 +69,8 @@
     load: &'a Load,
     now: u64,
     /// The room for all, and that which is kept for short tasks.
-    open: Room,
-    kept: Room,
+    open: FreeCapacity,
+    kept: FreeCapacity,
     is_kept: Vec<bool>,
     /// What is free on each worker, in thousandths of a core.
     free: Vec<u32>,
@@ -98,7 +98,7 @@
         let is_kept: Vec<bool> = (0..load.workers.len()).map(is_kept).collect();
         let room = |of: bool| {
             let workers = load.workers.iter().enumerate().filter(|(n, _)| is_kept[*n] == of);
-            Room(workers.map(|(n, w)| (w.capacity.cpu.0, n)).collect())
+            FreeCapacity(workers.map(|(n, w)| (w.capacity.cpu.0, n)).collect())
         };
         let steps = |job: &TrueJob| job.job.steps.iter().map(|s| s.count).collect();
         Self {
