--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -16,13 +16,13 @@
 const SLICE_MS: u64 = 10;
 
 /// The parts of the workers that are kept from lasting tasks, one try each.
-const KEPT: [f64; 5] = [0.0, 0.05, 0.1, 0.15, 0.2];
+const RESERVED_SHARES: [f64; 5] = [0.0, 0.05, 0.1, 0.15, 0.2];
 
 /// Returns the best that the load could earn, as the mean share of what is owed to the three classes. It is a
 /// packing and no proof: tests hold it against what policies get.
 pub fn of(load: &Load) -> f64 {
     let mut best = 0.0_f64;
-    for kept in KEPT {
+    for kept in RESERVED_SHARES {
         if best < 1.0 {
             best = best.max(Packing::new(load, kept).run().mean);
         }
