--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -36,7 +36,7 @@
 
 impl FreeCapacity {
     /// Finds the smallest room that holds so much.
-    fn tightest(&self, cpu: u32) -> Option<(u32, usize)> {
+    fn best_fit(&self, cpu: u32) -> Option<(u32, usize)> {
         self.0.range((cpu, 0)..).next().copied()
     }
 }
@@ -211,7 +211,7 @@
         for piece in std::mem::take(&mut self.short) {
             let job = self.load.job(piece.job);
             let end = self.now + job.work_ms[piece.step][piece.index];
-            let (open, kept) = (self.open.tightest(piece.cpu.0), self.kept.tightest(piece.cpu.0));
+            let (open, kept) = (self.open.best_fit(piece.cpu.0), self.kept.best_fit(piece.cpu.0));
             let chosen = open.into_iter().chain(kept).min();
             if !self.place_at(piece, chosen, end) {
                 self.short.insert(Piece { hopeless: end > job.due, ..piece });
@@ -219,7 +219,7 @@
         }
         for piece in std::mem::take(&mut self.lasting) {
             let leaves = self.load.job(piece.job).leaves;
-            let chosen = self.open.tightest(piece.cpu.0);
+            let chosen = self.open.best_fit(piece.cpu.0);
             if leaves > self.now && !self.place_at(piece, chosen, leaves) {
                 self.lasting.insert(piece);
             }
