--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -55,7 +55,7 @@
 
 /// A step of a filling job that is under way.
 #[derive(Debug)]
-struct Filling {
+struct BestEffortStep {
     job: JobKey,
     step: usize,
     left_core_ms: f64,
@@ -83,7 +83,7 @@
     left: Vec<Vec<u32>>,
     /// How many of each job's tasks that reserve processors are at work.
     at_work: Vec<u32>,
-    filling: Vec<Filling>,
+    filling: Vec<BestEffortStep>,
     completed: Vec<Option<u64>>,
     next_job: usize,
     room_changed: bool,
@@ -183,7 +183,7 @@
             let left_core_ms = works.iter().sum::<u64>() as f64 * cores;
             let not_before = self.now + works.iter().max().copied().unwrap_or(0);
             let cores = cores * f64::from(of.count);
-            self.filling.push(Filling { job: key, step, left_core_ms, cores, not_before });
+            self.filling.push(BestEffortStep { job: key, step, left_core_ms, cores, not_before });
             return;
         }
         let cpu = std::cmp::Reverse(of.demand.cpu.0);
