--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -83,7 +83,7 @@
     left: Vec<Vec<u32>>,
     /// How many of each job's tasks that reserve processors are at work.
     at_work: Vec<u32>,
-    filling: Vec<BestEffortStep>,
+    best_effort: Vec<BestEffortStep>,
     completed: Vec<Option<u64>>,
     next_job: usize,
     room_changed: bool,
@@ -113,7 +113,7 @@
             ends: BTreeMap::new(),
             left: load.jobs.iter().map(steps).collect(),
             at_work: vec![0; load.jobs.len()],
-            filling: Vec::new(),
+            best_effort: Vec::new(),
             completed: vec![None; load.jobs.len()],
             next_job: 0,
             room_changed: false,
@@ -183,7 +183,13 @@
             let left_core_ms = works.iter().sum::<u64>() as f64 * cores;
             let not_before = self.now + works.iter().max().copied().unwrap_or(0);
             let cores = cores * f64::from(of.count);
-            self.filling.push(BestEffortStep { job: key, step, left_core_ms, cores, not_before });
+            self.best_effort.push(BestEffortStep {
+                job: key,
+                step,
+                left_core_ms,
+                cores,
+                not_before,
+            });
             return;
         }
         let cpu = std::cmp::Reverse(of.demand.cpu.0);
@@ -238,9 +244,9 @@
     fn fill(&mut self) {
         let mut left = self.spare_cores() * SLICE_MS as f64;
         let load = self.load;
-        self.filling.sort_by_key(|f| load.job(f.job).due);
+        self.best_effort.sort_by_key(|f| load.job(f.job).due);
         let mut done = Vec::new();
-        for f in &mut self.filling {
+        for f in &mut self.best_effort {
             let used = (f.cores * SLICE_MS as f64).min(f.left_core_ms).min(left);
             left -= used;
             f.left_core_ms -= used;
@@ -248,7 +254,7 @@
                 done.push((f.job, f.step));
             }
         }
-        self.filling.retain(|f| !done.contains(&(f.job, f.step)));
+        self.best_effort.retain(|f| !done.contains(&(f.job, f.step)));
         for (job, step) in done {
             self.step_done(job, step, self.now + SLICE_MS);
         }
