--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -125,7 +125,7 @@
     fn run(mut self) -> ByClass {
         while self.now < BEGIN_MS + TRAFFIC_MS + REST_MS {
             self.end_tasks();
-            self.hand_in();
+            self.submit_jobs();
             if self.room_changed {
                 self.place();
             }
@@ -165,7 +165,7 @@
         self.free[worker] = free;
     }
 
-    fn hand_in(&mut self) {
+    fn submit_jobs(&mut self) {
         while let Some(job) = self.load.jobs.get(self.next_job).filter(|j| j.arrives <= self.now) {
             self.next_job += 1;
             if !job.fails {
