--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -86,7 +86,7 @@
     best_effort: Vec<BestEffortStep>,
     completed: Vec<Option<u64>>,
     next_job: usize,
-    room_changed: bool,
+    capacity_changed: bool,
     earned: f64,
     owed: f64,
 }
@@ -116,7 +116,7 @@
             best_effort: Vec::new(),
             completed: vec![None; load.jobs.len()],
             next_job: 0,
-            room_changed: false,
+            capacity_changed: false,
             earned: 0.0,
             owed: 0.0,
         }
@@ -126,7 +126,7 @@
         while self.now < BEGIN_MS + TRAFFIC_MS + REST_MS {
             self.end_tasks();
             self.submit_jobs();
-            if self.room_changed {
+            if self.capacity_changed {
                 self.place();
             }
             self.fill();
@@ -143,7 +143,7 @@
     fn end_tasks(&mut self) {
         while let Some(entry) = self.ends.first_entry().filter(|e| e.key().0 <= self.now) {
             let ((at, piece), worker) = entry.remove_entry();
-            self.room_changed = true;
+            self.capacity_changed = true;
             self.set_free(worker, self.free[worker] + piece.cpu.0);
             let key = piece.job.0 as usize;
             self.at_work[key] -= 1;
@@ -175,7 +175,7 @@
     }
 
     fn begin(&mut self, key: JobKey, step: usize) {
-        self.room_changed = true;
+        self.capacity_changed = true;
         let job = self.load.job(key);
         let (of, works) = (&job.job.steps[step], &job.work_ms[step]);
         if job.class == Class::Batch {
@@ -213,7 +213,7 @@
 
     /// Places what waits: short tasks in all rooms, then lasting ones where they may.
     fn place(&mut self) {
-        self.room_changed = false;
+        self.capacity_changed = false;
         for piece in std::mem::take(&mut self.short) {
             let job = self.load.job(piece.job);
             let end = self.now + job.work_ms[piece.step][piece.index];
