--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Piece {
     /// Set where the job is late whatever is done: then others go first.
-    hopeless: bool,
+    misses_due: bool,
     /// What it asks for, the most first.
     cpu: std::cmp::Reverse<u32>,
     job: JobKey,
@@ -194,7 +194,7 @@
         }
         let cpu = std::cmp::Reverse(of.demand.cpu.0);
         let pieces =
-            (0..works.len()).map(|index| Piece { hopeless: false, cpu, job: key, step, index });
+            (0..works.len()).map(|index| Piece { misses_due: false, cpu, job: key, step, index });
         match job.class {
             Class::Lasting => self.lasting.extend(pieces),
             _ => self.short.extend(pieces),
@@ -220,7 +220,7 @@
             let (open, kept) = (self.open.best_fit(piece.cpu.0), self.kept.best_fit(piece.cpu.0));
             let chosen = open.into_iter().chain(kept).min();
             if !self.place_at(piece, chosen, end) {
-                self.short.insert(Piece { hopeless: end > job.due, ..piece });
+                self.short.insert(Piece { misses_due: end > job.due, ..piece });
             }
         }
         for piece in std::mem::take(&mut self.lasting) {
