--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -129,7 +129,7 @@
             if self.capacity_changed {
                 self.place();
             }
-            self.fill();
+            self.run_best_effort();
             self.sample();
             self.now += SLICE_MS;
         }
@@ -241,7 +241,7 @@
     }
 
     /// Lets what fills use what is left in sum, the job that is due first before others.
-    fn fill(&mut self) {
+    fn run_best_effort(&mut self) {
         let mut left = self.spare_cores() * SLICE_MS as f64;
         let load = self.load;
         self.best_effort.sort_by_key(|f| load.job(f.job).due);
