--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -17,7 +17,7 @@
 pub const BEGIN_MS: u64 = 10_000;
 
 /// How long the fleet fills up before anything counts.
-pub const WARM_MS: u64 = 8_000;
+pub const WARM_UP_MS: u64 = 8_000;
 
 /// How long jobs are handed in, from the beginning.
 pub const TRAFFIC_MS: u64 = 60_000;
@@ -146,7 +146,7 @@
 
     /// Tells whether it counts: it comes after the fleet has filled up, and can be done.
     pub fn counts(&self) -> bool {
-        let seen = self.class == Class::Lasting || self.arrives >= BEGIN_MS + WARM_MS;
+        let seen = self.class == Class::Lasting || self.arrives >= BEGIN_MS + WARM_UP_MS;
         seen && !self.fails
     }
 }
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use super::load::{Class, Load, TrueJob, BEGIN_MS, CLASSES, REST_MS, TRAFFIC_MS, WARM_MS};
+use super::load::{Class, Load, TrueJob, BEGIN_MS, CLASSES, REST_MS, TRAFFIC_MS, WARM_UP_MS};
 use super::worker::{Running, Worker};
 
 /// What a job is worth that is done late, against one in time, and how many times the time that it may take
@@ -131,7 +131,7 @@
 
 /// Tells whether the fleet is looked at at this time.
 fn is_measured(now: u64) -> bool {
-    (BEGIN_MS + WARM_MS..BEGIN_MS + TRAFFIC_MS).contains(&now)
+    (BEGIN_MS + WARM_UP_MS..BEGIN_MS + TRAFFIC_MS).contains(&now)
 }
 
 /// How often the fleet is looked at, in milliseconds.
@@ -196,7 +196,7 @@
     }
 
     fn record_wait(&mut self, job: &TrueJob, ready: u64, now: u64) {
-        if ready < BEGIN_MS + WARM_MS || job.fails {
+        if ready < BEGIN_MS + WARM_UP_MS || job.fails {
             return;
         }
         let wait = now.saturating_sub(ready);
