--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -9,7 +9,7 @@
 
 use gaplock_jobs::JobKey;
 
-use super::load::{Class, Load, TrueJob, BEGIN_MS, REST_MS, TRAFFIC_MS};
+use super::load::{Class, Load, TrueJob, BEGIN_MS, COOL_DOWN_MS, TRAFFIC_MS};
 use super::tally::{self, ByClass};
 
 /// How finely time goes on, in milliseconds: well below what an order takes to be carried out and noted.
@@ -123,7 +123,7 @@
     }
 
     fn run(mut self) -> ByClass {
-        while self.now < BEGIN_MS + TRAFFIC_MS + REST_MS {
+        while self.now < BEGIN_MS + TRAFFIC_MS + COOL_DOWN_MS {
             self.end_tasks();
             self.submit_jobs();
             if self.capacity_changed {
--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -23,7 +23,7 @@
 pub const TRAFFIC_MS: u64 = 60_000;
 
 /// How long a world goes on after the last job.
-pub const REST_MS: u64 = 12_000;
+pub const COOL_DOWN_MS: u64 = 12_000;
 
 /// The wall clock at the virtual time 0, in milliseconds since 1970; any time would do.
 pub const UNIX_BASE: u64 = 1_700_000_000_000;
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use super::load::{Class, Load, TrueJob, BEGIN_MS, CLASSES, REST_MS, TRAFFIC_MS, WARM_UP_MS};
+use super::load::{Class, Load, TrueJob, BEGIN_MS, CLASSES, COOL_DOWN_MS, TRAFFIC_MS, WARM_UP_MS};
 use super::worker::{Running, Worker};
 
 /// What a job is worth that is done late, against one in time, and how many times the time that it may take
@@ -331,7 +331,7 @@
 
     /// Counts the waits of tasks that never started, up to the end.
     fn record_unstarted_waits(&mut self, load: &Load) {
-        let end = BEGIN_MS + TRAFFIC_MS + REST_MS;
+        let end = BEGIN_MS + TRAFFIC_MS + COOL_DOWN_MS;
         for job in &load.jobs {
             let key = job.job.key;
             for (n, step) in job.job.steps.iter().enumerate() {
@@ -350,7 +350,7 @@
 /// Returns what jobs that end have earned, and what is owed, by class.
 pub fn worth_of_finite_jobs(load: &Load, completed: &[Option<u64>]) -> ([f64; 3], [f64; 3]) {
     let (mut earned, mut owed) = ([0.0; 3], [0.0; 3]);
-    let end = BEGIN_MS + TRAFFIC_MS + REST_MS;
+    let end = BEGIN_MS + TRAFFIC_MS + COOL_DOWN_MS;
     let ending = |job: &&TrueJob| job.class != Class::Lasting && job.counts() && job.due <= end;
     for job in load.jobs.iter().filter(ending) {
         let class = job.class as usize;
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -21,7 +21,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use super::calls::{Call, CallRoute};
-use super::load::{Load, BEGIN_MS, CLASSES, REST_MS, TRAFFIC_MS, UNIX_BASE};
+use super::load::{Load, BEGIN_MS, CLASSES, COOL_DOWN_MS, TRAFFIC_MS, UNIX_BASE};
 use super::shape::Pattern;
 use super::tally::{Outcome, Tally, SAMPLE_INTERVAL_MS};
 use super::trouble;
@@ -155,7 +155,7 @@
     }
 
     fn run(&mut self) {
-        let end = BEGIN_MS + TRAFFIC_MS + REST_MS;
+        let end = BEGIN_MS + TRAFFIC_MS + COOL_DOWN_MS;
         while self.now < end {
             let next = self.pending_events.first_key_value().map_or(u64::MAX, |(key, _)| key.0);
             let wake = self.cx.as_ref().map_or(u64::MAX, |cx| cx.next_wake().0.max(self.now + 1));
