--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -26,7 +26,7 @@
 pub const COOL_DOWN_MS: u64 = 12_000;
 
 /// The wall clock at the virtual time 0, in milliseconds since 1970; any time would do.
-pub const UNIX_BASE: u64 = 1_700_000_000_000;
+pub const UNIX_BASE_MS: u64 = 1_700_000_000_000;
 
 /// How much a filling image that presses on a serving one does so, and any other, as measured
 /// (`docs/MEASUREMENTS.md`, section Disturbance).
@@ -370,7 +370,7 @@
             spec: String::new(),
             steps,
             repeat: None,
-            accepted_unix_ms: UNIX_BASE + arrives,
+            accepted_unix_ms: UNIX_BASE_MS + arrives,
         })
     }
 
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -21,7 +21,7 @@
 use gaplock_types::time::{Instant, Millis};
 
 use super::calls::{Call, CallRoute};
-use super::load::{Load, BEGIN_MS, CLASSES, COOL_DOWN_MS, TRAFFIC_MS, UNIX_BASE};
+use super::load::{Load, BEGIN_MS, CLASSES, COOL_DOWN_MS, TRAFFIC_MS, UNIX_BASE_MS};
 use super::shape::Pattern;
 use super::tally::{Outcome, Tally, SAMPLE_INTERVAL_MS};
 use super::trouble;
@@ -209,7 +209,7 @@
     pub(super) fn event(&mut self, event: Event) {
         let now = Instant(self.now);
         let Some(cx) = &mut self.cx else { return };
-        cx.handle(now, UNIX_BASE + self.now, event);
+        cx.handle(now, UNIX_BASE_MS + self.now, event);
         let actions = cx.take_actions();
         if let Some(records) = commits::take(cx, now) {
             let stored = SimEvent::Stored(self.term, records);
@@ -231,7 +231,7 @@
         self.term += 1;
         self.by_ix.clear();
         let term = Term { number: self.term, token: FencingToken(self.term * 10) };
-        let (now, unix) = (Instant(self.now), UNIX_BASE + self.now);
+        let (now, unix) = (Instant(self.now), UNIX_BASE_MS + self.now);
         let mut cx = Context::open(self.settings.clone(), term, now, unix);
         cx.handle(now, unix, Event::Config(config()));
         let stored = StoredState {
