--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -31,7 +31,7 @@
 /// How much a filling image that presses on a serving one does so, and any other, as measured
 /// (`docs/MEASUREMENTS.md`, section Disturbance).
 const INTERFERING_FACTORS: std::ops::Range<f64> = 1.2..2.7;
-const FACTORS_ELSE: std::ops::Range<f64> = 0.0..0.1;
+const OTHER_FACTORS: std::ops::Range<f64> = 0.0..0.1;
 
 /// How much more a whole worker's worth of filling beyond what crowds it presses on all that serves there.
 const CROWDING: f64 = 1.5;
@@ -215,7 +215,7 @@
 }
 
 fn factor(rng: &mut ChaCha8Rng, pressing: f64) -> f64 {
-    let range = if rng.random_bool(pressing) { INTERFERING_FACTORS } else { FACTORS_ELSE };
+    let range = if rng.random_bool(pressing) { INTERFERING_FACTORS } else { OTHER_FACTORS };
     rng.random_range(range)
 }
 
