--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -34,7 +34,7 @@
 const OTHER_FACTORS: std::ops::Range<f64> = 0.0..0.1;
 
 /// How much more a whole worker's worth of filling beyond what crowds it presses on all that serves there.
-const CROWDING: f64 = 1.5;
+const CONTENTION_FACTOR: f64 = 1.5;
 
 /// Where the load of a serving job swings, and how long a swing takes in milliseconds.
 const LOADS: std::ops::Range<f64> = 0.3..0.75;
@@ -200,7 +200,7 @@
     let (serving, filling) = pattern.shape.images;
     let mut row = |_| (0..filling).map(|_| factor(&mut rng, pattern.shape.pressing)).collect();
     let factors = (0..serving).map(&mut row).collect();
-    let mut load = Load { workers, jobs: Vec::new(), factors, crowding: CROWDING };
+    let mut load = Load { workers, jobs: Vec::new(), factors, crowding: CONTENTION_FACTOR };
     let mut draft = Draft { pattern, rng, cores: load.cores(), jobs: Vec::new() };
     draft.lasting_jobs();
     draft.ending_jobs(Class::Short, pattern.shape.short, &pattern.shape.short_tasks);
