--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -172,7 +172,7 @@
     /// How much a filling image presses on a serving one, by both.
     pub factors: Vec<Vec<f64>>,
     /// How much all of them press on all beyond the share that crowds a worker.
-    pub crowding: f64,
+    pub contention: f64,
 }
 
 impl Load {
@@ -184,7 +184,7 @@
     /// Takes out that images disturb each other.
     pub fn without_disturbance(mut self) -> Self {
         self.factors.iter_mut().flatten().for_each(|factor| *factor = 0.0);
-        Self { crowding: 0.0, ..self }
+        Self { contention: 0.0, ..self }
     }
 
     /// Returns the processors of all workers, in cores.
@@ -200,7 +200,7 @@
     let (serving, filling) = pattern.shape.images;
     let mut row = |_| (0..filling).map(|_| factor(&mut rng, pattern.shape.pressing)).collect();
     let factors = (0..serving).map(&mut row).collect();
-    let mut load = Load { workers, jobs: Vec::new(), factors, crowding: CONTENTION_FACTOR };
+    let mut load = Load { workers, jobs: Vec::new(), factors, contention: CONTENTION_FACTOR };
     let mut draft = Draft { pattern, rng, cores: load.cores(), jobs: Vec::new() };
     draft.lasting_jobs();
     draft.ending_jobs(Class::Short, pattern.shape.short, &pattern.shape.short_tasks);
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -257,7 +257,7 @@
             share += used;
             pressure += used * load.factors[job.image][r.image];
         }
-        pressure += (share - CONTENTION_SHARE).max(0.0) * load.crowding;
+        pressure += (share - CONTENTION_SHARE).max(0.0) * load.contention;
         let utilisation = job.swing.at(now) * (1.0 + pressure) / self.truth.speed.max(0.5);
         UNLOADED_TAIL_MS / (1.0 - utilisation.min(MAX_UTILISATION))
     }
