--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -44,7 +44,7 @@
 const SLOW_SPEED: f64 = 0.25;
 
 /// The mean time for which a lasting job stays, in milliseconds.
-const STAYS_MS: f64 = 70_000.0;
+const MEAN_LIFETIME_MS: f64 = 70_000.0;
 
 /// What a serving task's tail may be at most, in milliseconds: five times what it is without load.
 const TAIL_TARGET: Millis = Millis(50);
@@ -257,7 +257,7 @@
         let (end, mut at) = (BEGIN_MS + TRAFFIC_MS, BEGIN_MS as f64);
         let mean = there / self.jobs.len().max(1) as f64;
         loop {
-            at += draw::exponential(&mut self.rng, STAYS_MS * mean / wanted);
+            at += draw::exponential(&mut self.rng, MEAN_LIFETIME_MS * mean / wanted);
             if at as u64 >= end {
                 break;
             }
@@ -271,7 +271,7 @@
         let cpu = self.log_between(tasks.cpu.0, tasks.cpu.1);
         let count = self.rng.random_range(1..2 * tasks.width);
         let image = self.rng.random_range(0..self.pattern.shape.images.0);
-        let stays = draw::exponential(&mut self.rng, STAYS_MS).max(4_000.0) as u64;
+        let stays = draw::exponential(&mut self.rng, MEAN_LIFETIME_MS).max(4_000.0) as u64;
         let fails = self.pattern.trouble.failing_images && self.jobs.len() == 3;
         let step = Step {
             lasting: true,
