--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -52,7 +52,7 @@
 /// The share of batch jobs that save their progress, and of short ones of whose tasks two runs may go on at
 /// one time.
 const CHECKPOINTING_SHARE: f64 = 0.85;
-const MAY_COPY: f64 = 0.3;
+const DUPLICATES_SHARE: f64 = 0.3;
 
 /// The memory of a worker for each core, and what a task takes for each core that it asks for, in mebibytes.
 /// It bounds how much fills on one worker, since what fills reserves no processors.
@@ -318,7 +318,7 @@
         let bad = self.rng.random_bool(0.05);
         let fails = bad && class == Class::Short && self.pattern.trouble.failing_images;
         let batch = class == Class::Batch;
-        let duplicates = self.rng.random_bool(MAY_COPY) && !batch;
+        let duplicates = self.rng.random_bool(DUPLICATES_SHARE) && !batch;
         let checkpoints = self.rng.random_bool(CHECKPOINTING_SHARE) && batch;
         let (mut steps, mut work_ms) = (Vec::new(), Vec::new());
         for n in 0..if two_steps { 2 } else { 1 } {
