--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -56,7 +56,7 @@
 
 /// The memory of a worker for each core, and what a task takes for each core that it asks for, in mebibytes.
 /// It bounds how much fills on one worker, since what fills reserves no processors.
-const WORKER_MEM: u32 = 4_096;
+const WORKER_MIB_PER_CORE: u32 = 4_096;
 const TASK_MEM: u32 = 2_048;
 
 /// A class of job.
@@ -231,7 +231,7 @@
             (true, true) => (usual * size, SLOW_SPEED),
         };
         let cpu = (f64::from(shape.worker_cpu) * size) as u32;
-        let capacity = resources(cpu, WORKER_MEM);
+        let capacity = resources(cpu, WORKER_MIB_PER_CORE);
         TrueWorker { capacity, domain: n * shape.domains / shape.workers, speed }
     };
     (0..shape.workers).map(one).collect()
