--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -57,7 +57,7 @@
 /// The memory of a worker for each core, and what a task takes for each core that it asks for, in mebibytes.
 /// It bounds how much fills on one worker, since what fills reserves no processors.
 const WORKER_MIB_PER_CORE: u32 = 4_096;
-const TASK_MEM: u32 = 2_048;
+const TASK_MIB_PER_CORE: u32 = 2_048;
 
 /// A class of job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -359,7 +359,7 @@
             (true, true) => 1.5,
         };
         let estimate = Millis((mean_ms as f64 * off) as u64);
-        let demand = resources(cpu, TASK_MEM);
+        let demand = resources(cpu, TASK_MIB_PER_CORE);
         Step { count, demand, estimate, ..Step::default() }
     }
 
