--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -37,7 +37,7 @@
 const CONTENTION_FACTOR: f64 = 1.5;
 
 /// Where the load of a serving job swings, and how long a swing takes in milliseconds.
-const LOADS: std::ops::Range<f64> = 0.3..0.75;
+const SWING_LOADS: std::ops::Range<f64> = 0.3..0.75;
 const SWING_MS: std::ops::Range<f64> = 10_000.0..30_000.0;
 
 /// The speed of a slow worker.
@@ -105,7 +105,7 @@
     /// Returns the load at a time, as a share of what the job's tasks can bear.
     pub fn at(&self, now: u64) -> f64 {
         let turn = now as f64 / self.period_ms * std::f64::consts::TAU + self.phase;
-        LOADS.start + (LOADS.end - LOADS.start) * (1.0 + turn.sin()) / 2.0
+        SWING_LOADS.start + (SWING_LOADS.end - SWING_LOADS.start) * (1.0 + turn.sin()) / 2.0
     }
 }
 
