--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns how many times its longest chain of work a job may take, and what it may take on top.
-    pub fn aim(self) -> (f64, u64) {
+    pub fn time_allowance(self) -> (f64, u64) {
         match self {
             Self::Short => (1.5, 300),
             Self::Batch => (2.0, 1_000),
@@ -336,7 +336,7 @@
             work_ms.push(self.works(count, mean));
         }
         let chain: u64 = work_ms.iter().filter_map(|w| w.iter().max()).sum();
-        let (stretch, slack) = class.aim();
+        let (stretch, slack) = class.time_allowance();
         let due = arrives + (chain as f64 * stretch) as u64 + slack;
         let (leaves, weight) = (u64::MAX, 1.0);
         let swing = Swing { period_ms: 1.0, phase: 0.0 };
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -144,7 +144,7 @@
 
 /// Tells whether a lasting job's tasks are owed at this time.
 pub fn is_owed(job: &TrueJob, now: u64) -> bool {
-    let from = job.arrives + Class::Lasting.aim().1;
+    let from = job.arrives + Class::Lasting.time_allowance().1;
     job.class == Class::Lasting && job.counts() && (from..job.leaves).contains(&now)
 }
 
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -364,8 +364,8 @@
         service: POOL.into(),
         priority: 0,
         max_attempts: 3,
-        stretch: class.aim().0,
-        slack: Millis(class.aim().1),
+        stretch: class.time_allowance().0,
+        slack: Millis(class.time_allowance().1),
         advice: None,
     };
     let queues = CLASSES.into_iter().map(queue).collect();
