--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -182,7 +182,7 @@
     }
 
     /// Takes out that images disturb each other.
-    pub fn without_disturbance(mut self) -> Self {
+    pub fn without_interference(mut self) -> Self {
         self.factors.iter_mut().flatten().for_each(|factor| *factor = 0.0);
         Self { contention: 0.0, ..self }
     }
--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -33,7 +33,7 @@
     let calm = Pattern { trouble: Trouble::default(), ..*pattern };
     let worth = |load: &Arc<Load>| world::run(&calm, load, line.seed, settings).worth.mean;
     let load = load::draw(&calm, line.seed);
-    let gentle = Arc::new(load.clone().without_disturbance());
+    let gentle = Arc::new(load.clone().without_interference());
     let (calm, gentle) = (worth(&Arc::new(load)), worth(&gentle));
     Losses {
         no_room: 1.0 - line.possible,
