--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -203,8 +203,8 @@
     let mut load = Load { workers, jobs: Vec::new(), factors, contention: CONTENTION_FACTOR };
     let mut draft = Draft { pattern, rng, cores: load.cores(), jobs: Vec::new() };
     draft.lasting_jobs();
-    draft.ending_jobs(Class::Short, pattern.shape.short, &pattern.shape.short_tasks);
-    draft.ending_jobs(Class::Batch, pattern.shape.batch, &pattern.shape.batch_tasks);
+    draft.add_finite_jobs(Class::Short, pattern.shape.short, &pattern.shape.short_tasks);
+    draft.add_finite_jobs(Class::Batch, pattern.shape.batch, &pattern.shape.batch_tasks);
     load.jobs = draft.in_order();
     load
 }
@@ -295,7 +295,7 @@
     }
 
     /// Adds jobs that end, at a rate that takes a share of all processors.
-    fn ending_jobs(&mut self, class: Class, share: f64, tasks: &Tasks) {
+    fn add_finite_jobs(&mut self, class: Class, share: f64, tasks: &Tasks) {
         let (first, end) = (self.jobs.len(), BEGIN_MS + TRAFFIC_MS);
         let cores = self.cores * share * self.pattern.load;
         let mut at = BEGIN_MS as f64 + 2_000.0;
