--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -202,7 +202,7 @@
     let factors = (0..serving).map(&mut row).collect();
     let mut load = Load { workers, jobs: Vec::new(), factors, contention: CONTENTION_FACTOR };
     let mut draft = Draft { pattern, rng, cores: load.cores(), jobs: Vec::new() };
-    draft.lasting_jobs();
+    draft.add_lasting_jobs();
     draft.add_finite_jobs(Class::Short, pattern.shape.short, &pattern.shape.short_tasks);
     draft.add_finite_jobs(Class::Batch, pattern.shape.batch, &pattern.shape.batch_tasks);
     load.jobs = draft.in_order();
@@ -247,7 +247,7 @@
 
 impl Draft<'_> {
     /// Adds the lasting jobs: some are there from the beginning, others take the place of those that leave.
-    fn lasting_jobs(&mut self) {
+    fn add_lasting_jobs(&mut self) {
         let wanted = self.cores * self.pattern.shape.lasting * self.pattern.load;
         let mut there = 0.0;
         while there < wanted {
