--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -300,7 +300,7 @@
         let cores = self.cores * share * self.pattern.load;
         let mut at = BEGIN_MS as f64 + 2_000.0;
         while (at as u64) < end {
-            self.add_ending(class, at as u64, tasks);
+            self.add_finite_job(class, at as u64, tasks);
             // The size that was drawn sets the pause, so that the share is kept for each seed.
             let last = self.jobs.last().map_or(0.0, TrueJob::core_s);
             at += draw::exponential(&mut self.rng, last / cores * 1e3);
@@ -312,7 +312,7 @@
         }
     }
 
-    fn add_ending(&mut self, class: Class, arrives: u64, tasks: &Tasks) {
+    fn add_finite_job(&mut self, class: Class, arrives: u64, tasks: &Tasks) {
         let two_steps = class == Class::Batch || self.rng.random_bool(0.6);
         let image = self.rng.random_range(0..self.pattern.shape.images.1);
         let bad = self.rng.random_bool(0.05);
