--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -333,7 +333,7 @@
                 image: Some(format!("{}-{image}", class.name())),
                 ..self.step(count, cpu, mean)
             });
-            work_ms.push(self.works(count, mean));
+            work_ms.push(self.draw_work_times(count, mean));
         }
         let chain: u64 = work_ms.iter().filter_map(|w| w.iter().max()).sum();
         let (stretch, slack) = class.time_allowance();
@@ -347,7 +347,7 @@
     }
 
     /// Draws how long each task of a step works.
-    fn works(&mut self, count: u32, mean: u64) -> Vec<u64> {
+    fn draw_work_times(&mut self, count: u32, mean: u64) -> Vec<u64> {
         let one = |_| (mean as f64 * self.rng.random_range(0.8..1.2)) as u64;
         (0..count).map(one).collect()
     }
