--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -198,7 +198,8 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let workers = draw_workers(pattern, &mut rng);
     let (serving, filling) = pattern.shape.images;
-    let mut row = |_| (0..filling).map(|_| factor(&mut rng, pattern.shape.pressing)).collect();
+    let mut row =
+        |_| (0..filling).map(|_| factor(&mut rng, pattern.shape.interfering_share)).collect();
     let factors = (0..serving).map(&mut row).collect();
     let mut load = Load { workers, jobs: Vec::new(), factors, contention: CONTENTION_FACTOR };
     let mut draft = Draft { pattern, rng, cores: load.cores(), jobs: Vec::new() };
--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -24,7 +24,7 @@
     /// How many images serve, and how many fill.
     pub images: (usize, usize),
     /// The share of the pairs of a serving and a filling image that disturb each other.
-    pub pressing: f64,
+    pub interfering_share: f64,
 }
 
 /// What the tasks of a class of job are like.
@@ -79,7 +79,7 @@
     batch_tasks: Tasks { width: 8, ms: 2_200, cpu: (1_200, 2_700) },
     lasting_tasks: Tasks { width: 6, ms: 500, cpu: (2_000, 5_000) },
     images: (5, 9),
-    pressing: 0.27,
+    interfering_share: 0.27,
 };
 
 /// More workers, wider steps, and short tasks that ask for more of a worker.
@@ -105,7 +105,7 @@
 };
 
 /// A full pool in which most filling images press on most of what serves.
-const PRESSED: Shape = Shape { lasting: 0.88, pressing: 0.75, ..SMALL };
+const PRESSED: Shape = Shape { lasting: 0.88, interfering_share: 0.75, ..SMALL };
 
 const CALM: Trouble = Trouble {
     uneven: false,
