--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -10,7 +10,7 @@
 
 use super::lines::Line;
 use super::load::{self, Load};
-use super::shape::{Pattern, Trouble};
+use super::shape::{Faults, Pattern};
 use super::table::mean_and_error;
 use super::{world, RunOptions};
 use crate::report::Report;
@@ -30,7 +30,7 @@
 
 /// Finds where the worth of a result went.
 pub fn of(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
-    let calm = Pattern { trouble: Trouble::default(), ..*pattern };
+    let calm = Pattern { trouble: Faults::default(), ..*pattern };
     let worth = |load: &Arc<Load>| world::run(&calm, load, line.seed, settings).worth.mean;
     let load = load::draw(&calm, line.seed);
     let gentle = Arc::new(load.clone().without_interference());
--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -41,7 +41,7 @@
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Trouble {
+pub struct Faults {
     /// Workers have between half and one and a half times the room that they have else, and a twelfth
     /// of them is slow.
     pub uneven: bool,
@@ -65,7 +65,7 @@
     /// How much of the shape's load there is.
     pub load: f64,
     /// What goes wrong.
-    pub trouble: Trouble,
+    pub trouble: Faults,
 }
 
 const SMALL: Shape = Shape {
@@ -107,7 +107,7 @@
 /// A full pool in which most filling images press on most of what serves.
 const PRESSED: Shape = Shape { lasting: 0.88, interfering_share: 0.75, ..SMALL };
 
-const CALM: Trouble = Trouble {
+const CALM: Faults = Faults {
     uneven: false,
     misjudged: false,
     failing_images: false,
@@ -119,7 +119,7 @@
     Pattern { name, shape, load, trouble: CALM }
 }
 
-const fn troubled(name: &'static str, trouble: Trouble) -> Pattern {
+const fn troubled(name: &'static str, trouble: Faults) -> Pattern {
     Pattern { name, shape: SMALL, load: 1.0, trouble }
 }
 
@@ -131,11 +131,11 @@
     calm("half-load", SMALL, 0.5),
     calm("more-load", SMALL, 1.25),
     calm("pressed", PRESSED, 1.0),
-    troubled("uneven", Trouble { uneven: true, ..CALM }),
-    troubled("misjudged", Trouble { misjudged: true, ..CALM }),
-    troubled("failing-images", Trouble { failing_images: true, ..CALM }),
-    troubled("domain-lost", Trouble { domain_lost: true, ..CALM }),
-    troubled("leader-changes", Trouble { leader_changes: 4, ..CALM }),
+    troubled("uneven", Faults { uneven: true, ..CALM }),
+    troubled("misjudged", Faults { misjudged: true, ..CALM }),
+    troubled("failing-images", Faults { failing_images: true, ..CALM }),
+    troubled("domain-lost", Faults { domain_lost: true, ..CALM }),
+    troubled("leader-changes", Faults { leader_changes: 4, ..CALM }),
 ];
 
 /// Finds a pattern by its name.
--- a/crates/measure/src/patterns/trouble.rs
+++ b/crates/measure/src/patterns/trouble.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::load::{BEGIN_MS, TRAFFIC_MS};
-use super::shape::Trouble;
+use super::shape::Faults;
 use super::world::{SimEvent, Simulation};
 
 /// How long after a crash the directory drops a worker, and how long after it the host has another one,
@@ -22,7 +22,7 @@
 const STREAM: u64 = 7;
 
 /// Plans what goes wrong in a world.
-pub fn plan(world: &mut Simulation, trouble: &Trouble, seed: u64) {
+pub fn plan(world: &mut Simulation, trouble: &Faults, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(STREAM);
     if trouble.domain_lost {
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -1,6 +1,6 @@
 //! The patterns: the same seed gives the same result, and what is worse shows as worse.
 
-use gaplock_measure::patterns::shape::{self, Pattern, Shape, Trouble};
+use gaplock_measure::patterns::shape::{self, Faults, Pattern, Shape};
 use gaplock_measure::patterns::{self, bound, compare, lines, load, losses, RunOptions};
 use gaplock_sched::Settings;
 use gaplock_types::time::Millis;
@@ -52,7 +52,7 @@
 
 /// Half of the load, with images whose runs all fail.
 fn with_failing_images() -> Pattern {
-    let trouble = Trouble { failing_images: true, ..Trouble::default() };
+    let trouble = Faults { failing_images: true, ..Faults::default() };
     Pattern { trouble, ..quarter("half-load") }
 }
 
