--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -226,7 +226,7 @@
         let size = rng.random_range(0.5..1.5);
         let slow = n % 12 == 5;
         let usual = if n % 3 == 2 { 1.5 } else { 1.0 };
-        let (size, speed) = match (pattern.trouble.uneven, slow) {
+        let (size, speed) = match (pattern.faults.uneven, slow) {
             (false, _) => (usual, 1.0),
             (true, false) => (usual * size, 1.0),
             (true, true) => (usual * size, SLOW_SPEED),
@@ -273,7 +273,7 @@
         let count = self.rng.random_range(1..2 * tasks.width);
         let image = self.rng.random_range(0..self.pattern.shape.images.0);
         let stays = draw::exponential(&mut self.rng, MEAN_LIFETIME_MS).max(4_000.0) as u64;
-        let fails = self.pattern.trouble.failing_images && self.jobs.len() == 3;
+        let fails = self.pattern.faults.failing_images && self.jobs.len() == 3;
         let step = Step {
             lasting: true,
             tail_target: Some(TAIL_TARGET),
@@ -317,7 +317,7 @@
         let two_steps = class == Class::Batch || self.rng.random_bool(0.6);
         let image = self.rng.random_range(0..self.pattern.shape.images.1);
         let bad = self.rng.random_bool(0.05);
-        let fails = bad && class == Class::Short && self.pattern.trouble.failing_images;
+        let fails = bad && class == Class::Short && self.pattern.faults.failing_images;
         let batch = class == Class::Batch;
         let duplicates = self.rng.random_bool(DUPLICATES_SHARE) && !batch;
         let checkpoints = self.rng.random_bool(CHECKPOINTING_SHARE) && batch;
@@ -354,7 +354,7 @@
     }
 
     fn step(&mut self, count: u32, cpu: u32, mean_ms: u64) -> Step {
-        let off = match (self.pattern.trouble.misjudged, self.rng.random_bool(0.5)) {
+        let off = match (self.pattern.faults.misjudged, self.rng.random_bool(0.5)) {
             (false, _) => 1.0,
             (true, false) => 0.5,
             (true, true) => 1.5,
--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -21,7 +21,7 @@
     /// No packing could get it.
     pub no_room: f64,
     /// It goes to the pattern's trouble, estimates that are off among it.
-    pub trouble: f64,
+    pub faults: f64,
     /// It goes to images that disturb each other, and to filling less for their sake.
     pub disturbance: f64,
     /// It goes to order, pieces and delays.
@@ -30,14 +30,14 @@
 
 /// Finds where the worth of a result went.
 pub fn of(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
-    let calm = Pattern { trouble: Faults::default(), ..*pattern };
+    let calm = Pattern { faults: Faults::default(), ..*pattern };
     let worth = |load: &Arc<Load>| world::run(&calm, load, line.seed, settings).worth.mean;
     let load = load::draw(&calm, line.seed);
     let gentle = Arc::new(load.clone().without_interference());
     let (calm, gentle) = (worth(&Arc::new(load)), worth(&gentle));
     Losses {
         no_room: 1.0 - line.possible,
-        trouble: calm - line.outcome.worth.mean,
+        faults: calm - line.outcome.worth.mean,
         disturbance: gentle - calm,
         policy: line.possible - gentle,
     }
@@ -65,7 +65,7 @@
 
 fn row(name: &str, losses: &[Losses]) -> Vec<String> {
     let parts: [fn(&Losses) -> f64; 4] =
-        [|l| l.no_room, |l| l.trouble, |l| l.disturbance, |l| l.policy];
+        [|l| l.no_room, |l| l.faults, |l| l.disturbance, |l| l.policy];
     let mut cells = vec![name.to_string()];
     for part in parts {
         let (mean, error) = mean_and_error(&losses.iter().map(part).collect::<Vec<f64>>());
--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -8,6 +8,7 @@
 pub mod bound;
 mod calls;
 pub mod compare;
+mod faults;
 pub mod lines;
 pub mod load;
 pub mod losses;
@@ -15,7 +16,6 @@
 pub mod shape;
 pub mod table;
 pub mod tally;
-mod trouble;
 mod worker;
 mod world;
 
--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -65,7 +65,7 @@
     /// How much of the shape's load there is.
     pub load: f64,
     /// What goes wrong.
-    pub trouble: Faults,
+    pub faults: Faults,
 }
 
 const SMALL: Shape = Shape {
@@ -116,11 +116,11 @@
 };
 
 const fn calm(name: &'static str, shape: Shape, load: f64) -> Pattern {
-    Pattern { name, shape, load, trouble: CALM }
+    Pattern { name, shape, load, faults: CALM }
 }
 
 const fn troubled(name: &'static str, trouble: Faults) -> Pattern {
-    Pattern { name, shape: SMALL, load: 1.0, trouble }
+    Pattern { name, shape: SMALL, load: 1.0, faults: trouble }
 }
 
 /// All patterns.
--- a/crates/measure/src/patterns/world.rs
+++ b/crates/measure/src/patterns/world.rs
@@ -21,10 +21,10 @@
 use gaplock_types::time::{Instant, Millis};
 
 use super::calls::{Call, CallRoute};
+use super::faults;
 use super::load::{Load, BEGIN_MS, CLASSES, COOL_DOWN_MS, TRAFFIC_MS, UNIX_BASE_MS};
 use super::shape::Pattern;
 use super::tally::{Outcome, Tally, SAMPLE_INTERVAL_MS};
-use super::trouble;
 use super::worker::Worker;
 
 /// The pool that every worker belongs to.
@@ -92,7 +92,7 @@
 /// Plays a pattern's load under the scheduler with these settings.
 pub fn run(pattern: &Pattern, load: &Arc<Load>, seed: u64, settings: &Settings) -> Outcome {
     let mut world = Simulation::open(Arc::clone(load), settings.clone());
-    trouble::plan(&mut world, &pattern.trouble, seed);
+    faults::plan(&mut world, &pattern.faults, seed);
     world.run();
     world.tally.outcome(&world.load)
 }
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -53,7 +53,7 @@
 /// Half of the load, with images whose runs all fail.
 fn with_failing_images() -> Pattern {
     let trouble = Faults { failing_images: true, ..Faults::default() };
-    Pattern { trouble, ..quarter("half-load") }
+    Pattern { faults: trouble, ..quarter("half-load") }
 }
 
 /// A leader that gives a worker nothing for long after each failure punishes workers for images.
@@ -110,9 +110,9 @@
     let pattern = quarter("leader-changes");
     let line = patterns::run(&pattern, 3, &Settings::default());
     let l = losses::of(&pattern, &line, &Settings::default());
-    let sum = l.no_room + l.trouble + l.disturbance + l.policy + line.outcome.worth.mean;
+    let sum = l.no_room + l.faults + l.disturbance + l.policy + line.outcome.worth.mean;
     assert!((sum - 1.0).abs() < 1e-9, "{sum}");
-    assert!(l.trouble > 0.0, "{l:?}");
+    assert!(l.faults > 0.0, "{l:?}");
     assert!(l.policy >= 0.0, "{l:?}");
 }
 
