--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -23,7 +23,7 @@
     /// It goes to the pattern's trouble, estimates that are off among it.
     pub faults: f64,
     /// It goes to images that disturb each other, and to filling less for their sake.
-    pub disturbance: f64,
+    pub interference: f64,
     /// It goes to order, pieces and delays.
     pub policy: f64,
 }
@@ -38,7 +38,7 @@
     Losses {
         no_room: 1.0 - line.possible,
         faults: calm - line.outcome.worth.mean,
-        disturbance: gentle - calm,
+        interference: gentle - calm,
         policy: line.possible - gentle,
     }
 }
@@ -65,7 +65,7 @@
 
 fn row(name: &str, losses: &[Losses]) -> Vec<String> {
     let parts: [fn(&Losses) -> f64; 4] =
-        [|l| l.no_room, |l| l.faults, |l| l.disturbance, |l| l.policy];
+        [|l| l.no_room, |l| l.faults, |l| l.interference, |l| l.policy];
     let mut cells = vec![name.to_string()];
     for part in parts {
         let (mean, error) = mean_and_error(&losses.iter().map(part).collect::<Vec<f64>>());
