--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Losses {
     /// No packing could get it.
-    pub no_room: f64,
+    pub no_capacity: f64,
     /// It goes to the pattern's trouble, estimates that are off among it.
     pub faults: f64,
     /// It goes to images that disturb each other, and to filling less for their sake.
@@ -36,7 +36,7 @@
     let gentle = Arc::new(load.clone().without_interference());
     let (calm, gentle) = (worth(&Arc::new(load)), worth(&gentle));
     Losses {
-        no_room: 1.0 - line.possible,
+        no_capacity: 1.0 - line.possible,
         faults: calm - line.outcome.worth.mean,
         interference: gentle - calm,
         policy: line.possible - gentle,
@@ -65,7 +65,7 @@
 
 fn row(name: &str, losses: &[Losses]) -> Vec<String> {
     let parts: [fn(&Losses) -> f64; 4] =
-        [|l| l.no_room, |l| l.faults, |l| l.interference, |l| l.policy];
+        [|l| l.no_capacity, |l| l.faults, |l| l.interference, |l| l.policy];
     let mut cells = vec![name.to_string()];
     for part in parts {
         let (mean, error) = mean_and_error(&losses.iter().map(part).collect::<Vec<f64>>());
