--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -105,7 +105,7 @@
 };
 
 /// A full pool in which most filling images press on most of what serves.
-const PRESSED: Shape = Shape { lasting: 0.88, interfering_share: 0.75, ..SMALL };
+const INTERFERING: Shape = Shape { lasting: 0.88, interfering_share: 0.75, ..SMALL };
 
 const CALM: Faults = Faults {
     uneven: false,
@@ -130,7 +130,7 @@
     calm("large", LARGE, 1.0),
     calm("half-load", SMALL, 0.5),
     calm("more-load", SMALL, 1.25),
-    calm("pressed", PRESSED, 1.0),
+    calm("pressed", INTERFERING, 1.0),
     troubled("uneven", Faults { uneven: true, ..CALM }),
     troubled("misjudged", Faults { misjudged: true, ..CALM }),
     troubled("failing-images", Faults { failing_images: true, ..CALM }),
