--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -115,7 +115,7 @@
     leader_changes: 0,
 };
 
-const fn calm(name: &'static str, shape: Shape, load: f64) -> Pattern {
+const fn without_faults(name: &'static str, shape: Shape, load: f64) -> Pattern {
     Pattern { name, shape, load, faults: CALM }
 }
 
@@ -125,12 +125,12 @@
 
 /// All patterns.
 pub const PATTERNS: &[Pattern] = &[
-    calm("small", SMALL, 1.0),
-    calm("grown", GROWN, 1.0),
-    calm("large", LARGE, 1.0),
-    calm("half-load", SMALL, 0.5),
-    calm("more-load", SMALL, 1.25),
-    calm("pressed", INTERFERING, 1.0),
+    without_faults("small", SMALL, 1.0),
+    without_faults("grown", GROWN, 1.0),
+    without_faults("large", LARGE, 1.0),
+    without_faults("half-load", SMALL, 0.5),
+    without_faults("more-load", SMALL, 1.25),
+    without_faults("pressed", INTERFERING, 1.0),
     troubled("uneven", Faults { uneven: true, ..CALM }),
     troubled("misjudged", Faults { misjudged: true, ..CALM }),
     troubled("failing-images", Faults { failing_images: true, ..CALM }),
