--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -107,7 +107,7 @@
 /// A full pool in which most filling images press on most of what serves.
 const INTERFERING: Shape = Shape { lasting: 0.88, interfering_share: 0.75, ..SMALL };
 
-const CALM: Faults = Faults {
+const NO_FAULTS: Faults = Faults {
     uneven: false,
     misjudged: false,
     failing_images: false,
@@ -116,7 +116,7 @@
 };
 
 const fn without_faults(name: &'static str, shape: Shape, load: f64) -> Pattern {
-    Pattern { name, shape, load, faults: CALM }
+    Pattern { name, shape, load, faults: NO_FAULTS }
 }
 
 const fn troubled(name: &'static str, trouble: Faults) -> Pattern {
@@ -131,11 +131,11 @@
     without_faults("half-load", SMALL, 0.5),
     without_faults("more-load", SMALL, 1.25),
     without_faults("pressed", INTERFERING, 1.0),
-    troubled("uneven", Faults { uneven: true, ..CALM }),
-    troubled("misjudged", Faults { misjudged: true, ..CALM }),
-    troubled("failing-images", Faults { failing_images: true, ..CALM }),
-    troubled("domain-lost", Faults { domain_lost: true, ..CALM }),
-    troubled("leader-changes", Faults { leader_changes: 4, ..CALM }),
+    troubled("uneven", Faults { uneven: true, ..NO_FAULTS }),
+    troubled("misjudged", Faults { misjudged: true, ..NO_FAULTS }),
+    troubled("failing-images", Faults { failing_images: true, ..NO_FAULTS }),
+    troubled("domain-lost", Faults { domain_lost: true, ..NO_FAULTS }),
+    troubled("leader-changes", Faults { leader_changes: 4, ..NO_FAULTS }),
 ];
 
 /// Finds a pattern by its name.
