--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -119,7 +119,7 @@
     Pattern { name, shape, load, faults: NO_FAULTS }
 }
 
-const fn troubled(name: &'static str, trouble: Faults) -> Pattern {
+const fn with_faults(name: &'static str, trouble: Faults) -> Pattern {
     Pattern { name, shape: SMALL, load: 1.0, faults: trouble }
 }
 
@@ -131,11 +131,11 @@
     without_faults("half-load", SMALL, 0.5),
     without_faults("more-load", SMALL, 1.25),
     without_faults("pressed", INTERFERING, 1.0),
-    troubled("uneven", Faults { uneven: true, ..NO_FAULTS }),
-    troubled("misjudged", Faults { misjudged: true, ..NO_FAULTS }),
-    troubled("failing-images", Faults { failing_images: true, ..NO_FAULTS }),
-    troubled("domain-lost", Faults { domain_lost: true, ..NO_FAULTS }),
-    troubled("leader-changes", Faults { leader_changes: 4, ..NO_FAULTS }),
+    with_faults("uneven", Faults { uneven: true, ..NO_FAULTS }),
+    with_faults("misjudged", Faults { misjudged: true, ..NO_FAULTS }),
+    with_faults("failing-images", Faults { failing_images: true, ..NO_FAULTS }),
+    with_faults("domain-lost", Faults { domain_lost: true, ..NO_FAULTS }),
+    with_faults("leader-changes", Faults { leader_changes: 4, ..NO_FAULTS }),
 ];
 
 /// Finds a pattern by its name.
