--- a/crates/measure/src/patterns/faults.rs
+++ b/crates/measure/src/patterns/faults.rs
@@ -10,7 +10,7 @@
 /// How long after a crash the directory drops a worker, and how long after it the host has another one,
 /// in milliseconds.
 const UNLISTED_AFTER_MS: u64 = 2_000;
-const REBORN_AFTER_MS: u64 = 15_000;
+const REPLACED_AFTER_MS: u64 = 15_000;
 
 /// For how long there is no leader at a change, in milliseconds.
 const NO_LEADER_MS: std::ops::Range<u64> = 1_000..2_500;
@@ -33,7 +33,7 @@
         for (worker, _) in members.step_by(3) {
             world.schedule(at, SimEvent::Crashes(worker));
             world.schedule(at + UNLISTED_AFTER_MS, SimEvent::Unlisted(worker));
-            world.schedule(at + REBORN_AFTER_MS, SimEvent::WorkerReplaced(worker));
+            world.schedule(at + REPLACED_AFTER_MS, SimEvent::WorkerReplaced(worker));
         }
     }
     for n in 1..=trouble.leader_changes {
