--- a/crates/measure/src/patterns/faults.rs
+++ b/crates/measure/src/patterns/faults.rs
@@ -19,12 +19,12 @@
 const SPREAD_MS: u64 = 2_000;
 
 /// Sets tasks of the draw apart from those of the load.
-const STREAM: u64 = 7;
+const FAULT_RNG_STREAM: u64 = 7;
 
 /// Plans what goes wrong in a world.
 pub fn plan(world: &mut Simulation, trouble: &Faults, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    rng.set_stream(STREAM);
+    rng.set_stream(FAULT_RNG_STREAM);
     if trouble.domain_lost {
         let at = BEGIN_MS + TRAFFIC_MS / 3 + rng.random_range(0..SPREAD_MS);
         let domain = world.load.workers[rng.random_range(0..world.load.workers.len())].domain;
