--- a/crates/measure/src/patterns/faults.rs
+++ b/crates/measure/src/patterns/faults.rs
@@ -16,7 +16,7 @@
 const NO_LEADER_MS: std::ops::Range<u64> = 1_000..2_500;
 
 /// How far the moments of trouble lie from even ones at most, in milliseconds.
-const SPREAD_MS: u64 = 2_000;
+const FAULT_JITTER_MS: u64 = 2_000;
 
 /// Sets tasks of the draw apart from those of the load.
 const FAULT_RNG_STREAM: u64 = 7;
@@ -26,7 +26,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(FAULT_RNG_STREAM);
     if trouble.domain_lost {
-        let at = BEGIN_MS + TRAFFIC_MS / 3 + rng.random_range(0..SPREAD_MS);
+        let at = BEGIN_MS + TRAFFIC_MS / 3 + rng.random_range(0..FAULT_JITTER_MS);
         let domain = world.load.workers[rng.random_range(0..world.load.workers.len())].domain;
         let load = world.load.clone();
         let members = load.workers.iter().enumerate().filter(|(_, w)| w.domain == domain);
@@ -38,7 +38,7 @@
     }
     for n in 1..=trouble.leader_changes {
         let even = TRAFFIC_MS * n / (trouble.leader_changes + 1);
-        let at = BEGIN_MS + even + rng.random_range(0..SPREAD_MS);
+        let at = BEGIN_MS + even + rng.random_range(0..FAULT_JITTER_MS);
         world.schedule(at, SimEvent::LeaderLost);
         world.schedule(at + rng.random_range(NO_LEADER_MS), SimEvent::LeaderTakesOver);
     }
