--- a/crates/burn/src/burn.rs
+++ b/crates/burn/src/burn.rs
@@ -95,7 +95,7 @@
 }
 
 /// Counts one window's requests against an objective.
-pub fn judge(counted: &Counters, objective: &Objective, seconds: u64) -> Window {
+pub fn evaluate(counted: &Counters, objective: &Objective, seconds: u64) -> Window {
     let answered = counted.by_code.get(&0).copied().unwrap_or(0.0);
     let limit_us = objective.latency_ms * 1000;
     let in_time = counted.by_latency_us.range(..=limit_us).next_back().map_or(0.0, |(_, n)| *n);
@@ -130,7 +130,7 @@
         };
         let window = |seconds: u64| {
             let from = newest.saturating_sub(seconds * 1000);
-            judge(&counted(samples, key, from, newest), objective, seconds)
+            evaluate(&counted(samples, key, from, newest), objective, seconds)
         };
         let windows: Vec<Window> = windows_s.iter().map(|s| window(*s)).collect();
         let fast = windows.first().is_some_and(|w| w.burn >= FAST_BURN);
@@ -180,7 +180,7 @@
     times.dedup();
     let step = |pair: &[u64]| {
         let counted = counted(samples, key, pair[0], pair[1]);
-        (pair[1], judge(&counted, objective, (pair[1] - pair[0]) / 1000).burn)
+        (pair[1], evaluate(&counted, objective, (pair[1] - pair[0]) / 1000).burn)
     };
     times.windows(2).map(step).collect()
 }
