--- a/crates/burn/src/burn.rs
+++ b/crates/burn/src/burn.rs
@@ -82,7 +82,7 @@
 }
 
 /// Returns what `later` counted beyond `earlier`; a counter that fell began anew with its process.
-fn since(earlier: Option<&Counters>, later: &Counters) -> Counters {
+fn increase_since(earlier: Option<&Counters>, later: &Counters) -> Counters {
     let Some(earlier) = earlier else { return later.clone() };
     let grown = |before: Option<&f64>, now: f64| match before {
         Some(before) if *before <= now => now - before,
@@ -159,7 +159,7 @@
         // The last sample at or before the window's begin is what had been counted by then.
         let first = own.iter().rposition(|(at, _)| *at <= from).unwrap_or(0);
         for pair in own[first..].windows(2) {
-            add(&mut sum, &since(Some(pair[0].1), pair[1].1));
+            add(&mut sum, &increase_since(Some(pair[0].1), pair[1].1));
         }
     }
     sum
