--- a/crates/burn/src/main.rs
+++ b/crates/burn/src/main.rs
@@ -65,7 +65,7 @@
     let texts: Vec<String> = values.list("objective").map_err(|e| e.to_string())?;
     let objectives = texts.iter().map(|t| objective(t)).collect::<Result<Vec<_>, _>>()?;
     let windows: Vec<u64> = values.list("windows").map_err(|e| e.to_string())?;
-    let mut samples = kept(values.text("samples"))?;
+    let mut samples = read_samples(values.text("samples"))?;
     let began = Instant::now();
     let span = Duration::from_secs(values.number("for"));
     loop {
@@ -93,7 +93,7 @@
     Ok(())
 }
 
-fn kept(file: &str) -> Result<Vec<Sample>, String> {
+fn read_samples(file: &str) -> Result<Vec<Sample>, String> {
     if file.is_empty() || !std::path::Path::new(file).exists() {
         return Ok(Vec::new());
     }
