--- a/crates/burn/src/main.rs
+++ b/crates/burn/src/main.rs
@@ -70,7 +70,7 @@
     let span = Duration::from_secs(values.number("for"));
     loop {
         let taken = sample::take(&health).await;
-        keep(values.text("samples"), &taken)?;
+        append_samples(values.text("samples"), &taken)?;
         samples.extend(taken);
         if began.elapsed() >= span {
             break;
@@ -103,7 +103,7 @@
         .collect()
 }
 
-fn keep(file: &str, samples: &[Sample]) -> Result<(), String> {
+fn append_samples(file: &str, samples: &[Sample]) -> Result<(), String> {
     if file.is_empty() {
         return Ok(());
     }
