--- a/crates/burn/src/sample.rs
+++ b/crates/burn/src/sample.rs
@@ -21,7 +21,7 @@
     pub counters: Vec<(Key, Counters)>,
 }
 
-const LIMIT: Duration = Duration::from_secs(3);
+const SCRAPE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Reads the counters of every entry that answers.
 pub async fn take(health: &[String]) -> Vec<Sample> {
@@ -30,7 +30,7 @@
     for entry in health {
         let client = Client::open(entry, 0);
         let (method, path) = (Method::Get, "/metrics");
-        let call = Call { method, path, headers: &[], body: Vec::new(), limit: LIMIT };
+        let call = Call { method, path, headers: &[], body: Vec::new(), limit: SCRAPE_TIMEOUT };
         let Ok(answer) = client.call(call).await else {
             eprintln!("note: {entry} cannot be reached");
             continue;
