--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_restarted_entry_counts_anew() {
+fn counters_reset_by_a_restart_count_from_zero() {
     let samples = [
         sample(0, &metrics(1_000, 0, 0)),
         sample(60, &metrics(10, 0, 0)),
