--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -82,7 +82,7 @@
     tally: Mutex<Tally>,
 }
 
-const HIGHEST_US: u64 = 120_000_000;
+const MAX_LATENCY_US: u64 = 120_000_000;
 const DIGITS: u8 = 3;
 const IDLE_CONNECTIONS: usize = 256;
 
@@ -92,7 +92,8 @@
     path: String,
     headers: Vec<(String, String)>,
 ) -> Route {
-    let latency_us = Histogram::new_with_bounds(1, HIGHEST_US, DIGITS).expect("constant bounds");
+    let latency_us =
+        Histogram::new_with_bounds(1, MAX_LATENCY_US, DIGITS).expect("constant bounds");
     let tally = Tally { latency_us, sent: 0, answered: 0, refused: 0, failed: 0 };
     let clients = addrs.iter().map(|a| Client::open(a, IDLE_CONNECTIONS)).collect();
     Route { name, clients, path, headers, tally: Mutex::new(tally) }
