--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -6,8 +6,8 @@
 use gaplock_sched::{Action, Event};
 use gaplock_types::time::Instant;
 
+use super::simulation::{SimEvent, Simulation};
 use super::worker::{self, Held};
-use super::world::{SimEvent, Simulation};
 
 /// How long a call takes to its worker, and its answer back, in milliseconds.
 const ONE_WAY_DELAY_MS: u64 = 1;
--- a/crates/measure/src/patterns/faults.rs
+++ b/crates/measure/src/patterns/faults.rs
@@ -5,7 +5,7 @@
 
 use super::load::{BEGIN_MS, TRAFFIC_MS};
 use super::shape::Faults;
-use super::world::{SimEvent, Simulation};
+use super::simulation::{SimEvent, Simulation};
 
 /// How long after a crash the directory drops a worker, and how long after it the host has another one,
 /// in milliseconds.
--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -12,7 +12,7 @@
 use super::load::{self, Load};
 use super::shape::{Faults, Pattern};
 use super::table::mean_and_error;
-use super::{world, RunOptions};
+use super::{simulation, RunOptions};
 use crate::report::Report;
 
 /// What is missing of all that a load is worth, by cause; with the worth itself the parts add up to 1.
@@ -31,7 +31,7 @@
 /// Finds where the worth of a result went.
 pub fn of(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
     let calm = Pattern { faults: Faults::default(), ..*pattern };
-    let worth = |load: &Arc<Load>| world::run(&calm, load, line.seed, settings).worth.mean;
+    let worth = |load: &Arc<Load>| simulation::run(&calm, load, line.seed, settings).worth.mean;
     let load = load::draw(&calm, line.seed);
     let gentle = Arc::new(load.clone().without_interference());
     let (calm, gentle) = (worth(&Arc::new(load)), worth(&gentle));
--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -14,10 +14,10 @@
 pub mod losses;
 pub mod plots;
 pub mod shape;
+mod simulation;
 pub mod table;
 pub mod tally;
 mod worker;
-mod world;
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -55,7 +55,7 @@
 /// Plays one pattern with one seed.
 pub fn run(pattern: &Pattern, seed: u64, settings: &Settings) -> Line {
     let load = Arc::new(load::draw(pattern, seed));
-    let outcome = world::run(pattern, &load, seed, settings);
+    let outcome = simulation::run(pattern, &load, seed, settings);
     let possible = bound::of(&load);
     Line { pattern: pattern.name.to_string(), seed, possible, outcome }
 }
