--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -20,7 +20,7 @@
 
 /// Returns the best that the load could earn, as the mean share of what is owed to the three classes. It is a
 /// packing and no proof: tests hold it against what policies get.
-pub fn of(load: &Load) -> f64 {
+pub fn estimate(load: &Load) -> f64 {
     let mut best = 0.0_f64;
     for kept in RESERVED_SHARES {
         if best < 1.0 {
--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -56,7 +56,7 @@
 pub fn run(pattern: &Pattern, seed: u64, settings: &Settings) -> Line {
     let load = Arc::new(load::draw(pattern, seed));
     let outcome = simulation::run(pattern, &load, seed, settings);
-    let possible = bound::of(&load);
+    let possible = bound::estimate(&load);
     Line { pattern: pattern.name.to_string(), seed, possible, outcome }
 }
 
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -118,10 +118,10 @@
 
 #[test]
 fn less_is_possible_where_the_load_is_too_much() {
-    let half = bound::of(&load::draw(&quarter("half-load"), 1));
+    let half = bound::estimate(&load::draw(&quarter("half-load"), 1));
     assert!(half > 0.99, "{half}");
     let pattern = Pattern { load: 2.0, ..quarter("small") };
-    let twice = bound::of(&load::draw(&pattern, 1));
+    let twice = bound::estimate(&load::draw(&pattern, 1));
     assert!(twice < 0.8, "{twice}");
 }
 
