--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -29,7 +29,7 @@
 }
 
 /// Finds where the worth of a result went.
-pub fn of(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
+pub fn attribute(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
     let calm = Pattern { faults: Faults::default(), ..*pattern };
     let worth = |load: &Arc<Load>| simulation::run(&calm, load, line.seed, settings).worth.mean;
     let load = load::draw(&calm, line.seed);
@@ -48,7 +48,7 @@
     let of_line = |n: usize| {
         let line: &Line = &lines[n];
         let pattern = patterns.iter().find(|p| p.name == line.pattern);
-        pattern.map(|p| of(p, line, &Settings::default()))
+        pattern.map(|p| attribute(p, line, &Settings::default()))
     };
     let losses = super::run_concurrently(lines.len(), asked.threads, of_line);
     let rows = patterns.iter().map(|p| {
