--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -101,7 +101,7 @@
     let patterns = find_patterns(&asked.names)?;
     let before = asked.against.as_deref().map(lines::read).transpose()?;
     let results = run_all(&patterns, asked, &Settings::default());
-    table::of(&results, asked.first_seed).print(false);
+    table::build(&results, asked.first_seed).print(false);
     if asked.losses {
         println!();
         losses::report(&patterns, &results, asked).print(false);
--- a/crates/measure/src/patterns/table.rs
+++ b/crates/measure/src/patterns/table.rs
@@ -25,7 +25,7 @@
 ];
 
 /// Builds the table.
-pub fn of(lines: &[Line], seed: u64) -> Report {
+pub fn build(lines: &[Line], seed: u64) -> Report {
     let rows = patterns(lines).into_iter().map(|name| row(&name, lines)).collect();
     let headings = [HEADINGS.to_vec(), vec!["largest"]].concat();
     Report { name: "patterns", seed, headings, rows, findings: Vec::new() }
