--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -57,7 +57,7 @@
     /// The world is looked at.
     Sample,
     /// A worker crashes.
-    Crashes(usize),
+    WorkerCrashes(usize),
     /// The directory drops a worker that has crashed.
     Unlisted(usize),
     /// The host of a worker that has crashed has another one.
@@ -195,7 +195,7 @@
                 }
             }
             SimEvent::Sample => self.sample(),
-            SimEvent::Crashes(at) => self.crash(at),
+            SimEvent::WorkerCrashes(at) => self.crash(at),
             SimEvent::Unlisted(at) => {
                 self.event(Event::Unlisted(self.workers[at].info.id.clone()));
             }
