--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -51,7 +51,7 @@
     /// A run's stop is over.
     Stopped(usize, TaskKey, Run),
     /// A worker's leases may be over.
-    Lease(usize),
+    LeaseMayEnd(usize),
     /// A commit is stored.
     Stored(u64, Vec<Record>),
     /// The world is looked at.
@@ -187,7 +187,7 @@
                     self.end(at, task, EndCause::Stopped);
                 }
             }
-            SimEvent::Lease(at) => self.check_lease(at),
+            SimEvent::LeaseMayEnd(at) => self.check_lease(at),
             SimEvent::Stored(term, records) => {
                 self.store(records);
                 if term == self.term {
@@ -317,7 +317,7 @@
         let worker = &self.workers[at];
         if worker.lease_until > self.now {
             let until = worker.lease_until;
-            return self.schedule(until, SimEvent::Lease(at));
+            return self.schedule(until, SimEvent::LeaseMayEnd(at));
         }
         for task in worker.running.keys().copied().collect::<Vec<_>>() {
             self.end(at, task, EndCause::Lapsed);
@@ -332,7 +332,7 @@
         worker.lease_until = worker.lease_until.max(until.0.min(most));
         if ran_out {
             let until = worker.lease_until;
-            self.schedule(until, SimEvent::Lease(at));
+            self.schedule(until, SimEvent::LeaseMayEnd(at));
         }
     }
 
