--- a/crates/measure/src/patterns/faults.rs
+++ b/crates/measure/src/patterns/faults.rs
@@ -32,7 +32,7 @@
         let members = load.workers.iter().enumerate().filter(|(_, w)| w.domain == domain);
         for (worker, _) in members.step_by(3) {
             world.schedule(at, SimEvent::WorkerCrashes(worker));
-            world.schedule(at + UNLISTED_AFTER_MS, SimEvent::Unlisted(worker));
+            world.schedule(at + UNLISTED_AFTER_MS, SimEvent::WorkerUnlisted(worker));
             world.schedule(at + REPLACED_AFTER_MS, SimEvent::WorkerReplaced(worker));
         }
     }
--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -59,7 +59,7 @@
     /// A worker crashes.
     WorkerCrashes(usize),
     /// The directory drops a worker that has crashed.
-    Unlisted(usize),
+    WorkerUnlisted(usize),
     /// The host of a worker that has crashed has another one.
     WorkerReplaced(usize),
     /// The leader is lost.
@@ -196,7 +196,7 @@
             }
             SimEvent::Sample => self.sample(),
             SimEvent::WorkerCrashes(at) => self.crash(at),
-            SimEvent::Unlisted(at) => {
+            SimEvent::WorkerUnlisted(at) => {
                 self.event(Event::Unlisted(self.workers[at].info.id.clone()));
             }
             SimEvent::WorkerReplaced(at) => self.replace_worker(at),
