--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -206,7 +206,7 @@
         let Some(r) = worker.running.get_mut(&task).filter(|r| r.run == run) else { return };
         if !r.stopping {
             r.stopping = true;
-            self.schedule(self.now + STOP_DURATION_MS, SimEvent::Stopped(at, task, run));
+            self.schedule(self.now + STOP_DURATION_MS, SimEvent::RunStopped(at, task, run));
         }
     }
 }
--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -49,7 +49,7 @@
     /// A run's work may be over.
     RunMayEnd(usize, TaskKey, Run),
     /// A run's stop is over.
-    Stopped(usize, TaskKey, Run),
+    RunStopped(usize, TaskKey, Run),
     /// A worker's leases may be over.
     LeaseMayEnd(usize),
     /// A commit is stored.
@@ -182,7 +182,7 @@
             SimEvent::ToLeader(..) => {}
             SimEvent::RenewalWaitOver(at, sent) => self.end_renewal_wait(at, sent),
             SimEvent::RunMayEnd(at, task, run) => self.may_end(at, task, run),
-            SimEvent::Stopped(at, task, run) => {
+            SimEvent::RunStopped(at, task, run) => {
                 if self.workers[at].running.get(&task).is_some_and(|r| r.run == run) {
                     self.end(at, task, EndCause::Stopped);
                 }
