--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -53,7 +53,7 @@
     /// A worker's leases may be over.
     LeaseMayEnd(usize),
     /// A commit is stored.
-    Stored(u64, Vec<Record>),
+    CommitStored(u64, Vec<Record>),
     /// The world is looked at.
     Sample,
     /// A worker crashes.
@@ -188,7 +188,7 @@
                 }
             }
             SimEvent::LeaseMayEnd(at) => self.check_lease(at),
-            SimEvent::Stored(term, records) => {
+            SimEvent::CommitStored(term, records) => {
                 self.store(records);
                 if term == self.term {
                     self.event(Event::Committed);
@@ -212,7 +212,7 @@
         cx.handle(now, UNIX_BASE_MS + self.now, event);
         let actions = cx.take_actions();
         if let Some(records) = commits::take(cx, now) {
-            let stored = SimEvent::Stored(self.term, records);
+            let stored = SimEvent::CommitStored(self.term, records);
             self.schedule(self.now + STORE_MS, stored);
         }
         for action in actions {
