--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -62,7 +62,7 @@
             | Action::ConfirmLeadership => return,
         };
         let trip = CallRoute { at: self.worker_of(ix), ix, term: self.term };
-        self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::ToWorker(trip, call));
+        self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::CallArrives(trip, call));
     }
 
     /// Finds the worker behind a position in the leader's table.
--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -41,7 +41,7 @@
     /// A job is cancelled.
     JobCancelled(JobKey),
     /// A call arrives at a worker.
-    ToWorker(CallRoute, Call),
+    CallArrives(CallRoute, Call),
     /// An answer arrives; a later leader gets none.
     ToLeader(u64, Event),
     /// A renewal has waited long enough, sent at this time.
@@ -177,7 +177,7 @@
                 self.cancelled.insert(key);
                 self.event(Event::Cancel(key));
             }
-            SimEvent::ToWorker(trip, call) => self.deliver_call(trip, call),
+            SimEvent::CallArrives(trip, call) => self.deliver_call(trip, call),
             SimEvent::ToLeader(term, event) if term == self.term => self.event(event),
             SimEvent::ToLeader(..) => {}
             SimEvent::RenewalWaitOver(at, sent) => self.end_renewal_wait(at, sent),
