--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -81,7 +81,7 @@
         if !worker.up {
             let event = answer(trip.ix, &call, Outcome::Unclear);
             let limit = self.now + CALL_TIMEOUT_MS;
-            return self.schedule(limit, SimEvent::ToLeader(trip.term, event));
+            return self.schedule(limit, SimEvent::AnswerArrives(trip.term, event));
         }
         let fenced = trip.term < worker.token;
         worker.token = worker.token.max(trip.term);
@@ -100,7 +100,7 @@
     }
 
     fn reply(&mut self, term: u64, event: Event) {
-        self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::ToLeader(term, event));
+        self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::AnswerArrives(term, event));
     }
 
     fn carry_out(&mut self, trip: CallRoute, call: &Call) -> Result<(), Refusal> {
@@ -169,7 +169,7 @@
         let Some(held) = self.workers[at].pending_renewal.take() else { return };
         let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Unclear);
         let event = Event::Renewed { worker, sent, outcome };
-        self.schedule(self.now + CALL_TIMEOUT_MS, SimEvent::ToLeader(held.term, event));
+        self.schedule(self.now + CALL_TIMEOUT_MS, SimEvent::AnswerArrives(held.term, event));
     }
 
     fn start(
--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -43,7 +43,7 @@
     /// A call arrives at a worker.
     CallArrives(CallRoute, Call),
     /// An answer arrives; a later leader gets none.
-    ToLeader(u64, Event),
+    AnswerArrives(u64, Event),
     /// A renewal has waited long enough, sent at this time.
     RenewalWaitOver(usize, Instant),
     /// A run's work may be over.
@@ -178,8 +178,8 @@
                 self.event(Event::Cancel(key));
             }
             SimEvent::CallArrives(trip, call) => self.deliver_call(trip, call),
-            SimEvent::ToLeader(term, event) if term == self.term => self.event(event),
-            SimEvent::ToLeader(..) => {}
+            SimEvent::AnswerArrives(term, event) if term == self.term => self.event(event),
+            SimEvent::AnswerArrives(..) => {}
             SimEvent::RenewalWaitOver(at, sent) => self.end_renewal_wait(at, sent),
             SimEvent::RunMayEnd(at, task, run) => self.may_end(at, task, run),
             SimEvent::RunStopped(at, task, run) => {
