--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -7,7 +7,7 @@
 use gaplock_types::time::Instant;
 
 use super::simulation::{SimEvent, Simulation};
-use super::worker::{self, Held};
+use super::worker::{self, PendingRenewal};
 
 /// How long a call takes to its worker, and its answer back, in milliseconds.
 const ONE_WAY_DELAY_MS: u64 = 1;
@@ -141,7 +141,8 @@
         if let Some(until) = until {
             self.grant(at, until);
         }
-        self.workers[at].pending_renewal = Some(Held { ix: trip.ix, term: trip.term, sent });
+        self.workers[at].pending_renewal =
+            Some(PendingRenewal { ix: trip.ix, term: trip.term, sent });
         if self.workers[at].ends.is_empty() && wait > 0 {
             return self.schedule(self.now + wait, SimEvent::RenewalWaitOver(at, sent));
         }
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -102,14 +102,14 @@
     /// The end of its leases.
     pub lease_until: u64,
     /// The renewal that waits for an end: whose call it is, and when it was sent.
-    pub pending_renewal: Option<Held>,
+    pub pending_renewal: Option<PendingRenewal>,
     next_seq: u64,
     last_ended: BTreeMap<TaskKey, Run>,
 }
 
 /// A renewal that waits at a worker.
 #[derive(Debug, Clone, Copy)]
-pub struct Held {
+pub struct PendingRenewal {
     /// The position under which the leader knows the worker.
     pub ix: WorkerIx,
     /// The leader's term.
