--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -192,7 +192,7 @@
             return Err(Refusal::OldRun);
         }
         let step = &self.load.job(task.job).job.steps[usize::from(task.step)];
-        if !worker.free().holds(&worker::takes(step)) {
+        if !worker.free().holds(&worker::reserved_resources(step)) {
             return Err(Refusal::Room);
         }
         self.tally.started(&self.load, task, at, self.now);
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -28,7 +28,7 @@
 const CONTENTION_SHARE: f64 = 0.6;
 
 /// Returns what a task takes of a worker's room: one that fills reserves no processors.
-pub fn takes(step: &Step) -> Resources {
+pub fn reserved_resources(step: &Step) -> Resources {
     let cpu = if step.fills { 0 } else { step.demand.cpu.0 };
     Resources::new(cpu, step.demand.mem.0, 0)
 }
@@ -166,7 +166,7 @@
             run,
             class: job.class,
             cores: f64::from(step.demand.cpu.0) / 1e3,
-            takes: takes(step),
+            takes: reserved_resources(step),
             work_ms: (!step.lasting).then_some(work),
             done_ms: from_ms,
             from_ms,
