--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -118,7 +118,7 @@
                 Ok(())
             }
             Call::Pace { task, run, percent } => {
-                self.changed(trip.at, |worker| {
+                self.change_worker(trip.at, |worker| {
                     if let Some(r) = worker.running.get_mut(&task).filter(|r| r.run == run) {
                         r.pace = percent;
                     }
@@ -159,7 +159,7 @@
     /// Answers the renewal that waits at a worker, if one does.
     pub(super) fn answer_pending_renewal(&mut self, at: usize) {
         let Some(held) = self.workers[at].pending_renewal.take() else { return };
-        self.changed(at, |_| {});
+        self.change_worker(at, |_| {});
         let account = self.workers[at].report(&self.load, self.now);
         let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Done(account));
         self.reply(held.term, Event::Renewed { worker, sent, outcome });
@@ -197,7 +197,7 @@
         }
         self.tally.started(&self.load, task, at, self.now);
         let (load, now) = (self.load.clone(), self.now);
-        self.changed(at, |worker| worker.begin(&load, task, run, saved_ms, now));
+        self.change_worker(at, |worker| worker.begin(&load, task, run, saved_ms, now));
         Ok(())
     }
 
--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -278,14 +278,14 @@
     /// Looks at the whole fleet, and lets the rates of what fills follow the loads.
     fn sample(&mut self) {
         for at in 0..self.workers.len() {
-            self.changed(at, |_| {});
+            self.change_worker(at, |_| {});
         }
         self.tally.sample(&self.load, &self.workers, self.now);
         self.schedule(self.now + SAMPLE_INTERVAL_MS, SimEvent::Sample);
     }
 
     /// Changes what a worker runs; all its rates may differ then.
-    pub(super) fn changed(&mut self, at: usize, change: impl FnOnce(&mut Worker)) {
+    pub(super) fn change_worker(&mut self, at: usize, change: impl FnOnce(&mut Worker)) {
         let (now, worker) = (self.now, &mut self.workers[at]);
         worker.update_progress(now);
         change(worker);
@@ -307,7 +307,7 @@
     /// Ends a run, and lets a waiting renewal tell of it.
     pub(super) fn end(&mut self, at: usize, task: TaskKey, how: EndCause) {
         let mut ended = None;
-        self.changed(at, |worker| ended = worker.end(task, how));
+        self.change_worker(at, |worker| ended = worker.end(task, how));
         let Some(running) = ended else { return };
         self.tally.ended(&self.load, (task, at), how, &running, self.now);
         self.answer_pending_renewal(at);
@@ -337,7 +337,7 @@
     }
 
     fn crash(&mut self, at: usize) {
-        self.changed(at, |_| {});
+        self.change_worker(at, |_| {});
         self.workers[at].up = false;
         for running in std::mem::take(&mut self.workers[at].running).into_values() {
             self.tally.crashed(&running);
