--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -110,7 +110,7 @@
                 Ok(())
             }
             Call::Start { task, run, until, saved_ms } => {
-                self.grant(trip.at, until);
+                self.extend_leases(trip.at, until);
                 self.start(trip.at, task, run, until, saved_ms)
             }
             Call::Stop { task, run } => {
@@ -139,7 +139,7 @@
         let at = trip.at;
         self.workers[at].ends.retain(|end| end.seq > stored);
         if let Some(until) = until {
-            self.grant(at, until);
+            self.extend_leases(at, until);
         }
         self.workers[at].pending_renewal =
             Some(PendingRenewal { ix: trip.ix, term: trip.term, sent });
--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -325,7 +325,7 @@
     }
 
     /// Renews a worker's leases.
-    pub(super) fn grant(&mut self, at: usize, until: WorkerClock) {
+    pub(super) fn extend_leases(&mut self, at: usize, until: WorkerClock) {
         let most = self.now + self.settings.lease_max.0;
         let worker = &mut self.workers[at];
         let ran_out = worker.lease_until <= self.now;
