--- a/crates/measure/src/patterns/plots.rs
+++ b/crates/measure/src/patterns/plots.rs
@@ -43,7 +43,7 @@
         for (name, cells) in names.iter().zip(cells.chunks(3)) {
             let first = lines.iter().find(|l| l.pattern == *name);
             let Some(line) = first else { continue };
-            let course = &line.outcome.course;
+            let course = &line.outcome.timeline;
             let title = |what: &str| format!("{name}, seed {}: {what}", line.seed);
             plot(&cells[0], &title("waits of short tasks, ms"), &waits(course))?;
             plot(&cells[1], &title("free cores by piece of a worker"), &room(course))?;
--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -78,7 +78,7 @@
     pub largest: f64,
     /// What happened when, for the plots.
     #[serde(skip)]
-    pub course: Timeline,
+    pub timeline: Timeline,
 }
 
 /// What happened when.
@@ -122,7 +122,7 @@
     free: f64,
     in_halves: f64,
     largest: f64,
-    course: Timeline,
+    timeline: Timeline,
 }
 
 fn histogram() -> Histogram<u64> {
@@ -173,7 +173,7 @@
             free: 0.0,
             in_halves: 0.0,
             largest: 0.0,
-            course: Timeline::default(),
+            timeline: Timeline::default(),
         }
     }
 
@@ -202,7 +202,7 @@
         let wait = now.saturating_sub(ready);
         self.waits[job.class as usize].saturating_record(wait);
         if job.class == Class::Short {
-            self.course.waits.push((ready, wait));
+            self.timeline.waits.push((ready, wait));
         }
     }
 
@@ -226,7 +226,7 @@
         if how == EndCause::Stopped && !state.done && now < job.leaves {
             state.stopped_at = Some(at);
             self.stops += 1;
-            self.course.preempted.push((now, job.class));
+            self.timeline.preempted.push((now, job.class));
         }
     }
 
@@ -299,7 +299,7 @@
         self.free += free / all;
         self.in_halves += if free > 0.0 { pieces[2] / free } else { 0.0 };
         self.largest += largest;
-        self.course.free.push((now, pieces));
+        self.timeline.free.push((now, pieces));
     }
 
     /// Returns what came of it all.
@@ -325,7 +325,7 @@
             free: self.free / looks,
             free_in_halves: self.in_halves / looks,
             largest: self.largest / looks,
-            course: self.course,
+            timeline: self.timeline,
         }
     }
 
