--- a/crates/burn/src/burn.rs
+++ b/crates/burn/src/burn.rs
@@ -1,4 +1,4 @@
-//! Works the burn of error budgets out of samples.
+//! Computes the burn of error budgets from samples.
 
 use std::collections::BTreeMap;
 
@@ -7,66 +7,67 @@
 use crate::sample::Sample;
 use crate::scrape::{Counters, Key};
 
-/// What a service has promised.
+/// The service-level objective of a service.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Objective {
     /// The service.
     pub service: String,
-    /// The latency that a good answer keeps, in milliseconds.
+    /// The latency within which an answer is good, in milliseconds.
     pub latency_ms: u64,
-    /// The share of requests that must be good, in per cent.
+    /// The percentage of requests that must be good.
     pub good_percent: f64,
 }
 
-/// What a request was lost to.
+/// Why a request was not good.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// Answered, but later than promised.
+    /// Answered, but later than the objective allows.
     Slow,
-    /// Refused for want of room.
+    /// Refused for lack of capacity.
     Overload,
-    /// No worker, or a worker without a whole answer.
+    /// There was no worker, or a worker did not give a complete answer.
     Upstream,
-    /// The store was away, or a partition was between owners.
+    /// The store was unavailable, or a partition had no owner during a change of owners.
     Store,
-    /// Anything else that was not the caller's fault.
+    /// Any other reason that was not the caller's fault.
     Other,
 }
 
-/// Requests of one window.
+/// The requests in one time window.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct Window {
     /// The window's length, in seconds.
     pub seconds: u64,
-    /// Requests that count.
+    /// The number of requests that count towards the objective.
     pub requests: f64,
-    /// Those that were not good.
+    /// The number of these that were not good.
     pub bad: f64,
-    /// How many times faster than allowed the budget burns.
+    /// How many times faster than allowed the error budget is used up.
     pub burn: f64,
-    /// What burnt it.
+    /// The number of bad requests by cause.
     pub causes: BTreeMap<Cause, f64>,
 }
 
-/// One service and partner.
+/// The report on one service and partner.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Row {
     /// The service and partner.
     pub key: Key,
-    /// The objective.
+    /// The objective of the service.
     pub objective: Objective,
     /// The windows, shortest first.
     pub windows: Vec<Window>,
-    /// Whether the budget burns fast: 14 times or more in the shortest window.
+    /// Whether the budget burns fast: at 14 times the allowed rate or more in the shortest window.
     pub fast: bool,
-    /// Whether it burns slowly but steadily: at least once in the longest window.
+    /// Whether it burns slowly but steadily: at least at the allowed rate in the longest window.
     pub slow: bool,
-    /// The burn over time, for a plot: milliseconds since 1970 and burn.
+    /// The burn over time, for a plot: pairs of milliseconds since 1970 and the burn.
     pub course: Vec<(u64, f64)>,
 }
 
-/// A burn in the shortest window that uses a month's budget in two days.
+/// The burn in the shortest window from which the budget counts as burning fast. At this rate, a month's budget
+/// is used up in two days.
 pub const FAST_BURN: f64 = 14.0;
 const SLOW_BURN: f64 = 1.0;
 
@@ -76,25 +77,27 @@
         201 | 300 | 302 => Some(Cause::Upstream),
         202 | 205 => Some(Cause::Store),
         203 | 204 | 900 => Some(Cause::Other),
-        // Codes from 100 to 199 are the caller's own, and a repeat's answer is no new request.
+        // Codes from 100 to 199 are the caller's own faults, and the answer to a repeated request does not count
+        // as a new request.
         _ => None,
     }
 }
 
-/// Returns what `later` counted beyond `earlier`; a counter that fell began anew with its process.
+/// Returns how much the counters grew from `earlier` to `later`. A counter that fell was reset to zero by a restart
+/// of its process.
 fn increase_since(earlier: Option<&Counters>, later: &Counters) -> Counters {
     let Some(earlier) = earlier else { return later.clone() };
-    let grown = |before: Option<&f64>, now: f64| match before {
+    let increase = |before: Option<&f64>, now: f64| match before {
         Some(before) if *before <= now => now - before,
         _ => now,
     };
-    let by_code = later.by_code.iter().map(|(c, n)| (*c, grown(earlier.by_code.get(c), *n)));
+    let by_code = later.by_code.iter().map(|(c, n)| (*c, increase(earlier.by_code.get(c), *n)));
     let by_latency =
-        later.by_latency_us.iter().map(|(l, n)| (*l, grown(earlier.by_latency_us.get(l), *n)));
+        later.by_latency_us.iter().map(|(l, n)| (*l, increase(earlier.by_latency_us.get(l), *n)));
     Counters { by_code: by_code.collect(), by_latency_us: by_latency.collect() }
 }
 
-/// Counts one window's requests against an objective.
+/// Evaluates the requests counted in one window against an objective.
 pub fn evaluate(counted: &Counters, objective: &Objective, seconds: u64) -> Window {
     let answered = counted.by_code.get(&0).copied().unwrap_or(0.0);
     let limit_us = objective.latency_ms * 1000;
@@ -118,7 +121,8 @@
     Window { seconds, requests, bad, burn, causes }
 }
 
-/// Builds the report's rows from samples, for windows of the given lengths in seconds.
+/// Builds the report's rows from samples, for windows of the given lengths in seconds that end at the newest
+/// sample.
 pub fn rows(samples: &[Sample], objectives: &[Objective], windows_s: &[u64]) -> Vec<Row> {
     let Some(newest) = samples.iter().map(|s| s.at_unix_ms).max() else { return Vec::new() };
     let keys: std::collections::BTreeSet<&Key> =
@@ -142,7 +146,7 @@
     rows
 }
 
-/// Counts what every entry counted for `key` between two times.
+/// Returns the sum over all entries of what they counted for `key` between two times.
 fn counted(samples: &[Sample], key: &Key, from: u64, to: u64) -> Counters {
     let mut sum = Counters::default();
     let entries: std::collections::BTreeSet<&str> =
@@ -156,7 +160,7 @@
                 Some((s.at_unix_ms, &found.1))
             })
             .collect();
-        // The last sample at or before the window's begin is what had been counted by then.
+        // The last sample at or before the start of the window holds the counts at that time.
         let first = own.iter().rposition(|(at, _)| *at <= from).unwrap_or(0);
         for pair in own[first..].windows(2) {
             add(&mut sum, &increase_since(Some(pair[0].1), pair[1].1));
