--- a/crates/burn/src/html.rs
+++ b/crates/burn/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one self-contained page, with plots drawn as SVG by a library.
+//! Formats the report as one self-contained HTML page with SVG plots.
 
 use std::fmt::Write as _;
 
@@ -9,7 +9,7 @@
 const WIDTH: u32 = 640;
 const HEIGHT: u32 = 180;
 
-/// Draws a burn's course as SVG; none where there are too few points.
+/// Draws the burn over time as SVG. Returns `None` if there are fewer than two points in time.
 ///
 /// # Errors
 /// Returns the drawing library's error as text.
@@ -51,7 +51,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// Builds the page.
+/// Builds the HTML page of the report.
 ///
 /// # Errors
 /// Returns the drawing library's error as text.
