--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,7 +1,7 @@
-//! Service-level burn: how fast each service and partner uses up its error budget, and on what.
+//! Computes service-level burn: how fast each service and partner uses up its error budget, and the causes.
 //!
-//! Entries keep nothing, so samples of their counters are taken from outside and, if a file is
-//! given, kept there. Everything but [`sample::take`] is plain data and functions over it.
+//! Entries do not store their counters, so this crate samples them from outside and stores the samples in a
+//! file if one is given. Except for [`sample::take`], the library does no I/O.
 
 pub mod burn;
 pub mod html;
