--- a/crates/burn/src/main.rs
+++ b/crates/burn/src/main.rs
@@ -1,4 +1,4 @@
-//! `gaplock-burn`: the report on service-level burn, as text, JSON or a page.
+//! `gaplock-burn`: reports on service-level burn as text, JSON or an HTML page.
 
 use std::io::Write as _;
 use std::process::ExitCode;
@@ -50,7 +50,7 @@
 }
 
 fn objective(text: &str) -> Result<Objective, String> {
-    let fail = || format!("--objective: `{text}` is not SERVICE=MS:PERCENT");
+    let fail = || format!("invalid --objective `{text}`: expected SERVICE=MS:PERCENT");
     let (service, rest) = text.split_once('=').ok_or_else(fail)?;
     let (latency, percent) = rest.split_once(':').ok_or_else(fail)?;
     Ok(Objective {
