--- a/crates/burn/src/sample.rs
+++ b/crates/burn/src/sample.rs
@@ -1,4 +1,4 @@
-//! Samples: the entries' counters at one time.
+//! Takes samples, the counters of an entry at one time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,17 +13,18 @@
 /// The counters of one entry at one time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// When, in milliseconds since 1970.
+    /// When the sample was taken, in milliseconds since 1970.
     pub at_unix_ms: u64,
     /// The entry's health address.
     pub entry: String,
-    /// The counters, as a list since keys are no text.
+    /// The counters by service and partner. They are a list because JSON objects need strings as keys.
     pub counters: Vec<(Key, Counters)>,
 }
 
+/// The longest wait for an entry's metrics, so that one that hangs does not delay the other samples for long.
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Reads the counters of every entry that answers.
+/// Samples the counters of every entry at these health addresses, except those that don't answer.
 pub async fn take(health: &[String]) -> Vec<Sample> {
     let now = clock::unix_ms();
     let mut samples = Vec::new();
@@ -32,7 +33,9 @@
         let (method, path) = (Method::Get, "/metrics");
         let call = Call { method, path, headers: &[], body: Vec::new(), limit: SCRAPE_TIMEOUT };
         let Ok(answer) = client.call(call).await else {
-            eprintln!("note: {entry} cannot be reached");
+            eprintln!(
+                "warning: can't read metrics of entry at {entry}; it is left out of this sample"
+            );
             continue;
         };
         let mut all = BTreeMap::new();
