--- a/crates/burn/src/scrape.rs
+++ b/crates/burn/src/scrape.rs
@@ -1,10 +1,10 @@
-//! Reads the counters of one entry from its metrics text.
+//! Parses an entry's counters from the text of its metrics.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// A service and the partner that asked.
+/// A service and a partner that sends requests to it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Key {
     /// The service.
@@ -13,19 +13,19 @@
     pub partner: String,
 }
 
-/// Counters of one service and partner, summed over entries.
+/// The request counters of one service and partner.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Counters {
-    /// Requests by result code.
+    /// The number of requests by result code.
     pub by_code: BTreeMap<u16, f64>,
-    /// Answered requests by upper bound of their latency in microseconds, cumulative.
+    /// The cumulative number of answered requests by the upper bound of their latency, in microseconds.
     pub by_latency_us: BTreeMap<u64, f64>,
 }
 
 const REQUESTS: &str = "gaplock_service_requests_total";
 const LATENCY: &str = "gaplock_service_latency_seconds_bucket";
 
-/// Splits `name{a="b",c="d"} value` into name, labels and value.
+/// Splits a line `name{a="b",c="d"} value` into name, labels and value.
 fn split(line: &str) -> Option<(&str, BTreeMap<&str, &str>, f64)> {
     let (head, value) = line.rsplit_once(' ')?;
     let (name, labels) = head.split_once('{')?;
@@ -37,7 +37,7 @@
     Some((name, pairs.collect(), value.parse().ok()?))
 }
 
-/// Adds the counters in a metrics text to `all`.
+/// Adds the counters in a metrics text to those in `all`.
 pub fn add(text: &str, all: &mut BTreeMap<Key, Counters>) {
     for (name, labels, value) in text.lines().filter_map(split) {
         let label = |name: &str| labels.get(name).copied().unwrap_or_default();
