--- a/crates/burn/tests/burn.rs
+++ b/crates/burn/tests/burn.rs
@@ -1,4 +1,4 @@
-//! The burn is worked out of counters, across restarts and windows.
+//! Tests that burn is computed correctly from counters, across windows and restarts of entries.
 
 use std::collections::BTreeMap;
 
@@ -31,15 +31,17 @@
 }
 
 #[test]
-fn windows_tell_slow_from_overload_and_ignore_the_callers_own_faults() {
+fn windows_separate_slow_from_overload_and_ignore_caller_faults() {
     let samples = [
         sample(0, &metrics(0, 0, 0)),
         sample(60, &metrics(900, 0, 0)),
         sample(120, &metrics(1_700, 100, 100)),
     ];
     let rows = burn::rows(&samples, &[objective()], &[60, 120]);
-    let [row] = rows.as_slice() else { panic!("one row was expected") };
-    let [short, long] = row.windows.as_slice() else { panic!("two windows were expected") };
+    let [row] = rows.as_slice() else { panic!("expected one row, got {rows:?}") };
+    let [short, long] = row.windows.as_slice() else {
+        panic!("expected two windows, got {:?}", row.windows)
+    };
     assert_eq!((short.requests, short.bad), (1_000.0, 200.0));
     assert_eq!(short.causes.get(&Cause::Slow), Some(&100.0));
     assert_eq!(short.causes.get(&Cause::Overload), Some(&100.0));
