--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,8 +1,8 @@
-//! `gaplock-load`: open-loop load on a service, directly at a worker or through the entries.
+//! `gaplock-load`: sends open-loop load to a service, directly to workers or through entries.
 //!
-//! Each request has an intended send time; its latency counts from there, so that a slow answer
-//! also shows in the requests that had to wait behind it. With both `--direct` and `--entries`
-//! the two paths take turns within one run and the ratio of their latencies is printed.
+//! Each request has an intended send time, and its latency is measured from there. A slow answer therefore
+//! also shows in the latency of requests that had to wait behind it. With both `--direct` and `--entries`,
+//! the two paths take turns within one run, and the ratio of their latencies is printed.
 
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex};
@@ -39,7 +39,7 @@
     setting("rounds", Kind::Number { min: 1, max: 100 }, "N", Some("2"), "Turns of each path."),
 ];
 
-/// What one path gave.
+/// The result of one path.
 #[derive(Debug, Serialize)]
 struct PathResult {
     path: &'static str,
@@ -53,15 +53,15 @@
     max_us: u64,
 }
 
-/// Everything that a run gave.
+/// The result of a run, printed as JSON.
 #[derive(Debug, Serialize)]
 struct RunResult {
     rate: u64,
     seconds: u64,
     paths: Vec<PathResult>,
-    /// Latency through the entries over the direct one, at the median.
+    /// The median latency through the entries divided by the direct one.
     ratio_p50: Option<f64>,
-    /// The same at the 99th percentile.
+    /// The same ratio of the 99th percentiles.
     ratio_p99: Option<f64>,
 }
 
@@ -73,7 +73,7 @@
     failed: u64,
 }
 
-/// One way to send requests.
+/// A path on which requests are sent, with its counts.
 struct Route {
     name: &'static str,
     clients: Vec<Client>,
@@ -82,8 +82,11 @@
     tally: Mutex<Tally>,
 }
 
+/// The highest latency that the histogram records exactly, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
+/// The significant decimal digits of recorded latencies.
 const HISTOGRAM_DIGITS: u8 = 3;
+/// The idle connections that a client keeps open, so that concurrent requests can reuse connections.
 const IDLE_CONNECTIONS: usize = 256;
 
 fn route(
@@ -92,8 +95,8 @@
     path: String,
     headers: Vec<(String, String)>,
 ) -> Route {
-    let latency_us =
-        Histogram::new_with_bounds(1, MAX_LATENCY_US, HISTOGRAM_DIGITS).expect("constant bounds");
+    let latency_us = Histogram::new_with_bounds(1, MAX_LATENCY_US, HISTOGRAM_DIGITS)
+        .expect("the histogram's constant bounds are valid");
     let tally = Tally { latency_us, sent: 0, answered: 0, refused: 0, failed: 0 };
     let clients = addrs.iter().map(|a| Client::open(a, IDLE_CONNECTIONS)).collect();
     Route { name, clients, path, headers, tally: Mutex::new(tally) }
@@ -133,20 +136,20 @@
     task::block_on(async {
         for _ in 0..rounds {
             for route in &routes {
-                let turn = Duration::from_secs(seconds) / rounds as u32;
-                send_open_loop(route, rate, turn, limit).await;
+                let round_time = Duration::from_secs(seconds) / rounds as u32;
+                send_open_loop(route, rate, round_time, limit).await;
             }
         }
     });
     let result = summarise(rate, seconds, &routes);
-    println!("{}", serde_json::to_string_pretty(&result).expect("plain data serialises"));
+    println!("{}", serde_json::to_string_pretty(&result).expect("plain data always serialises"));
     ExitCode::SUCCESS
 }
 
-/// Sends at fixed times, whether earlier requests have been answered or not.
-async fn send_open_loop(route: &Arc<Route>, rate: u64, turn: Duration, limit: Duration) {
+/// Sends requests at fixed times, whether or not earlier ones have been answered.
+async fn send_open_loop(route: &Arc<Route>, rate: u64, round_time: Duration, limit: Duration) {
     let began = Instant::now();
-    let count = (turn.as_secs_f64() * rate as f64) as u64;
+    let count = (round_time.as_secs_f64() * rate as f64) as u64;
     let mut sending = Vec::new();
     for n in 0..count {
         let intended = began + Duration::from_secs_f64(n as f64 / rate as f64);
@@ -154,8 +157,8 @@
         let route = Arc::clone(route);
         sending.push(task::spawn(async move { send_one(&route, n, intended, limit).await }));
     }
-    for one in sending {
-        one.await;
+    for request in sending {
+        request.await;
     }
 }
 
@@ -166,13 +169,14 @@
     let body = format!("{{\"n\":{n}}}").into_bytes();
     let call = Call { method: Method::Post, path: &route.path, headers: &headers, body, limit };
     let answer = client.call(call).await;
-    let took = intended.elapsed().as_micros() as u64;
-    let mut tally = route.tally.lock().expect("no holder of the lock panics");
+    let latency_us = intended.elapsed().as_micros() as u64;
+    let mut tally =
+        route.tally.lock().expect("no thread panics while it holds the lock on the tally");
     tally.sent += 1;
     match answer {
         Ok(answer) if answer.status == 200 => {
             tally.answered += 1;
-            tally.latency_us.saturating_record(took.max(1));
+            tally.latency_us.saturating_record(latency_us.max(1));
         }
         Ok(_) => tally.refused += 1,
         Err(_) => tally.failed += 1,
@@ -190,7 +194,7 @@
 }
 
 fn path_result(route: &Route) -> PathResult {
-    let tally = route.tally.lock().expect("no holder of the lock panics");
+    let tally = route.tally.lock().expect("no thread panics while it holds the lock on the tally");
     let at = |quantile| tally.latency_us.value_at_quantile(quantile);
     PathResult {
         path: route.name,
