--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -1,4 +1,5 @@
-//! Tasks lost to a worker that fails everything it starts, against no knowledge of failures.
+//! Measures how many task runs are lost to a worker that fails everything it starts, against a first-fit
+//! baseline that ignores failures.
 
 use gaplock_policy::{health, interference, placement};
 use gaplock_types::{ids, sizes, time};
@@ -12,7 +13,7 @@
 const WORKERS_PER_PARTITION: usize = 16;
 const BAD_WORKER: usize = 3;
 const CAPACITY: sizes::Resources = sizes::Resources::new(16_000, 60 * 1024, 0);
-/// One job in this many is itself broken and fails everywhere.
+/// One job in this many is itself broken and fails on every worker.
 const BROKEN_JOB_INTERVAL: u64 = 200;
 
 struct Outcome {
@@ -22,7 +23,7 @@
     broken: u64,
 }
 
-/// Measures fleets of 50 to 1,300 workers.
+/// Measures the lost task runs for fleets of 50 to 1,300 workers.
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut worst = 0;
@@ -63,7 +64,7 @@
     demand: sizes::Resources,
 }
 
-/// A fleet with one worker that fails what it starts.
+/// A fleet with one worker that fails every task it starts.
 struct Fleet {
     ours: bool,
     running: Vec<Vec<Running>>,
@@ -88,7 +89,7 @@
         for i in 0..workers {
             fleet.end_runs(i, now);
         }
-        // About one start a second for each eight workers keeps the fleet two thirds full.
+        // About one start per second for every eight workers keeps the fleet two thirds full.
         for _ in 0..(workers as u64 * STEP_MS).div_ceil(8_000) {
             next_job += 1;
             fleet.out.broken += u64::from(next_job.is_multiple_of(BROKEN_JOB_INTERVAL));
@@ -100,7 +101,7 @@
 }
 
 impl Fleet {
-    /// Ends the runs of a worker whose time is over, and its quarantine.
+    /// Ends the runs of worker `i` whose time is over, and its quarantine when it is due to end.
     fn end_runs(&mut self, i: usize, now: u64) {
         let at = time::Instant(now);
         let worker = ids::WorkerId(format!("w{i}"));
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Takes in the end of a run; tells whether its job is to run again.
+    /// Handles the end of a run. Returns whether its job must run again.
     fn end_run(
         &mut self,
         i: usize,
@@ -146,7 +147,7 @@
         true
     }
 
-    /// Starts the waiting jobs for which a worker is found.
+    /// Starts each waiting job for which a worker is found.
     fn place_jobs(&mut self, now: u64, rng: &mut ChaCha8Rng) {
         for job in std::mem::take(&mut self.waiting) {
             let chosen = choose(&self.running, &self.quarantined, &self.health, self.ours, rng);
