--- a/crates/measure/src/draw.rs
+++ b/crates/measure/src/draw.rs
@@ -1,4 +1,4 @@
-//! Draws from the few distributions that the measurements use.
+//! Draws random values from the distributions that the measurements use.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
