--- a/crates/measure/src/fairness.rs
+++ b/crates/measure/src/fairness.rs
@@ -1,4 +1,5 @@
-//! What partners get while one of them floods the queue, against first come first served.
+//! Measures the processor time that partners get while one of them floods the queue, against a first come,
+//! first served baseline.
 
 use std::collections::VecDeque;
 
@@ -14,7 +15,7 @@
 const RUN_S: u64 = 1_800;
 const MEAN_TASK_S: u64 = 20;
 const FLOOD_FACTOR: f64 = 40.0;
-/// Tasks a second of an ordinary partner: together they use about 90 % of the capacity.
+/// Tasks that an ordinary partner submits each second; all partners together use about 90 % of the capacity.
 const TASKS_PER_S: f64 = 1.2;
 
 #[derive(Clone)]
@@ -31,31 +32,33 @@
 }
 
 struct Outcome {
-    /// Core seconds that each partner got.
+    /// Processor time that each partner got, in core seconds.
     got: Vec<f64>,
-    /// Mean wait of the ordinary partners' started tasks, in seconds.
+    /// Mean wait of started tasks of all partners other than the flooding one, in seconds.
     wait_s: f64,
-    /// The longest wait of the urgent tasks, in seconds.
+    /// The longest wait of a started urgent task, in seconds.
     urgent_wait_s: u64,
 }
 
-/// Measures the others' shares with and without one partner's flood.
+/// Measures what the other partners get with and without one partner's flood.
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut findings = Vec::new();
     for (name, ours) in [("ours", true), ("first come first served", false)] {
-        let calm = run(seed, ours, false);
-        let flood = run(seed, ours, true);
+        let without_flood = run(seed, ours, false);
+        let with_flood = run(seed, ours, true);
         let others = |o: &Outcome| o.got[1..].iter().sum::<f64>();
-        let kept = 100.0 * others(&flood) / others(&calm);
-        let least = (1..PARTNERS).map(|i| flood.got[i] / calm.got[i]).fold(f64::INFINITY, f64::min);
+        let kept = 100.0 * others(&with_flood) / others(&without_flood);
+        let least = (1..PARTNERS)
+            .map(|i| with_flood.got[i] / without_flood.got[i])
+            .fold(f64::INFINITY, f64::min);
         rows.push(vec![
             name.to_string(),
             format!("{kept:.1}%"),
             format!("{:.1}%", least * 100.0),
-            format!("{:.1} s", calm.wait_s),
-            format!("{:.1} s", flood.wait_s),
-            format!("{} s", flood.urgent_wait_s),
+            format!("{:.1} s", without_flood.wait_s),
+            format!("{:.1} s", with_flood.wait_s),
+            format!("{} s", with_flood.urgent_wait_s),
         ]);
         findings.push(format!("{name}: the others keep {kept:.1}% under the flood (aim 95%)"));
     }
@@ -75,7 +78,7 @@
     }
 }
 
-/// Lets a partner's tasks of one step of time arrive.
+/// Queues the tasks that a partner submits in one second.
 fn arrive(
     rng: &mut ChaCha8Rng,
     now: u64,
@@ -88,14 +91,14 @@
     for _ in 0..count {
         let cores = rng.random_range(500..1_500);
         let demand = sizes::Resources::new(cores, 2_048, 0);
-        // One task in twenty of an ordinary partner is urgent.
+        // One in twenty tasks is urgent, except those of the flooding partner 0.
         let is_urgent = partner > 0 && rng.random_ratio(1, 20);
         let queue = if is_urgent { &mut *urgent } else { &mut *queue };
         queue.push_back(Waiting { demand, since: now });
     }
 }
 
-/// One installation under one policy.
+/// The state of a simulated installation under one policy.
 struct Sim {
     rng: ChaCha8Rng,
     queues: Vec<VecDeque<Waiting>>,
@@ -136,7 +139,7 @@
 }
 
 impl Sim {
-    /// Ends what is over and lets new tasks arrive.
+    /// Ends the tasks whose time is over and queues newly submitted ones.
     fn end_and_arrive(&mut self, now: u64, flood: bool) {
         let held = &mut self.held;
         self.running.retain(|r| {
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Starts what the policy picks until nothing more fits; tells whether urgent work waits.
+    /// Starts the tasks that the policy picks until no more fit. Returns whether an urgent task still waits.
     fn start_all(&mut self, now: u64, ours: bool) -> bool {
         let mut skip = [false; PARTNERS];
         let mut urgent_waits = false;
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Starts a partner's first task, if there is room for it.
+    /// Starts a partner's first waiting task and returns true, if the free capacity suffices.
     fn start(&mut self, now: u64, partner: usize, is_urgent: bool) -> bool {
         let queues = if is_urgent { &mut self.urgent } else { &mut self.queues };
         let Some(task) = queues[partner].front().cloned() else { return false };
@@ -200,8 +203,8 @@
     }
 }
 
-/// Moves the ordinary task with the most work left away, of the partner that holds most; its work
-/// so far is kept by its checkpoint.
+/// Evicts one non-urgent task: the one with the most remaining work of the partner that holds the most
+/// processors. A checkpoint keeps its work so far.
 fn evict_one(
     now: u64,
     running: &mut Vec<Running>,
@@ -238,8 +241,8 @@
             }
         })
         .collect();
-    let turn = fair::next_partner(&shares, &CAPACITY)?;
-    shares[turn].next.map(|(_, is_urgent)| (turn, is_urgent))
+    let next = fair::next_partner(&shares, &CAPACITY)?;
+    shares[next].next.map(|(_, is_urgent)| (next, is_urgent))
 }
 
 fn pick_oldest(
@@ -248,9 +251,9 @@
     skip: &[bool],
 ) -> Option<(usize, bool)> {
     let all = (0..queues.len()).filter(|i| !skip[*i]).flat_map(|i| {
-        let plain = queues[i].front().map(|t| (t.since, i, false));
-        let hurried = urgent[i].front().map(|t| (t.since, i, true));
-        plain.into_iter().chain(hurried)
+        let ordinary = queues[i].front().map(|t| (t.since, i, false));
+        let urgent = urgent[i].front().map(|t| (t.since, i, true));
+        ordinary.into_iter().chain(urgent)
     });
     all.min().map(|(_, i, is_urgent)| (i, is_urgent))
 }
