--- a/crates/measure/src/leader.rs
+++ b/crates/measure/src/leader.rs
@@ -1,5 +1,6 @@
-//! What the leader's decisions cost by the size of the fleet: an account, a start, a look for due renewals, a
-//! pass over steps that find no room, the checks of time, and a follower's heartbeat.
+//! Measures the time of the leader's operations by the size of the fleet: handling a worker report, starting a
+//! task, checking for due renewals, a dispatch pass in which no step finds capacity, the periodic checks, and
+//! handling a follower's heartbeat.
 
 use std::sync::Arc;
 use std::time::Instant as StdInstant;
@@ -20,25 +21,26 @@
 
 use crate::report::Report;
 
-/// The users' sites, the two-year size, the largest that their sweep plays, their whole fleet, and twice that.
+/// The numbers of workers to measure: the users' sites, the size planned for in two years, the largest size in
+/// the users' sweep, their whole fleet, and twice that.
 const FLEET_SIZES: [usize; 6] = [66, 490, 1_300, 3_000, 6_000, 12_000];
 
-/// How many workers there are for each host on the users' larger sites.
+/// The number of workers for each host on the users' larger sites.
 const WORKERS_PER_HOST: usize = 10;
 
 const SERVICE: &str = "pool";
 const QUEUE: &str = "queue";
 
-/// How many lasting tasks run on each worker; they fill it.
+/// The number of long-running tasks on each worker; together they reserve all its processors.
 const TASKS_PER_WORKER: usize = 4;
 
-/// How many steps find no room in a pass, as many as on a full pool of the users' sites.
+/// The number of steps that wait for capacity during a dispatch pass, as on a full pool of the users' sites.
 const WAITING_STEPS: u64 = 30;
 
-/// How often each thing is done for one figure.
+/// How often an operation is repeated for one figure.
 const REPETITIONS: usize = 2_000;
 
-/// Measures the slopes.
+/// Measures the time of each operation for each fleet size.
 pub fn measure(seed: u64) -> Report {
     let rows = FLEET_SIZES.iter().map(|&workers| row(workers)).collect();
     let headings = vec![
@@ -55,13 +57,14 @@
 
 fn row(workers: usize) -> Vec<String> {
     let mut fleet = open(workers);
-    let account = time(REPETITIONS, |n| fleet.report(n % workers));
+    let report = time(REPETITIONS, |n| fleet.report(n % workers));
     let start = fleet.start_cost();
-    let look = fleet.renewal_check_cost();
-    let pass = fleet.dispatch_pass_cost();
-    let checks = fleet.periodic_checks_cost();
+    let renewal_check = fleet.renewal_check_cost();
+    let dispatch_pass = fleet.dispatch_pass_cost();
+    let periodic_checks = fleet.periodic_checks_cost();
     let heartbeat = heartbeat_cost(workers / WORKERS_PER_HOST);
-    let figures = [account, start, look, pass, checks, heartbeat].map(|us| format!("{us:.1}"));
+    let figures = [report, start, renewal_check, dispatch_pass, periodic_checks, heartbeat]
+        .map(|us| format!("{us:.1}"));
     [vec![workers.to_string()], figures.to_vec()].concat()
 }
 
@@ -74,12 +77,12 @@
     began.elapsed().as_secs_f64() * 1e6 / times as f64
 }
 
-/// How many milliseconds pass between two heartbeats of one host.
+/// The interval between two heartbeats of one host, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: usize = 400;
 
-/// Returns the time in which a heartbeat of one of so many hosts is taken in and a successor is named.
+/// Returns the mean time to record a heartbeat of one of `hosts` hosts and to choose a successor.
 fn heartbeat_cost(hosts: usize) -> f64 {
-    let beat = |n: usize, ms: usize| Candidate {
+    let heartbeat = |n: usize, ms: usize| Candidate {
         host: ids::EntryId(format!("host-{n:05}")),
         addr: format!("10.0.0.1:{n}"),
         leader_capacity: succession::FULL_LEADER_CAPACITY,
@@ -88,15 +91,15 @@
         heard_at: Instant(ms as u64),
     };
     let mut followers = Followers::default();
-    (0..hosts).for_each(|n| followers.record(beat(n, 0)));
+    (0..hosts).for_each(|n| followers.record(heartbeat(n, 0)));
     time(REPETITIONS, |n| {
         let ms = n * HEARTBEAT_INTERVAL_MS / hosts;
-        followers.record(beat(n % hosts, ms));
+        followers.record(heartbeat(n % hosts, ms));
         followers.best(Instant(ms as u64));
     })
 }
 
-/// A leader whose workers are full of lasting tasks.
+/// A leader whose workers are filled with long-running tasks.
 struct Fleet {
     cx: Context,
     now: u64,
@@ -133,24 +136,24 @@
     }
 }
 
-/// Builds a leader with a fleet that is full but for `short` tasks' room.
+/// Builds a leader whose long-running tasks reserve all processors of the fleet.
 fn open(workers: usize) -> Fleet {
     let term = Term { number: 1, token: FencingToken(1) };
     let now = 10_000;
-    // All starts of one pass are wanted in one figure.
+    // No limit on starts in flight, so that one dispatch pass performs all starts that are measured.
     let settings = Settings { max_starts_in_flight: usize::MAX, ..Settings::default() };
     let cx = Context::open(settings, term, Instant(now), now);
     let mut fleet = Fleet { cx, now, next_job: 1 };
-    fleet.event(Event::Config(config()));
+    fleet.handle_event(Event::Config(config()));
     for n in 0..workers {
-        fleet.event(Event::Listed(worker(n)));
+        fleet.handle_event(Event::Listed(worker(n)));
     }
     fleet.store();
     for n in 0..workers {
         fleet.report(n);
     }
-    let lasting = Step { lasting: true, ..step(workers * TASKS_PER_WORKER, 4_000) };
-    fleet.submit(lasting);
+    let long_running = Step { lasting: true, ..step(workers * TASKS_PER_WORKER, 4_000) };
+    fleet.submit(long_running);
     fleet.run(3_000);
     fleet
 }
@@ -161,7 +164,7 @@
 }
 
 impl Fleet {
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.cx.handle(Instant(self.now), self.now, event);
     }
 
@@ -171,37 +174,37 @@
         let (queue, spec) = (QUEUE.to_string(), String::new());
         let accepted_unix_ms = self.now;
         let job = Job { key, queue, spec, steps: vec![step], repeat: None, accepted_unix_ms };
-        self.event(Event::Job(Arc::new(job)));
+        self.handle_event(Event::Job(Arc::new(job)));
         key
     }
 
-    /// Carries out what was ordered, and answers it at once.
+    /// Answers every start that the leader has ordered as carried out.
     fn answer(&mut self) {
         for action in self.cx.take_actions() {
             if let Action::Start { worker, task, run, .. } = action {
                 let outcome = Outcome::Done(WorkerClock(self.now));
-                self.event(Event::Started { worker, task, run, outcome });
+                self.handle_event(Event::Started { worker, task, run, outcome });
             }
         }
     }
 
     fn store(&mut self) {
         if commits::take(&mut self.cx, Instant(self.now + 1_000)).is_some() {
-            self.event(Event::Committed);
+            self.handle_event(Event::Committed);
         }
     }
 
-    /// Lets time pass, with everything answered at once.
+    /// Advances the time by `ms` and answers all orders at once.
     fn run(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now += 50;
-            self.event(Event::Tick);
+            self.handle_event(Event::Tick);
             self.answer();
             self.store();
         }
     }
 
-    /// Hands in one worker's account.
+    /// Handles a report of one worker.
     fn report(&mut self, n: usize) {
         let worker = WorkerIx(n as u32);
         let slots = self.cx.worker(worker).slots.iter();
@@ -210,11 +213,11 @@
         let outcome =
             Outcome::Done(WorkerReport { worker: None, clock, running, ends: Vec::new() });
         let sent = Instant(self.now);
-        self.event(Event::Renewed { worker, sent, outcome });
+        self.handle_event(Event::Renewed { worker, sent, outcome });
         self.cx.take_actions();
     }
 
-    /// Returns the time of one start of a short task, its place chosen among all workers.
+    /// Returns the time to start one short task, including the choice among all workers.
     fn start_cost(&mut self) -> f64 {
         let count = self.cx.workers.len().min(REPETITIONS);
         self.now += 100;
@@ -223,38 +226,39 @@
         let key = self.submit(short);
         let us = began.elapsed().as_secs_f64() * 1e6 / count as f64;
         let ordered = self.cx.actions.iter().filter(|a| matches!(a, Action::Start { .. })).count();
-        assert_eq!(ordered, count, "the fleet has room for every short task");
+        assert_eq!(ordered, count, "the fleet must have capacity for every short task");
         self.answer();
-        self.event(Event::Cancel(key));
+        self.handle_event(Event::Cancel(key));
         us
     }
 
-    /// Returns the time of a look for due renewals that finds none.
+    /// Returns the time of a check for due renewals that finds none.
     fn renewal_check_cost(&mut self) -> f64 {
         renewals::send_due(&mut self.cx);
         self.cx.take_actions();
         time(REPETITIONS, |_| renewals::send_due(&mut self.cx))
     }
 
-    /// Returns the time of one pass in which no step finds room.
+    /// Returns the time of one dispatch pass in which no step finds capacity.
     fn dispatch_pass_cost(&mut self) -> f64 {
         for n in 0..WAITING_STEPS {
-            // Each asks for less than the one before, so that none is left out for its sake.
+            // Each step asks for less than the one before. Otherwise the pass would skip it, since a smaller
+            // demand has already found no capacity.
             self.submit(Step { lasting: true, ..step(2, 15_000 - n as u32 * 10) });
         }
         let passes = 50;
         time(passes, |_| {
             self.now += 10;
             self.cx.pass_wanted = true;
-            self.event(Event::Tick);
+            self.handle_event(Event::Tick);
         })
     }
 
-    /// Returns the time of the checks that run twenty times a second, a pass included.
+    /// Returns the time of the checks that run twenty times a second, including a dispatch pass.
     fn periodic_checks_cost(&mut self) -> f64 {
         time(50, |_| {
             self.now += 60;
-            self.event(Event::Tick);
+            self.handle_event(Event::Tick);
             self.cx.take_actions();
         })
     }
