--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,5 +1,5 @@
-//! Measurements of the decisions against plain baselines, on virtual time and seeds: the same command
-//! gives the same table. The baselines live here and nowhere else.
+//! Measures scheduling decisions against simple baseline policies in seeded simulations on virtual time,
+//! so that the same command gives the same table. The baselines are used only in this crate.
 
 mod badworker;
 mod draw;
@@ -14,10 +14,10 @@
 
 use report::Report;
 
-/// The measurements that [`measure`] knows.
+/// The names that [`measure`] accepts, for error messages.
 pub const NAMES: &str = "pairing, overload, fairness, badworker, scale, leader";
 
-/// Makes a measurement; none has another name.
+/// Runs the measurement with this name, or returns `None` if there is no such measurement.
 pub fn measure(name: &str, seed: u64) -> Option<Report> {
     let measure = match name {
         "pairing" => pairing::measure,
