--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -1,6 +1,6 @@
-//! `gaplock-measure NAME`: measures the decisions against plain baselines, in one run.
+//! `gaplock-measure NAME`: measures scheduling decisions against simple baseline policies in one run.
 //!
-//! `docs/MEASUREMENTS.md` holds the results with their commands.
+//! `docs/MEASUREMENTS.md` lists the results with the commands that produced them.
 
 use std::process::ExitCode;
 
@@ -45,7 +45,10 @@
         return run_patterns(&values);
     }
     let Some(report) = gaplock_measure::measure(name, values.number("seed")) else {
-        eprintln!("error: `{name}` is none of {}, patterns", gaplock_measure::NAMES);
+        eprintln!(
+            "error: unknown measurement `{name}`; expected one of {}, patterns",
+            gaplock_measure::NAMES
+        );
         return ExitCode::from(2);
     };
     report.print(values.switch("json"));
@@ -54,7 +57,7 @@
 
 fn run_patterns(values: &Values) -> ExitCode {
     let file = |name| Some(values.text(name)).filter(|text| !text.is_empty()).map(Into::into);
-    let asked = RunOptions {
+    let options = RunOptions {
         names: values.free[1..].to_vec(),
         first_seed: values.number("seed"),
         seeds: values.number("seeds"),
@@ -65,7 +68,7 @@
         against: file("against"),
         svg: file("svg"),
     };
-    match patterns::run_and_print(&asked) {
+    match patterns::run_and_print(&options) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("error: {why}");
