--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -1,4 +1,5 @@
-//! Goodput of requests around and above capacity, with and without retrying callers.
+//! Measures the goodput of requests at loads from just below to three times the capacity, with and without
+//! retrying callers, against a single unbounded queue.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -20,9 +21,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// Admission by deadline, exact slots, refusal with the time to come back.
+    /// Requests are admitted by deadline to free worker slots. Others are refused with a time to retry after.
     Ours,
-    /// One queue without end; callers that retry do so at once.
+    /// The baseline: one unbounded queue. Callers that retry do so immediately.
     Queue,
 }
 
@@ -60,7 +61,7 @@
     "booking".into()
 }
 
-/// Measures loads of 1, 1.5 and 3 times the capacity.
+/// Measures goodput at 0.9, 1, 1.5 and 3 times the capacity.
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut findings = Vec::new();
@@ -143,11 +144,11 @@
 }
 
 impl Run {
-    fn add_request(&mut self, at: u64, tries: u32) {
+    fn add_request(&mut self, at: u64, attempts: u32) {
         let request = self.requests.len() as u64;
         let deadline_ms = at + DEADLINE_MS;
         self.requests.push(Request {
-            attempts: tries,
+            attempts,
             deadline_ms,
             slot: None,
             ticket: None,
@@ -221,7 +222,7 @@
         }
     }
 
-    /// The baseline serves in order of arrival, late ones too.
+    /// Starts queued requests of the baseline in order of arrival, including those past their deadline.
     fn serve_queue(&mut self) {
         while self.busy < WORKERS as u32 * SLOTS {
             let Some(next) = self.queue.pop_front() else { return };
@@ -242,7 +243,7 @@
             }
             return;
         }
-        // The baseline's caller has gone; its request stays in the queue and is served late.
+        // The baseline's caller has timed out. Its request stays in the queue and is served anyway, too late.
         r.ended = true;
         self.schedule_retry(request, 0);
     }
@@ -254,10 +255,10 @@
     }
 
     fn schedule_retry(&mut self, request: u64, wait_ms: u64) {
-        let tries = self.requests[request as usize].attempts + 1;
+        let attempts = self.requests[request as usize].attempts + 1;
         let at = self.now + wait_ms + self.rng.random_range(0..5);
-        if self.retrying && tries <= MAX_RETRIES && at < RUN_MS {
-            self.add_request(at, tries);
+        if self.retrying && attempts <= MAX_RETRIES && at < RUN_MS {
+            self.add_request(at, attempts);
         }
     }
 }
