--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -1,4 +1,5 @@
-//! Batch throughput and evictions at the service's objective, ours against four baselines.
+//! Measures batch throughput and evictions while a service must keep its latency objective, for the
+//! scheduler's policy and four baselines.
 
 use gaplock_policy::{guard, interference, placement, tail};
 use gaplock_types::{ids, sizes, time, wire};
@@ -9,30 +10,30 @@
 use crate::site::{self, Deployment, Reading, Site, Task, WINDOW_MS};
 
 const RUN_MS: u64 = 900_000;
-/// Waiting tasks that a step looks at.
+/// A step stops placing tasks once this many have found no worker.
 const MAX_UNPLACED_PER_STEP: usize = 24;
-/// Workers of one partition; a decision looks at no others.
+/// The number of workers in a partition; one decision considers only these.
 const WORKERS_PER_PARTITION: usize = 16;
 const STATIC_CAPS_PERCENT: [u32; 9] = [3, 6, 10, 15, 20, 30, 45, 60, 75];
-/// Objectives as multiples of the 99th percentile alone.
+/// Latency objectives as multiples of the unloaded 99th percentile.
 const OBJECTIVE_FACTORS: [f64; 3] = [1.6, 2.0, 3.0];
 
-/// A way to decide.
+/// A placement and throttling policy. The report prints the variant names.
 #[derive(Debug, Clone, Copy)]
 enum Policy {
-    /// Learnt pairs, lag-aware guard.
+    /// Placement by learned interference, and a guard that accounts for the delay of measurements.
     Ours,
-    /// First fit by declared size, batch capped at a share of the processors.
+    /// First fit by declared size; batch tasks may reserve at most this percentage of the processors.
     FirstFit(u32),
-    /// The emptier of two random workers, capped likewise.
+    /// The less loaded of two random workers, with the same cap as for `FirstFit`.
     RandomOfTwo(u32),
-    /// First fit, and each late reading above the objective slows or evicts at once.
+    /// First fit; each delayed measurement close to or above the objective immediately slows tasks or evicts one.
     RawReadings,
-    /// The guard alone, without knowledge of pairs.
+    /// First fit and the guard, without learned interference.
     GuardOnly,
 }
 
-struct Result {
+struct PolicyResult {
     name: String,
     p99_us: u64,
     work_core_s: f64,
@@ -40,7 +41,7 @@
     finished: u64,
 }
 
-/// What `Policy::Ours` has learnt.
+/// The interference model and the controllers of `Policy::Ours` and `Policy::GuardOnly`.
 struct LearnedState {
     pairing: interference::InterferenceModel,
     exposures: Vec<interference::ExposureHistory>,
@@ -58,9 +59,9 @@
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut findings = Vec::new();
-    for room in OBJECTIVE_FACTORS {
-        for d in site::deployments(room) {
-            compare(&d, room, seed, &mut rows, &mut findings);
+    for objective_factor in OBJECTIVE_FACTORS {
+        for d in site::deployments(objective_factor) {
+            compare(&d, objective_factor, seed, &mut rows, &mut findings);
         }
     }
     Report {
@@ -82,7 +83,7 @@
 
 fn compare(
     d: &Deployment,
-    room: f64,
+    objective_factor: f64,
     seed: u64,
     rows: &mut Vec<Vec<String>>,
     findings: &mut Vec<String>,
@@ -92,32 +93,32 @@
     let guard_only = run(d, seed, Policy::GuardOnly);
     let best = |make: fn(u32) -> Policy| {
         let runs = STATIC_CAPS_PERCENT.iter().map(|cap| run(d, seed, make(*cap)));
-        let kept = runs.filter(|r| r.p99_us as f64 <= d.objective_us);
-        kept.max_by(|a, b| a.work_core_s.total_cmp(&b.work_core_s))
+        let within_objective = runs.filter(|r| r.p99_us as f64 <= d.objective_us);
+        within_objective.max_by(|a, b| a.work_core_s.total_cmp(&b.work_core_s))
     };
     let first_fit = best(Policy::FirstFit);
     let random = best(Policy::RandomOfTwo);
-    let kept = [&first_fit, &random].into_iter().flatten();
-    let baseline = kept.map(|r| r.work_core_s).fold(0.0, f64::max);
+    let best_runs = [&first_fit, &random].into_iter().flatten();
+    let baseline = best_runs.map(|r| r.work_core_s).fold(0.0, f64::max);
     let more = match baseline > 0.0 {
         true => format!("{:.0}% more batch than", (ours.work_core_s / baseline - 1.0) * 100.0),
         false => "batch, and not one static cap keeps the objective as".to_string(),
     };
     findings.push(format!(
-        "{} at {room}x alone: {more} the best baseline that keeps the objective (aim 30%); p99 \
+        "{} at {objective_factor}x alone: {more} the best baseline that keeps the objective (aim 30%); p99 \
          {:.2} of the objective; evictions {:.2} of raw readings' (aim under 0.5)",
         d.name,
         ours.p99_us as f64 / d.objective_us,
         ours.evictions as f64 / raw.evictions.max(1) as f64,
     ));
     let all = [Some(ours), first_fit, random, Some(guard_only), Some(raw)];
-    rows.extend(all.into_iter().flatten().map(|r| row(d, room, &r)));
+    rows.extend(all.into_iter().flatten().map(|r| row(d, objective_factor, &r)));
 }
 
-fn row(d: &Deployment, room: f64, r: &Result) -> Vec<String> {
+fn row(d: &Deployment, objective_factor: f64, r: &PolicyResult) -> Vec<String> {
     vec![
         d.name.to_string(),
-        format!("{room}"),
+        format!("{objective_factor}"),
         r.name.clone(),
         format!("{:.2}", r.p99_us as f64 / d.objective_us),
         format!("{:.1}", r.work_core_s / 3600.0),
@@ -126,9 +127,9 @@
     ]
 }
 
-fn run(d: &Deployment, seed: u64, policy: Policy) -> Result {
+fn run(d: &Deployment, seed: u64, policy: Policy) -> PolicyResult {
     let mut site = Site::open(d, seed, ChaCha8Rng::seed_from_u64(seed));
-    let mut learnt = LearnedState {
+    let mut learned = LearnedState {
         pairing: interference::InterferenceModel::default(),
         exposures: (0..d.workers).map(|_| interference::ExposureHistory::default()).collect(),
         guards: vec![guard::TailGuard::default(); d.workers],
@@ -137,15 +138,15 @@
     while site.now_ms < RUN_MS {
         let readings = site.step();
         for (worker, reading) in readings {
-            react(&mut site, &mut learnt, policy, worker, &reading);
+            react(&mut site, &mut learned, policy, worker, &reading);
         }
-        place_all(&mut site, &learnt, policy);
+        place_all(&mut site, &learned, policy);
         for i in 0..d.workers {
             let shares = site.shares(i);
-            learnt.exposures[i].record(wire::WorkerClock(site.now_ms), shares);
+            learned.exposures[i].record(wire::WorkerClock(site.now_ms), shares);
         }
     }
-    Result {
+    PolicyResult {
         name: format!("{policy:?}"),
         p99_us: site.totals.latency_us.value_at_quantile(0.99),
         work_core_s: site.totals.work_core_s,
@@ -154,24 +155,24 @@
     }
 }
 
-fn react(site: &mut Site, learnt: &mut LearnedState, policy: Policy, worker: usize, r: &Reading) {
+fn react(site: &mut Site, learned: &mut LearnedState, policy: Policy, worker: usize, r: &Reading) {
     match policy {
         Policy::FirstFit(_) | Policy::RandomOfTwo(_) => {}
         Policy::RawReadings => react_raw(site, worker, r),
         Policy::Ours | Policy::GuardOnly => {
             let service = site.deployment.service.clone();
             let band = interference::LoadBand::of(r.load);
-            if let Some(shares) = learnt.exposures[worker].during(r.taken, WINDOW_MS) {
-                learnt.pairing.observe(&service, shares, band, r.p99_us);
+            if let Some(shares) = learned.exposures[worker].during(r.taken, WINDOW_MS) {
+                learned.pairing.observe(&service, shares, band, r.p99_us);
             }
             let now = time::Instant(site.now_ms);
-            learnt.tail.observe(now, r.p50_us, r.p99_us, site.deployment.objective_us);
-            react_guarded(site, learnt, worker, r, band);
+            learned.tail.observe(now, r.p50_us, r.p99_us, site.deployment.objective_us);
+            react_guarded(site, learned, worker, r, band);
         }
     }
 }
 
-/// The baseline that believes each late reading at once.
+/// Reacts as the `RawReadings` baseline, which treats each delayed measurement as current.
 fn react_raw(site: &mut Site, worker: usize, r: &Reading) {
     let high = r.p99_us > site.deployment.objective_us * 0.95;
     let speeds: Vec<u32> = site.workers[worker].tasks.iter().map(|t| t.speed).collect();
@@ -186,17 +187,17 @@
 
 fn react_guarded(
     site: &mut Site,
-    learnt: &mut LearnedState,
+    learned: &mut LearnedState,
     worker: usize,
     r: &Reading,
     band: interference::LoadBand,
 ) {
-    let ceiling_us = learnt.ceiling_us(site);
+    let ceiling_us = learned.ceiling_us(site);
     let service = site.deployment.service.clone();
-    let alone_us = learnt.pairing.baseline_us(&service, band).unwrap_or(0.0);
+    let alone_us = learned.pairing.baseline_us(&service, band).unwrap_or(0.0);
     let seen =
         guard::TailMeasurement { worst: r.p99_us / ceiling_us, baseline: alone_us / ceiling_us };
-    let guard = &mut learnt.guards[worker];
+    let guard = &mut learned.guards[worker];
     if site.workers[worker].tasks.is_empty() {
         guard.speed = guard::FULL_SPEED_PER_MILLE;
         return;
@@ -211,7 +212,7 @@
             let victims: Vec<guard::Victim> = site.workers[worker]
                 .tasks
                 .iter()
-                .map(|t| victim(t, &service, &site.workers[worker].capacity, learnt, band))
+                .map(|t| victim(t, &service, &site.workers[worker].capacity, learned, band))
                 .collect();
             if let Some(choice) = guard::choose_victim(&victims, 1.0) {
                 site.evict(worker, choice, true);
@@ -224,7 +225,7 @@
     t: &Task,
     service: &ids::ServiceId,
     capacity: &sizes::Resources,
-    learnt: &LearnedState,
+    learned: &LearnedState,
     band: interference::LoadBand,
 ) -> guard::Victim {
     let share = f64::from(t.demand.cpu.0) / f64::from(capacity.cpu.0);
@@ -233,35 +234,36 @@
         unsaved_ms: (t.done_ms - t.saved_ms) as u64,
         evictions: t.evictions,
         urgent: false,
-        interference: learnt.pairing.slowdown(service, &shares, band) - 1.0,
+        interference: learned.pairing.slowdown(service, &shares, band) - 1.0,
     }
 }
 
-/// Places tasks until as many as the queue shows have found no place. A shape that found none is
-/// not tried again in the same step, for every policy alike.
-fn place_all(site: &mut Site, learnt: &LearnedState, policy: Policy) {
-    let mut misses: Vec<Task> = Vec::new();
-    while misses.len() < MAX_UNPLACED_PER_STEP {
+/// Places tasks until [`MAX_UNPLACED_PER_STEP`] of them have found no worker. Under every policy, a task is
+/// skipped if one of the same class and of no greater demand has already failed in the same step.
+fn place_all(site: &mut Site, learned: &LearnedState, policy: Policy) {
+    let mut unplaced: Vec<Task> = Vec::new();
+    while unplaced.len() < MAX_UNPLACED_PER_STEP {
         let task = site.next_task();
-        let known = misses.iter().any(|m| m.class == task.class && task.demand.holds(&m.demand));
-        let chosen = if known { None } else { choose(site, learnt, policy, &task) };
+        let already_failed =
+            unplaced.iter().any(|m| m.class == task.class && task.demand.holds(&m.demand));
+        let chosen = if already_failed { None } else { choose(site, learned, policy, &task) };
         let Some(worker) = chosen else {
-            misses.push(task);
+            unplaced.push(task);
             continue;
         };
         let mut task = task;
         task.speed = match policy {
-            Policy::Ours | Policy::GuardOnly => learnt.guards[worker].speed,
+            Policy::Ours | Policy::GuardOnly => learned.guards[worker].speed,
             _ => guard::FULL_SPEED_PER_MILLE,
         };
         site.workers[worker].tasks.push(task);
     }
-    for task in misses {
+    for task in unplaced {
         site.put_back(task);
     }
 }
 
-fn choose(site: &mut Site, learnt: &LearnedState, policy: Policy, task: &Task) -> Option<usize> {
+fn choose(site: &mut Site, learned: &LearnedState, policy: Policy, task: &Task) -> Option<usize> {
     let fits = |site: &Site, i: usize, cap: u32| {
         let batch: u32 = site.workers[i].tasks.iter().map(|t| t.demand.cpu.0).sum();
         let limit = u64::from(site.workers[i].capacity.cpu.0) * u64::from(cap) / 100;
@@ -272,7 +274,7 @@
         Policy::FirstFit(cap) => (0..site.workers.len()).find(|i| fits(site, *i, cap)),
         Policy::RawReadings => (0..site.workers.len()).find(|i| fits(site, *i, 100)),
         Policy::GuardOnly => (0..site.workers.len()).find(|i| {
-            learnt.guards[*i].speed == guard::FULL_SPEED_PER_MILLE && fits(site, *i, 100)
+            learned.guards[*i].speed == guard::FULL_SPEED_PER_MILLE && fits(site, *i, 100)
         }),
         Policy::RandomOfTwo(cap) => {
             let count = site.workers.len();
@@ -280,27 +282,27 @@
             let fitting = two.into_iter().filter(|i| fits(site, *i, cap));
             fitting.min_by_key(|i| site.used(*i).cpu)
         }
-        Policy::Ours => choose_ours(site, learnt, task),
+        Policy::Ours => choose_ours(site, learned, task),
     }
 }
 
-fn choose_ours(site: &mut Site, learnt: &LearnedState, task: &Task) -> Option<usize> {
+fn choose_ours(site: &mut Site, learned: &LearnedState, task: &Task) -> Option<usize> {
     let partitions = site.workers.len().div_ceil(WORKERS_PER_PARTITION);
     let partition = site.rng.random_range(0..partitions);
     let range = partition * WORKERS_PER_PARTITION
         ..((partition + 1) * WORKERS_PER_PARTITION).min(site.workers.len());
     let candidates: Vec<placement::Candidate> =
-        range.clone().map(|i| candidate(site, learnt, i)).collect();
+        range.clone().map(|i| candidate(site, learned, i)).collect();
     let want = placement::BatchDemand {
         class: &task.class,
         demand: task.demand,
         batch_cpu_percent: 100,
         tail_weight: 1.0,
     };
-    placement::for_batch(&candidates, &want, &learnt.pairing).map(|i| range.start + i)
+    placement::for_batch(&candidates, &want, &learned.pairing).map(|i| range.start + i)
 }
 
-fn candidate(site: &Site, learnt: &LearnedState, i: usize) -> placement::Candidate {
+fn candidate(site: &Site, learned: &LearnedState, i: usize) -> placement::Candidate {
     let w = &site.workers[i];
     let service = site.deployment.service.clone();
     let band = interference::LoadBand::of(site.load(i));
@@ -313,15 +315,15 @@
             None => shares.push((t.class.clone(), share)),
         }
     }
-    let unknown = w.tasks.iter().filter(|t| !learnt.pairing.is_known(&service, &t.class, band));
+    let unknown = w.tasks.iter().filter(|t| !learned.pairing.is_known(&service, &t.class, band));
     placement::Candidate {
         capacity: w.capacity,
         used: site.used(i),
         batch_cpu: sizes::MilliCores(w.tasks.iter().map(|t| t.demand.cpu.0).sum()),
         rack: ids::RackId::default(),
         unknown_tasks: unknown.count() as u32,
-        services: vec![(service, band, learnt.ceiling_us(site))],
+        services: vec![(service, band, learned.ceiling_us(site))],
         shares,
-        throttled: learnt.guards[i].speed < guard::FULL_SPEED_PER_MILLE,
+        throttled: learned.guards[i].speed < guard::FULL_SPEED_PER_MILLE,
     }
 }
