--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -1,9 +1,10 @@
-//! What a pattern's load would earn at best: a clairvoyant packing of the same jobs.
+//! Estimates the most that a pattern's load could earn, by a clairvoyant packing of the same jobs.
 //!
-//! It knows each job's true sizes and ends, nothing goes wrong, no image disturbs another, and orders take no
-//! time. What reserves processors is packed onto the true workers, large pieces first, each into the smallest
-//! room that holds it; what fills is a fluid in whatever the fleet leaves in sum. How much of the fleet to keep
-//! from lasting tasks for short ones is tried, and the best counts. What a policy earns less is its loss.
+//! The packing knows each job's true sizes and ends. It assumes that there are no faults, that images do not
+//! interfere, and that orders take no time. Tasks that reserve processors are packed onto the true workers,
+//! large ones first, each by best fit. Best-effort tasks may use the sum of all idle processors, as if these
+//! were divisible at will. The packing is tried with several shares of the fleet reserved for short tasks (not
+//! used by long-running ones), and the best result counts. What a policy earns less is its loss.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,77 +13,78 @@
 use super::load::{Class, Load, TrueJob, BEGIN_MS, COOL_DOWN_MS, TRAFFIC_MS};
 use super::tally::{self, ByClass};
 
-/// How finely time goes on, in milliseconds: well below what an order takes to be carried out and noted.
+/// The length of a time step, in milliseconds: well below the time to carry out an order and record its outcome.
 const SLICE_MS: u64 = 10;
 
-/// The parts of the workers that are kept from lasting tasks, one try each.
+/// The shares of the workers that are reserved for short tasks; one packing is tried for each.
 const RESERVED_SHARES: [f64; 5] = [0.0, 0.05, 0.1, 0.15, 0.2];
 
-/// Returns the best that the load could earn, as the mean share of what is owed to the three classes. It is a
-/// packing and no proof: tests hold it against what policies get.
+/// Returns an estimate of the most that the load could earn, as the mean over the three classes of the share of
+/// the worth owed. It comes from a heuristic packing and is not a proven bound: tests check that policies do
+/// not exceed it.
 pub fn estimate(load: &Load) -> f64 {
     let mut best = 0.0_f64;
-    for kept in RESERVED_SHARES {
+    for reserved in RESERVED_SHARES {
         if best < 1.0 {
-            best = best.max(Packing::new(load, kept).run().mean);
+            best = best.max(Packing::new(load, reserved).run().mean);
         }
     }
     best
 }
 
-/// The free processors of some workers, in thousandths of a core, by size.
+/// The free processors of some workers, in thousandths of a core, ordered by amount, each with its worker.
 #[derive(Debug, Default)]
 struct FreeCapacity(BTreeSet<(u32, usize)>);
 
 impl FreeCapacity {
-    /// Finds the smallest room that holds so much.
+    /// Returns the worker with the least free processors that are enough for `cpu`, preceded by their amount.
     fn best_fit(&self, cpu: u32) -> Option<(u32, usize)> {
         self.0.range((cpu, 0)..).next().copied()
     }
 }
 
-/// A task that wants processors of its own.
+/// A task that reserves processors. Tasks are placed in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Piece {
-    /// Set where the job is late whatever is done: then others go first.
+struct ReservingTask {
+    /// Whether the task can no longer end before its job is due; such tasks are placed after all others.
     misses_due: bool,
-    /// What it asks for, the most first.
+    /// The processors that it asks for, in thousandths of a core; larger ones are placed first.
     cpu: std::cmp::Reverse<u32>,
     job: JobKey,
     step: usize,
     index: usize,
 }
 
-/// A step of a filling job that is under way.
+/// A running step of a best-effort job.
 #[derive(Debug)]
 struct BestEffortStep {
     job: JobKey,
     step: usize,
     left_core_ms: f64,
     cores: f64,
-    /// Its longest task ends then at the earliest.
+    /// The earliest time at which its longest task can end.
     not_before: u64,
 }
 
-/// One try.
+/// One attempt to pack the load, with one share of reserved workers.
 struct Packing<'a> {
     load: &'a Load,
     now: u64,
-    /// The room for all, and that which is kept for short tasks.
+    /// The free capacity for all tasks, and that which is reserved for short tasks.
     open: FreeCapacity,
-    kept: FreeCapacity,
-    is_kept: Vec<bool>,
-    /// What is free on each worker, in thousandths of a core.
+    reserved: FreeCapacity,
+    is_reserved: Vec<bool>,
+    /// The free processors of each worker, in thousandths of a core.
     free: Vec<u32>,
-    /// Short and lasting tasks that wait.
-    short: BTreeSet<Piece>,
-    lasting: BTreeSet<Piece>,
-    /// Tasks at work by their end, with their worker.
-    ends: BTreeMap<(u64, Piece), usize>,
-    /// How many tasks of each job's steps are not done.
+    /// Waiting short and long-running tasks.
+    short: BTreeSet<ReservingTask>,
+    lasting: BTreeSet<ReservingTask>,
+    /// Running tasks by their end, with their worker.
+    ends: BTreeMap<(u64, ReservingTask), usize>,
+    /// The number of unfinished tasks of each step of each job.
     left: Vec<Vec<u32>>,
-    /// How many of each job's tasks that reserve processors are at work.
-    at_work: Vec<u32>,
+    /// The number of each job's running tasks that reserve processors.
+    running: Vec<u32>,
     best_effort: Vec<BestEffortStep>,
     completed: Vec<Option<u64>>,
     next_job: usize,
@@ -92,27 +94,29 @@
 }
 
 impl<'a> Packing<'a> {
-    fn new(load: &'a Load, kept: f64) -> Self {
-        // Every so many workers one is kept, so that all sizes are among them.
-        let is_kept = |n: usize| ((n + 1) as f64 * kept) as usize > (n as f64 * kept) as usize;
-        let is_kept: Vec<bool> = (0..load.workers.len()).map(is_kept).collect();
-        let room = |of: bool| {
-            let workers = load.workers.iter().enumerate().filter(|(n, _)| is_kept[*n] == of);
+    fn new(load: &'a Load, reserved: f64) -> Self {
+        // Reserved workers are spread evenly, so that all sizes of worker are among them.
+        let is_reserved =
+            |n: usize| ((n + 1) as f64 * reserved) as usize > (n as f64 * reserved) as usize;
+        let is_reserved: Vec<bool> = (0..load.workers.len()).map(is_reserved).collect();
+        let free_capacity = |reserved: bool| {
+            let workers =
+                load.workers.iter().enumerate().filter(|(n, _)| is_reserved[*n] == reserved);
             FreeCapacity(workers.map(|(n, w)| (w.capacity.cpu.0, n)).collect())
         };
         let steps = |job: &TrueJob| job.job.steps.iter().map(|s| s.count).collect();
         Self {
             load,
             now: BEGIN_MS,
-            open: room(false),
-            kept: room(true),
-            is_kept,
+            open: free_capacity(false),
+            reserved: free_capacity(true),
+            is_reserved,
             free: load.workers.iter().map(|w| w.capacity.cpu.0).collect(),
             short: BTreeSet::new(),
             lasting: BTreeSet::new(),
             ends: BTreeMap::new(),
             left: load.jobs.iter().map(steps).collect(),
-            at_work: vec![0; load.jobs.len()],
+            running: vec![0; load.jobs.len()],
             best_effort: Vec::new(),
             completed: vec![None; load.jobs.len()],
             next_job: 0,
@@ -139,29 +143,29 @@
         ByClass::shares(&earned, &owed)
     }
 
-    /// Ends what is over by now.
+    /// Ends the tasks whose time is over.
     fn end_tasks(&mut self) {
         while let Some(entry) = self.ends.first_entry().filter(|e| e.key().0 <= self.now) {
-            let ((at, piece), worker) = entry.remove_entry();
+            let ((at, task), worker) = entry.remove_entry();
             self.capacity_changed = true;
-            self.set_free(worker, self.free[worker] + piece.cpu.0);
-            let key = piece.job.0 as usize;
-            self.at_work[key] -= 1;
+            self.set_free(worker, self.free[worker] + task.cpu.0);
+            let key = task.job.0 as usize;
+            self.running[key] -= 1;
             if self.load.jobs[key].class == Class::Lasting {
                 continue;
             }
-            self.left[key][piece.step] -= 1;
-            if self.left[key][piece.step] == 0 {
-                self.step_done(piece.job, piece.step, at);
+            self.left[key][task.step] -= 1;
+            if self.left[key][task.step] == 0 {
+                self.step_done(task.job, task.step, at);
             }
         }
     }
 
-    /// Changes how much is free on a worker.
+    /// Sets the free processors of a worker, in thousandths of a core.
     fn set_free(&mut self, worker: usize, free: u32) {
-        let room = if self.is_kept[worker] { &mut self.kept } else { &mut self.open };
-        room.0.remove(&(self.free[worker], worker));
-        room.0.insert((free, worker));
+        let workers = if self.is_reserved[worker] { &mut self.reserved } else { &mut self.open };
+        workers.0.remove(&(self.free[worker], worker));
+        workers.0.insert((free, worker));
         self.free[worker] = free;
     }
 
@@ -177,12 +181,12 @@
     fn begin(&mut self, key: JobKey, step: usize) {
         self.capacity_changed = true;
         let job = self.load.job(key);
-        let (of, works) = (&job.job.steps[step], &job.work_ms[step]);
+        let (spec, work_ms) = (&job.job.steps[step], &job.work_ms[step]);
         if job.class == Class::Batch {
-            let cores = f64::from(of.demand.cpu.0) / 1e3;
-            let left_core_ms = works.iter().sum::<u64>() as f64 * cores;
-            let not_before = self.now + works.iter().max().copied().unwrap_or(0);
-            let cores = cores * f64::from(of.count);
+            let cores = f64::from(spec.demand.cpu.0) / 1e3;
+            let left_core_ms = work_ms.iter().sum::<u64>() as f64 * cores;
+            let not_before = self.now + work_ms.iter().max().copied().unwrap_or(0);
+            let cores = cores * f64::from(spec.count);
             self.best_effort.push(BestEffortStep {
                 job: key,
                 step,
@@ -192,12 +196,17 @@
             });
             return;
         }
-        let cpu = std::cmp::Reverse(of.demand.cpu.0);
-        let pieces =
-            (0..works.len()).map(|index| Piece { misses_due: false, cpu, job: key, step, index });
+        let cpu = std::cmp::Reverse(spec.demand.cpu.0);
+        let tasks = (0..work_ms.len()).map(|index| ReservingTask {
+            misses_due: false,
+            cpu,
+            job: key,
+            step,
+            index,
+        });
         match job.class {
-            Class::Lasting => self.lasting.extend(pieces),
-            _ => self.short.extend(pieces),
+            Class::Lasting => self.lasting.extend(tasks),
+            _ => self.short.extend(tasks),
         }
     }
 
@@ -211,36 +220,37 @@
         }
     }
 
-    /// Places what waits: short tasks in all rooms, then lasting ones where they may.
+    /// Places waiting tasks: short ones on all workers, then long-running ones on those not reserved.
     fn place(&mut self) {
         self.capacity_changed = false;
-        for piece in std::mem::take(&mut self.short) {
-            let job = self.load.job(piece.job);
-            let end = self.now + job.work_ms[piece.step][piece.index];
-            let (open, kept) = (self.open.best_fit(piece.cpu.0), self.kept.best_fit(piece.cpu.0));
-            let chosen = open.into_iter().chain(kept).min();
-            if !self.place_at(piece, chosen, end) {
-                self.short.insert(Piece { misses_due: end > job.due, ..piece });
+        for task in std::mem::take(&mut self.short) {
+            let job = self.load.job(task.job);
+            let end = self.now + job.work_ms[task.step][task.index];
+            let (open, reserved) =
+                (self.open.best_fit(task.cpu.0), self.reserved.best_fit(task.cpu.0));
+            let chosen = open.into_iter().chain(reserved).min();
+            if !self.place_at(task, chosen, end) {
+                self.short.insert(ReservingTask { misses_due: end > job.due, ..task });
             }
         }
-        for piece in std::mem::take(&mut self.lasting) {
-            let leaves = self.load.job(piece.job).leaves;
-            let chosen = self.open.best_fit(piece.cpu.0);
-            if leaves > self.now && !self.place_at(piece, chosen, leaves) {
-                self.lasting.insert(piece);
+        for task in std::mem::take(&mut self.lasting) {
+            let leaves = self.load.job(task.job).leaves;
+            let chosen = self.open.best_fit(task.cpu.0);
+            if leaves > self.now && !self.place_at(task, chosen, leaves) {
+                self.lasting.insert(task);
             }
         }
     }
 
-    fn place_at(&mut self, piece: Piece, chosen: Option<(u32, usize)>, end: u64) -> bool {
+    fn place_at(&mut self, task: ReservingTask, chosen: Option<(u32, usize)>, end: u64) -> bool {
         let Some((free, worker)) = chosen else { return false };
-        self.set_free(worker, free - piece.cpu.0);
-        self.ends.insert((end, piece), worker);
-        self.at_work[piece.job.0 as usize] += 1;
+        self.set_free(worker, free - task.cpu.0);
+        self.ends.insert((end, task), worker);
+        self.running[task.job.0 as usize] += 1;
         true
     }
 
-    /// Lets what fills use what is left in sum, the job that is due first before others.
+    /// Divides the idle processors of the fleet among best-effort steps, in the order in which their jobs are due.
     fn run_best_effort(&mut self) {
         let mut left = self.spare_cores() * SLICE_MS as f64;
         let load = self.load;
@@ -260,7 +270,8 @@
         }
     }
 
-    /// Returns the processors that nothing uses in the whole fleet, in cores.
+    /// Returns the idle processors of the whole fleet in cores, including those that long-running tasks reserve
+    /// but do not use.
     fn spare_cores(&self) -> f64 {
         let free: u32 = self.free.iter().sum();
         let idle = |(n, &count): (usize, &u32)| {
@@ -270,11 +281,11 @@
         };
         let lasting =
             |(n, count): &(usize, &u32)| **count > 0 && self.load.jobs[*n].class == Class::Lasting;
-        let at_work = self.at_work[..self.next_job].iter().enumerate();
-        f64::from(free) / 1e3 + at_work.filter(lasting).map(idle).sum::<f64>()
+        let running = self.running[..self.next_job].iter().enumerate();
+        f64::from(free) / 1e3 + running.filter(lasting).map(idle).sum::<f64>()
     }
 
-    /// Counts the lasting tasks at work as often as in a play.
+    /// Samples the running long-running tasks at the same times as a simulation does.
     fn sample(&mut self) {
         if !tally::is_sample_due(self.now) {
             return;
@@ -282,7 +293,7 @@
         let known = &self.load.jobs[..self.next_job];
         for (n, job) in known.iter().enumerate().filter(|(_, j)| tally::is_owed(j, self.now)) {
             self.owed += job.weight;
-            self.earned += f64::from(self.at_work[n]);
+            self.earned += f64::from(self.running[n]);
         }
     }
 }
