--- a/crates/measure/src/patterns/calls.rs
+++ b/crates/measure/src/patterns/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between the leader and its workers.
+//! Simulates the calls from the leader to its workers and their answers.
 
 use gaplock_jobs::TaskKey;
 use gaplock_policy::attempts::Execution;
@@ -9,29 +9,29 @@
 use super::simulation::{SimEvent, Simulation};
 use super::worker::{self, PendingRenewal};
 
-/// How long a call takes to its worker, and its answer back, in milliseconds.
+/// The time that a call takes to its worker, and an answer back, in milliseconds.
 const ONE_WAY_DELAY_MS: u64 = 1;
 
-/// How long a leader waits for an answer, in milliseconds, as in the product.
+/// The time after which the leader gives up waiting for an answer, in milliseconds, as in production.
 const CALL_TIMEOUT_MS: u64 = 400;
 
-/// How long a stop takes at a worker, in milliseconds.
+/// The time that a worker takes to stop a run, in milliseconds.
 const STOP_DURATION_MS: u64 = 200;
 
-/// What a leader asks of a worker.
+/// A call from the leader to a worker.
 #[derive(Debug, Clone)]
 pub enum Call {
-    /// An account of itself, for leases up to a time, after waiting for an end.
+    /// Renews leases until a time. The worker answers with a report as soon as a run has ended, or after `wait`.
     Renew { stored: EndSeq, until: Option<WorkerClock>, wait: u64, sent: Instant },
-    /// A run.
+    /// Starts a run.
     Start { task: TaskKey, run: Run, until: WorkerClock, saved_ms: u64 },
-    /// The end of a run.
+    /// Stops a run.
     Stop { task: TaskKey, run: Run },
-    /// Another pace.
+    /// Changes the pace of a run.
     Pace { task: TaskKey, run: Run, percent: u32 },
 }
 
-/// Whose call it is and where it goes.
+/// The sender and the destination of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct CallRoute {
     at: usize,
@@ -40,7 +40,7 @@
 }
 
 impl Simulation {
-    /// Sends what the leader asks for.
+    /// Sends the call for an action that the leader has ordered.
     pub(super) fn carry_out_action(&mut self, action: Action) {
         let (ix, call) = match action {
             Action::Renew { worker, stored, until, wait } => {
@@ -55,19 +55,20 @@
             Action::Pace { worker, task, run, percent } => {
                 (worker, Call::Pace { task, run, percent })
             }
-            // No queue asks for advice, no wave is under way, and no leader is in doubt of its term.
+            // These do not arise: no queue asks for advice, no maintenance wave is under way, and no leader
+            // doubts its term.
             Action::Advise { .. }
             | Action::ListHosts
             | Action::Maintenance { .. }
             | Action::ConfirmLeadership => return,
         };
-        let trip = CallRoute { at: self.worker_of(ix), ix, term: self.term };
-        self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::CallArrives(trip, call));
+        let route = CallRoute { at: self.worker_of(ix), ix, term: self.term };
+        self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::CallArrives(route, call));
     }
 
-    /// Finds the worker behind a position in the leader's table.
+    /// Returns the worker at a position of the leader's table.
     fn worker_of(&mut self, ix: WorkerIx) -> usize {
-        let cx = self.cx.as_ref().expect("only a leader calls");
+        let cx = self.cx.as_ref().expect("only a running leader sends calls");
         while self.by_ix.len() < cx.workers.len() {
             let id = &cx.workers[self.by_ix.len()].info.id;
             self.by_ix.push(self.by_id[id]);
@@ -75,27 +76,27 @@
         self.by_ix[ix.0 as usize]
     }
 
-    /// Takes in a call that has arrived.
-    pub(super) fn deliver_call(&mut self, trip: CallRoute, call: Call) {
-        let worker = &mut self.workers[trip.at];
+    /// Handles a call that has arrived at a worker.
+    pub(super) fn deliver_call(&mut self, route: CallRoute, call: Call) {
+        let worker = &mut self.workers[route.at];
         if !worker.up {
-            let event = answer(trip.ix, &call, Outcome::Unclear);
+            let event = answer(route.ix, &call, Outcome::Unclear);
             let limit = self.now + CALL_TIMEOUT_MS;
-            return self.schedule(limit, SimEvent::AnswerArrives(trip.term, event));
+            return self.schedule(limit, SimEvent::AnswerArrives(route.term, event));
         }
-        let fenced = trip.term < worker.token;
-        worker.token = worker.token.max(trip.term);
+        let fenced = route.term < worker.token;
+        worker.token = worker.token.max(route.term);
         let outcome = match fenced {
             true => Err(Refusal::Fenced),
-            false => self.carry_out(trip, &call),
+            false => self.carry_out(route, &call),
         };
-        let is_held = matches!(call, Call::Renew { .. }) && outcome.is_ok();
-        if !is_held {
+        let waits = matches!(call, Call::Renew { .. }) && outcome.is_ok();
+        if !waits {
             let outcome = match outcome {
                 Ok(()) => Outcome::Done(WorkerClock(self.now)),
                 Err(refusal) => Outcome::Refused(refusal),
             };
-            self.reply(trip.term, answer(trip.ix, &call, outcome));
+            self.reply(route.term, answer(route.ix, &call, outcome));
         }
     }
 
@@ -103,22 +104,22 @@
         self.schedule(self.now + ONE_WAY_DELAY_MS, SimEvent::AnswerArrives(term, event));
     }
 
-    fn carry_out(&mut self, trip: CallRoute, call: &Call) -> Result<(), Refusal> {
+    fn carry_out(&mut self, route: CallRoute, call: &Call) -> Result<(), Refusal> {
         match *call {
             Call::Renew { stored, until, wait, sent } => {
-                self.renew(trip, stored, until, wait, sent);
+                self.renew(route, stored, until, wait, sent);
                 Ok(())
             }
             Call::Start { task, run, until, saved_ms } => {
-                self.extend_leases(trip.at, until);
-                self.start(trip.at, task, run, until, saved_ms)
+                self.extend_leases(route.at, until);
+                self.start(route.at, task, run, until, saved_ms)
             }
             Call::Stop { task, run } => {
-                self.stop(trip.at, task, run);
+                self.stop(route.at, task, run);
                 Ok(())
             }
             Call::Pace { task, run, percent } => {
-                self.change_worker(trip.at, |worker| {
+                self.change_worker(route.at, |worker| {
                     if let Some(r) = worker.running.get_mut(&task).filter(|r| r.run == run) {
                         r.pace = percent;
                     }
@@ -130,47 +131,47 @@
 
     fn renew(
         &mut self,
-        trip: CallRoute,
+        route: CallRoute,
         stored: EndSeq,
         until: Option<WorkerClock>,
         wait: u64,
         sent: Instant,
     ) {
-        let at = trip.at;
+        let at = route.at;
         self.workers[at].ends.retain(|end| end.seq > stored);
         if let Some(until) = until {
             self.extend_leases(at, until);
         }
         self.workers[at].pending_renewal =
-            Some(PendingRenewal { ix: trip.ix, term: trip.term, sent });
+            Some(PendingRenewal { ix: route.ix, term: route.term, sent });
         if self.workers[at].ends.is_empty() && wait > 0 {
             return self.schedule(self.now + wait, SimEvent::RenewalWaitOver(at, sent));
         }
         self.answer_pending_renewal(at);
     }
 
-    /// Answers a renewal that still waits after all the time that it may.
+    /// Answers the renewal sent at this time if it still waits when its wait limit is over.
     pub(super) fn end_renewal_wait(&mut self, at: usize, sent: Instant) {
-        if self.workers[at].pending_renewal.is_some_and(|held| held.sent == sent) {
+        if self.workers[at].pending_renewal.is_some_and(|pending| pending.sent == sent) {
             self.answer_pending_renewal(at);
         }
     }
 
-    /// Answers the renewal that waits at a worker, if one does.
+    /// Answers the renewal that waits at a worker, if any.
     pub(super) fn answer_pending_renewal(&mut self, at: usize) {
-        let Some(held) = self.workers[at].pending_renewal.take() else { return };
+        let Some(pending) = self.workers[at].pending_renewal.take() else { return };
         self.change_worker(at, |_| {});
-        let account = self.workers[at].report(&self.load, self.now);
-        let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Done(account));
-        self.reply(held.term, Event::Renewed { worker, sent, outcome });
+        let report = self.workers[at].report(&self.load, self.now);
+        let (worker, sent, outcome) = (pending.ix, pending.sent, Outcome::Done(report));
+        self.reply(pending.term, Event::Renewed { worker, sent, outcome });
     }
 
-    /// Leaves the renewal that waits at a worker without an answer, if one does.
+    /// Drops the renewal that waits at a worker, if any. The leader's call then times out.
     pub(super) fn drop_pending_renewal(&mut self, at: usize) {
-        let Some(held) = self.workers[at].pending_renewal.take() else { return };
-        let (worker, sent, outcome) = (held.ix, held.sent, Outcome::Unclear);
+        let Some(pending) = self.workers[at].pending_renewal.take() else { return };
+        let (worker, sent, outcome) = (pending.ix, pending.sent, Outcome::Unclear);
         let event = Event::Renewed { worker, sent, outcome };
-        self.schedule(self.now + CALL_TIMEOUT_MS, SimEvent::AnswerArrives(held.term, event));
+        self.schedule(self.now + CALL_TIMEOUT_MS, SimEvent::AnswerArrives(pending.term, event));
     }
 
     fn start(
@@ -218,17 +219,17 @@
         Call::Start { task, run, .. } => Event::Started { worker, task, run, outcome },
         Call::Stop { task, run } => Event::Stopped { worker, task, run, outcome },
         Call::Pace { task, run, percent } => {
-            let fate = match outcome {
+            let execution = match outcome {
                 Outcome::Done(_) => Execution::Done,
                 Outcome::Refused(_) | Outcome::NotSent => Execution::NotDone,
                 Outcome::Unclear => Execution::Unknown,
             };
-            Event::Paced { worker, task, run, percent, execution: fate }
+            Event::Paced { worker, task, run, percent, execution }
         }
         Call::Renew { sent, .. } => {
             let outcome = match outcome {
                 Outcome::Refused(refusal) => Outcome::Refused(refusal),
-                // A renewal that is done is answered with an account.
+                // `answer_pending_renewal` answers renewals that were carried out, with a report.
                 Outcome::Done(_) | Outcome::NotSent | Outcome::Unclear => Outcome::Unclear,
             };
             Event::Renewed { worker, sent, outcome }
