--- a/crates/measure/src/patterns/compare.rs
+++ b/crates/measure/src/patterns/compare.rs
@@ -1,5 +1,5 @@
-//! Two runs of the same patterns and seeds, seed by seed: the difference that a change makes, and how sure
-//! that is. Luck is the same on both sides, so the error is that of the differences alone.
+//! Compares two runs of the same patterns seed by seed: the difference that a change makes, and its standard
+//! error. Both runs draw the same load for a seed, so the error is only that of the differences.
 
 use super::lines::Line;
 use super::table::{self, mean_and_error};
@@ -8,7 +8,7 @@
 /// Compares results with those of an earlier run.
 ///
 /// # Errors
-/// Returns that not one pattern was played with the same seed before.
+/// Returns an error if the runs have no pattern and seed in common.
 pub fn report(before: &[Line], now: &[Line], seed: u64) -> Result<Report, String> {
     let names = table::patterns(now).into_iter();
     let rows: Vec<Vec<String>> = names.filter_map(|name| row(&name, before, now)).collect();
@@ -21,7 +21,8 @@
     Ok(Report { name: "against", seed, headings, rows, findings })
 }
 
-/// Returns the mean difference of a value over the pairs of a pattern, its standard error, and the pairs.
+/// Returns the mean difference of a value over the pairs of a pattern, its standard error, and the number of
+/// pairs. A pair is the results of one seed in both runs.
 pub fn difference(
     name: &str,
     before: &[Line],
@@ -51,7 +52,8 @@
     let mut cells = vec![name.to_string(), pairs.to_string()];
     for value in values {
         let (mean, error, _) = difference(name, before, now, value);
-        // What is left of two equal figures after a file in between is no loss.
+        // Rounds away tiny differences between equal figures, which arise when one was written to a file and
+        // read again.
         let mean = (mean * 1e4).round() / 1e4 + 0.0;
         cells.extend([format!("{mean:+.4}"), format!("{error:.4}")]);
     }
