--- a/crates/measure/src/patterns/lines.rs
+++ b/crates/measure/src/patterns/lines.rs
@@ -1,4 +1,4 @@
-//! Results as JSON Lines, one for each pattern and seed.
+//! Reads and writes results as JSON Lines, one line for each pattern and seed.
 
 use std::fs;
 use std::path::Path;
@@ -7,39 +7,40 @@
 
 use super::tally::Outcome;
 
-/// One result.
+/// The result of one pattern with one seed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// The pattern.
+    /// The name of the pattern.
     pub pattern: String,
     /// The seed.
     pub seed: u64,
-    /// What its load could earn at best.
+    /// The most that its load could earn (see [`bound`](super::bound)).
     pub possible: f64,
-    /// What came of it.
+    /// The results of the simulation.
     #[serde(flatten)]
     pub outcome: Outcome,
 }
 
-/// Writes results, a line each.
+/// Formats results, one line each.
 pub fn write(lines: &[Line]) -> String {
-    let one = |line| serde_json::to_string(line).expect("plain data serialises") + "\n";
+    let one = |line| serde_json::to_string(line).expect("plain data always serialises") + "\n";
     lines.iter().map(one).collect()
 }
 
 /// Reads the results of an earlier run.
 ///
 /// # Errors
-/// Returns which file, and which line of it, can't be read.
+/// Returns an error that names the file, and the line if one can't be parsed.
 pub fn read(path: &Path) -> Result<Vec<Line>, String> {
     let text = fs::read_to_string(path).map_err(|e| e.to_string());
-    text.and_then(|text| parse(&text)).map_err(|why| format!("{}: {why}", path.display()))
+    text.and_then(|text| parse(&text))
+        .map_err(|why| format!("can't read results from {}: {why}", path.display()))
 }
 
 /// Parses results.
 ///
 /// # Errors
-/// Returns which line can't be read.
+/// Returns an error that names the first line that can't be parsed.
 pub fn parse(text: &str) -> Result<Vec<Line>, String> {
     let one = |(n, line): (usize, &str)| {
         serde_json::from_str(line).map_err(|e| format!("line {}: {e}", n + 1))
