--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -1,5 +1,6 @@
-//! Draws what a pattern asks for: jobs with their true sizes and ends, the workers, and how images
-//! disturb each other. The scheduler is told the jobs; the rest is known to the world and to the bound.
+//! Draws a pattern's load from a seed: the jobs with their true sizes and ends, the workers, and how images
+//! interfere with each other. The scheduler gets only the jobs as submitted; the simulation and the bound know
+//! the rest.
 
 use std::sync::Arc;
 
@@ -13,49 +14,51 @@
 use super::shape::{Pattern, Tasks};
 use crate::draw;
 
-/// When a load begins, by the virtual clock in milliseconds: above 0, so that "never" lies in the past.
+/// When a load begins, in milliseconds of virtual time. It is above 0, so that a time of 0 ("never") lies in
+/// the past.
 pub const BEGIN_MS: u64 = 10_000;
 
-/// How long the fleet fills up before anything counts.
+/// The time to fill the fleet before results count, in milliseconds.
 pub const WARM_UP_MS: u64 = 8_000;
 
-/// How long jobs are handed in, from the beginning.
+/// The time during which jobs are submitted, from the beginning, in milliseconds.
 pub const TRAFFIC_MS: u64 = 60_000;
 
-/// How long a world goes on after the last job.
+/// The time that a simulation goes on after the last job is submitted, in milliseconds.
 pub const COOL_DOWN_MS: u64 = 12_000;
 
-/// The wall clock at the virtual time 0, in milliseconds since 1970; any time would do.
+/// The wall-clock time at virtual time 0, in milliseconds since 1970; the value does not matter.
 pub const UNIX_BASE_MS: u64 = 1_700_000_000_000;
 
-/// How much a filling image that presses on a serving one does so, and any other, as measured
-/// (`docs/MEASUREMENTS.md`, section Disturbance).
+/// The interference factors of best-effort images that interfere with a serving image, and of all others (see
+/// `docs/MEASUREMENTS.md`, section Disturbance).
 const INTERFERING_FACTORS: std::ops::Range<f64> = 1.2..2.7;
 const OTHER_FACTORS: std::ops::Range<f64> = 0.0..0.1;
 
-/// How much more a whole worker's worth of filling beyond what crowds it presses on all that serves there.
+/// The additional interference with all serving tasks on a worker, for a whole worker's processors of best-effort
+/// work beyond the share from which contention arises.
 const CONTENTION_FACTOR: f64 = 1.5;
 
-/// Where the load of a serving job swings, and how long a swing takes in milliseconds.
+/// The range in which the load of a serving job oscillates, and the range of the periods, in milliseconds.
 const SWING_LOADS: std::ops::Range<f64> = 0.3..0.75;
 const SWING_MS: std::ops::Range<f64> = 10_000.0..30_000.0;
 
-/// The speed of a slow worker.
+/// The speed of a slow worker, as a share of the usual speed.
 const SLOW_SPEED: f64 = 0.25;
 
-/// The mean time for which a lasting job stays, in milliseconds.
+/// The mean time until a long-running job is cancelled, in milliseconds.
 const MEAN_LIFETIME_MS: f64 = 70_000.0;
 
-/// What a serving task's tail may be at most, in milliseconds: five times what it is without load.
+/// The tail latency target of a serving task: five times its tail latency without load.
 const TAIL_TARGET: Millis = Millis(50);
 
-/// The share of batch jobs that save their progress, and of short ones of whose tasks two runs may go on at
-/// one time.
+/// The share of batch jobs that write checkpoints, and the share of short jobs of whose tasks two runs may run
+/// at the same time.
 const CHECKPOINTING_SHARE: f64 = 0.85;
 const DUPLICATES_SHARE: f64 = 0.3;
 
-/// The memory of a worker for each core, and what a task takes for each core that it asks for, in mebibytes.
-/// It bounds how much fills on one worker, since what fills reserves no processors.
+/// The memory of a worker for each of its cores, and of a task for each core that it asks for, in mebibytes.
+/// Memory limits the best-effort tasks on a worker, since these reserve no processors.
 const WORKER_MIB_PER_CORE: u32 = 4_096;
 const TASK_MIB_PER_CORE: u32 = 2_048;
 
@@ -63,11 +66,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Its tasks take processors of their own and end soon.
+    /// Its tasks reserve processors and end soon.
     Short,
-    /// Its tasks use what others leave and save their progress.
+    /// Its tasks are best-effort, and most of them write checkpoints.
     Batch,
-    /// Its tasks run until it is cancelled; most of them serve.
+    /// Its tasks are long-running: they serve until the job is cancelled.
     Lasting,
 }
 
@@ -75,7 +78,7 @@
 pub const CLASSES: [Class; 3] = [Class::Short, Class::Batch, Class::Lasting];
 
 impl Class {
-    /// Returns its name, which is that of its queue too.
+    /// Returns its name, which is also the name of its queue.
     pub fn name(self) -> &'static str {
         match self {
             Self::Short => "short",
@@ -84,7 +87,8 @@
         }
     }
 
-    /// Returns how many times its longest chain of work a job may take, and what it may take on top.
+    /// Returns the time that a job may take: the factor for its longest chain of work, and the slack added to
+    /// that, in milliseconds.
     pub fn time_allowance(self) -> (f64, u64) {
         match self {
             Self::Short => (1.5, 300),
@@ -94,7 +98,7 @@
     }
 }
 
-/// How the load of a lasting job swings.
+/// The oscillating load of a long-running job.
 #[derive(Debug, Clone, Copy)]
 pub struct Swing {
     period_ms: f64,
@@ -102,40 +106,40 @@
 }
 
 impl Swing {
-    /// Returns the load at a time, as a share of what the job's tasks can bear.
+    /// Returns the load at a time, as a share of what the job's tasks can handle.
     pub fn at(&self, now: u64) -> f64 {
-        let turn = now as f64 / self.period_ms * std::f64::consts::TAU + self.phase;
-        SWING_LOADS.start + (SWING_LOADS.end - SWING_LOADS.start) * (1.0 + turn.sin()) / 2.0
+        let angle = now as f64 / self.period_ms * std::f64::consts::TAU + self.phase;
+        SWING_LOADS.start + (SWING_LOADS.end - SWING_LOADS.start) * (1.0 + angle.sin()) / 2.0
     }
 }
 
-/// A job as it really is.
+/// A job with its true properties, some of which the scheduler does not know.
 #[derive(Debug, Clone)]
 pub struct TrueJob {
-    /// What the scheduler is told.
+    /// The job as submitted to the scheduler.
     pub job: Arc<Job>,
     /// Its class.
     pub class: Class,
-    /// When it is handed in.
+    /// When it is submitted, in milliseconds of virtual time.
     pub arrives: u64,
-    /// When it is cancelled, if it lasts.
+    /// When it is cancelled, if it is long-running; otherwise never (`u64::MAX`).
     pub leaves: u64,
-    /// When it must be done at the latest.
+    /// When it must be done; never (`u64::MAX`) for a long-running job.
     pub due: u64,
-    /// How long each task works, by step, in milliseconds.
+    /// The work of each task by step, in milliseconds.
     pub work_ms: Vec<Vec<u64>>,
-    /// What it counts against others of its class.
+    /// Its weight relative to other jobs of its class.
     pub weight: f64,
-    /// Whether its runs fail.
+    /// Whether all its runs fail.
     pub fails: bool,
-    /// Which image its tasks are.
+    /// The index of its tasks' image, among the images of its kind.
     pub image: usize,
-    /// How its load swings, if it lasts.
+    /// Its oscillating load, if it is long-running.
     pub swing: Swing,
 }
 
 impl TrueJob {
-    /// Returns the processor time that it takes if nothing goes wrong, in core seconds.
+    /// Returns the processor time that it takes without faults, in core seconds.
     pub fn core_s(&self) -> f64 {
         let steps = self.job.steps.iter().zip(&self.work_ms);
         let of = |(step, work): (&Step, &Vec<u64>)| {
@@ -144,44 +148,46 @@
         steps.map(of).sum()
     }
 
-    /// Tells whether it counts: it comes after the fleet has filled up, and can be done.
+    /// Returns whether its result counts: its runs don't fail, and it is long-running or arrives after the
+    /// warm-up.
     pub fn counts(&self) -> bool {
         let seen = self.class == Class::Lasting || self.arrives >= BEGIN_MS + WARM_UP_MS;
         seen && !self.fails
     }
 }
 
-/// A worker as it really is.
+/// A worker with its true properties, some of which the scheduler does not know.
 #[derive(Debug, Clone, Copy)]
 pub struct TrueWorker {
-    /// What it holds.
+    /// Its total resources.
     pub capacity: Resources,
     /// Its failure domain.
     pub domain: usize,
-    /// How fast work goes there, against the usual.
+    /// Its speed relative to the usual one.
     pub speed: f64,
 }
 
-/// All that a pattern asks for with one seed.
+/// Everything that is drawn for a pattern and a seed.
 #[derive(Debug, Clone)]
 pub struct Load {
     /// The workers.
     pub workers: Vec<TrueWorker>,
-    /// The jobs by their time; a job's key is its position.
+    /// The jobs by arrival; a job's key is its position.
     pub jobs: Vec<TrueJob>,
-    /// How much a filling image presses on a serving one, by both.
+    /// The interference factors by serving image, then best-effort image.
     pub factors: Vec<Vec<f64>>,
-    /// How much all of them press on all beyond the share that crowds a worker.
+    /// The additional interference of all best-effort tasks beyond the share of a worker from which contention
+    /// arises.
     pub contention: f64,
 }
 
 impl Load {
-    /// Returns a job.
+    /// Returns the job with this key.
     pub fn job(&self, key: JobKey) -> &TrueJob {
         &self.jobs[key.0 as usize]
     }
 
-    /// Takes out that images disturb each other.
+    /// Returns the same load without any interference between images.
     pub fn without_interference(mut self) -> Self {
         self.factors.iter_mut().flatten().for_each(|factor| *factor = 0.0);
         Self { contention: 0.0, ..self }
@@ -197,9 +203,9 @@
 pub fn draw(pattern: &Pattern, seed: u64) -> Load {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let workers = draw_workers(pattern, &mut rng);
-    let (serving, filling) = pattern.shape.images;
+    let (serving, best_effort) = pattern.shape.images;
     let mut row =
-        |_| (0..filling).map(|_| factor(&mut rng, pattern.shape.interfering_share)).collect();
+        |_| (0..best_effort).map(|_| factor(&mut rng, pattern.shape.interfering_share)).collect();
     let factors = (0..serving).map(&mut row).collect();
     let mut load = Load { workers, jobs: Vec::new(), factors, contention: CONTENTION_FACTOR };
     let mut draft = Draft { pattern, rng, cores: load.cores(), jobs: Vec::new() };
@@ -210,13 +216,14 @@
     load
 }
 
-/// Builds an amount of processors with so much memory for each core.
-fn resources(cpu: u32, mem_each: u32) -> Resources {
-    Resources::new(cpu, cpu * mem_each / 1_000, 0)
+/// Builds resources of `cpu` thousandths of a core with `mib_per_core` mebibytes of memory for each core.
+fn resources(cpu: u32, mib_per_core: u32) -> Resources {
+    Resources::new(cpu, cpu * mib_per_core / 1_000, 0)
 }
 
-fn factor(rng: &mut ChaCha8Rng, pressing: f64) -> f64 {
-    let range = if rng.random_bool(pressing) { INTERFERING_FACTORS } else { OTHER_FACTORS };
+fn factor(rng: &mut ChaCha8Rng, interfering_share: f64) -> f64 {
+    let range =
+        if rng.random_bool(interfering_share) { INTERFERING_FACTORS } else { OTHER_FACTORS };
     rng.random_range(range)
 }
 
@@ -238,7 +245,7 @@
     (0..shape.workers).map(one).collect()
 }
 
-/// A load that is being drawn.
+/// A load while it is being drawn.
 struct Draft<'a> {
     pattern: &'a Pattern,
     rng: ChaCha8Rng,
@@ -247,16 +254,16 @@
 }
 
 impl Draft<'_> {
-    /// Adds the lasting jobs: some are there from the beginning, others take the place of those that leave.
+    /// Adds the long-running jobs. Some arrive at the beginning; others replace those that are cancelled.
     fn add_lasting_jobs(&mut self) {
         let wanted = self.cores * self.pattern.shape.lasting * self.pattern.load;
-        let mut there = 0.0;
-        while there < wanted {
+        let mut reserved = 0.0;
+        while reserved < wanted {
             let arrives = BEGIN_MS + self.rng.random_range(0..2_000);
-            there += self.add_lasting(arrives);
+            reserved += self.add_lasting(arrives);
         }
         let (end, mut at) = (BEGIN_MS + TRAFFIC_MS, BEGIN_MS as f64);
-        let mean = there / self.jobs.len().max(1) as f64;
+        let mean = reserved / self.jobs.len().max(1) as f64;
         loop {
             at += draw::exponential(&mut self.rng, MEAN_LIFETIME_MS * mean / wanted);
             if at as u64 >= end {
@@ -266,13 +273,13 @@
         }
     }
 
-    /// Adds a lasting job and returns the processors that it reserves.
+    /// Adds a long-running job and returns the processors that it reserves, in cores.
     fn add_lasting(&mut self, arrives: u64) -> f64 {
         let tasks = &self.pattern.shape.lasting_tasks;
         let cpu = self.log_between(tasks.cpu.0, tasks.cpu.1);
         let count = self.rng.random_range(1..2 * tasks.width);
         let image = self.rng.random_range(0..self.pattern.shape.images.0);
-        let stays = draw::exponential(&mut self.rng, MEAN_LIFETIME_MS).max(4_000.0) as u64;
+        let lifetime = draw::exponential(&mut self.rng, MEAN_LIFETIME_MS).max(4_000.0) as u64;
         let fails = self.pattern.faults.failing_images && self.jobs.len() == 3;
         let step = Step {
             lasting: true,
@@ -281,7 +288,7 @@
             may_miss: Some(1),
             ..self.step(count, cpu, tasks.ms)
         };
-        let (steps, leaves) = (vec![step], arrives + stays);
+        let (steps, leaves) = (vec![step], arrives + lifetime);
         let swing = Swing {
             period_ms: self.rng.random_range(SWING_MS),
             phase: self.rng.random_range(0.0..std::f64::consts::TAU),
@@ -295,14 +302,14 @@
         f64::from(count * cpu) / 1e3
     }
 
-    /// Adds jobs that end, at a rate that takes a share of all processors.
+    /// Adds jobs that end by themselves, at a rate at which they use a share of all processors.
     fn add_finite_jobs(&mut self, class: Class, share: f64, tasks: &Tasks) {
         let (first, end) = (self.jobs.len(), BEGIN_MS + TRAFFIC_MS);
         let cores = self.cores * share * self.pattern.load;
         let mut at = BEGIN_MS as f64 + 2_000.0;
         while (at as u64) < end {
             self.add_finite_job(class, at as u64, tasks);
-            // The size that was drawn sets the pause, so that the share is kept for each seed.
+            // The pause is in proportion to the size of the last job, so that each seed keeps to the share.
             let last = self.jobs.last().map_or(0.0, TrueJob::core_s);
             at += draw::exponential(&mut self.rng, last / cores * 1e3);
         }
@@ -316,8 +323,8 @@
     fn add_finite_job(&mut self, class: Class, arrives: u64, tasks: &Tasks) {
         let two_steps = class == Class::Batch || self.rng.random_bool(0.6);
         let image = self.rng.random_range(0..self.pattern.shape.images.1);
-        let bad = self.rng.random_bool(0.05);
-        let fails = bad && class == Class::Short && self.pattern.faults.failing_images;
+        let drawn_to_fail = self.rng.random_bool(0.05);
+        let fails = drawn_to_fail && class == Class::Short && self.pattern.faults.failing_images;
         let batch = class == Class::Batch;
         let duplicates = self.rng.random_bool(DUPLICATES_SHARE) && !batch;
         let checkpoints = self.rng.random_bool(CHECKPOINTING_SHARE) && batch;
@@ -347,19 +354,19 @@
         self.jobs.push(job);
     }
 
-    /// Draws how long each task of a step works.
+    /// Draws the work of each task of a step, in milliseconds.
     fn draw_work_times(&mut self, count: u32, mean: u64) -> Vec<u64> {
         let one = |_| (mean as f64 * self.rng.random_range(0.8..1.2)) as u64;
         (0..count).map(one).collect()
     }
 
     fn step(&mut self, count: u32, cpu: u32, mean_ms: u64) -> Step {
-        let off = match (self.pattern.faults.misjudged, self.rng.random_bool(0.5)) {
+        let factor = match (self.pattern.faults.misjudged, self.rng.random_bool(0.5)) {
             (false, _) => 1.0,
             (true, false) => 0.5,
             (true, true) => 1.5,
         };
-        let estimate = Millis((mean_ms as f64 * off) as u64);
+        let estimate = Millis((mean_ms as f64 * factor) as u64);
         let demand = resources(cpu, TASK_MIB_PER_CORE);
         Step { count, demand, estimate, ..Step::default() }
     }
@@ -380,7 +387,7 @@
         log.exp() as u32
     }
 
-    /// Returns the jobs by their time, each with its position as its key.
+    /// Returns the jobs by arrival, each with its position as its key.
     fn in_order(self) -> Vec<TrueJob> {
         let mut jobs = self.jobs;
         jobs.sort_by_key(|j| j.arrives);
