--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -1,8 +1,8 @@
-//! Where the worth goes: the same load played again without one cause after the other.
+//! Attributes lost worth to causes, by running the same load again with one cause after the other removed.
 //!
-//! What is missing without trouble and disturbance, against what is possible, is left to the policy itself: the
-//! order in which it starts what waits, the pieces in which it leaves room, and the time that orders and
-//! news take.
+//! What is still missing without faults and interference, compared with the possible worth, is attributed to the
+//! policy itself: the order in which it starts waiting tasks, how it fragments free capacity, and the delays
+//! of orders and reports.
 
 use std::sync::Arc;
 
@@ -15,42 +15,43 @@
 use super::{simulation, RunOptions};
 use crate::report::Report;
 
-/// What is missing of all that a load is worth, by cause; with the worth itself the parts add up to 1.
+/// The lost shares of a load's worth by cause. Together with the earned share they add up to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Losses {
-    /// No packing could get it.
+    /// Lost under any policy: the clairvoyant packing can't earn it either.
     pub no_capacity: f64,
-    /// It goes to the pattern's trouble, estimates that are off among it.
+    /// Lost to the pattern's faults, including wrong estimates.
     pub faults: f64,
-    /// It goes to images that disturb each other, and to filling less for their sake.
+    /// Lost to images that interfere with each other, and to running fewer best-effort tasks to avoid that.
     pub interference: f64,
-    /// It goes to order, pieces and delays.
+    /// Lost to the order of starts, fragmented capacity and delays.
     pub policy: f64,
 }
 
-/// Finds where the worth of a result went.
+/// Attributes the lost worth of a result to its causes.
 pub fn attribute(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
-    let calm = Pattern { faults: Faults::default(), ..*pattern };
-    let worth = |load: &Arc<Load>| simulation::run(&calm, load, line.seed, settings).worth.mean;
-    let load = load::draw(&calm, line.seed);
-    let gentle = Arc::new(load.clone().without_interference());
-    let (calm, gentle) = (worth(&Arc::new(load)), worth(&gentle));
+    let without_faults = Pattern { faults: Faults::default(), ..*pattern };
+    let worth =
+        |load: &Arc<Load>| simulation::run(&without_faults, load, line.seed, settings).worth.mean;
+    let load = load::draw(&without_faults, line.seed);
+    let without_interference = Arc::new(load.clone().without_interference());
+    let (without_faults, without_both) = (worth(&Arc::new(load)), worth(&without_interference));
     Losses {
         no_capacity: 1.0 - line.possible,
-        faults: calm - line.outcome.worth.mean,
-        interference: gentle - calm,
-        policy: line.possible - gentle,
+        faults: without_faults - line.outcome.worth.mean,
+        interference: without_both - without_faults,
+        policy: line.possible - without_both,
     }
 }
 
-/// Builds the table of patterns and causes, each with the standard error of its mean.
-pub fn report(patterns: &[&Pattern], lines: &[Line], asked: &RunOptions) -> Report {
+/// Builds the table of mean losses by pattern and cause, each with its standard error.
+pub fn report(patterns: &[&Pattern], lines: &[Line], options: &RunOptions) -> Report {
     let of_line = |n: usize| {
         let line: &Line = &lines[n];
         let pattern = patterns.iter().find(|p| p.name == line.pattern);
         pattern.map(|p| attribute(p, line, &Settings::default()))
     };
-    let losses = super::run_concurrently(lines.len(), asked.threads, of_line);
+    let losses = super::run_concurrently(lines.len(), options.threads, of_line);
     let rows = patterns.iter().map(|p| {
         let own = lines.iter().zip(&losses).filter(|(line, _)| line.pattern == p.name);
         let own: Vec<Losses> = own.filter_map(|(_, losses)| *losses).collect();
@@ -60,7 +61,7 @@
         vec!["pattern", "no room", "se", "trouble", "se", "disturbance", "se", "policy", "se"];
     let findings = vec!["with the worth the parts add up to 1".to_string()];
     let rows = rows.collect();
-    Report { name: "losses", seed: asked.first_seed, headings, rows, findings }
+    Report { name: "losses", seed: options.first_seed, headings, rows, findings }
 }
 
 fn row(name: &str, losses: &[Losses]) -> Vec<String> {
