--- a/crates/measure/src/patterns/mod.rs
+++ b/crates/measure/src/patterns/mod.rs
@@ -1,9 +1,10 @@
-//! Seeded loads on virtual time against the scheduler itself: what a change of its decisions is worth.
+//! Runs the scheduler against seeded load patterns on virtual time, to measure what a change of its
+//! decisions is worth.
 //!
-//! A [`shape::Pattern`] describes a fleet, its load and its trouble; [`load`] draws it from a seed, with the
-//! truth that the scheduler is not told; [`world`] plays it and [`tally`] counts. The same seed gives the
-//! same load whatever the policy, so two policies are compared seed by seed ([`compare`]), and what they earn is
-//! held against what the load could earn at best ([`bound`]).
+//! A [`shape::Pattern`] describes a fleet, its load and its faults. [`load`] draws the details from a seed,
+//! including those that the scheduler does not know. [`simulation`] runs the load and [`tally`] counts the
+//! results. The same seed gives the same load under every policy, so two policies can be compared seed by seed
+//! ([`compare`]). [`bound`] estimates the most that a load could earn.
 
 pub mod bound;
 mod calls;
@@ -29,30 +30,30 @@
 use lines::Line;
 use shape::{Pattern, PATTERNS};
 
-/// What is to be played, and where the results go.
+/// Which patterns and seeds are run, and where the results go.
 #[derive(Debug, Clone, Default)]
 pub struct RunOptions {
-    /// The patterns; all of them where none is named.
+    /// The names of the patterns; all patterns if empty.
     pub names: Vec<String>,
     /// The first seed.
     pub first_seed: u64,
-    /// How many seeds follow each other.
+    /// The number of consecutive seeds.
     pub seeds: u64,
-    /// How many worlds are played at one time.
+    /// The number of simulations that run concurrently.
     pub threads: usize,
-    /// Whether the patterns are played again to find where their worth goes.
+    /// Whether the patterns are run again to attribute lost worth to its causes.
     pub losses: bool,
-    /// Whether JSON Lines go to standard output too.
+    /// Whether to print JSON Lines to standard output too.
     pub json: bool,
-    /// Where JSON Lines are written.
+    /// The file to write JSON Lines to.
     pub out: Option<PathBuf>,
-    /// The JSON Lines of an earlier run.
+    /// The file with the JSON Lines of an earlier run to compare with.
     pub against: Option<PathBuf>,
-    /// Where the plots are written.
+    /// The file to write the plots to.
     pub svg: Option<PathBuf>,
 }
 
-/// Plays one pattern with one seed.
+/// Runs one pattern with one seed.
 pub fn run(pattern: &Pattern, seed: u64, settings: &Settings) -> Line {
     let load = Arc::new(load::draw(pattern, seed));
     let outcome = simulation::run(pattern, &load, seed, settings);
@@ -60,15 +61,15 @@
     Line { pattern: pattern.name.to_string(), seed, possible, outcome }
 }
 
-/// Plays patterns with all their seeds, some at one time, and returns the results in order.
-pub fn run_all(patterns: &[&Pattern], asked: &RunOptions, settings: &Settings) -> Vec<Line> {
-    let seeds = asked.first_seed..asked.first_seed + asked.seeds;
+/// Runs patterns with all their seeds, several concurrently. The results are in the order of patterns and seeds.
+pub fn run_all(patterns: &[&Pattern], options: &RunOptions, settings: &Settings) -> Vec<Line> {
+    let seeds = options.first_seed..options.first_seed + options.seeds;
     let pairs = patterns.iter().flat_map(|&p| seeds.clone().map(move |seed| (p, seed)));
     let pairs: Vec<(&Pattern, u64)> = pairs.collect();
-    run_concurrently(pairs.len(), asked.threads, |n| run(pairs[n].0, pairs[n].1, settings))
+    run_concurrently(pairs.len(), options.threads, |n| run(pairs[n].0, pairs[n].1, settings))
 }
 
-/// Does so many things, some at one time, and returns what came of them in order.
+/// Calls `f` with 0 to `count - 1` on up to `threads` threads and returns the results in order.
 fn run_concurrently<T: Send>(
     count: usize,
     threads: usize,
@@ -81,46 +82,47 @@
             break;
         }
         let result = f(n);
-        done.lock().expect("a panic ends all").push((n, result));
+        done.lock().expect("a panic of any thread ends the whole run").push((n, result));
     };
     thread::scope(|scope| {
         for _ in 0..threads.clamp(1, count.max(1)) {
             scope.spawn(work);
         }
     });
-    let mut done = done.into_inner().expect("a panic ends all");
+    let mut done = done.into_inner().expect("a panic of any thread ends the whole run");
     done.sort_by_key(|(n, _)| *n);
     done.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Plays what was asked for and prints it.
+/// Runs the requested patterns, and prints and writes the results.
 ///
 /// # Errors
-/// Returns why a pattern is not known, or a file can't be read or written.
-pub fn run_and_print(asked: &RunOptions) -> Result<(), String> {
-    let patterns = find_patterns(&asked.names)?;
-    let before = asked.against.as_deref().map(lines::read).transpose()?;
-    let results = run_all(&patterns, asked, &Settings::default());
-    table::build(&results, asked.first_seed).print(false);
-    if asked.losses {
+/// Returns an error if a pattern is unknown, the earlier run has no pattern and seed in common with this one,
+/// or a file can't be read or written.
+pub fn run_and_print(options: &RunOptions) -> Result<(), String> {
+    let patterns = find_patterns(&options.names)?;
+    let before = options.against.as_deref().map(lines::read).transpose()?;
+    let results = run_all(&patterns, options, &Settings::default());
+    table::build(&results, options.first_seed).print(false);
+    if options.losses {
         println!();
-        losses::report(&patterns, &results, asked).print(false);
+        losses::report(&patterns, &results, options).print(false);
     }
     if let Some(before) = before {
         println!();
-        compare::report(&before, &results, asked.first_seed)?.print(false);
+        compare::report(&before, &results, options.first_seed)?.print(false);
     }
     let text = lines::write(&results);
-    if asked.json {
+    if options.json {
         print!("{text}");
     }
     let write = |path: &PathBuf, text: &str| {
-        fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+        fs::write(path, text).map_err(|e| format!("can't write results to {}: {e}", path.display()))
     };
-    if let Some(path) = &asked.out {
+    if let Some(path) = &options.out {
         write(path, &text)?;
     }
-    if let Some(path) = &asked.svg {
+    if let Some(path) = &options.svg {
         write(path, &plots::page(&results)?)?;
     }
     Ok(())
@@ -131,7 +133,9 @@
         return Ok(PATTERNS.iter().collect());
     }
     let known = || PATTERNS.iter().map(|p| p.name).collect::<Vec<_>>().join(", ");
-    let one =
-        |name: &String| shape::find(name).ok_or_else(|| format!("`{name}` is none of {}", known()));
+    let one = |name: &String| {
+        shape::find(name)
+            .ok_or_else(|| format!("unknown pattern `{name}`; expected one of {}", known()))
+    };
     names.iter().map(one).collect()
 }
