--- a/crates/measure/src/patterns/plots.rs
+++ b/crates/measure/src/patterns/plots.rs
@@ -1,5 +1,5 @@
-//! The report as one picture, for a person who would rather look at it: for the first seed of each pattern the
-//! waits of short tasks over time, the free room by the size of its pieces, and who gave way.
+//! Draws the report as one SVG image. For the first seed of each pattern, it plots over time the waits of short
+//! tasks, the free processors by how much is free on a worker, and the preempted runs.
 
 use plotters::coord::Shift;
 use plotters::prelude::{
@@ -16,10 +16,10 @@
 const WIDTH: u32 = 460;
 const HEIGHT: u32 = 230;
 
-/// How long the spans are in which waits and runs that gave way are put together, in milliseconds.
+/// The length of the time spans for which waits and preempted runs are aggregated, in milliseconds.
 const SPAN_MS: u64 = 2_000;
 
-/// Colours that differ for those who do not see red and green apart, too.
+/// Colours that people with red-green colour blindness can tell apart too.
 const COLOURS: [RGBColor; 3] =
     [RGBColor(0, 114, 178), RGBColor(230, 159, 0), RGBColor(120, 120, 120)];
 
@@ -43,11 +43,11 @@
         for (name, cells) in names.iter().zip(cells.chunks(3)) {
             let first = lines.iter().find(|l| l.pattern == *name);
             let Some(line) = first else { continue };
-            let course = &line.outcome.timeline;
+            let timeline = &line.outcome.timeline;
             let title = |what: &str| format!("{name}, seed {}: {what}", line.seed);
-            plot(&cells[0], &title("waits of short tasks, ms"), &waits(course))?;
-            plot(&cells[1], &title("free cores by piece of a worker"), &room(course))?;
-            plot(&cells[2], &title("runs that gave way"), &gave_way(course))?;
+            plot(&cells[0], &title("waits of short tasks, ms"), &waits(timeline))?;
+            plot(&cells[1], &title("free cores by piece of a worker"), &free_cores(timeline))?;
+            plot(&cells[2], &title("runs that gave way"), &preempted(timeline))?;
         }
         area.present().map_err(|e| e.to_string())?;
     }
@@ -58,15 +58,16 @@
     at.saturating_sub(BEGIN_MS) as f64 / 1e3
 }
 
-/// Returns the spans of the traffic by their begin.
+/// Returns the start time of each span in which jobs arrive.
 fn spans() -> impl Iterator<Item = u64> {
     (BEGIN_MS..BEGIN_MS + TRAFFIC_MS).step_by(SPAN_MS as usize)
 }
 
-fn waits(course: &Timeline) -> Vec<Series> {
+fn waits(timeline: &Timeline) -> Vec<Series> {
     let quantile = |q: f64| {
         let point = |from: u64| {
-            let within = course.waits.iter().filter(|(at, _)| (from..from + SPAN_MS).contains(at));
+            let within =
+                timeline.waits.iter().filter(|(at, _)| (from..from + SPAN_MS).contains(at));
             let mut waits: Vec<u64> = within.map(|(_, wait)| *wait).collect();
             waits.sort_unstable();
             let at = ((waits.len() as f64 * q) as usize).min(waits.len().saturating_sub(1));
@@ -77,17 +78,18 @@
     vec![("median", quantile(0.5)), ("9 of 10", quantile(0.9)), ("longest", quantile(1.0))]
 }
 
-fn room(course: &Timeline) -> Vec<Series> {
-    let piece = |n: usize| course.free.iter().map(|(at, free)| (seconds(*at), free[n])).collect();
-    vec![("half or more", piece(2)), ("a quarter to a half", piece(1)), ("less", piece(0))]
+fn free_cores(timeline: &Timeline) -> Vec<Series> {
+    let free_on =
+        |n: usize| timeline.free.iter().map(|(at, free)| (seconds(*at), free[n])).collect();
+    vec![("half or more", free_on(2)), ("a quarter to a half", free_on(1)), ("less", free_on(0))]
 }
 
-fn gave_way(course: &Timeline) -> Vec<Series> {
+fn preempted(timeline: &Timeline) -> Vec<Series> {
     let of = |class: Class| {
         let count = |from: u64| {
             let within =
                 |(at, of): &&(u64, Class)| *of == class && (from..from + SPAN_MS).contains(at);
-            (seconds(from), course.preempted.iter().filter(within).count() as f64)
+            (seconds(from), timeline.preempted.iter().filter(within).count() as f64)
         };
         spans().map(count).collect()
     };
