--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -1,70 +1,70 @@
-//! The patterns: what a fleet looks like, what it is asked for, and what goes wrong there.
+//! Defines the patterns: the fleet, its load, and its faults.
 
-/// A fleet and its load, in shares of its processors, so that a shape can be drawn at any size.
+/// A fleet and its load. The load is given as shares of the fleet's processors, so that it scales with the fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
-    /// How many workers there are.
+    /// The number of workers.
     pub workers: usize,
-    /// What most of them have, in thousandths of a core; each third one has half as much again.
+    /// The processors of most workers, in thousandths of a core; every third worker has half as much again.
     pub worker_cpu: u32,
-    /// How many failure domains they lie in.
+    /// The number of failure domains that the workers are spread over.
     pub domains: usize,
-    /// The share of all processors that lasting tasks reserve.
+    /// The share of all processors that long-running tasks reserve.
     pub lasting: f64,
-    /// The share that short tasks reserve on average.
+    /// The share of all processors that short tasks reserve on average.
     pub short: f64,
-    /// The share that batch tasks would use on average, of what the others leave.
+    /// The share of all processors that batch tasks would use on average, out of what other tasks leave idle.
     pub batch: f64,
-    /// Short jobs: mostly wide, one or two steps.
+    /// Short jobs: mostly many tasks, in one or two steps.
     pub short_tasks: Tasks,
-    /// Batch jobs: two steps that fill and mostly save their progress.
+    /// Batch jobs: two steps of best-effort tasks, most of which write checkpoints.
     pub batch_tasks: Tasks,
-    /// Lasting jobs: one step that serves until the job is cancelled.
+    /// Long-running jobs: one step of serving tasks that run until the job is cancelled.
     pub lasting_tasks: Tasks,
-    /// How many images serve, and how many fill.
+    /// The number of images of serving tasks, and of short and best-effort tasks.
     pub images: (usize, usize),
-    /// The share of the pairs of a serving and a filling image that disturb each other.
+    /// The share of pairs of a serving and a best-effort image in which the latter interferes with the former.
     pub interfering_share: f64,
 }
 
-/// What the tasks of a class of job are like.
+/// The tasks of a class of job.
 #[derive(Debug, Clone, Copy)]
 pub struct Tasks {
-    /// How many a step has on average.
+    /// The mean number of tasks in a step.
     pub width: u32,
-    /// How long they work on average, in milliseconds; for lasting ones a guess that means nothing.
+    /// Their mean work, in milliseconds; for long-running tasks only the estimate that the scheduler gets, which
+    /// has no meaning.
     pub ms: u64,
-    /// The processors that they ask for at least and at most, in thousandths of a core; the logarithm is
-    /// drawn evenly.
+    /// The least and the most processors that they ask for, in thousandths of a core. The logarithm is
+    /// distributed uniformly.
     pub cpu: (u32, u32),
 }
 
-/// What goes wrong.
+/// The faults in a simulation.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Workers have between half and one and a half times the room that they have else, and a twelfth
-    /// of them is slow.
+    /// Workers have between 0.5 and 1.5 times their usual capacity, and one in twelve of them is slow.
     pub uneven: bool,
-    /// Callers' estimates are off by half, either way.
+    /// Callers' estimates of work are too low or too high by half.
     pub misjudged: bool,
-    /// One short job in twenty, and one of the lasting ones, has an image whose runs all fail.
+    /// One short job in twenty, and one of the long-running ones, has an image whose runs all fail.
     pub failing_images: bool,
-    /// A third of a failure domain is lost, and comes back later.
+    /// A third of a failure domain's workers crashes, and new workers replace them later.
     pub domain_lost: bool,
-    /// How often the leader is lost and another one takes over.
+    /// The number of times that the leader is lost and another one takes over.
     pub leader_changes: u64,
 }
 
-/// A named load with what goes wrong.
+/// A named fleet and load with its faults.
 #[derive(Debug, Clone, Copy)]
 pub struct Pattern {
-    /// Its name.
+    /// Its name on the command line and in results.
     pub name: &'static str,
-    /// The fleet.
+    /// The fleet and its load.
     pub shape: Shape,
-    /// How much of the shape's load there is.
+    /// The factor that the shape's load is multiplied by.
     pub load: f64,
-    /// What goes wrong.
+    /// The faults that occur.
     pub faults: Faults,
 }
 
@@ -82,7 +82,7 @@
     interfering_share: 0.27,
 };
 
-/// More workers, wider steps, and short tasks that ask for more of a worker.
+/// More workers, more tasks in a step, and short tasks that ask for more of a worker.
 const GROWN: Shape = Shape {
     workers: 480,
     short_tasks: Tasks { width: 10, ms: 1_000, cpu: (1_400, 5_000) },
@@ -92,8 +92,8 @@
     ..SMALL
 };
 
-/// Hundreds of hosts; short tasks that ask for up to most of a worker, and more than a thousand starts a
-/// second.
+/// Hundreds of hosts, short tasks that ask for up to most of a worker's processors, and more than a thousand
+/// starts per second.
 const LARGE: Shape = Shape {
     workers: 900,
     domains: 6,
@@ -104,7 +104,7 @@
     ..SMALL
 };
 
-/// A full pool in which most filling images press on most of what serves.
+/// A full pool in which most best-effort images interfere with most serving images.
 const INTERFERING: Shape = Shape { lasting: 0.88, interfering_share: 0.75, ..SMALL };
 
 const NO_FAULTS: Faults = Faults {
@@ -119,8 +119,8 @@
     Pattern { name, shape, load, faults: NO_FAULTS }
 }
 
-const fn with_faults(name: &'static str, trouble: Faults) -> Pattern {
-    Pattern { name, shape: SMALL, load: 1.0, faults: trouble }
+const fn with_faults(name: &'static str, faults: Faults) -> Pattern {
+    Pattern { name, shape: SMALL, load: 1.0, faults }
 }
 
 /// All patterns.
