--- a/crates/measure/src/patterns/simulation.rs
+++ b/crates/measure/src/patterns/simulation.rs
@@ -1,8 +1,8 @@
-//! A fleet on virtual time that does what the scheduler orders, from one event to the next.
+//! A discrete-event simulation of a fleet that carries out what the scheduler orders.
 //!
-//! It is leaner than the fleet of the scheduler's own tests: calls arrive or their worker is dead, and
-//! nothing checks promises. What it adds is the truth that a policy does not know: how long tasks work, how
-//! loads swing, and which images disturb each other.
+//! It is simpler than the simulation in the scheduler's own tests: a call arrives unless its worker is down,
+//! and nothing checks the scheduler's guarantees. It adds facts that a policy does not know: how long tasks
+//! work, how loads vary, and which images interfere with each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -30,45 +30,45 @@
 /// The pool that every worker belongs to.
 pub const POOL: &str = "pool";
 
-/// How long a call to the store takes, in milliseconds.
+/// The time that the store takes to store a commit, in milliseconds.
 const STORE_MS: u64 = 4;
 
-/// What happens at a time.
+/// An event of the simulation, scheduled for a point in virtual time.
 #[derive(Debug, Clone)]
 pub enum SimEvent {
-    /// A job is handed in.
+    /// A job is submitted.
     JobArrives(usize),
     /// A job is cancelled.
     JobCancelled(JobKey),
     /// A call arrives at a worker.
     CallArrives(CallRoute, Call),
-    /// An answer arrives; a later leader gets none.
+    /// An answer arrives at the leader of this term; it is dropped if another leader has taken over.
     AnswerArrives(u64, Event),
-    /// A renewal has waited long enough, sent at this time.
+    /// The wait limit of the renewal that was sent at this time is over.
     RenewalWaitOver(usize, Instant),
-    /// A run's work may be over.
+    /// A run ends, unless its rate has changed since this event was scheduled.
     RunMayEnd(usize, TaskKey, Run),
-    /// A run's stop is over.
+    /// A worker has finished stopping a run.
     RunStopped(usize, TaskKey, Run),
-    /// A worker's leases may be over.
+    /// A worker's leases end, unless they were renewed since this event was scheduled.
     LeaseMayEnd(usize),
-    /// A commit is stored.
+    /// The records of a commit are stored.
     CommitStored(u64, Vec<Record>),
-    /// The world is looked at.
+    /// The state of the fleet is sampled.
     Sample,
     /// A worker crashes.
     WorkerCrashes(usize),
-    /// The directory drops a worker that has crashed.
+    /// The directory removes a crashed worker.
     WorkerUnlisted(usize),
-    /// The host of a worker that has crashed has another one.
+    /// A new worker replaces a crashed one on its host.
     WorkerReplaced(usize),
     /// The leader is lost.
     LeaderLost,
-    /// Another one takes over.
+    /// A new leader takes over.
     LeaderTakesOver,
 }
 
-/// The whole world.
+/// The state of the simulation.
 pub struct Simulation {
     pub(super) now: u64,
     pub(super) load: Arc<Load>,
@@ -76,7 +76,7 @@
     pub(super) workers: Vec<Worker>,
     pub(super) term: u64,
     pub(super) tally: Tally,
-    /// Workers by the leader's positions.
+    /// The workers in the order of the leader's table.
     pub(super) by_ix: Vec<usize>,
     pub(super) by_id: BTreeMap<ids::WorkerId, usize>,
     settings: Settings,
@@ -86,20 +86,20 @@
     cancelled: BTreeSet<JobKey>,
     progress: BTreeMap<JobKey, Progress>,
     roster: BTreeMap<ids::WorkerId, RosterEntry>,
-    learnt: Learned,
+    learned: Learned,
 }
 
-/// Plays a pattern's load under the scheduler with these settings.
+/// Runs a pattern's load under the scheduler with these settings.
 pub fn run(pattern: &Pattern, load: &Arc<Load>, seed: u64, settings: &Settings) -> Outcome {
-    let mut world = Simulation::open(Arc::clone(load), settings.clone());
-    faults::plan(&mut world, &pattern.faults, seed);
-    world.run();
-    world.tally.outcome(&world.load)
+    let mut simulation = Simulation::open(Arc::clone(load), settings.clone());
+    faults::plan(&mut simulation, &pattern.faults, seed);
+    simulation.run();
+    simulation.tally.outcome(&simulation.load)
 }
 
 impl Simulation {
     fn open(load: Arc<Load>, settings: Settings) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: BEGIN_MS,
             tally: Tally::new(&load),
             cx: None,
@@ -114,11 +114,11 @@
             cancelled: BTreeSet::new(),
             progress: BTreeMap::new(),
             roster: BTreeMap::new(),
-            learnt: Learned::default(),
+            learned: Learned::default(),
             load,
         };
-        for at in 0..world.load.workers.len() {
-            let truth = world.load.workers[at];
+        for at in 0..simulation.load.workers.len() {
+            let truth = simulation.load.workers[at];
             let info = WorkerInfo {
                 id: ids::WorkerId(format!("w{at}")),
                 addr: format!("w{at}:1"),
@@ -129,18 +129,18 @@
                 draining: false,
                 remaining: None,
             };
-            world.add_worker(Worker::new(info, truth));
+            simulation.add_worker(Worker::new(info, truth));
         }
-        let load = Arc::clone(&world.load);
+        let load = Arc::clone(&simulation.load);
         for (at, job) in load.jobs.iter().enumerate() {
-            world.schedule(job.arrives, SimEvent::JobArrives(at));
+            simulation.schedule(job.arrives, SimEvent::JobArrives(at));
             if job.leaves < u64::MAX {
-                world.schedule(job.leaves, SimEvent::JobCancelled(job.job.key));
+                simulation.schedule(job.leaves, SimEvent::JobCancelled(job.job.key));
             }
         }
-        world.schedule(BEGIN_MS + SAMPLE_INTERVAL_MS, SimEvent::Sample);
-        world.take_over();
-        world
+        simulation.schedule(BEGIN_MS + SAMPLE_INTERVAL_MS, SimEvent::Sample);
+        simulation.take_over();
+        simulation
     }
 
     pub(super) fn add_worker(&mut self, worker: Worker) {
@@ -148,10 +148,10 @@
         self.workers.push(worker);
     }
 
-    /// Lets something happen at a time.
-    pub(super) fn schedule(&mut self, at: u64, happening: SimEvent) {
+    /// Schedules an event, at the current time at the earliest.
+    pub(super) fn schedule(&mut self, at: u64, event: SimEvent) {
         self.serial += 1;
-        self.pending_events.insert((at.max(self.now), self.serial), happening);
+        self.pending_events.insert((at.max(self.now), self.serial), event);
     }
 
     fn run(&mut self) {
@@ -161,43 +161,43 @@
             let wake = self.cx.as_ref().map_or(u64::MAX, |cx| cx.next_wake().0.max(self.now + 1));
             self.now = next.min(wake);
             if next <= wake {
-                if let Some((_, happening)) = self.pending_events.pop_first() {
-                    self.handle_sim_event(happening);
+                if let Some((_, event)) = self.pending_events.pop_first() {
+                    self.handle_sim_event(event);
                 }
             } else {
-                self.event(Event::Tick);
+                self.notify_leader(Event::Tick);
             }
         }
     }
 
-    fn handle_sim_event(&mut self, happening: SimEvent) {
-        match happening {
-            SimEvent::JobArrives(at) => self.arrives(at),
+    fn handle_sim_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::JobArrives(at) => self.submit_job(at),
             SimEvent::JobCancelled(key) => {
                 self.cancelled.insert(key);
-                self.event(Event::Cancel(key));
+                self.notify_leader(Event::Cancel(key));
             }
-            SimEvent::CallArrives(trip, call) => self.deliver_call(trip, call),
-            SimEvent::AnswerArrives(term, event) if term == self.term => self.event(event),
+            SimEvent::CallArrives(route, call) => self.deliver_call(route, call),
+            SimEvent::AnswerArrives(term, event) if term == self.term => self.notify_leader(event),
             SimEvent::AnswerArrives(..) => {}
             SimEvent::RenewalWaitOver(at, sent) => self.end_renewal_wait(at, sent),
-            SimEvent::RunMayEnd(at, task, run) => self.may_end(at, task, run),
+            SimEvent::RunMayEnd(at, task, run) => self.end_run_if_due(at, task, run),
             SimEvent::RunStopped(at, task, run) => {
                 if self.workers[at].running.get(&task).is_some_and(|r| r.run == run) {
                     self.end(at, task, EndCause::Stopped);
                 }
             }
-            SimEvent::LeaseMayEnd(at) => self.check_lease(at),
+            SimEvent::LeaseMayEnd(at) => self.end_runs_if_lease_over(at),
             SimEvent::CommitStored(term, records) => {
                 self.store(records);
                 if term == self.term {
-                    self.event(Event::Committed);
+                    self.notify_leader(Event::Committed);
                 }
             }
             SimEvent::Sample => self.sample(),
             SimEvent::WorkerCrashes(at) => self.crash(at),
             SimEvent::WorkerUnlisted(at) => {
-                self.event(Event::Unlisted(self.workers[at].info.id.clone()));
+                self.notify_leader(Event::Unlisted(self.workers[at].info.id.clone()));
             }
             SimEvent::WorkerReplaced(at) => self.replace_worker(at),
             SimEvent::LeaderLost => self.cx = None,
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Tells the leader of something, and carries out what it orders then.
-    pub(super) fn event(&mut self, event: Event) {
+    /// Passes an event to the leader, if there is one, and carries out what it orders.
+    pub(super) fn notify_leader(&mut self, event: Event) {
         let now = Instant(self.now);
         let Some(cx) = &mut self.cx else { return };
         cx.handle(now, UNIX_BASE_MS + self.now, event);
@@ -220,13 +220,13 @@
         }
     }
 
-    fn arrives(&mut self, at: usize) {
+    fn submit_job(&mut self, at: usize) {
         let job = Arc::clone(&self.load.jobs[at].job);
         self.jobs.insert(job.key, Arc::clone(&job));
-        self.event(Event::Job(job));
+        self.notify_leader(Event::Job(job));
     }
 
-    /// Takes over as the next leader, which knows only the store.
+    /// Starts the next leader, which knows only what is stored.
     fn take_over(&mut self) {
         self.term += 1;
         self.by_ix.clear();
@@ -239,7 +239,7 @@
             progress: self.progress.clone(),
             cancelled: self.cancelled.iter().copied().collect(),
             roster: self.roster.values().cloned().collect(),
-            learned: self.learnt.clone(),
+            learned: self.learned.clone(),
             ..StoredState::default()
         };
         takeover::restore(&mut cx, stored);
@@ -247,7 +247,7 @@
             cx.handle(now, unix, Event::Listed(worker.info.clone()));
         }
         self.cx = Some(cx);
-        self.event(Event::Tick);
+        self.notify_leader(Event::Tick);
     }
 
     fn store(&mut self, records: Vec<Record>) {
@@ -269,13 +269,13 @@
                 Record::ForgetWorker(id) => {
                     self.roster.remove(&id);
                 }
-                Record::Learned(learnt) => self.learnt = learnt,
+                Record::Learned(learned) => self.learned = learned,
                 Record::Wave(_) => {}
             }
         }
     }
 
-    /// Looks at the whole fleet, and lets the rates of what fills follow the loads.
+    /// Samples the whole fleet. Before that, it updates the rates of best-effort tasks to the current loads.
     fn sample(&mut self) {
         for at in 0..self.workers.len() {
             self.change_worker(at, |_| {});
@@ -284,7 +284,7 @@
         self.schedule(self.now + SAMPLE_INTERVAL_MS, SimEvent::Sample);
     }
 
-    /// Changes what a worker runs; all its rates may differ then.
+    /// Changes the state of a worker, then updates the rates and expected ends of all its runs.
     pub(super) fn change_worker(&mut self, at: usize, change: impl FnOnce(&mut Worker)) {
         let (now, worker) = (self.now, &mut self.workers[at]);
         worker.update_progress(now);
@@ -295,8 +295,8 @@
         }
     }
 
-    /// Ends a run whose time is over, unless its rate has changed since that was expected.
-    fn may_end(&mut self, at: usize, task: TaskKey, run: Run) {
+    /// Ends a run whose work is done, unless its expected end has changed since the event was scheduled.
+    fn end_run_if_due(&mut self, at: usize, task: TaskKey, run: Run) {
         let worker = &self.workers[at];
         let due = worker.running.get(&task).is_some_and(|r| r.run == run && r.ends_at == self.now);
         if due {
@@ -304,16 +304,17 @@
         }
     }
 
-    /// Ends a run, and lets a waiting renewal tell of it.
-    pub(super) fn end(&mut self, at: usize, task: TaskKey, how: EndCause) {
+    /// Ends a run, and answers the pending renewal so that the leader learns of it.
+    pub(super) fn end(&mut self, at: usize, task: TaskKey, cause: EndCause) {
         let mut ended = None;
-        self.change_worker(at, |worker| ended = worker.end(task, how));
+        self.change_worker(at, |worker| ended = worker.end(task, cause));
         let Some(running) = ended else { return };
-        self.tally.ended(&self.load, (task, at), how, &running, self.now);
+        self.tally.ended(&self.load, (task, at), cause, &running, self.now);
         self.answer_pending_renewal(at);
     }
 
-    fn check_lease(&mut self, at: usize) {
+    /// Ends all runs of a worker whose leases are over; checks again later if they were renewed.
+    fn end_runs_if_lease_over(&mut self, at: usize) {
         let worker = &self.workers[at];
         if worker.lease_until > self.now {
             let until = worker.lease_until;
@@ -324,12 +325,12 @@
         }
     }
 
-    /// Renews a worker's leases.
+    /// Extends a worker's leases until a time, but at most by `lease_max` from now.
     pub(super) fn extend_leases(&mut self, at: usize, until: WorkerClock) {
-        let most = self.now + self.settings.lease_max.0;
+        let longest = self.now + self.settings.lease_max.0;
         let worker = &mut self.workers[at];
         let ran_out = worker.lease_until <= self.now;
-        worker.lease_until = worker.lease_until.max(until.0.min(most));
+        worker.lease_until = worker.lease_until.max(until.0.min(longest));
         if ran_out {
             let until = worker.lease_until;
             self.schedule(until, SimEvent::LeaseMayEnd(at));
@@ -346,16 +347,16 @@
     }
 
     fn replace_worker(&mut self, at: usize) {
-        let dead = &self.workers[at];
-        let mut info = dead.info.clone();
+        let crashed = &self.workers[at];
+        let mut info = crashed.info.clone();
         info.id = ids::WorkerId(format!("{}+", info.id));
-        let worker = Worker::new(info.clone(), dead.truth);
+        let worker = Worker::new(info.clone(), crashed.truth);
         self.add_worker(worker);
-        self.event(Event::Listed(info));
+        self.notify_leader(Event::Listed(info));
     }
 }
 
-/// Builds the configuration: one queue for each class, all in one pool.
+/// Builds the configuration: one queue for each class of job, all in one pool.
 fn config() -> Arc<Config> {
     let queue = |class: super::load::Class| Queue {
         name: class.name().into(),
