--- a/crates/measure/src/patterns/table.rs
+++ b/crates/measure/src/patterns/table.rs
@@ -1,4 +1,4 @@
-//! The table: one row for each pattern, means over its seeds.
+//! Builds the results table, with one row for each pattern and means over its seeds.
 
 use super::lines::Line;
 use super::load::Class;
@@ -24,14 +24,14 @@
     "in halves",
 ];
 
-/// Builds the table.
+/// Builds the table of results.
 pub fn build(lines: &[Line], seed: u64) -> Report {
     let rows = patterns(lines).into_iter().map(|name| row(&name, lines)).collect();
     let headings = [HEADINGS.to_vec(), vec!["largest"]].concat();
     Report { name: "patterns", seed, headings, rows, findings: Vec::new() }
 }
 
-/// Lists the patterns in the order in which they come.
+/// Returns the names of the patterns in the order of the results, which are grouped by pattern.
 pub fn patterns(lines: &[Line]) -> Vec<String> {
     let mut names: Vec<String> = lines.iter().map(|l| l.pattern.clone()).collect();
     names.dedup();
