--- a/crates/measure/src/patterns/tally.rs
+++ b/crates/measure/src/patterns/tally.rs
@@ -1,4 +1,5 @@
-//! What came of a world: worth by class, waits, stops and moves, targets, and free room.
+//! Counts the results of a simulation: earned worth by class, waits, stops and moves, missed tail targets, and
+//! free capacity.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +11,12 @@
 use super::load::{Class, Load, TrueJob, BEGIN_MS, CLASSES, COOL_DOWN_MS, TRAFFIC_MS, WARM_UP_MS};
 use super::worker::{Running, Worker};
 
-/// What a job is worth that is done late, against one in time, and how many times the time that it may take
-/// it may be late.
+/// What a late job is worth, as a share of one that is done in time, and how many times its allowed time it may
+/// take to count as late; after that it is worth nothing.
 const LATE_WORTH: f64 = 0.15;
 const MAX_LATE_FACTOR: u64 = 3;
 
-/// The longest wait that is told apart, in milliseconds.
+/// The longest wait that the histograms record exactly, in milliseconds; longer ones count as this one.
 const MAX_RECORDED_WAIT_MS: u64 = 200_000;
 
 /// A value for each class and their mean.
@@ -25,14 +26,14 @@
     pub short: f64,
     /// Batch jobs.
     pub batch: f64,
-    /// Lasting jobs.
+    /// Long-running jobs.
     pub lasting: f64,
     /// The mean of the three.
     pub mean: f64,
 }
 
 impl ByClass {
-    /// Builds the shares that were earned of what was owed.
+    /// Returns the share of the worth owed that was earned, by class; a class that is owed nothing has 1.
     pub fn shares(earned: &[f64; 3], owed: &[f64; 3]) -> Self {
         let share = |n: usize| if owed[n] > 0.0 { earned[n] / owed[n] } else { 1.0 };
         let [short, batch, lasting] = [share(0), share(1), share(2)];
@@ -40,7 +41,7 @@
     }
 }
 
-/// Waits from the moment at which a task could start to its first run, in milliseconds.
+/// Waits between the time when a task could start and its first start, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Waits {
     /// The median.
@@ -53,60 +54,60 @@
     pub most: u64,
 }
 
-/// What came of a world.
+/// The results of a simulation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The share of the worth owed that was earned.
     pub worth: ByClass,
     /// Waits by class.
     pub waits_ms: BTreeMap<Class, Waits>,
-    /// Starts that workers carried out.
+    /// The number of starts that workers carried out.
     pub starts: u64,
-    /// Runs that were stopped although their job went on and nothing else had done their work.
+    /// The number of runs that were stopped although their job went on and no other run had done their work.
     pub stops: u64,
-    /// Starts of such a task on another worker.
+    /// How often such a task then started on another worker.
     pub moves: u64,
-    /// Processor time of work that was lost, in core seconds.
+    /// Processor time of lost work, in core seconds.
     pub lost_core_s: f64,
-    /// The share of their time at work in which serving tasks exceeded their target.
+    /// The share of their running time in which serving tasks exceeded their tail target.
     pub over_target: f64,
-    /// The share of the processors that was not reserved.
+    /// The mean share of the processors that was not reserved.
     pub free: f64,
-    /// The part of that which lay in pieces of half a worker or more.
+    /// The mean part of that which was on workers with at least half of the largest worker's processors free.
     pub free_in_halves: f64,
-    /// The largest free piece, against the largest worker.
+    /// The mean of the most processors free on one worker, as a share of the largest worker's processors.
     pub largest: f64,
-    /// What happened when, for the plots.
+    /// Events and samples over time, for the plots.
     #[serde(skip)]
     pub timeline: Timeline,
 }
 
-/// What happened when.
+/// Events and samples over time, for the plots.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Timeline {
-    /// The first starts of short tasks: when they could start, and how long they waited.
+    /// For each task of short jobs that counts: the time when it could start, and how long it waited.
     pub waits: Vec<(u64, u64)>,
-    /// The free processors at each look: when, and in pieces of less than a quarter, a half, and more of a
-    /// worker, in cores.
+    /// For each sample: its time, and the free processors in cores, summed over the workers whose free processors
+    /// are less than a quarter, a quarter to a half, and at least half of the largest worker's.
     pub free: Vec<(u64, [f64; 3])>,
-    /// Runs that gave way: when, and of which class.
+    /// The time and the class of each preempted run.
     pub preempted: Vec<(u64, Class)>,
 }
 
-/// How far a task has come.
+/// The progress of one task.
 #[derive(Debug, Clone, Copy, Default)]
 struct TaskTally {
     started: bool,
     done: bool,
-    /// The worker at which it was stopped last, until it starts again.
+    /// The worker on which it was last stopped; unset once it starts again.
     stopped_at: Option<usize>,
 }
 
-/// Sums that gather while a world runs.
+/// The counts of a running simulation.
 #[derive(Debug)]
 pub struct Tally {
     tasks: BTreeMap<TaskKey, TaskTally>,
-    /// Since when each step of each job could start, and how many of its tasks are not done.
+    /// For each step of each job: since when it could start, if it can, and the number of its unfinished tasks.
     steps: Vec<Vec<(Option<u64>, u32)>>,
     completed: Vec<Option<u64>>,
     waits: [Histogram<u64>; 3],
@@ -114,10 +115,10 @@
     stops: u64,
     moves: u64,
     lost_core_s: f64,
-    at_work: f64,
-    owed_at_work: f64,
-    serving: f64,
-    over: f64,
+    running_s: f64,
+    owed_running_s: f64,
+    serving_s: f64,
+    over_target_s: f64,
     samples: f64,
     free: f64,
     in_halves: f64,
@@ -126,35 +127,36 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_RECORDED_WAIT_MS, 3).expect("the bounds are sound")
+    Histogram::new_with_bounds(1, MAX_RECORDED_WAIT_MS, 3)
+        .expect("the histogram's constant bounds are valid")
 }
 
-/// Tells whether the fleet is looked at at this time.
+/// Returns whether samples at this time count: after the warm-up and while jobs arrive.
 fn is_measured(now: u64) -> bool {
     (BEGIN_MS + WARM_UP_MS..BEGIN_MS + TRAFFIC_MS).contains(&now)
 }
 
-/// How often the fleet is looked at, in milliseconds.
+/// The interval between two samples of the fleet, in milliseconds.
 pub const SAMPLE_INTERVAL_MS: u64 = 250;
 
-/// Tells whether it is time for a look that counts.
+/// Returns whether a sample that counts is due at this time.
 pub fn is_sample_due(now: u64) -> bool {
     is_measured(now) && now.is_multiple_of(SAMPLE_INTERVAL_MS)
 }
 
-/// Tells whether a lasting job's tasks are owed at this time.
+/// Returns whether the tasks of a long-running job are owed, that is, should run, at this time.
 pub fn is_owed(job: &TrueJob, now: u64) -> bool {
     let from = job.arrives + Class::Lasting.time_allowance().1;
     job.class == Class::Lasting && job.counts() && (from..job.leaves).contains(&now)
 }
 
 impl Tally {
-    /// Builds the sums of a world in which nothing has happened.
+    /// Builds the counts for a simulation that has not begun.
     pub fn new(load: &Load) -> Self {
         let steps = |job: &TrueJob| {
-            let begun = |n: usize| (n == 0).then_some(job.arrives);
+            let ready_since = |n: usize| (n == 0).then_some(job.arrives);
             let steps = job.job.steps.iter().enumerate();
-            steps.map(|(n, step)| (begun(n), step.count)).collect()
+            steps.map(|(n, step)| (ready_since(n), step.count)).collect()
         };
         Self {
             tasks: BTreeMap::new(),
@@ -165,10 +167,10 @@
             stops: 0,
             moves: 0,
             lost_core_s: 0.0,
-            at_work: 0.0,
-            owed_at_work: 0.0,
-            serving: 0.0,
-            over: 0.0,
+            running_s: 0.0,
+            owed_running_s: 0.0,
+            serving_s: 0.0,
+            over_target_s: 0.0,
             samples: 0.0,
             free: 0.0,
             in_halves: 0.0,
@@ -177,12 +179,12 @@
         }
     }
 
-    /// Takes in that a job is stored as completed.
+    /// Records that a job is stored as completed.
     pub fn completed(&mut self, key: JobKey, now: u64) {
         self.completed[key.0 as usize].get_or_insert(now);
     }
 
-    /// Takes in that a worker carries a start out.
+    /// Records that a worker carries out a start.
     pub fn started(&mut self, load: &Load, task: TaskKey, at: usize, now: u64) {
         self.starts += 1;
         let state = self.tasks.entry(task).or_default();
@@ -206,36 +208,36 @@
         }
     }
 
-    /// Takes in that a run has ended at a worker.
+    /// Records that a run has ended on a worker.
     pub fn ended(
         &mut self,
         load: &Load,
         (task, at): (TaskKey, usize),
-        how: EndCause,
+        cause: EndCause,
         run: &Running,
         now: u64,
     ) {
         let state = self.tasks.entry(task).or_default();
         let job = load.job(task.job);
-        if how == EndCause::Done && !std::mem::replace(&mut state.done, true) {
+        if cause == EndCause::Done && !std::mem::replace(&mut state.done, true) {
             return self.record_task_done(load, task, now);
         }
         if job.class != Class::Lasting {
             self.lost_core_s += run.unsaved_core_s();
         }
-        if how == EndCause::Stopped && !state.done && now < job.leaves {
+        if cause == EndCause::Stopped && !state.done && now < job.leaves {
             state.stopped_at = Some(at);
             self.stops += 1;
             self.timeline.preempted.push((now, job.class));
         }
     }
 
-    /// Counts a task that is done; with the last one of its step those begin that wait for it.
+    /// Records that a task is done. The last one of a step makes the steps ready that wait for this step.
     fn record_task_done(&mut self, load: &Load, task: TaskKey, now: u64) {
         let steps = &mut self.steps[task.job.0 as usize];
-        let of = usize::from(task.step);
-        steps[of].1 -= 1;
-        if steps[of].1 > 0 {
+        let finished = usize::from(task.step);
+        steps[finished].1 -= 1;
+        if steps[finished].1 > 0 {
             return;
         }
         for (n, step) in load.job(task.job).job.steps.iter().enumerate() {
@@ -245,21 +247,21 @@
         }
     }
 
-    /// Takes in that a run went down with its worker.
+    /// Records that a run was lost in the crash of its worker.
     pub fn crashed(&mut self, run: &Running) {
         if run.class != Class::Lasting {
             self.lost_core_s += run.unsaved_core_s();
         }
     }
 
-    /// Looks at what runs and what is free.
+    /// Records one sample of the running tasks and the free capacity.
     pub fn sample(&mut self, load: &Load, workers: &[Worker], now: u64) {
         if !is_measured(now) {
             return;
         }
         let span = SAMPLE_INTERVAL_MS as f64 / 1e3;
         let owed = load.jobs.iter().take_while(|j| j.arrives <= now).filter(|j| is_owed(j, now));
-        self.owed_at_work += owed.map(|j| j.weight * span).sum::<f64>();
+        self.owed_running_s += owed.map(|j| j.weight * span).sum::<f64>();
         for worker in workers.iter().filter(|w| w.up) {
             self.sample_tasks(load, worker, now, span);
         }
@@ -270,13 +272,14 @@
         for task in worker.running.keys() {
             let job = load.job(task.job);
             let target = job.job.steps[usize::from(task.step)].tail_target;
-            let over = target.is_some_and(|most| worker.tail_ms(load, *task, now) > most.0 as f64);
+            let over =
+                target.is_some_and(|limit| worker.tail_ms(load, *task, now) > limit.0 as f64);
             if target.is_some() {
-                self.serving += span;
-                self.over += if over { span } else { 0.0 };
+                self.serving_s += span;
+                self.over_target_s += if over { span } else { 0.0 };
             }
             if is_owed(job, now) && !over {
-                self.at_work += span;
+                self.running_s += span;
             }
         }
     }
@@ -284,25 +287,25 @@
     fn sample_free_capacity(&mut self, workers: &[Worker], now: u64) {
         let up = || workers.iter().filter(|w| w.up);
         let cpu = |w: &Worker| f64::from(w.info.capacity.cpu.0) / 1e3;
-        let all: f64 = up().map(cpu).sum();
+        let total: f64 = up().map(cpu).sum();
         let greatest = up().map(cpu).fold(0.0, f64::max);
-        let (mut pieces, mut largest) = ([0.0; 3], 0.0_f64);
+        let (mut free_by_size, mut largest) = ([0.0; 3], 0.0_f64);
         for worker in up() {
             let free = f64::from(worker.free().cpu.0) / 1e3;
             let share = free / greatest;
             let size = usize::from(share >= 0.25) + usize::from(share >= 0.5);
-            pieces[size] += free;
+            free_by_size[size] += free;
             largest = largest.max(share);
         }
-        let free: f64 = pieces.iter().sum();
+        let free: f64 = free_by_size.iter().sum();
         self.samples += 1.0;
-        self.free += free / all;
-        self.in_halves += if free > 0.0 { pieces[2] / free } else { 0.0 };
+        self.free += free / total;
+        self.in_halves += if free > 0.0 { free_by_size[2] / free } else { 0.0 };
         self.largest += largest;
-        self.timeline.free.push((now, pieces));
+        self.timeline.free.push((now, free_by_size));
     }
 
-    /// Returns what came of it all.
+    /// Returns the results of the whole simulation.
     pub fn outcome(mut self, load: &Load) -> Outcome {
         self.record_unstarted_waits(load);
         let waits = CLASSES.into_iter().zip(&self.waits).map(|(class, h)| {
@@ -311,9 +314,9 @@
         });
         let waits_ms = waits.collect();
         let (mut earned, mut owed) = worth_of_finite_jobs(load, &self.completed);
-        earned[Class::Lasting as usize] = self.at_work;
-        owed[Class::Lasting as usize] = self.owed_at_work;
-        let looks = self.samples.max(1.0);
+        earned[Class::Lasting as usize] = self.running_s;
+        owed[Class::Lasting as usize] = self.owed_running_s;
+        let samples = self.samples.max(1.0);
         Outcome {
             worth: ByClass::shares(&earned, &owed),
             waits_ms,
@@ -321,15 +324,15 @@
             stops: self.stops,
             moves: self.moves,
             lost_core_s: self.lost_core_s,
-            over_target: self.over / self.serving.max(1.0),
-            free: self.free / looks,
-            free_in_halves: self.in_halves / looks,
-            largest: self.largest / looks,
+            over_target: self.over_target_s / self.serving_s.max(1.0),
+            free: self.free / samples,
+            free_in_halves: self.in_halves / samples,
+            largest: self.largest / samples,
             timeline: self.timeline,
         }
     }
 
-    /// Counts the waits of tasks that never started, up to the end.
+    /// Records the waits of tasks that never started, up to the end of their job or of the simulation.
     fn record_unstarted_waits(&mut self, load: &Load) {
         let end = BEGIN_MS + TRAFFIC_MS + COOL_DOWN_MS;
         for job in &load.jobs {
@@ -347,7 +350,7 @@
     }
 }
 
-/// Returns what jobs that end have earned, and what is owed, by class.
+/// Returns the worth earned and owed by class, for the jobs that end by themselves (short and batch).
 pub fn worth_of_finite_jobs(load: &Load, completed: &[Option<u64>]) -> ([f64; 3], [f64; 3]) {
     let (mut earned, mut owed) = ([0.0; 3], [0.0; 3]);
     let end = BEGIN_MS + TRAFFIC_MS + COOL_DOWN_MS;
