--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -1,4 +1,4 @@
-//! One worker's incarnation: what it runs, at which rate, and what it says of itself.
+//! Simulates one incarnation of a worker: what it runs, at which rates, and what it reports.
 
 use std::collections::BTreeMap;
 
@@ -11,60 +11,60 @@
 
 use super::load::{Class, Load, TrueWorker};
 
-/// How often a batch task saves its progress, in milliseconds of work.
+/// The interval at which a batch task writes a checkpoint, in milliseconds of work.
 const CHECKPOINT_EVERY_MS: u64 = 1_000;
 
-/// How long a run whose image fails goes on, in milliseconds.
+/// The work after which a run with a failing image fails, in milliseconds.
 const FAILS_AFTER_MS: f64 = 100.0;
 
-/// The tail of a serving task without any load, in milliseconds.
+/// The tail latency of a serving task without load, in milliseconds.
 const UNLOADED_TAIL_MS: f64 = 10.0;
 
-/// The utilisation beyond which tails only grow by what the clients give up.
+/// The utilisation at which tail latency is capped; beyond it, the tail would depend only on when clients give up.
 const MAX_UTILISATION: f64 = 0.99;
 
-/// The share of a worker's processors from which filling tasks of any image disturb what is served
-/// there, as measured (`docs/MEASUREMENTS.md`, section Disturbance).
+/// The share of a worker's processors above which best-effort tasks of any image interfere with the serving
+/// tasks there (see `docs/MEASUREMENTS.md`, section Disturbance).
 const CONTENTION_SHARE: f64 = 0.6;
 
-/// Returns what a task takes of a worker's room: one that fills reserves no processors.
+/// Returns the resources that a task reserves on a worker. A best-effort task reserves no processors.
 pub fn reserved_resources(step: &Step) -> Resources {
     let cpu = if step.fills { 0 } else { step.demand.cpu.0 };
     Resources::new(cpu, step.demand.mem.0, 0)
 }
 
-/// A run at a worker.
+/// A run on a worker.
 #[derive(Debug, Clone)]
 pub struct Running {
-    /// Which run it is.
+    /// Which run of its task it is.
     pub run: Run,
     /// The class of its job.
     pub class: Class,
     /// The processors that it asks for, in cores.
     pub cores: f64,
-    /// What it takes of the worker's room.
-    pub takes: Resources,
-    /// How much work it has, in milliseconds; unset for one that lasts.
+    /// The resources that it reserves on the worker.
+    pub reserved: Resources,
+    /// Its total work, in milliseconds; unset for a long-running task.
     pub work_ms: Option<f64>,
-    /// How much of it is done.
+    /// The work done, in milliseconds.
     pub done_ms: f64,
-    /// How much was done when it began.
+    /// The work that earlier runs had saved when it began, in milliseconds.
     pub from_ms: f64,
     /// Its pace in percent.
     pub pace: u32,
-    /// Set once it is being stopped.
+    /// Whether it is being stopped.
     pub stopping: bool,
     saves: bool,
     image: usize,
     fails: bool,
     rate: f64,
     since: u64,
-    /// When its end is expected, so that an older expectation is known as such.
+    /// When its end is expected. End events scheduled for another time are outdated.
     pub ends_at: u64,
 }
 
 impl Running {
-    /// Returns the progress that outlives the run, in milliseconds of work.
+    /// Returns the progress in its last checkpoint, which outlives the run, in milliseconds of work.
     pub fn saved_ms(&self) -> u64 {
         if !self.saves {
             return 0;
@@ -87,27 +87,27 @@
 /// One incarnation of a worker.
 #[derive(Debug)]
 pub struct Worker {
-    /// How the directory lists it.
+    /// Its entry in the directory.
     pub info: WorkerInfo,
-    /// What it really is.
+    /// Its true properties, some of which the scheduler does not know.
     pub truth: TrueWorker,
-    /// Unset once it has crashed.
+    /// Whether it is up; unset once it has crashed.
     pub up: bool,
-    /// What it runs.
+    /// Its runs by task.
     pub running: BTreeMap<TaskKey, Running>,
-    /// Ends that were not acknowledged.
+    /// Ends of runs that the leader has not acknowledged yet.
     pub ends: Vec<RunEnd>,
     /// The highest fencing token that it has seen.
     pub token: u64,
-    /// The end of its leases.
+    /// When its leases end, in milliseconds of virtual time.
     pub lease_until: u64,
-    /// The renewal that waits for an end: whose call it is, and when it was sent.
+    /// The renewal whose answer waits for the end of a run, if any.
     pub pending_renewal: Option<PendingRenewal>,
     next_seq: u64,
     last_ended: BTreeMap<TaskKey, Run>,
 }
 
-/// A renewal that waits at a worker.
+/// A renewal whose answer waits for the end of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingRenewal {
     /// The position under which the leader knows the worker.
@@ -119,7 +119,7 @@
 }
 
 impl Worker {
-    /// Builds a worker that has run nothing.
+    /// Builds a worker that has not run anything yet.
     pub fn new(info: WorkerInfo, truth: TrueWorker) -> Self {
         Self {
             info,
@@ -135,9 +135,10 @@
         }
     }
 
-    /// Returns the room that nothing takes.
+    /// Returns the resources that no run reserves.
     pub fn free(&self) -> Resources {
-        let taken = self.running.values().fold(Resources::default(), |sum, r| sum.plus(&r.takes));
+        let taken =
+            self.running.values().fold(Resources::default(), |sum, r| sum.plus(&r.reserved));
         self.info.capacity.minus(&taken)
     }
 
@@ -145,18 +146,18 @@
         f64::from(self.info.capacity.cpu.0) / 1e3
     }
 
-    /// Tells whether a run was ended, or barred, before.
+    /// Returns whether this run, or a later one of its task, has ended or is refused here.
     pub fn is_old(&self, task: TaskKey, run: Run) -> bool {
         self.last_ended.get(&task).is_some_and(|last| run <= *last)
     }
 
-    /// Refuses a run, and all before it, from now on.
+    /// Refuses this run and all earlier ones of its task from now on.
     pub fn refuse_run(&mut self, task: TaskKey, run: Run) {
         let last = self.last_ended.entry(task).or_default();
         *last = (*last).max(run);
     }
 
-    /// Begins a run, and takes up its work where an earlier one has saved it.
+    /// Begins a run, which resumes at the progress that an earlier one saved.
     pub fn begin(&mut self, load: &Load, task: TaskKey, run: Run, saved_ms: u64, now: u64) {
         let job = load.job(task.job);
         let step = &job.job.steps[usize::from(task.step)];
@@ -166,7 +167,7 @@
             run,
             class: job.class,
             cores: f64::from(step.demand.cpu.0) / 1e3,
-            takes: reserved_resources(step),
+            reserved: reserved_resources(step),
             work_ms: (!step.lasting).then_some(work),
             done_ms: from_ms,
             from_ms,
@@ -182,18 +183,18 @@
         self.running.insert(task, running);
     }
 
-    /// Ends a run and lists its end.
-    pub fn end(&mut self, task: TaskKey, how: EndCause) -> Option<Running> {
+    /// Ends a run and adds its end to the list of unacknowledged ones.
+    pub fn end(&mut self, task: TaskKey, cause: EndCause) -> Option<Running> {
         let running = self.running.remove(&task)?;
         self.refuse_run(task, running.run);
         let seq = EndSeq(self.next_seq);
         self.next_seq += 1;
         let checkpoint = Some(running.saved_ms()).filter(|&ms| ms > 0).map(|ms| ms.to_string());
-        self.ends.push(RunEnd { seq, task, run: running.run, cause: how, checkpoint });
+        self.ends.push(RunEnd { seq, task, run: running.run, cause, checkpoint });
         Some(running)
     }
 
-    /// Brings the progress of all runs up to date.
+    /// Updates the progress of all runs to this time.
     pub fn update_progress(&mut self, now: u64) {
         for r in self.running.values_mut() {
             r.done_ms += r.rate * now.saturating_sub(r.since) as f64;
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Works out anew at which rate each run goes on, and returns the ends that are expected now.
+    /// Recomputes the rate of each run, and returns the expected ends that have changed.
     pub fn set_rates(&mut self, load: &Load, now: u64) -> Vec<(u64, TaskKey)> {
         let (speed, scale) = (self.truth.speed, self.best_effort_scale(load, now));
         let mut ends = Vec::new();
@@ -210,9 +211,9 @@
                 Class::Batch => speed * scale * f64::from(r.pace) / 100.0,
                 Class::Short | Class::Lasting => speed,
             };
-            let whole = if r.fails { Some(r.from_ms + FAILS_AFTER_MS) } else { r.work_ms };
-            let Some(whole) = whole.filter(|_| r.rate > 0.0) else { continue };
-            let ends_at = now + ((whole - r.done_ms).max(0.0) / r.rate).ceil() as u64;
+            let total = if r.fails { Some(r.from_ms + FAILS_AFTER_MS) } else { r.work_ms };
+            let Some(total) = total.filter(|_| r.rate > 0.0) else { continue };
+            let ends_at = now + ((total - r.done_ms).max(0.0) / r.rate).ceil() as u64;
             if ends_at != r.ends_at {
                 r.ends_at = ends_at;
                 ends.push((ends_at, *task));
@@ -221,7 +222,7 @@
         ends
     }
 
-    /// Returns how a run ends whose time is over.
+    /// Returns the cause with which a run ends once its work is over.
     pub fn end_cause(&self, task: TaskKey) -> EndCause {
         match self.running.get(&task).is_some_and(|r| r.fails) {
             true => EndCause::Failed,
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Returns which part of what filling tasks want is left for them.
+    /// Returns the share of the processors wanted by best-effort tasks that is left for them.
     fn best_effort_scale(&self, load: &Load, now: u64) -> f64 {
         let (mut taken, mut wanted) = (0.0, 0.0);
         for (task, r) in &self.running {
@@ -247,22 +248,22 @@
         }
     }
 
-    /// Returns the tail of a serving task in milliseconds.
+    /// Returns the tail latency of a serving task, in milliseconds.
     pub fn tail_ms(&self, load: &Load, task: TaskKey, now: u64) -> f64 {
         let job = load.job(task.job);
-        let filling = self.running.values().filter(|r| r.class == Class::Batch);
-        let (mut pressure, mut share) = (0.0, 0.0);
-        for r in filling {
+        let best_effort = self.running.values().filter(|r| r.class == Class::Batch);
+        let (mut interference, mut share) = (0.0, 0.0);
+        for r in best_effort {
             let used = r.cores * r.rate / self.truth.speed / self.cores();
             share += used;
-            pressure += used * load.factors[job.image][r.image];
+            interference += used * load.factors[job.image][r.image];
         }
-        pressure += (share - CONTENTION_SHARE).max(0.0) * load.contention;
-        let utilisation = job.swing.at(now) * (1.0 + pressure) / self.truth.speed.max(0.5);
+        interference += (share - CONTENTION_SHARE).max(0.0) * load.contention;
+        let utilisation = job.swing.at(now) * (1.0 + interference) / self.truth.speed.max(0.5);
         UNLOADED_TAIL_MS / (1.0 - utilisation.min(MAX_UTILISATION))
     }
 
-    /// Returns the worker's account of itself.
+    /// Returns the worker's report, the answer to a renewal.
     pub fn report(&self, load: &Load, now: u64) -> WorkerReport {
         let running = self.running.iter().map(|(task, r)| RunningTask {
             task: *task,
