--- a/crates/measure/src/report.rs
+++ b/crates/measure/src/report.rs
@@ -1,24 +1,24 @@
-//! One table a measurement, for people and as JSON.
+//! The result table of a measurement, printed as text and optionally as JSON.
 
 use serde::Serialize;
 
 /// A measurement's result.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The measurement.
+    /// The name of the measurement.
     pub name: &'static str,
-    /// The seed.
+    /// The first seed that was used.
     pub seed: u64,
     /// Column headings.
     pub headings: Vec<&'static str>,
-    /// Rows of cells.
+    /// Table rows, each with one cell for each heading.
     pub rows: Vec<Vec<String>>,
-    /// What the figures say about the aim, a sentence each.
+    /// Conclusions from the figures, for example how they compare with the aim; one sentence each.
     pub findings: Vec<String>,
 }
 
 impl Report {
-    /// Prints the table, and JSON if that is wanted.
+    /// Prints the table and the findings, followed by JSON if `json` is set.
     pub fn print(&self, json: bool) {
         let width = |c: usize| {
             let cells = self.rows.iter().map(|r| r[c].len());
@@ -38,7 +38,11 @@
             println!("- {finding}");
         }
         if json {
-            println!("{}", serde_json::to_string(self).expect("plain data serialises"));
+            println!(
+                "{}",
+                serde_json::to_string(self)
+                    .expect("a report holds only strings and integers, which always serialise")
+            );
         }
     }
 }
