--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -1,7 +1,7 @@
-//! How the decisions' cost and the state's size grow with the fleet.
+//! Measures how the cost of decisions and the size of the state grow with the fleet.
 //!
-//! Processes and their processor time are measured by `gaplock-scale`; this measures one decision
-//! and the bytes of everything that is stored or sent.
+//! `gaplock-scale` measures whole processes and their processor time. This module measures the time of
+//! a single decision and the size in bytes of what is stored or sent.
 
 use std::time::Instant;
 
@@ -14,20 +14,20 @@
 use crate::report::Report;
 
 const FLEET_SIZES: [usize; 4] = [50, 200, 650, 1_300];
-/// The two-year size's tasks by worker: 13,700 on 1,300 workers.
+/// Tasks for each worker at the size planned for in two years: 13,700 tasks on 1,300 workers.
 const TASKS_PER_WORKER: usize = 11;
 const DECISIONS: usize = 2_000;
 
-/// Measures the slopes.
+/// Measures costs and sizes for each fleet size.
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut costs = Vec::new();
     for workers in FLEET_SIZES {
         let layout = layout_of(workers);
-        let here = workers.div_ceil(layout.count() as usize);
-        let decision_us = decision_cost_us(here);
+        let workers_per_partition = workers.div_ceil(layout.count() as usize);
+        let decision_us = decision_cost_us(workers_per_partition);
         costs.push(decision_us);
-        rows.push(row(workers, here, &layout, decision_us));
+        rows.push(row(workers, workers_per_partition, &layout, decision_us));
     }
     let growth = costs[FLEET_SIZES.len() - 1] / costs[0];
     let findings = vec![
@@ -61,35 +61,41 @@
     }
 }
 
-/// Returns the failure domains of a fleet, as many for its size as at the two-year size.
+/// Returns the layout of a fleet. The number of failure domains is in proportion to the size planned for in
+/// two years: 31 for 1,300 workers, and at least 3.
 fn layout_of(workers: usize) -> assign::Layout {
     let domains = (workers * 31).div_ceil(1_300).max(3);
     let domains = (0..domains).map(|i| ids::DomainId(format!("d{i}"))).collect();
     assign::Layout { domains, slices: 2 }
 }
 
-/// Builds the row of a fleet with `here` workers in each partition.
-fn row(workers: usize, here: usize, layout: &assign::Layout, decision_us: f64) -> Vec<String> {
-    let state = state_of(here * TASKS_PER_WORKER);
-    let snapshot = serde_json::to_vec(&state).expect("plain data serialises").len();
+/// Builds the table row of a fleet with `workers_per_partition` workers in each partition.
+fn row(
+    workers: usize,
+    workers_per_partition: usize,
+    layout: &assign::Layout,
+    decision_us: f64,
+) -> Vec<String> {
+    let state = state_of(workers_per_partition * TASKS_PER_WORKER);
+    let snapshot = serde_json::to_vec(&state).expect("plain data always serialises").len();
     vec![
         workers.to_string(),
         layout.count().to_string(),
-        here.to_string(),
+        workers_per_partition.to_string(),
         format!("{decision_us:.1}"),
         format!("{:.1}", owners_cost_us(layout)),
         snapshot.to_string(),
-        (snapshot / (here * TASKS_PER_WORKER)).to_string(),
+        (snapshot / (workers_per_partition * TASKS_PER_WORKER)).to_string(),
     ]
 }
 
 fn decision_cost_us(workers: usize) -> f64 {
     let service = ids::ServiceId::from("coldtrace");
-    let mut learnt = interference::InterferenceModel::default();
+    let mut learned = interference::InterferenceModel::default();
     let class = |i: usize| ids::BatchClass(format!("class-{}", i % 6));
     for i in 0..60 {
         let shares = vec![(class(i), 0.2)];
-        learnt.observe(&service, &shares, interference::LoadBand(1), 12_000.0);
+        learned.observe(&service, &shares, interference::LoadBand(1), 12_000.0);
     }
     let candidates: Vec<placement::Candidate> = (0..workers)
         .map(|i| placement::Candidate {
@@ -113,20 +119,23 @@
     let began = Instant::now();
     let mut found = 0;
     for _ in 0..DECISIONS {
-        found += usize::from(placement::for_batch(&candidates, &want, &learnt).is_some());
+        found += usize::from(placement::for_batch(&candidates, &want, &learned).is_some());
     }
-    assert!(found == DECISIONS || found == 0, "one input gives one decision");
+    assert!(
+        found == DECISIONS || found == 0,
+        "{found} of {DECISIONS} decisions on the same input found a worker, expected all or none"
+    );
     began.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64
 }
 
 fn owners_cost_us(layout: &assign::Layout) -> f64 {
     let entries: Vec<ids::EntryId> = (0..9).map(|i| ids::EntryId(format!("entry-{i}"))).collect();
     let began = Instant::now();
-    let times = 50;
-    for _ in 0..times {
+    let repetitions = 50;
+    for _ in 0..repetitions {
         assert!(!assign::owners(layout, &entries).is_empty());
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(times)
+    began.elapsed().as_secs_f64() * 1e6 / f64::from(repetitions)
 }
 
 fn run_of(number: u64) -> wire::Run {
@@ -165,13 +174,13 @@
         for record in [add_job(number), assignment(number)] {
             state
                 .apply(home, ids::Epoch(7), &ids::Member::default(), &record)
-                .expect("the records fit each other");
+                .expect("each record applies after the ones before it");
         }
     }
     state
 }
 
-/// Bytes that one start adds to an entry of fifty starts.
+/// Returns the bytes that one start adds to a journal entry of fifty starts.
 fn start_bytes() -> usize {
     let entry = |count: u64| Entry {
         seq: ids::Seq(123_456),
@@ -179,7 +188,8 @@
         owner: ids::Member { entry: "entry-3".into(), incarnation: ids::Incarnation(u64::MAX) },
         records: (0..count).map(assignment).collect(),
     };
-    let bytes = |count| serde_json::to_vec(&entry(count)).expect("plain data serialises").len();
+    let bytes =
+        |count| serde_json::to_vec(&entry(count)).expect("plain data always serialises").len();
     (bytes(50) - bytes(0)) / 50
 }
 
@@ -198,7 +208,7 @@
             })
             .collect(),
     };
-    serde_json::to_vec(&beat).expect("plain data serialises").len()
+    serde_json::to_vec(&beat).expect("plain data always serialises").len()
 }
 
 fn lease_bytes(tasks: u64) -> usize {
@@ -237,8 +247,8 @@
             runs: (0..tasks).map(used).collect(),
         }),
     };
-    let req = serde_json::to_vec(&req).expect("plain data serialises").len();
-    req + serde_json::to_vec(&reply).expect("plain data serialises").len()
+    let req = serde_json::to_vec(&req).expect("plain data always serialises").len();
+    req + serde_json::to_vec(&reply).expect("plain data always serialises").len()
 }
 
 fn member_bytes() -> usize {
@@ -248,5 +258,5 @@
         domain: "vrhnika-hall".into(),
         beat: 123_456,
     };
-    serde_json::to_vec(&record).expect("plain data serialises").len()
+    serde_json::to_vec(&record).expect("plain data always serialises").len()
 }
