--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -1,9 +1,12 @@
-//! A site on virtual time: workers with a service and batch tasks that disturb it.
+//! A simulated site on virtual time: each worker runs a service and batch tasks that interfere with it.
 //!
-//! Assumptions, swept by the seed and not tuned to: the hidden coefficients and waves of the worker
-//! stand-in's interference model; a service's 99th percentile alone grows with the square of its
-//! load; the load of each worker swings over five minutes; measurements come three seconds late
-//! with five per cent of noise; a checkpoint every thirty seconds of work.
+//! The simulation rests on the following assumptions. The policies are not tuned to them, and the seed varies
+//! what is drawn at random:
+//! - The worker stand-in's interference model has hidden coefficients that vary over time.
+//! - Without batch tasks, a service's 99th percentile grows with the square of its load.
+//! - The load of each worker oscillates with a period of five minutes.
+//! - Latency measurements arrive three seconds late with five per cent of noise.
+//! - Tasks write a checkpoint after every thirty seconds of work.
 
 use std::collections::VecDeque;
 
@@ -15,11 +18,11 @@
 
 use crate::draw;
 
-/// The length of a step, in milliseconds.
+/// The length of a simulation step, in milliseconds.
 pub const STEP_MS: u64 = 500;
-/// The window of a measurement, in milliseconds.
+/// The window that a latency measurement covers, in milliseconds.
 pub const WINDOW_MS: u64 = 1_000;
-/// How late a measurement is, in milliseconds.
+/// The delay until a measurement reaches the policy, in milliseconds.
 pub const MEASUREMENT_LAG_MS: u64 = 3_000;
 const MEASUREMENT_NOISE: f64 = 0.05;
 const CHECKPOINT_INTERVAL_MS: f64 = 30_000.0;
@@ -28,125 +31,126 @@
 const CLASSES: u64 = 6;
 const LATENCY_SIGMA: f64 = 0.5;
 const NORMAL_P99: f64 = 2.326;
-/// The service's 99th percentile alone and idle, in microseconds.
+/// The service's 99th percentile latency without load and without batch tasks, in microseconds.
 pub const UNLOADED_P99_US: f64 = 10_000.0;
 
 /// A batch task.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// Its class.
+    /// The batch class, which determines how much the task interferes.
     pub class: ids::BatchClass,
-    /// What it holds.
+    /// The resources that it reserves.
     pub demand: sizes::Resources,
-    /// Its work, in milliseconds.
+    /// Its total work, in milliseconds at full speed.
     pub work_ms: f64,
-    /// Work done.
+    /// The work done so far, in milliseconds.
     pub done_ms: f64,
-    /// Work that its last checkpoint holds.
+    /// The work covered by its last checkpoint, in milliseconds.
     pub saved_ms: f64,
-    /// Evictions so far.
+    /// How often it has been evicted.
     pub evictions: u32,
-    /// Its speed, in thousandths.
+    /// Its speed, in thousandths of full speed.
     pub speed: u32,
 }
 
-/// A late measurement.
+/// A latency measurement of a service, which reaches the policy with a delay.
 #[derive(Debug, Clone)]
 pub struct Reading {
-    /// When it was taken.
+    /// When the measurement window ended, by the worker's clock.
     pub taken: wire::WorkerClock,
     /// The measured median, in microseconds.
     pub p50_us: f64,
     /// The measured 99th percentile, in microseconds.
     pub p99_us: f64,
-    /// The service's load then.
+    /// The service's load at that time, 0 to 1.
     pub load: f64,
 }
 
 /// A worker.
 #[derive(Debug)]
 pub struct Worker {
-    /// What it can carry.
+    /// Its total resources.
     pub capacity: sizes::Resources,
-    /// What the service holds.
+    /// The resources that the service reserves.
     pub service: sizes::Resources,
-    /// Its batch tasks.
+    /// The batch tasks that it runs.
     pub tasks: Vec<Task>,
     phase: f64,
     readings: VecDeque<Reading>,
     last_reading_ms: u64,
 }
 
-/// A deployment of the brief.
+/// A deployment that the project must serve: one service and its workers.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// Its name.
+    /// Its name in the report.
     pub name: &'static str,
-    /// Its service.
+    /// The latency-critical service on every worker.
     pub service: ids::ServiceId,
-    /// Workers.
+    /// The number of workers.
     pub workers: usize,
-    /// Each worker's capacity.
+    /// The capacity of each worker.
     pub capacity: sizes::Resources,
-    /// The objective, in microseconds.
+    /// The objective for the service's 99th percentile latency, in microseconds.
     pub objective_us: f64,
 }
 
-/// Both deployments of the brief, at their sizes, with an objective of `room` times the service's
-/// 99th percentile alone and idle.
-pub fn deployments(room: f64) -> Vec<Deployment> {
+/// Returns both required deployments at their full sizes. The latency objective is `objective_factor`
+/// times the service's 99th percentile without load and without batch tasks.
+pub fn deployments(objective_factor: f64) -> Vec<Deployment> {
     vec![
         Deployment {
             name: "coldtrace",
             service: "coldtrace".into(),
             workers: 65,
             capacity: sizes::Resources::new(16_000, 60 * 1024, 0),
-            objective_us: UNLOADED_P99_US * room,
+            objective_us: UNLOADED_P99_US * objective_factor,
         },
         Deployment {
             name: "booking",
             service: "booking".into(),
             workers: 50,
             capacity: sizes::Resources::new(64_000, 250 * 1024, 0),
-            objective_us: UNLOADED_P99_US * room,
+            objective_us: UNLOADED_P99_US * objective_factor,
         },
     ]
 }
 
-/// Everything that a run counts.
+/// The totals that a run collects.
 #[derive(Debug)]
 pub struct Totals {
-    /// Latencies of the service, in microseconds.
+    /// Latencies of the service's requests, in microseconds.
     pub latency_us: Histogram<u64>,
-    /// Batch work done and kept, in core seconds.
+    /// Batch work done and not lost, in core seconds.
     pub work_core_s: f64,
-    /// Evictions.
+    /// The number of evictions.
     pub evictions: u64,
-    /// Work lost by evictions, in core seconds.
+    /// Batch work lost to evictions, in core seconds.
     pub lost_core_s: f64,
-    /// Finished tasks.
+    /// The number of finished tasks.
     pub finished: u64,
 }
 
-/// A running site.
+/// The state of a simulated site.
 pub struct Site {
-    /// Its deployment.
+    /// The deployment that the site simulates.
     pub deployment: Deployment,
-    /// The time.
+    /// The virtual time, in milliseconds.
     pub now_ms: u64,
-    /// Its workers.
+    /// All workers of the site.
     pub workers: Vec<Worker>,
-    /// Waiting tasks that were evicted; fresh ones are drawn without end.
+    /// Tasks that wait after an eviction or because no worker had free capacity. The supply of new tasks
+    /// is endless.
     pub evicted: VecDeque<Task>,
-    /// Counted so far.
+    /// The totals so far.
     pub totals: Totals,
-    /// Draws everything.
+    /// The random number generator for everything drawn at the site.
     pub rng: ChaCha8Rng,
     seed: u64,
 }
 
 impl Site {
-    /// Builds a site with idle workers.
+    /// Builds a site whose workers run no batch tasks yet.
     pub fn open(deployment: &Deployment, seed: u64, mut rng: ChaCha8Rng) -> Self {
         let cpu = deployment.capacity.cpu.0;
         let service = sizes::Resources::new(cpu / 4, deployment.capacity.mem.0 / 4, 0);
@@ -160,7 +164,8 @@
                 last_reading_ms: 0,
             })
             .collect();
-        let latency_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("constant bounds");
+        let latency_us = Histogram::new_with_bounds(1, 60_000_000, 3)
+            .expect("the histogram's constant bounds are valid");
         let totals =
             Totals { latency_us, work_core_s: 0.0, evictions: 0, lost_core_s: 0.0, finished: 0 };
         Self {
@@ -174,7 +179,7 @@
         }
     }
 
-    /// Returns the next task to be placed: an evicted one, else a fresh one.
+    /// Returns the next task to place: a waiting one if there is any, otherwise a newly drawn one.
     pub fn next_task(&mut self) -> Task {
         if let Some(task) = self.evicted.pop_front() {
             return task;
@@ -193,12 +198,13 @@
         }
     }
 
-    /// Puts a task back that found no place.
+    /// Returns a task to the queue because no worker could run it.
     pub fn put_back(&mut self, task: Task) {
         self.evicted.push_back(task);
     }
 
-    /// Moves a task away: it keeps its work after a checkpoint (`orderly`), or only its last one.
+    /// Evicts a task from a worker. If `orderly`, it writes a checkpoint first and loses no work; otherwise
+    /// it falls back to its last checkpoint.
     pub fn evict(&mut self, worker: usize, index: usize, orderly: bool) {
         let mut task = self.workers[worker].tasks.swap_remove(index);
         let cores = f64::from(task.demand.cpu.0) / 1000.0;
@@ -214,10 +220,10 @@
         self.evicted.push_back(task);
     }
 
-    /// Returns a worker's service load now, 0 to 1.
+    /// Returns the current load of a worker's service, 0 to 1.
     pub fn load(&self, worker: usize) -> f64 {
-        let turn = (self.now_ms as f64 + self.workers[worker].phase) / LOAD_PERIOD_MS;
-        0.45 + 0.35 * (turn * std::f64::consts::TAU).sin()
+        let cycles = (self.now_ms as f64 + self.workers[worker].phase) / LOAD_PERIOD_MS;
+        0.45 + 0.35 * (cycles * std::f64::consts::TAU).sin()
     }
 
     fn p99_us(&self, worker: usize) -> f64 {
@@ -228,7 +234,7 @@
         UNLOADED_P99_US * (1.0 + 0.5 * load * load) * factor
     }
 
-    /// Returns the processors' share that each class uses on a worker.
+    /// Returns the share of a worker's processors that each batch class uses.
     pub fn shares(&self, worker: usize) -> Vec<(ids::BatchClass, f64)> {
         let w = &self.workers[worker];
         let whole = f64::from(w.capacity.cpu.0);
@@ -243,7 +249,7 @@
         shares
     }
 
-    /// Lets one step pass and returns the measurements that arrive, by worker.
+    /// Advances the time by one step and returns the measurements that arrive, each with its worker.
     pub fn step(&mut self) -> Vec<(usize, Reading)> {
         self.now_ms += STEP_MS;
         let mut arrived = Vec::new();
@@ -270,7 +276,7 @@
         arrived
     }
 
-    /// Draws some requests' latencies, log-normal with the given 99th percentile.
+    /// Records latencies drawn from a log-normal distribution with the given 99th percentile.
     fn draw_latencies(&mut self, p99_us: f64) {
         let median = p99_us / (LATENCY_SIGMA * NORMAL_P99).exp();
         for _ in 0..LATENCIES_PER_STEP {
@@ -294,7 +300,7 @@
         });
     }
 
-    /// Returns what is reserved on a worker.
+    /// Returns the resources reserved on a worker by the service and the batch tasks.
     pub fn used(&self, worker: usize) -> sizes::Resources {
         let w = &self.workers[worker];
         w.tasks.iter().fold(w.service, |sum, t| sum.plus(&t.demand))
