--- a/crates/measure/src/site.rs
+++ b/crates/measure/src/site.rs
@@ -24,13 +24,20 @@
 pub const WINDOW_MS: u64 = 1_000;
 /// The delay until a measurement reaches the policy, in milliseconds.
 pub const MEASUREMENT_LAG_MS: u64 = 3_000;
+/// The standard deviation of the noise of a measurement, as a share of its value.
 const MEASUREMENT_NOISE: f64 = 0.05;
+/// The interval at which a batch task writes a checkpoint, in milliseconds of work.
 const CHECKPOINT_INTERVAL_MS: f64 = 30_000.0;
+/// The period in which the load of a service oscillates, in milliseconds.
 const LOAD_PERIOD_MS: f64 = 300_000.0;
+/// The latencies that are recorded for each worker and step.
 const LATENCIES_PER_STEP: usize = 4;
-const CLASSES: u64 = 6;
+/// The number of classes of batch tasks.
+const BATCH_CLASSES: u64 = 6;
+/// The standard deviation of the logarithm of latencies.
 const LATENCY_SIGMA: f64 = 0.5;
-const NORMAL_P99: f64 = 2.326;
+/// The 99th percentile of the standard normal distribution.
+const STANDARD_NORMAL_P99: f64 = 2.326;
 /// The service's 99th percentile latency without load and without batch tasks, in microseconds.
 pub const UNLOADED_P99_US: f64 = 10_000.0;
 
@@ -186,7 +193,7 @@
         }
         let scale = self.deployment.capacity.cpu.0 / 16_000;
         let cores = self.rng.random_range(1..=4) * scale.max(1);
-        let class = self.rng.random_range(0..CLASSES);
+        let class = self.rng.random_range(0..BATCH_CLASSES);
         Task {
             class: ids::BatchClass(format!("class-{class}")),
             demand: sizes::Resources::new(cores * 1000, cores * 2048, 0),
@@ -261,7 +268,7 @@
                 let noise = 1.0 + MEASUREMENT_NOISE * draw::normal(&mut self.rng);
                 let taken = wire::WorkerClock(self.now_ms);
                 let p99_us = p99_us * noise;
-                let p50_us = p99_us / (LATENCY_SIGMA * NORMAL_P99).exp();
+                let p50_us = p99_us / (LATENCY_SIGMA * STANDARD_NORMAL_P99).exp();
                 let reading = Reading { taken, p50_us, p99_us, load: self.load(i) };
                 let w = &mut self.workers[i];
                 w.last_reading_ms = self.now_ms;
@@ -278,7 +285,7 @@
 
     /// Records latencies drawn from a log-normal distribution with the given 99th percentile.
     fn draw_latencies(&mut self, p99_us: f64) {
-        let median = p99_us / (LATENCY_SIGMA * NORMAL_P99).exp();
+        let median = p99_us / (LATENCY_SIGMA * STANDARD_NORMAL_P99).exp();
         for _ in 0..LATENCIES_PER_STEP {
             let latency = median * (LATENCY_SIGMA * draw::normal(&mut self.rng)).exp();
             self.totals.latency_us.saturating_record(latency.max(1.0) as u64);
