--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -13,10 +13,15 @@
 use crate::report::Report;
 
 const WORKERS: usize = 20;
-const SLOTS: u32 = 8;
+/// The number of requests that a worker serves at the same time.
+const SLOTS_PER_WORKER: u32 = 8;
+/// The mean time to serve a request, in milliseconds.
 const MEAN_SERVICE_MS: f64 = 40.0;
+/// The time from the arrival of a request to its deadline, in milliseconds.
 const DEADLINE_MS: u64 = 400;
+/// The time in which requests arrive and good answers count, in milliseconds.
 const RUN_MS: u64 = 60_000;
+/// How often a retrying caller sends a request again at most.
 const MAX_RETRIES: u32 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -113,7 +118,7 @@
         busy: 0,
         good: 0,
     };
-    let capacity_per_ms = WORKERS as f64 * f64::from(SLOTS) / MEAN_SERVICE_MS;
+    let capacity_per_ms = WORKERS as f64 * f64::from(SLOTS_PER_WORKER) / MEAN_SERVICE_MS;
     let mut at = 0.0;
     while (at as u64) < RUN_MS {
         at += draw::exponential(&mut r.rng, 1.0 / (capacity_per_ms * load));
@@ -134,7 +139,7 @@
             worker: worker.clone(),
             partition: ids::PartitionId(0),
             epoch: ids::Epoch(1),
-            slots: SLOTS,
+            slots: SLOTS_PER_WORKER,
             services: vec![service()],
             open: true,
         });
@@ -224,7 +229,7 @@
 
     /// Starts queued requests of the baseline in order of arrival, including those past their deadline.
     fn serve_queue(&mut self) {
-        while self.busy < WORKERS as u32 * SLOTS {
+        while self.busy < WORKERS as u32 * SLOTS_PER_WORKER {
             let Some(next) = self.queue.pop_front() else { return };
             self.busy += 1;
             self.begin(next, None);
