--- a/crates/measure/src/fairness.rs
+++ b/crates/measure/src/fairness.rs
@@ -10,10 +10,15 @@
 
 use crate::report::Report;
 
+/// The number of partners; partner 0 is the one that floods the queue.
 const PARTNERS: usize = 12;
+/// The capacity of the whole installation, which all partners share.
 const CAPACITY: sizes::Resources = sizes::Resources::new(320_000, 1_200_000, 0);
+/// The simulated time, in seconds.
 const RUN_S: u64 = 1_800;
+/// The mean time that a task runs, in seconds.
 const MEAN_TASK_S: u64 = 20;
+/// How many times as many tasks as usual the flooding partner submits.
 const FLOOD_FACTOR: f64 = 40.0;
 /// Tasks that an ordinary partner submits each second; all partners together use about 90 % of the capacity.
 const TASKS_PER_S: f64 = 1.2;
