--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -8,10 +8,15 @@
 
 use crate::report::Report;
 
+/// The simulated time, in milliseconds.
 const RUN_MS: u64 = 600_000;
+/// The length of a simulation step, in milliseconds.
 const STEP_MS: u64 = 500;
+/// The number of workers in a partition; one decision considers only these.
 const WORKERS_PER_PARTITION: usize = 16;
+/// The index of the worker that fails everything.
 const BAD_WORKER: usize = 3;
+/// The capacity of each worker.
 const CAPACITY: sizes::Resources = sizes::Resources::new(16_000, 60 * 1024, 0);
 /// One job in this many is itself broken and fails on every worker.
 const BROKEN_JOB_INTERVAL: u64 = 200;
