--- a/crates/measure/src/pairing.rs
+++ b/crates/measure/src/pairing.rs
@@ -9,11 +9,13 @@
 use crate::report::Report;
 use crate::site::{self, Deployment, Reading, Site, Task, WINDOW_MS};
 
+/// The simulated time, in milliseconds.
 const RUN_MS: u64 = 900_000;
 /// A step stops placing tasks once this many have found no worker.
 const MAX_UNPLACED_PER_STEP: usize = 24;
 /// The number of workers in a partition; one decision considers only these.
 const WORKERS_PER_PARTITION: usize = 16;
+/// The caps tried for the baselines with a static cap, in per cent of the processors. The best one counts.
 const STATIC_CAPS_PERCENT: [u32; 9] = [3, 6, 10, 15, 20, 30, 45, 60, 75];
 /// Latency objectives as multiples of the unloaded 99th percentile.
 const OBJECTIVE_FACTORS: [f64; 3] = [1.6, 2.0, 3.0];
