--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -13,9 +13,11 @@
 
 use crate::report::Report;
 
+/// The numbers of workers to measure.
 const FLEET_SIZES: [usize; 4] = [50, 200, 650, 1_300];
 /// Tasks for each worker at the size planned for in two years: 13,700 tasks on 1,300 workers.
 const TASKS_PER_WORKER: usize = 11;
+/// How often a placement decision is repeated to measure its mean time.
 const DECISIONS: usize = 2_000;
 
 /// Measures costs and sizes for each fleet size.
