--- a/crates/burn/src/burn.rs
+++ b/crates/burn/src/burn.rs
@@ -69,6 +69,7 @@
 /// The burn in the shortest window from which the budget counts as burning fast. At this rate, a month's budget
 /// is used up in two days.
 pub const FAST_BURN: f64 = 14.0;
+/// The burn in the longest window from which the budget counts as burning slowly: exactly the allowed rate.
 const SLOW_BURN: f64 = 1.0;
 
 fn cause_of(code: u16) -> Option<Cause> {
