--- a/crates/burn/src/main.rs
+++ b/crates/burn/src/main.rs
@@ -1,4 +1,4 @@
-//! `gaplock-burn`: the report on service-level burn, as text, JSON or a page.
+//! `gaplock-burn`: reports on service-level burn as text, JSON or an HTML page.
 
 use std::io::Write as _;
 use std::process::ExitCode;
@@ -50,7 +50,7 @@
 }
 
 fn objective(text: &str) -> Result<Objective, String> {
-    let fail = || format!("--objective: `{text}` is not SERVICE=MS:PERCENT");
+    let fail = || format!("invalid --objective `{text}`: expected SERVICE=MS:PERCENT");
     let (service, rest) = text.split_once('=').ok_or_else(fail)?;
     let (latency, percent) = rest.split_once(':').ok_or_else(fail)?;
     Ok(Objective {
@@ -65,12 +65,12 @@
     let texts: Vec<String> = values.list("objective").map_err(|e| e.to_string())?;
     let objectives = texts.iter().map(|t| objective(t)).collect::<Result<Vec<_>, _>>()?;
     let windows: Vec<u64> = values.list("windows").map_err(|e| e.to_string())?;
-    let mut samples = kept(values.text("samples"))?;
+    let mut samples = read_samples(values.text("samples"))?;
     let began = Instant::now();
     let span = Duration::from_secs(values.number("for"));
     loop {
         let taken = sample::take(&health).await;
-        keep(values.text("samples"), &taken)?;
+        append_samples(values.text("samples"), &taken)?;
         samples.extend(taken);
         if began.elapsed() >= span {
             break;
@@ -93,7 +93,7 @@
     Ok(())
 }
 
-fn kept(file: &str) -> Result<Vec<Sample>, String> {
+fn read_samples(file: &str) -> Result<Vec<Sample>, String> {
     if file.is_empty() || !std::path::Path::new(file).exists() {
         return Ok(Vec::new());
     }
@@ -103,7 +103,7 @@
         .collect()
 }
 
-fn keep(file: &str, samples: &[Sample]) -> Result<(), String> {
+fn append_samples(file: &str, samples: &[Sample]) -> Result<(), String> {
     if file.is_empty() {
         return Ok(());
     }
--- a/crates/measure/src/badworker.rs
+++ b/crates/measure/src/badworker.rs
@@ -1,4 +1,5 @@
-//! Tasks lost to a worker that fails everything it starts, against no knowledge of failures.
+//! Measures how many task runs are lost to a worker that fails everything it starts, against a first-fit
+//! baseline that ignores failures.
 
 use gaplock_policy::{health, interference, placement};
 use gaplock_types::{ids, sizes, time};
@@ -7,22 +8,27 @@
 
 use crate::report::Report;
 
+/// The simulated time, in milliseconds.
 const RUN_MS: u64 = 600_000;
+/// The length of a simulation step, in milliseconds.
 const STEP_MS: u64 = 500;
-const PARTITION: usize = 16;
-const BAD: usize = 3;
+/// The number of workers in a partition; one decision considers only these.
+const WORKERS_PER_PARTITION: usize = 16;
+/// The index of the worker that fails everything.
+const BAD_WORKER: usize = 3;
+/// The capacity of each worker.
 const CAPACITY: sizes::Resources = sizes::Resources::new(16_000, 60 * 1024, 0);
-/// One job in this many is itself broken and fails everywhere.
-const BROKEN_JOBS: u64 = 200;
+/// One job in this many is itself broken and fails on every worker.
+const BROKEN_JOB_INTERVAL: u64 = 200;
 
 struct Outcome {
     lost: u64,
     good_workers_quarantined: u64,
-    broken_given_up: u64,
+    broken_failed: u64,
     broken: u64,
 }
 
-/// Measures fleets of 50 to 1,300 workers.
+/// Measures the lost task runs for fleets of 50 to 1,300 workers.
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut worst = 0;
@@ -35,7 +41,7 @@
             ours.lost.to_string(),
             plain.lost.to_string(),
             ours.good_workers_quarantined.to_string(),
-            format!("{} of {}", ours.broken_given_up, ours.broken),
+            format!("{} of {}", ours.broken_failed, ours.broken),
         ]);
     }
     Report {
@@ -63,7 +69,7 @@
     demand: sizes::Resources,
 }
 
-/// A fleet with one worker that fails what it starts.
+/// A fleet with one worker that fails every task it starts.
 struct Fleet {
     ours: bool,
     running: Vec<Vec<Running>>,
@@ -82,16 +88,16 @@
         quarantined: vec![false; workers],
         health: health::HealthTracker::default(),
         waiting: Vec::new(),
-        out: Outcome { lost: 0, good_workers_quarantined: 0, broken_given_up: 0, broken: 0 },
+        out: Outcome { lost: 0, good_workers_quarantined: 0, broken_failed: 0, broken: 0 },
     };
     for now in (0..RUN_MS).step_by(STEP_MS as usize) {
         for i in 0..workers {
             fleet.end_runs(i, now);
         }
-        // About one start a second for each eight workers keeps the fleet two thirds full.
+        // About one start per second for every eight workers keeps the fleet two thirds full.
         for _ in 0..(workers as u64 * STEP_MS).div_ceil(8_000) {
             next_job += 1;
-            fleet.out.broken += u64::from(next_job.is_multiple_of(BROKEN_JOBS));
+            fleet.out.broken += u64::from(next_job.is_multiple_of(BROKEN_JOB_INTERVAL));
             fleet.waiting.push(next_job);
         }
         fleet.place_jobs(now, &mut rng);
@@ -100,7 +106,7 @@
 }
 
 impl Fleet {
-    /// Ends the runs of a worker whose time is over, and its quarantine.
+    /// Ends the runs of worker `i` whose time is over, and its quarantine when it is due to end.
     fn end_runs(&mut self, i: usize, now: u64) {
         let at = time::Instant(now);
         let worker = ids::WorkerId(format!("w{i}"));
@@ -117,7 +123,7 @@
         }
     }
 
-    /// Takes in the end of a run; tells whether its job is to run again.
+    /// Handles the end of a run. Returns whether its job must run again.
     fn end_run(
         &mut self,
         i: usize,
@@ -125,28 +131,28 @@
         worker: &ids::WorkerId,
         r: &Running,
     ) -> bool {
-        let broken = r.job.is_multiple_of(BROKEN_JOBS);
+        let broken = r.job.is_multiple_of(BROKEN_JOB_INTERVAL);
         let job = job_id(r.job);
-        if i != BAD && !broken {
+        if i != BAD_WORKER && !broken {
             self.health.record_success(worker, job);
             return false;
         }
-        self.out.lost += u64::from(i == BAD && !broken);
+        self.out.lost += u64::from(i == BAD_WORKER && !broken);
         match self.health.record_failure(at, worker, job) {
             health::FailureAction::FailJob if broken && self.ours => {
-                self.out.broken_given_up += 1;
+                self.out.broken_failed += 1;
                 return false;
             }
             health::FailureAction::Quarantine if self.ours => {
                 self.quarantined[i] = true;
-                self.out.good_workers_quarantined += u64::from(i != BAD);
+                self.out.good_workers_quarantined += u64::from(i != BAD_WORKER);
             }
             _ => {}
         }
         true
     }
 
-    /// Starts the waiting jobs for which a worker is found.
+    /// Starts each waiting job for which a worker is found.
     fn place_jobs(&mut self, now: u64, rng: &mut ChaCha8Rng) {
         for job in std::mem::take(&mut self.waiting) {
             let chosen = choose(&self.running, &self.quarantined, &self.health, self.ours, rng);
@@ -154,8 +160,9 @@
                 self.waiting.push(job);
                 continue;
             };
-            let broken = job.is_multiple_of(BROKEN_JOBS);
-            let runs_ms = if i == BAD || broken { 200 } else { rng.random_range(20_000..60_000) };
+            let broken = job.is_multiple_of(BROKEN_JOB_INTERVAL);
+            let runs_ms =
+                if i == BAD_WORKER || broken { 200 } else { rng.random_range(20_000..60_000) };
             self.running[i].push(Running { job, ends_ms: now + runs_ms, demand });
         }
     }
@@ -179,9 +186,9 @@
         let fits = |i: &usize| CAPACITY.holds(&used(*i).plus(&demand));
         return (0..fleet.len()).find(fits).map(|i| (i, demand));
     }
-    let partitions = fleet.len().div_ceil(PARTITION);
+    let partitions = fleet.len().div_ceil(WORKERS_PER_PARTITION);
     let p = rng.random_range(0..partitions);
-    let range = p * PARTITION..((p + 1) * PARTITION).min(fleet.len());
+    let range = p * WORKERS_PER_PARTITION..((p + 1) * WORKERS_PER_PARTITION).min(fleet.len());
     let usable: Vec<usize> = range
         .filter(|i| {
             let worker = ids::WorkerId(format!("w{i}"));
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -1,10 +1,10 @@
-//! `gaplock-measure NAME`: measures the decisions against plain baselines, in one run.
+//! `gaplock-measure NAME`: measures scheduling decisions against simple baseline policies in one run.
 //!
-//! `docs/MEASUREMENTS.md` holds the results with their commands.
+//! `docs/MEASUREMENTS.md` lists the results with the commands that produced them.
 
 use std::process::ExitCode;
 
-use gaplock_measure::patterns::{self, Asked};
+use gaplock_measure::patterns::{self, RunOptions};
 use gaplock_settings::{setting, Kind, Setting, Values};
 
 const ABOUT: &str =
@@ -42,19 +42,22 @@
     let values = gaplock_settings::read_or_exit("gaplock-measure", ABOUT, TABLE);
     let name = values.free.first().map(String::as_str).unwrap_or_default();
     if name == "patterns" {
-        return play_patterns(&values);
+        return run_patterns(&values);
     }
     let Some(report) = gaplock_measure::measure(name, values.number("seed")) else {
-        eprintln!("error: `{name}` is none of {}, patterns", gaplock_measure::NAMES);
+        eprintln!(
+            "error: unknown measurement `{name}`; expected one of {}, patterns",
+            gaplock_measure::NAMES
+        );
         return ExitCode::from(2);
     };
     report.print(values.switch("json"));
     ExitCode::SUCCESS
 }
 
-fn play_patterns(values: &Values) -> ExitCode {
+fn run_patterns(values: &Values) -> ExitCode {
     let file = |name| Some(values.text(name)).filter(|text| !text.is_empty()).map(Into::into);
-    let asked = Asked {
+    let options = RunOptions {
         names: values.free[1..].to_vec(),
         first_seed: values.number("seed"),
         seeds: values.number("seeds"),
@@ -65,7 +68,7 @@
         against: file("against"),
         svg: file("svg"),
     };
-    match patterns::play_and_print(&asked) {
+    match patterns::run_and_print(&options) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
             eprintln!("error: {why}");
--- a/crates/measure/src/overload.rs
+++ b/crates/measure/src/overload.rs
@@ -1,4 +1,5 @@
-//! Goodput of requests around and above capacity, with and without retrying callers.
+//! Measures the goodput of requests at loads from just below to three times the capacity, with and without
+//! retrying callers, against a single unbounded queue.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -12,17 +13,22 @@
 use crate::report::Report;
 
 const WORKERS: usize = 20;
-const SLOTS: u32 = 8;
-const MEAN_MS: f64 = 40.0;
+/// The number of requests that a worker serves at the same time.
+const SLOTS_PER_WORKER: u32 = 8;
+/// The mean time to serve a request, in milliseconds.
+const MEAN_SERVICE_MS: f64 = 40.0;
+/// The time from the arrival of a request to its deadline, in milliseconds.
 const DEADLINE_MS: u64 = 400;
+/// The time in which requests arrive and good answers count, in milliseconds.
 const RUN_MS: u64 = 60_000;
-const MOST_RETRIES: u32 = 4;
+/// How often a retrying caller sends a request again at most.
+const MAX_RETRIES: u32 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// Admission by deadline, exact slots, refusal with the time to come back.
+    /// Requests are admitted by deadline to free worker slots. Others are refused with a time to retry after.
     Ours,
-    /// One queue without end; callers that retry do so at once.
+    /// The baseline: one unbounded queue. Callers that retry do so immediately.
     Queue,
 }
 
@@ -30,11 +36,11 @@
 enum Event {
     Arrive { request: u64 },
     End { request: u64 },
-    GiveUp { request: u64 },
+    Timeout { request: u64 },
 }
 
 struct Request {
-    tries: u32,
+    attempts: u32,
     deadline_ms: u64,
     slot: Option<route::Slot>,
     ticket: Option<route::Ticket>,
@@ -60,7 +66,7 @@
     "booking".into()
 }
 
-/// Measures loads of 1, 1.5 and 3 times the capacity.
+/// Measures goodput at 0.9, 1, 1.5 and 3 times the capacity.
 pub fn measure(seed: u64) -> Report {
     let mut rows = Vec::new();
     let mut findings = Vec::new();
@@ -112,7 +118,7 @@
         busy: 0,
         good: 0,
     };
-    let capacity_per_ms = WORKERS as f64 * f64::from(SLOTS) / MEAN_MS;
+    let capacity_per_ms = WORKERS as f64 * f64::from(SLOTS_PER_WORKER) / MEAN_SERVICE_MS;
     let mut at = 0.0;
     while (at as u64) < RUN_MS {
         at += draw::exponential(&mut r.rng, 1.0 / (capacity_per_ms * load));
@@ -133,7 +139,7 @@
             worker: worker.clone(),
             partition: ids::PartitionId(0),
             epoch: ids::Epoch(1),
-            slots: SLOTS,
+            slots: SLOTS_PER_WORKER,
             services: vec![service()],
             open: true,
         });
@@ -143,11 +149,11 @@
 }
 
 impl Run {
-    fn add_request(&mut self, at: u64, tries: u32) {
+    fn add_request(&mut self, at: u64, attempts: u32) {
         let request = self.requests.len() as u64;
         let deadline_ms = at + DEADLINE_MS;
         self.requests.push(Request {
-            tries,
+            attempts,
             deadline_ms,
             slot: None,
             ticket: None,
@@ -161,7 +167,7 @@
         match event {
             Event::Arrive { request } => self.arrive(request),
             Event::End { request } => self.end(request),
-            Event::GiveUp { request } => self.give_up(request),
+            Event::Timeout { request } => self.time_out(request),
         }
     }
 
@@ -169,7 +175,7 @@
         let deadline = self.requests[request as usize].deadline_ms;
         if self.policy == Policy::Queue {
             self.queue.push_back(request);
-            self.events.push(Reverse((deadline, Event::GiveUp { request })));
+            self.events.push(Reverse((deadline, Event::Timeout { request })));
             self.serve_queue();
             return;
         }
@@ -179,17 +185,17 @@
             route::RouteDecision::Wait(ticket) => {
                 self.requests[request as usize].ticket = Some(ticket);
                 self.waiting.insert(ticket, request);
-                self.events.push(Reverse((deadline.0, Event::GiveUp { request })));
+                self.events.push(Reverse((deadline.0, Event::Timeout { request })));
             }
             route::RouteDecision::Refuse { after_s } => {
-                self.refused(request, u64::from(after_s) * 1000)
+                self.handle_refusal(request, u64::from(after_s) * 1000)
             }
-            route::RouteDecision::NoWorker => self.refused(request, 1000),
+            route::RouteDecision::NoWorker => self.handle_refusal(request, 1000),
         }
     }
 
     fn begin(&mut self, request: u64, slot: Option<route::Slot>) {
-        let took = draw::exponential(&mut self.rng, MEAN_MS).max(1.0) as u64;
+        let took = draw::exponential(&mut self.rng, MEAN_SERVICE_MS).max(1.0) as u64;
         let r = &mut self.requests[request as usize];
         r.slot = slot;
         r.began_ms = self.now;
@@ -210,7 +216,7 @@
                     let Some(next) = self.waiting.remove(&ticket) else { continue };
                     match slot {
                         Some(slot) => self.begin(next, Some(slot)),
-                        None => self.refused(next, 1000),
+                        None => self.handle_refusal(next, 1000),
                     }
                 }
             }
@@ -221,16 +227,16 @@
         }
     }
 
-    /// The baseline serves in order of arrival, late ones too.
+    /// Starts queued requests of the baseline in order of arrival, including those past their deadline.
     fn serve_queue(&mut self) {
-        while self.busy < WORKERS as u32 * SLOTS {
+        while self.busy < WORKERS as u32 * SLOTS_PER_WORKER {
             let Some(next) = self.queue.pop_front() else { return };
             self.busy += 1;
             self.begin(next, None);
         }
     }
 
-    fn give_up(&mut self, request: u64) {
+    fn time_out(&mut self, request: u64) {
         let r = &mut self.requests[request as usize];
         if r.ended {
             return;
@@ -238,26 +244,26 @@
         if let Some(ticket) = r.ticket {
             if r.slot.is_none() && self.router.remove_waiting(&service(), ticket) {
                 self.waiting.remove(&ticket);
-                self.refused(request, 1000);
+                self.handle_refusal(request, 1000);
             }
             return;
         }
-        // The baseline's caller has gone; its request stays in the queue and is served late.
+        // The baseline's caller has timed out. Its request stays in the queue and is served anyway, too late.
         r.ended = true;
-        self.again(request, 0);
+        self.schedule_retry(request, 0);
     }
 
-    fn refused(&mut self, request: u64, after_ms: u64) {
+    fn handle_refusal(&mut self, request: u64, after_ms: u64) {
         self.requests[request as usize].ended = true;
         let jitter = retry::backoff(1, time::Millis(500), time::Millis(500), &mut self.rng);
-        self.again(request, after_ms + jitter.0);
+        self.schedule_retry(request, after_ms + jitter.0);
     }
 
-    fn again(&mut self, request: u64, wait_ms: u64) {
-        let tries = self.requests[request as usize].tries + 1;
+    fn schedule_retry(&mut self, request: u64, wait_ms: u64) {
+        let attempts = self.requests[request as usize].attempts + 1;
         let at = self.now + wait_ms + self.rng.random_range(0..5);
-        if self.retrying && tries <= MOST_RETRIES && at < RUN_MS {
-            self.add_request(at, tries);
+        if self.retrying && attempts <= MAX_RETRIES && at < RUN_MS {
+            self.add_request(at, attempts);
         }
     }
 }
