--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -11,10 +11,10 @@
 use serde_json::{json, Value};
 
 use crate::server::{Result, Server};
-use crate::{table, Ended};
+use crate::{table, Exit};
 
 /// Runs the command that the settings' free arguments name.
-pub async fn run(values: &Values) -> Ended {
+pub async fn run(values: &Values) -> Exit {
     let words: Vec<&str> = values.free.iter().map(String::as_str).collect();
     let server = match Server::open(values) {
         Ok(server) => server,
@@ -34,13 +34,13 @@
         ["cancel", job] => cancel(&server, job).await,
         ["confirm-dead", worker] => confirm_dead(&server, worker).await,
         ["report"] => report(values).await,
-        [] => Err(Ended::Usage("name a command; --help lists them".to_string())),
+        [] => Err(Exit::Usage("name a command; --help lists them".to_string())),
         other => {
             let why = format!("`{}` is no command; --help lists them", other.join(" "));
-            Err(Ended::Usage(why))
+            Err(Exit::Usage(why))
         }
     };
-    done.err().unwrap_or(Ended::Done)
+    done.err().unwrap_or(Exit::Done)
 }
 
 fn print_json(value: &impl Serialize) {
@@ -48,12 +48,12 @@
 }
 
 fn read_intent(file: &str) -> Result<Value> {
-    let text = std::fs::read_to_string(file).map_err(|e| Ended::Usage(format!("{file}: {e}")))?;
+    let text = std::fs::read_to_string(file).map_err(|e| Exit::Usage(format!("{file}: {e}")))?;
     let is_json = Path::new(file).extension().is_some_and(|e| e == "json");
     if is_json {
-        return serde_json::from_str(&text).map_err(|e| Ended::Usage(format!("{file}: {e}")));
+        return serde_json::from_str(&text).map_err(|e| Exit::Usage(format!("{file}: {e}")));
     }
-    toml::from_str(&text).map_err(|e| Ended::Usage(format!("{file}: {e}")))
+    toml::from_str(&text).map_err(|e| Exit::Usage(format!("{file}: {e}")))
 }
 
 async fn plan(server: &Server, values: &Values, file: &str) -> Result<()> {
@@ -89,10 +89,10 @@
     let out = values.text("out");
     if !out.is_empty() {
         let text = serde_json::to_string_pretty(&plan).expect("plain data serialises");
-        std::fs::write(out, text).map_err(|e| Ended::Usage(format!("{out}: {e}")))?;
+        std::fs::write(out, text).map_err(|e| Exit::Usage(format!("{out}: {e}")))?;
     }
     if !plan.refused.is_empty() {
-        return Err(Ended::Refused("the plan cannot be confirmed; mend the intent".to_string()));
+        return Err(Exit::Refused("the plan cannot be confirmed; mend the intent".to_string()));
     }
     if out.is_empty() && !values.switch("json") {
         println!("nothing has moved; keep the plan with --out FILE to confirm it");
@@ -101,9 +101,9 @@
 }
 
 async fn confirm(server: &Server, file: &str, json: bool) -> Result<()> {
-    let text = std::fs::read_to_string(file).map_err(|e| Ended::Usage(format!("{file}: {e}")))?;
+    let text = std::fs::read_to_string(file).map_err(|e| Exit::Usage(format!("{file}: {e}")))?;
     let plan: api::Plan =
-        serde_json::from_str(&text).map_err(|e| Ended::Usage(format!("{file}: {e}")))?;
+        serde_json::from_str(&text).map_err(|e| Exit::Usage(format!("{file}: {e}")))?;
     let body = serde_json::to_vec(&plan).expect("plain data serialises");
     let done: Value = server.call(Method::Post, "/v1/plans/confirm", body).await?;
     let status: Option<api::ConfigStatus> = serde_json::from_value(done["status"].clone()).ok();
@@ -119,8 +119,8 @@
 }
 
 /// Says that a plan was confirmed, as a repeat learns, but is not what is in force.
-fn superseded(generation: ids::Generation) -> Ended {
-    Ended::Stale(format!(
+fn superseded(generation: ids::Generation) -> Exit {
+    Exit::Stale(format!(
         "the plan was confirmed before, and {generation} has taken its place since"
     ))
 }
@@ -262,9 +262,9 @@
 
 /// Prints the entries' own counters of services; `gaplock-burn` makes the full report.
 async fn report(values: &Values) -> Result<()> {
-    let health: Vec<String> = values.list("health").map_err(|e| Ended::Usage(e.to_string()))?;
+    let health: Vec<String> = values.list("health").map_err(|e| Exit::Usage(e.to_string()))?;
     if health.is_empty() {
-        return Err(Ended::Usage("`report` needs --health or GAPLOCK_HEALTH".to_string()));
+        return Err(Exit::Usage("`report` needs --health or GAPLOCK_HEALTH".to_string()));
     }
     let mut rows = Vec::new();
     for addr in &health {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -41,7 +41,7 @@
 ];
 
 /// How a command ended.
-pub enum Ended {
+pub enum Exit {
     /// Done.
     Done,
     /// Refused by gaplock, with the refusal as text.
@@ -57,11 +57,11 @@
 fn main() -> ExitCode {
     let values = gaplock_settings::read_or_exit("gaplock", ABOUT, TABLE);
     let (code, why) = match task::block_on(commands::run(&values)) {
-        Ended::Done => return ExitCode::SUCCESS,
-        Ended::Refused(why) => (1, why),
-        Ended::Usage(why) => (2, why),
-        Ended::Unreachable(why) => (3, why),
-        Ended::Stale(why) => (4, why),
+        Exit::Done => return ExitCode::SUCCESS,
+        Exit::Refused(why) => (1, why),
+        Exit::Usage(why) => (2, why),
+        Exit::Unreachable(why) => (3, why),
+        Exit::Stale(why) => (4, why),
     };
     eprintln!("error: {why}");
     ExitCode::from(code)
--- a/crates/cli/src/server.rs
+++ b/crates/cli/src/server.rs
@@ -8,7 +8,7 @@
 use http_types::Method;
 use serde::de::DeserializeOwned;
 
-use crate::Ended;
+use crate::Exit;
 
 const LIMIT: Duration = Duration::from_secs(15);
 
@@ -19,12 +19,12 @@
 }
 
 /// The result of a call.
-pub type Result<T> = std::result::Result<T, Ended>;
+pub type Result<T> = std::result::Result<T, Exit>;
 
 impl Server {
     /// Reads the entries and the key from the settings.
     pub fn open(values: &Values) -> Result<Self> {
-        let entries = values.list("entry").map_err(|e| Ended::Usage(e.to_string()))?;
+        let entries = values.list("entry").map_err(|e| Exit::Usage(e.to_string()))?;
         let bearer = format!("Bearer {}", values.text("key"));
         Ok(Self { entries, bearer })
     }
@@ -43,7 +43,7 @@
         if answer.status >= 400 {
             return Err(refused(&answer));
         }
-        answer.json().ok_or_else(|| Ended::Refused("the answer cannot be read".to_string()))
+        answer.json().ok_or_else(|| Exit::Refused("the answer cannot be read".to_string()))
     }
 
     async fn answer(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Answer> {
@@ -59,22 +59,22 @@
                         "{entry} gave no whole answer; the command may have taken effect. Look \
                          with `gaplock status`, then repeat it: a confirmation is safe to repeat"
                     );
-                    return Err(Ended::Unreachable(why));
+                    return Err(Exit::Unreachable(why));
                 }
             }
         }
         let why = "no entry can be reached; check --entry or GAPLOCK_ENTRY".to_string();
-        Err(Ended::Unreachable(why))
+        Err(Exit::Unreachable(why))
     }
 }
 
-fn refused(answer: &Answer) -> Ended {
+fn refused(answer: &Answer) -> Exit {
     let Some(refusal) = answer.json::<api::Refusal>() else {
-        return Ended::Refused(format!("status {}", answer.status));
+        return Exit::Refused(format!("status {}", answer.status));
     };
     let text = format!("{} {}: {}", refusal.code, refusal.name, refusal.message);
     match refusal.result_code() {
-        codes::Code::PlanStale | codes::Code::PlanExpired => Ended::Stale(text),
-        _ => Ended::Refused(text),
+        codes::Code::PlanStale | codes::Code::PlanExpired => Exit::Stale(text),
+        _ => Exit::Refused(text),
     }
 }
