--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -139,7 +139,7 @@
             entries: Vec::new(),
             started: 0,
         };
-        cluster.tell_hosts().await?;
+        cluster.publish_hosts().await?;
         for _ in 0..cluster.plan.entries {
             cluster.add_entry().await?;
         }
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     /// Returns why the list did not take it.
-    pub async fn tell_hosts(&self) -> io::Result<()> {
+    pub async fn publish_hosts(&self) -> io::Result<()> {
         let body = serde_json::to_vec(&self.hosts).expect("plain data serialises");
         put(&self.hosts_addr, "/set", body).await.map(drop)
     }
--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -142,7 +142,7 @@
 ) -> io::Result<()> {
     let lost = site.cluster.hosts[3].domain.clone();
     site.cluster.hosts.retain(|h| h.domain != lost);
-    site.cluster.tell_hosts().await?;
+    site.cluster.publish_hosts().await?;
     v.faults += 1;
     // Jobs spread over every partition by their keys, so some belong to the one without workers.
     for i in 0..16 {
@@ -179,7 +179,7 @@
             site.cluster.hosts[*i].leaving = true;
             v.faults += 1;
         }
-        site.cluster.tell_hosts().await?;
+        site.cluster.publish_hosts().await?;
         let cancelled = jobs.remove(0);
         let path = format!("/v1/jobs/{cancelled}");
         let key = site::PARTNER_KEYS[0].1;
@@ -197,7 +197,7 @@
             site.cluster.tell_worker(*i, "/set-leaving", json!(false)).await?;
             site.cluster.hosts[*i].leaving = false;
         }
-        site.cluster.tell_hosts().await?;
+        site.cluster.publish_hosts().await?;
     }
     let statuses = site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
     let findings = site.cluster.judge().await?;
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -21,7 +21,7 @@
     }
     // The list says so first; the worker itself knows nothing of it.
     site.cluster.hosts[0].leaving = true;
-    site.cluster.tell_hosts().await?;
+    site.cluster.publish_hosts().await?;
     v.faults += 1;
     // The list hangs, and only the worker itself refuses.
     task::sleep(Duration::from_millis(1_200)).await;
