--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -232,7 +232,7 @@
     ///
     /// # Errors
     /// Returns why the worker did not take it.
-    pub async fn tell_worker(&self, i: usize, path: &str, body: Value) -> io::Result<()> {
+    pub async fn send_to_worker(&self, i: usize, path: &str, body: Value) -> io::Result<()> {
         put(&self.worker_addrs[i], path, body.to_string().into_bytes()).await.map(drop)
     }
 
--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -175,7 +175,7 @@
     // owner is killed. Then the workers come back and others leave: tasks move twice in a row.
     for (round, leaving) in [[0_usize, 1], [2, 3]].iter().enumerate() {
         for i in leaving {
-            site.cluster.tell_worker(*i, "/set-leaving", json!(true)).await?;
+            site.cluster.send_to_worker(*i, "/set-leaving", json!(true)).await?;
             site.cluster.hosts[*i].leaving = true;
             v.faults += 1;
         }
@@ -194,7 +194,7 @@
         }
         task::sleep(Duration::from_millis(1_500)).await;
         for i in leaving {
-            site.cluster.tell_worker(*i, "/set-leaving", json!(false)).await?;
+            site.cluster.send_to_worker(*i, "/set-leaving", json!(false)).await?;
             site.cluster.hosts[*i].leaving = false;
         }
         site.cluster.publish_hosts().await?;
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -32,12 +32,12 @@
     }
     // Workers whose answers are cut short.
     for i in 0..4 {
-        site.cluster.tell_worker(i, "/set-cut", json!(true)).await?;
+        site.cluster.send_to_worker(i, "/set-cut", json!(true)).await?;
         v.faults += 1;
     }
     task::sleep(Duration::from_millis(1_500)).await;
     for i in 0..4 {
-        site.cluster.tell_worker(i, "/set-cut", json!(false)).await?;
+        site.cluster.send_to_worker(i, "/set-cut", json!(false)).await?;
     }
     // An entry's connections to its peers are cut while answers are on their way.
     for i in 0..3 {
@@ -89,7 +89,7 @@
     v.faults += 1;
     task::sleep(Duration::from_millis(800)).await;
     for i in 0..3 {
-        site.cluster.tell_worker(i, "/set-leaving", json!(true)).await?;
+        site.cluster.send_to_worker(i, "/set-leaving", json!(true)).await?;
         v.faults += 1;
     }
     task::sleep(Duration::from_millis(800)).await;
@@ -158,7 +158,7 @@
         3 => site.cluster.set_store(json!({"down": true})).await?,
         4 => {
             for i in 0..8 {
-                site.cluster.tell_worker(i, "/set-cut", json!(true)).await?;
+                site.cluster.send_to_worker(i, "/set-cut", json!(true)).await?;
             }
         }
         _ => {}
@@ -170,7 +170,7 @@
     site.cluster.set_store(json!({})).await?;
     if round == 4 {
         for i in 0..8 {
-            site.cluster.tell_worker(i, "/set-cut", json!(false)).await?;
+            site.cluster.send_to_worker(i, "/set-cut", json!(false)).await?;
         }
     }
     Ok(())
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -26,8 +26,8 @@
     // The list hangs, and only the worker itself refuses.
     task::sleep(Duration::from_millis(1_200)).await;
     site.cluster.set_host_list_down(true).await?;
-    site.cluster.tell_worker(1, "/set-leaving", json!(true)).await?;
-    site.cluster.tell_worker(0, "/set-leaving", json!(true)).await?;
+    site.cluster.send_to_worker(1, "/set-leaving", json!(true)).await?;
+    site.cluster.send_to_worker(0, "/set-leaving", json!(true)).await?;
     v.faults += 2;
     // An owner dies meanwhile: the next one must know as well.
     task::sleep(Duration::from_millis(1_000)).await;
