--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -224,7 +224,7 @@
     ///
     /// # Errors
     /// Returns why the store did not take them.
-    pub async fn set_store(&self, faults: Value) -> io::Result<()> {
+    pub async fn set_store_faults(&self, faults: Value) -> io::Result<()> {
         put(&self.store_addr, "/faults", faults.to_string().into_bytes()).await.map(drop)
     }
 
--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -117,11 +117,11 @@
             site.cluster.entries[victim].process.thaw();
         }
         _ => {
-            site.cluster.set_store(json!({"lose_percent": 30})).await?;
+            site.cluster.set_store_faults(json!({"lose_percent": 30})).await?;
             site.cluster.entries[victim].store_relay.set_cut(true);
             task::sleep(Duration::from_millis(2_000)).await;
             site.cluster.entries[victim].store_relay.set_cut(false);
-            site.cluster.set_store(json!({})).await?;
+            site.cluster.set_store_faults(json!({})).await?;
         }
     }
     Ok(())
--- a/crates/demo/src/prove/configuration.rs
+++ b/crates/demo/src/prove/configuration.rs
@@ -89,9 +89,9 @@
     for round in 0..3 {
         let base = generation(site, 0).await;
         let p = plan(site, 0, KEY, 6 + round).await?;
-        site.cluster.set_store(json!({"lose_percent": 100})).await?;
+        site.cluster.set_store_faults(json!({"lose_percent": 100})).await?;
         let done = site.cluster.confirm(0, KEY, &p).await?;
-        site.cluster.set_store(json!({})).await?;
+        site.cluster.set_store_faults(json!({})).await?;
         v.faults += 1;
         v.check(done.status == 200, || format!("lost answer: status {}", done.status));
         let now = generation(site, 1).await;
@@ -128,7 +128,7 @@
         site.cluster.wait_ready(i, LIMIT).await?;
         began.elapsed()
     };
-    site.cluster.set_store(json!({"down": true})).await?;
+    site.cluster.set_store_faults(json!({"down": true})).await?;
     v.faults += 1;
     let began = Instant::now();
     let i = site.cluster.add_entry().await?;
@@ -138,7 +138,7 @@
     // The others go on meanwhile: they hear a majority.
     task::sleep(Duration::from_millis(2_500)).await;
     v.check(generation(site, 0).await == newest, || "an old entry stopped serving".to_string());
-    site.cluster.set_store(json!({})).await?;
+    site.cluster.set_store_faults(json!({})).await?;
     site.cluster.wait_ready(i, LIMIT).await?;
     v.figure(format!(
         "start with the store up {with_store:?}, in an outage ready {:?} after it began",
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -80,10 +80,10 @@
     let once = Wish { callers: 8, once: true, prefix: "once", ..Wish::default() };
     let once = load::spawn(&site.balancer, &once);
     task::sleep(Duration::from_millis(1_000)).await;
-    site.cluster.set_store(json!({"down": true})).await?;
+    site.cluster.set_store_faults(json!({"down": true})).await?;
     v.faults += 1;
     task::sleep(Duration::from_millis(2_000)).await;
-    site.cluster.set_store(json!({})).await?;
+    site.cluster.set_store_faults(json!({})).await?;
     let victim = site.an_owner_besides(0).await?;
     site.cluster.entries[victim].process.kill();
     v.faults += 1;
@@ -147,7 +147,7 @@
 async fn begin_round(site: &mut Site, v: &mut Verdict, round: usize) -> io::Result<()> {
     v.faults += u64::from(round > 0);
     match round {
-        1 => site.cluster.set_store(json!({"lose_percent": 30})).await?,
+        1 => site.cluster.set_store_faults(json!({"lose_percent": 30})).await?,
         2 => {
             let victim = site.an_owner_besides(0).await?;
             site.cluster.entries[victim].process.kill();
@@ -155,7 +155,7 @@
             site.cluster.add_entry().await?;
             site.balance();
         }
-        3 => site.cluster.set_store(json!({"down": true})).await?,
+        3 => site.cluster.set_store_faults(json!({"down": true})).await?,
         4 => {
             for i in 0..8 {
                 site.cluster.send_to_worker(i, "/set-cut", json!(true)).await?;
@@ -167,7 +167,7 @@
 }
 
 async fn end_round(site: &mut Site, round: usize) -> io::Result<()> {
-    site.cluster.set_store(json!({})).await?;
+    site.cluster.set_store_faults(json!({})).await?;
     if round == 4 {
         for i in 0..8 {
             site.cluster.send_to_worker(i, "/set-cut", json!(false)).await?;
