--- a/crates/demo/src/bin/demo.rs
+++ b/crates/demo/src/bin/demo.rs
@@ -160,7 +160,7 @@
 }
 
 async fn judge(cluster: &Cluster, began: Instant) -> io::Result<()> {
-    let findings = cluster.judge().await?;
+    let findings = cluster.collect_findings().await?;
     for violation in &findings.violations {
         println!("          ! {violation}");
     }
--- a/crates/demo/src/bin/scale.rs
+++ b/crates/demo/src/bin/scale.rs
@@ -125,9 +125,9 @@
     cluster.wait_usable(0, workers, LIMIT).await?;
     task::sleep(Duration::from_secs(5)).await;
     let idle = span_cost(&cluster, || task::sleep(SPAN)).await?;
-    let before = cluster.judge().await?.starts;
+    let before = cluster.collect_findings().await?.starts;
     let loaded = span_cost(&cluster, || submit_steadily(&cluster)).await?;
-    let starts = cluster.judge().await?.starts - before;
+    let starts = cluster.collect_findings().await?.starts - before;
     let urgent_ms = urgent_starts(&cluster).await?;
     let starts_per_s = starts as f64 / SPAN.as_secs_f64();
     Ok(Size { workers, idle, loaded, starts_per_s, urgent_ms })
@@ -221,7 +221,7 @@
         task::sleep(Duration::from_millis(250)).await;
     }
     task::sleep(Duration::from_secs(4)).await;
-    let findings = cluster.judge().await?;
+    let findings = cluster.collect_findings().await?;
     let mut waits: Vec<u64> = findings
         .by_task
         .iter()
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -240,7 +240,7 @@
     ///
     /// # Errors
     /// Returns the first worker that did not answer.
-    pub async fn judge(&self) -> io::Result<Findings> {
+    pub async fn collect_findings(&self) -> io::Result<Findings> {
         let mut all = Vec::new();
         for addr in &self.worker_addrs {
             let answer = call(addr, Method::Get, "/judge", &[], Vec::new(), 10_000).await?;
--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -50,7 +50,7 @@
     site.cluster.entries[cut].store_relay.set_cut(false);
     let statuses = site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
     let tally = load.stop().await;
-    let findings = site.cluster.judge().await?;
+    let findings = site.cluster.collect_findings().await?;
     v.check_tally(&tally, &findings);
     for s in &statuses {
         v.check(s.tasks.iter().all(|t| t.state == "done"), || format!("{} lost tasks", s.job));
@@ -97,7 +97,7 @@
     let tasks: usize = statuses.iter().map(|s| s.tasks.len()).sum();
     check_done(&mut v, &statuses);
     v.figure(format!("{tasks} tasks in {attempts} attempts"));
-    v.take_in(site.cluster.judge().await?);
+    v.take_in(site.cluster.collect_findings().await?);
     site.check_entries(&mut v, &[0, 1, 2]).await?;
     Ok(v)
 }
@@ -200,7 +200,7 @@
         site.cluster.publish_hosts().await?;
     }
     let statuses = site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
-    let findings = site.cluster.judge().await?;
+    let findings = site.cluster.collect_findings().await?;
     let evictions: u32 = statuses.iter().flat_map(|s| &s.tasks).map(|t| t.evictions).sum();
     v.check(evictions > 0, || "nothing was evicted".to_string());
     check_done(&mut v, &statuses);
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -48,7 +48,7 @@
     }
     task::sleep(Duration::from_millis(500)).await;
     let (small, large) = (small.stop().await, large.stop().await);
-    let findings = site.cluster.judge().await?;
+    let findings = site.cluster.collect_findings().await?;
     v.check_tally(&small, &findings);
     v.check_tally(&large, &findings);
     v.check(!large.answered.is_empty(), || "no large answer came".to_string());
@@ -98,7 +98,7 @@
     task::sleep(Duration::from_millis(600)).await;
     let (hurried, once) = (hurried.stop().await, once.stop().await);
     site.cluster.replace_worker(5)?;
-    let findings = site.cluster.judge().await?;
+    let findings = site.cluster.collect_findings().await?;
     v.check_tally(&hurried, &findings);
     v.check_tally(&once, &findings);
     v.check(!hurried.not_run.is_empty(), || "nothing was refused".to_string());
@@ -132,7 +132,7 @@
     for op in &ops {
         send_everywhere(&site, op, 0, &mut v).await;
     }
-    let mut findings = site.cluster.judge().await?;
+    let mut findings = site.cluster.collect_findings().await?;
     findings.check_once(ops.iter().cloned());
     for op in &answered {
         let ran = findings.ops.get(op).copied().unwrap_or(0);
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -43,7 +43,7 @@
     site.cluster.set_host_list_down(false).await?;
     site.wait_ended(0, &jobs, LIMIT).await?;
     let tally = load.stop().await;
-    let findings = site.cluster.judge().await?;
+    let findings = site.cluster.collect_findings().await?;
     v.check_tally(&tally, &findings);
     v.figure(format!("{} requests, {} starts", tally.total(), findings.starts));
     v.take_in(findings);
@@ -81,7 +81,7 @@
         v.figure(format!("workers usable again {:.2} s later", idle.as_secs_f64()));
     }
     let tally = load.stop().await;
-    let findings = site.cluster.judge().await?;
+    let findings = site.cluster.collect_findings().await?;
     v.check_tally(&tally, &findings);
     let failed = tally.total() - tally.answered.len();
     v.check(failed == 0, || {
