--- a/crates/demo/src/bin/path.rs
+++ b/crates/demo/src/bin/path.rs
@@ -29,7 +29,7 @@
     for i in 0..3 {
         cluster.wait_ready(i, LIMIT).await?;
     }
-    cluster.put_in_force(0, site::BOOTSTRAP_KEY, site::first_intent(8)).await?;
+    cluster.apply_intent(0, site::BOOTSTRAP_KEY, site::first_intent(8)).await?;
     cluster.wait_usable(0, 8, LIMIT).await?;
     for i in 0..3 {
         cluster.wait_serving(i, LIMIT).await?;
--- a/crates/demo/src/bin/scale.rs
+++ b/crates/demo/src/bin/scale.rs
@@ -121,7 +121,7 @@
         cluster.wait_ready(i, LIMIT).await?;
     }
     let intent = site::first_intent(workers as u32);
-    cluster.put_in_force(0, site::BOOTSTRAP_KEY, intent).await?;
+    cluster.apply_intent(0, site::BOOTSTRAP_KEY, intent).await?;
     cluster.wait_usable(0, workers, LIMIT).await?;
     task::sleep(Duration::from_secs(5)).await;
     let idle = span_cost(&cluster, || task::sleep(SPAN)).await?;
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -271,7 +271,7 @@
     ///
     /// # Errors
     /// Returns the refusal as text.
-    pub async fn put_in_force(&self, entry: usize, key: &str, intent: Value) -> io::Result<Value> {
+    pub async fn apply_intent(&self, entry: usize, key: &str, intent: Value) -> io::Result<Value> {
         let plan = self.ask(entry, Method::Post, "/v1/intents", key, &[], intent).await?;
         if plan.status != 200 {
             return Err(io::Error::other(String::from_utf8_lossy(&plan.body).into_owned()));
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -89,7 +89,7 @@
             cluster.wait_ready(i, LIMIT).await?;
         }
         let intent = site::first_intent(workers as u32);
-        cluster.put_in_force(0, site::BOOTSTRAP_KEY, intent).await?;
+        cluster.apply_intent(0, site::BOOTSTRAP_KEY, intent).await?;
         cluster.wait_usable(0, workers, LIMIT).await?;
         for i in 0..entries {
             cluster.wait_serving(i, LIMIT).await?;
