--- a/crates/demo/src/calls.rs
+++ b/crates/demo/src/calls.rs
@@ -63,7 +63,7 @@
     let began = Instant::now();
     while !holds().await {
         if began.elapsed() > limit {
-            return Err(late(what));
+            return Err(timed_out(what));
         }
         task::sleep(Duration::from_millis(25)).await;
     }
@@ -71,7 +71,7 @@
 }
 
 /// A wait that ran out.
-pub(crate) fn late(what: &str) -> io::Error {
+pub(crate) fn timed_out(what: &str) -> io::Error {
     io::Error::other(format!("{what} did not happen in time"))
 }
 
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -10,7 +10,7 @@
 use http_types::Method;
 use serde_json::Value;
 
-use crate::calls::{ask, call, late, put, wait_until};
+use crate::calls::{ask, call, put, timed_out, wait_until};
 use crate::process::Process;
 use crate::relay::{self, Relay};
 use crate::site;
@@ -276,12 +276,12 @@
         if plan.status != 200 {
             return Err(io::Error::other(String::from_utf8_lossy(&plan.body).into_owned()));
         }
-        let plan: api::Plan = plan.json().ok_or_else(|| late("a plan"))?;
+        let plan: api::Plan = plan.json().ok_or_else(|| timed_out("a plan"))?;
         let done = self.confirm(entry, key, &plan).await?;
         if done.status >= 300 {
             return Err(io::Error::other(String::from_utf8_lossy(&done.body).into_owned()));
         }
-        done.json().ok_or_else(|| late("a confirmation"))
+        done.json().ok_or_else(|| timed_out("a confirmation"))
     }
 
     /// Confirms a plan; while the entry says "not run, come back", does so.
