--- a/crates/demo/src/load.rs
+++ b/crates/demo/src/load.rs
@@ -114,7 +114,7 @@
 
 /// What each caller sends.
 #[derive(Debug, Clone)]
-pub struct Wish {
+pub struct LoadSpec {
     /// Callers at once.
     pub callers: usize,
     /// The pause between two requests of one caller.
@@ -129,7 +129,7 @@
     pub prefix: &'static str,
 }
 
-impl Default for Wish {
+impl Default for LoadSpec {
     fn default() -> Self {
         Self {
             callers: 8,
@@ -150,7 +150,7 @@
 }
 
 /// Starts callers.
-pub fn spawn(balancer: &Balancer, wish: &Wish) -> Load {
+pub fn spawn(balancer: &Balancer, wish: &LoadSpec) -> Load {
     let stop = Arc::new(AtomicBool::new(false));
     let tally: Arc<Mutex<Tally>> = Arc::default();
     let callers = (0..wish.callers)
@@ -170,7 +170,7 @@
     Load { stop, tally, callers }
 }
 
-async fn send(balancer: &Balancer, wish: &Wish, op: String, tally: &Mutex<Tally>) {
+async fn send(balancer: &Balancer, wish: &LoadSpec, op: String, tally: &Mutex<Tally>) {
     let Some(addr) = balancer.next() else { return };
     let body = json!({"op": op, "pad": "x".repeat(wish.padding)});
     let answer = send_to(&addr, wish, &op, &body).await;
@@ -181,7 +181,12 @@
 ///
 /// # Errors
 /// Returns an error where no whole answer came.
-pub async fn send_to(addr: &str, wish: &Wish, op: &str, body: &Value) -> std::io::Result<Answer> {
+pub async fn send_to(
+    addr: &str,
+    wish: &LoadSpec,
+    op: &str,
+    body: &Value,
+) -> std::io::Result<Answer> {
     let path = format!("/v1/services/{}/check", site::SERVICE);
     let deadline = wish.deadline_ms.to_string();
     let mut headers = vec![("x-gaplock-deadline-ms", deadline.as_str())];
--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -25,7 +25,8 @@
         ..Plan::default()
     };
     let mut site = Site::open(plan).await?;
-    let wish = load::Wish { callers: 40, pause: Duration::from_millis(1), ..Default::default() };
+    let wish =
+        load::LoadSpec { callers: 40, pause: Duration::from_millis(1), ..Default::default() };
     let load = load::spawn(&site.balancer, &wish);
     let mut jobs = Vec::new();
     for i in 0..16 {
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -10,18 +10,18 @@
 
 use super::{Site, Verdict};
 use crate::cluster::Plan;
-use crate::load::{self, Wish};
+use crate::load::{self, LoadSpec};
 
 /// Promise 4: every caller receives the whole answer to its own request.
 pub async fn whole_answers() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let site = Site::open(Plan::default()).await?;
-    let small = load::spawn(&site.balancer, &Wish { callers: 16, ..Wish::default() });
-    let large = Wish { callers: 2, padding: 700_000, prefix: "large", ..Wish::default() };
+    let small = load::spawn(&site.balancer, &LoadSpec { callers: 16, ..LoadSpec::default() });
+    let large = LoadSpec { callers: 2, padding: 700_000, prefix: "large", ..LoadSpec::default() };
     let large = load::spawn(&site.balancer, &large);
     // Callers that leave before their answer.
     for i in 0..60 {
-        let wish = Wish { prefix: "left", ..Wish::default() };
+        let wish = LoadSpec { prefix: "left", ..LoadSpec::default() };
         let op = format!("left-{i}");
         let body = json!({"op": op});
         let Some(addr) = site.balancer.next() else { continue };
@@ -69,15 +69,15 @@
     let plan = Plan { service_us: 40_000, ..Plan::default() };
     let mut site = Site::open(plan).await?;
     // Far more callers than slots, with deadlines that cannot all be met.
-    let hurried = Wish {
+    let hurried = LoadSpec {
         callers: 120,
         pause: Duration::from_millis(1),
         deadline_ms: 90,
         prefix: "hurried",
-        ..Wish::default()
+        ..LoadSpec::default()
     };
     let hurried = load::spawn(&site.balancer, &hurried);
-    let once = Wish { callers: 8, once: true, prefix: "once", ..Wish::default() };
+    let once = LoadSpec { callers: 8, once: true, prefix: "once", ..LoadSpec::default() };
     let once = load::spawn(&site.balancer, &once);
     task::sleep(Duration::from_millis(1_000)).await;
     site.cluster.set_store_faults(json!({"down": true})).await?;
@@ -180,7 +180,7 @@
 async fn send_everywhere(site: &Site, op: &str, round: usize, v: &mut Verdict) -> Vec<codes::Code> {
     // While the store is down a claim waits for its limit; fewer at once keep the proof short.
     let deadline_ms = if round == 3 { 500 } else { 3_000 };
-    let wish = Wish { once: true, deadline_ms, ..Wish::default() };
+    let wish = LoadSpec { once: true, deadline_ms, ..LoadSpec::default() };
     let body = json!({"op": op});
     let sent = site.cluster.entries.iter().map(|e| load::send_to(&e.callers, &wish, op, &body));
     let mut told = Vec::new();
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -8,13 +8,13 @@
 
 use super::{Site, Verdict, LIMIT};
 use crate::cluster::Plan;
-use crate::load::{self, Wish};
+use crate::load::{self, LoadSpec};
 
 /// Promise 7: an upstream that is leaving receives no new work after a few seconds.
 pub async fn leaving_upstream() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let mut site = Site::open(Plan::default()).await?;
-    let load = load::spawn(&site.balancer, &Wish { callers: 16, ..Wish::default() });
+    let load = load::spawn(&site.balancer, &LoadSpec { callers: 16, ..LoadSpec::default() });
     let mut jobs = Vec::new();
     for i in 0..6 {
         jobs.push(site.submit(i % 3, &format!("leave-{i}"), 2_000, 2, 800).await?);
@@ -55,7 +55,7 @@
     let mut v = Verdict::default();
     let plan = Plan { service_us: 40_000, ..Plan::default() };
     let mut site = Site::open(plan).await?;
-    let load = load::spawn(&site.balancer, &Wish { callers: 24, ..Wish::default() });
+    let load = load::spawn(&site.balancer, &LoadSpec { callers: 24, ..LoadSpec::default() });
     task::sleep(Duration::from_millis(500)).await;
     // Every entry in turn is stopped and replaced, under load.
     for round in 0..3 {
