--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -57,7 +57,7 @@
         v.check(s.tasks.iter().all(|t| t.state == "done"), || format!("{} lost tasks", s.job));
     }
     v.figure(format!("{} requests, {} starts", tally.total(), findings.starts));
-    v.take_in(findings);
+    v.add_findings(findings);
     site.check_entries(&mut v, &[0, 1, 2]).await?;
     Ok(v)
 }
@@ -98,7 +98,7 @@
     let tasks: usize = statuses.iter().map(|s| s.tasks.len()).sum();
     check_done(&mut v, &statuses);
     v.figure(format!("{tasks} tasks in {attempts} attempts"));
-    v.take_in(site.cluster.collect_findings().await?);
+    v.add_findings(site.cluster.collect_findings().await?);
     site.check_entries(&mut v, &[0, 1, 2]).await?;
     Ok(v)
 }
@@ -207,7 +207,7 @@
     check_done(&mut v, &statuses);
     check_resumed(&mut v, &findings);
     v.figure(format!("{evictions} evictions"));
-    v.take_in(findings);
+    v.add_findings(findings);
     site.check_entries(&mut v, &[0, 1, 2]).await?;
     Ok(v)
 }
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -43,7 +43,7 @@
     }
 
     /// Takes in the workers' judge.
-    pub fn take_in(&mut self, findings: Findings) {
+    pub fn add_findings(&mut self, findings: Findings) {
         self.checks += findings.checks;
         self.violations.extend(findings.violations);
     }
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -58,7 +58,7 @@
         small.total() + large.total(),
         large.answered.len()
     ));
-    v.take_in(findings);
+    v.add_findings(findings);
     site.check_entries(&mut v, &[0, 1, 2]).await?;
     Ok(v)
 }
@@ -140,7 +140,7 @@
     }
     let ran = ops.iter().filter(|op| findings.ops.contains_key(*op)).count();
     v.figure(format!("{} keys, {ran} ran, {} answered", ops.len(), answered.len()));
-    v.take_in(findings);
+    v.add_findings(findings);
     Ok(v)
 }
 
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -46,7 +46,7 @@
     let findings = site.cluster.collect_findings().await?;
     v.check_tally(&tally, &findings);
     v.figure(format!("{} requests, {} starts", tally.total(), findings.starts));
-    v.take_in(findings);
+    v.add_findings(findings);
     Ok(v)
 }
 
@@ -89,6 +89,6 @@
         format!("{failed} of {} requests failed: {cut} cut off, told {told:?}", tally.total())
     });
     v.figure(format!("{} of {} answered", tally.answered.len(), tally.total()));
-    v.take_in(findings);
+    v.add_findings(findings);
     Ok(v)
 }
