--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -56,7 +56,7 @@
     for s in &statuses {
         v.check(s.tasks.iter().all(|t| t.state == "done"), || format!("{} lost tasks", s.job));
     }
-    v.figure(format!("{} requests, {} starts", tally.total(), findings.starts));
+    v.add_figure(format!("{} requests, {} starts", tally.total(), findings.starts));
     v.add_findings(findings);
     site.check_entries(&mut v, &[0, 1, 2]).await?;
     Ok(v)
@@ -97,7 +97,7 @@
     let attempts: u32 = statuses.iter().flat_map(|s| &s.tasks).map(|t| t.attempts).sum();
     let tasks: usize = statuses.iter().map(|s| s.tasks.len()).sum();
     check_done(&mut v, &statuses);
-    v.figure(format!("{tasks} tasks in {attempts} attempts"));
+    v.add_figure(format!("{tasks} tasks in {attempts} attempts"));
     v.add_findings(site.cluster.collect_findings().await?);
     site.check_entries(&mut v, &[0, 1, 2]).await?;
     Ok(v)
@@ -206,7 +206,7 @@
     v.check(evictions > 0, || "nothing was evicted".to_string());
     check_done(&mut v, &statuses);
     check_resumed(&mut v, &findings);
-    v.figure(format!("{evictions} evictions"));
+    v.add_figure(format!("{evictions} evictions"));
     v.add_findings(findings);
     site.check_entries(&mut v, &[0, 1, 2]).await?;
     Ok(v)
--- a/crates/demo/src/prove/configuration.rs
+++ b/crates/demo/src/prove/configuration.rs
@@ -109,7 +109,7 @@
     let began = Instant::now();
     let done = site.cluster.confirm(0, KEY, &p).await?;
     v.check(done.status == 200, || format!("with one entry cut: status {}", done.status));
-    v.figure(format!(
+    v.add_figure(format!(
         "in force at all entries, one cut from the store, after {:?}",
         began.elapsed()
     ));
@@ -140,7 +140,7 @@
     v.check(generation(site, 0).await == newest, || "an old entry stopped serving".to_string());
     site.cluster.set_store_faults(json!({})).await?;
     site.cluster.wait_ready(i, LIMIT).await?;
-    v.figure(format!(
+    v.add_figure(format!(
         "start with the store up {with_store:?}, in an outage ready {:?} after it began",
         began.elapsed()
     ));
@@ -175,7 +175,7 @@
     })
     .await;
     v.check(settled.is_ok(), || "the lone entry went on with an old generation".to_string());
-    v.figure(format!("the lone entry refused or had it after {:?}", began.elapsed()));
+    v.add_figure(format!("the lone entry refused or had it after {:?}", began.elapsed()));
     site.cluster.entries[alone].store_relay.set_cut(false);
     site.cluster.entries[alone].peer_relay.set_cut(false);
     site.cluster.wait_ready(alone, LIMIT).await?;
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -60,7 +60,7 @@
     }
 
     /// Adds a measured figure.
-    pub fn figure(&mut self, text: String) {
+    pub fn add_figure(&mut self, text: String) {
         self.figures.push(text);
     }
 }
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -53,7 +53,7 @@
     v.check_tally(&large, &findings);
     v.check(!large.answered.is_empty(), || "no large answer came".to_string());
     let answered = small.answered.len() + large.answered.len();
-    v.figure(format!(
+    v.add_figure(format!(
         "{answered} of {} answered whole, {} large",
         small.total() + large.total(),
         large.answered.len()
@@ -103,7 +103,7 @@
     v.check_tally(&once, &findings);
     v.check(!hurried.not_run.is_empty(), || "nothing was refused".to_string());
     let refused = hurried.not_run.len() + once.not_run.len();
-    v.figure(format!("{refused} refusals as not run, codes {:?}", hurried.codes));
+    v.add_figure(format!("{refused} refusals as not run, codes {:?}", hurried.codes));
     v.violations.extend(findings.violations);
     Ok(v)
 }
@@ -139,7 +139,7 @@
         v.check(ran == 1, || format!("{op} was answered and ran {ran} times"));
     }
     let ran = ops.iter().filter(|op| findings.ops.contains_key(*op)).count();
-    v.figure(format!("{} keys, {ran} ran, {} answered", ops.len(), answered.len()));
+    v.add_figure(format!("{} keys, {ran} ran, {} answered", ops.len(), answered.len()));
     v.add_findings(findings);
     Ok(v)
 }
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -45,7 +45,7 @@
     let tally = load.stop().await;
     let findings = site.cluster.collect_findings().await?;
     v.check_tally(&tally, &findings);
-    v.figure(format!("{} requests, {} starts", tally.total(), findings.starts));
+    v.add_figure(format!("{} requests, {} starts", tally.total(), findings.starts));
     v.add_findings(findings);
     Ok(v)
 }
@@ -74,11 +74,11 @@
         }
         let code = site.cluster.entries[0].process.wait(LIMIT);
         v.check(code == Some(0), || format!("round {round}: exit code {code:?}"));
-        v.figure(format!("stop {round} took {:.2} s", began.elapsed().as_secs_f64()));
+        v.add_figure(format!("stop {round} took {:.2} s", began.elapsed().as_secs_f64()));
         site.cluster.entries.remove(0);
         site.balance();
         let idle = site.cluster.wait_usable(0, 8, LIMIT).await?;
-        v.figure(format!("workers usable again {:.2} s later", idle.as_secs_f64()));
+        v.add_figure(format!("workers usable again {:.2} s later", idle.as_secs_f64()));
     }
     let tally = load.stop().await;
     let findings = site.cluster.collect_findings().await?;
@@ -88,7 +88,7 @@
         let (cut, told) = (&tally.cut_off.len(), &tally.sentences);
         format!("{failed} of {} requests failed: {cut} cut off, told {told:?}", tally.total())
     });
-    v.figure(format!("{} of {} answered", tally.answered.len(), tally.total()));
+    v.add_figure(format!("{} of {} answered", tally.answered.len(), tally.total()));
     v.add_findings(findings);
     Ok(v)
 }
