--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -33,7 +33,7 @@
         jobs.push(site.submit(i % 2, &format!("fill-{i}"), 1_500, 4, 900).await?);
     }
     // An owner is frozen across its lease, while another takes over, and thaws.
-    let frozen = site.an_owner_besides(0).await?;
+    let frozen = site.owner_other_than(0).await?;
     site.cluster.entries[frozen].process.freeze();
     v.faults += 1;
     task::sleep(Duration::from_millis(2_500)).await;
@@ -44,7 +44,7 @@
     v.faults += 1;
     task::sleep(Duration::from_millis(500)).await;
     // An owner does not reach the store, but its workers.
-    let cut = site.an_owner_besides(0).await?;
+    let cut = site.owner_other_than(0).await?;
     site.cluster.entries[cut].store_relay.set_cut(true);
     v.faults += 1;
     task::sleep(Duration::from_millis(2_500)).await;
@@ -105,7 +105,7 @@
 
 /// Kills, freezes or cuts off an owner, by the round.
 async fn harm_an_owner(site: &mut Site, round: u64) -> io::Result<()> {
-    let victim = site.an_owner_besides(0).await?;
+    let victim = site.owner_other_than(0).await?;
     match round {
         0 => {
             site.cluster.entries[victim].process.kill();
@@ -187,7 +187,7 @@
         site.cluster.ask(0, Method::Delete, &path, key, &[], Value::Null).await?;
         v.faults += 1;
         if round == 1 {
-            let victim = site.an_owner_besides(0).await?;
+            let victim = site.owner_other_than(0).await?;
             site.cluster.entries[victim].process.kill();
             site.cluster.entries.remove(victim);
             site.cluster.add_entry().await?;
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// Returns an error where no entry but `asked` owns one.
-    pub async fn an_owner_besides(&self, asked: usize) -> io::Result<usize> {
+    pub async fn owner_other_than(&self, asked: usize) -> io::Result<usize> {
         let rows = self.cluster.worker_rows(asked).await?;
         let found = self
             .cluster
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -84,7 +84,7 @@
     v.faults += 1;
     task::sleep(Duration::from_millis(2_000)).await;
     site.cluster.set_store_faults(json!({})).await?;
-    let victim = site.an_owner_besides(0).await?;
+    let victim = site.owner_other_than(0).await?;
     site.cluster.entries[victim].process.kill();
     v.faults += 1;
     task::sleep(Duration::from_millis(800)).await;
@@ -149,7 +149,7 @@
     match round {
         1 => site.cluster.set_store_faults(json!({"lose_percent": 30})).await?,
         2 => {
-            let victim = site.an_owner_besides(0).await?;
+            let victim = site.owner_other_than(0).await?;
             site.cluster.entries[victim].process.kill();
             site.cluster.entries.remove(victim);
             site.cluster.add_entry().await?;
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -31,7 +31,7 @@
     v.faults += 2;
     // An owner dies meanwhile: the next one must know as well.
     task::sleep(Duration::from_millis(1_000)).await;
-    let victim = site.an_owner_besides(0).await?;
+    let victim = site.owner_other_than(0).await?;
     site.cluster.entries[victim].process.kill();
     v.faults += 1;
     let submitting = Instant::now();
