--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -75,7 +75,7 @@
     for round in 0..3_u64 {
         v.faults += 1;
         harm_an_owner(&mut site, round).await?;
-        site.balance();
+        site.update_balancer();
         for i in 0..4 {
             let key = format!("one-{round}-{i}");
             jobs.push(site.submit(i % 2, &key, 400, 2, 500).await?);
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -96,14 +96,14 @@
         }
         let stop = Arc::new(AtomicBool::new(false));
         let site = Self { cluster, balancer: Balancer::default(), stop };
-        site.balance();
+        site.update_balancer();
         site.balancer.spawn(Arc::clone(&site.stop));
         async_std::task::sleep(Duration::from_millis(200)).await;
         Ok(site)
     }
 
     /// Tells the balancer which entries there are.
-    pub fn balance(&self) {
+    pub fn update_balancer(&self) {
         let entries = self.cluster.entries.iter();
         let addrs = entries.map(|e| (e.callers.clone(), e.health.clone())).collect();
         self.balancer.set_entries(addrs);
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -153,7 +153,7 @@
             site.cluster.entries[victim].process.kill();
             site.cluster.entries.remove(victim);
             site.cluster.add_entry().await?;
-            site.balance();
+            site.update_balancer();
         }
         3 => site.cluster.set_store_faults(json!({"down": true})).await?,
         4 => {
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -62,7 +62,7 @@
         site.cluster.add_entry().await?;
         let newest = site.cluster.entries.len() - 1;
         site.cluster.wait_ready(newest, LIMIT).await?;
-        site.balance();
+        site.update_balancer();
         task::sleep(Duration::from_millis(400)).await;
         let began = Instant::now();
         site.cluster.entries[0].process.terminate();
@@ -76,7 +76,7 @@
         v.check(code == Some(0), || format!("round {round}: exit code {code:?}"));
         v.add_figure(format!("stop {round} took {:.2} s", began.elapsed().as_secs_f64()));
         site.cluster.entries.remove(0);
-        site.balance();
+        site.update_balancer();
         let idle = site.cluster.wait_usable(0, 8, LIMIT).await?;
         v.add_figure(format!("workers usable again {:.2} s later", idle.as_secs_f64()));
     }
