--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -45,10 +45,10 @@
     task::sleep(Duration::from_millis(500)).await;
     // An owner does not reach the store, but its workers.
     let cut = site.owner_other_than(0).await?;
-    site.cluster.entries[cut].store_relay.set_cut(true);
+    site.cluster.entries[cut].store_relay.set_partitioned(true);
     v.faults += 1;
     task::sleep(Duration::from_millis(2_500)).await;
-    site.cluster.entries[cut].store_relay.set_cut(false);
+    site.cluster.entries[cut].store_relay.set_partitioned(false);
     let statuses = site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
     let tally = load.stop().await;
     let findings = site.cluster.collect_findings().await?;
@@ -119,9 +119,9 @@
         }
         _ => {
             site.cluster.set_store_faults(json!({"lose_percent": 30})).await?;
-            site.cluster.entries[victim].store_relay.set_cut(true);
+            site.cluster.entries[victim].store_relay.set_partitioned(true);
             task::sleep(Duration::from_millis(2_000)).await;
-            site.cluster.entries[victim].store_relay.set_cut(false);
+            site.cluster.entries[victim].store_relay.set_partitioned(false);
             site.cluster.set_store_faults(json!({})).await?;
         }
     }
--- a/crates/demo/src/prove/configuration.rs
+++ b/crates/demo/src/prove/configuration.rs
@@ -102,7 +102,7 @@
 
 /// An entry that reaches its peers but not the store has a new generation within seconds.
 async fn cut_from_store(site: &Site, v: &mut Verdict) -> io::Result<()> {
-    site.cluster.entries[2].store_relay.set_cut(true);
+    site.cluster.entries[2].store_relay.set_partitioned(true);
     v.faults += 1;
     task::sleep(Duration::from_millis(500)).await;
     let p = plan(site, 0, KEY, 5).await?;
@@ -114,7 +114,7 @@
         began.elapsed()
     ));
     v.check(generation(site, 2).await == Some(p.base.0 + 1), || "the cut entry lags".to_string());
-    site.cluster.entries[2].store_relay.set_cut(false);
+    site.cluster.entries[2].store_relay.set_partitioned(false);
     task::sleep(Duration::from_millis(800)).await;
     Ok(())
 }
@@ -154,11 +154,11 @@
     for (i, entry) in site.cluster.entries.iter().enumerate() {
         if i != alone {
             // The lone entry still hears them; they do not hear it through its own relay.
-            entry.peer_relay.set_cut(false);
+            entry.peer_relay.set_partitioned(false);
         }
     }
-    site.cluster.entries[alone].store_relay.set_cut(true);
-    site.cluster.entries[alone].peer_relay.set_cut(true);
+    site.cluster.entries[alone].store_relay.set_partitioned(true);
+    site.cluster.entries[alone].peer_relay.set_partitioned(true);
     // Its own calls to the others go through their relays, which must stay open for them.
     v.faults += 1;
     task::sleep(Duration::from_millis(1_200)).await;
@@ -176,8 +176,8 @@
     .await;
     v.check(settled.is_ok(), || "the lone entry went on with an old generation".to_string());
     v.add_figure(format!("the lone entry refused or had it after {:?}", began.elapsed()));
-    site.cluster.entries[alone].store_relay.set_cut(false);
-    site.cluster.entries[alone].peer_relay.set_cut(false);
+    site.cluster.entries[alone].store_relay.set_partitioned(false);
+    site.cluster.entries[alone].peer_relay.set_partitioned(false);
     site.cluster.wait_ready(alone, LIMIT).await?;
     let caught_up = wait_until(LIMIT, "the lone entry's return", || async {
         generation(site, alone).await.is_some_and(|has| has >= newest)
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -41,10 +41,10 @@
     }
     // An entry's connections to its peers are cut while answers are on their way.
     for i in 0..3 {
-        site.cluster.entries[i].peer_relay.set_cut(true);
+        site.cluster.entries[i].peer_relay.set_partitioned(true);
         v.faults += 1;
         task::sleep(Duration::from_millis(300)).await;
-        site.cluster.entries[i].peer_relay.set_cut(false);
+        site.cluster.entries[i].peer_relay.set_partitioned(false);
     }
     task::sleep(Duration::from_millis(500)).await;
     let (small, large) = (small.stop().await, large.stop().await);
--- a/crates/demo/src/relay.rs
+++ b/crates/demo/src/relay.rs
@@ -46,7 +46,7 @@
     }
 
     /// Cuts every connection and refuses new ones, or mends the relay.
-    pub fn set_cut(&self, cut: bool) {
+    pub fn set_partitioned(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
     }
 }
