--- a/crates/demo/src/process.rs
+++ b/crates/demo/src/process.rs
@@ -100,7 +100,7 @@
     }
 
     /// Freezes it.
-    pub fn freeze(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -34,7 +34,7 @@
     }
     // An owner is frozen across its lease, while another takes over, and thaws.
     let frozen = site.owner_other_than(0).await?;
-    site.cluster.entries[frozen].process.freeze();
+    site.cluster.entries[frozen].process.pause();
     v.faults += 1;
     task::sleep(Duration::from_millis(2_500)).await;
     site.cluster.entries[frozen].process.thaw();
@@ -87,7 +87,7 @@
         jobs.push(site.submit(i % 2, &format!("long-{i}"), 3_500, 4, 1_000).await?);
     }
     task::sleep(Duration::from_millis(500)).await;
-    site.cluster.workers[1].freeze();
+    site.cluster.workers[1].pause();
     v.faults += 1;
     task::sleep(Duration::from_millis(4_000)).await;
     site.cluster.workers[1].thaw();
@@ -113,7 +113,7 @@
             site.cluster.add_entry().await?;
         }
         1 => {
-            site.cluster.entries[victim].process.freeze();
+            site.cluster.entries[victim].process.pause();
             task::sleep(Duration::from_millis(2_000)).await;
             site.cluster.entries[victim].process.thaw();
         }
