--- a/crates/demo/src/process.rs
+++ b/crates/demo/src/process.rs
@@ -105,7 +105,7 @@
     }
 
     /// Thaws it.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -141,7 +141,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.thaw();
+        self.resume();
         self.kill();
     }
 }
--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -37,7 +37,7 @@
     site.cluster.entries[frozen].process.pause();
     v.faults += 1;
     task::sleep(Duration::from_millis(2_500)).await;
-    site.cluster.entries[frozen].process.thaw();
+    site.cluster.entries[frozen].process.resume();
     v.faults += 1;
     // A worker is replaced under the same address.
     site.cluster.replace_worker(3)?;
@@ -90,7 +90,7 @@
     site.cluster.workers[1].pause();
     v.faults += 1;
     task::sleep(Duration::from_millis(4_000)).await;
-    site.cluster.workers[1].thaw();
+    site.cluster.workers[1].resume();
     site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
     lose_a_failure_domain(&mut site, &mut v, &mut jobs).await?;
     let statuses = site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
@@ -115,7 +115,7 @@
         1 => {
             site.cluster.entries[victim].process.pause();
             task::sleep(Duration::from_millis(2_000)).await;
-            site.cluster.entries[victim].process.thaw();
+            site.cluster.entries[victim].process.resume();
         }
         _ => {
             site.cluster.set_store_faults(json!({"lose_percent": 30})).await?;
