--- a/crates/demo/src/prove/configuration.rs
+++ b/crates/demo/src/prove/configuration.rs
@@ -8,7 +8,7 @@
 use http_types::Method;
 use serde_json::{json, Value};
 
-use super::{Site, Verdict, LIMIT};
+use super::{Site, Verdict, STEP_TIMEOUT};
 use crate::calls::wait_until;
 use crate::cluster::Plan;
 use crate::site;
@@ -125,7 +125,7 @@
     let with_store = {
         let began = Instant::now();
         let i = site.cluster.add_entry().await?;
-        site.cluster.wait_ready(i, LIMIT).await?;
+        site.cluster.wait_ready(i, STEP_TIMEOUT).await?;
         began.elapsed()
     };
     site.cluster.set_store_faults(json!({"down": true})).await?;
@@ -139,7 +139,7 @@
     task::sleep(Duration::from_millis(2_500)).await;
     v.check(generation(site, 0).await == newest, || "an old entry stopped serving".to_string());
     site.cluster.set_store_faults(json!({})).await?;
-    site.cluster.wait_ready(i, LIMIT).await?;
+    site.cluster.wait_ready(i, STEP_TIMEOUT).await?;
     v.add_figure(format!(
         "start with the store up {with_store:?}, in an outage ready {:?} after it began",
         began.elapsed()
@@ -178,8 +178,8 @@
     v.add_figure(format!("the lone entry refused or had it after {:?}", began.elapsed()));
     site.cluster.entries[alone].store_relay.set_partitioned(false);
     site.cluster.entries[alone].peer_relay.set_partitioned(false);
-    site.cluster.wait_ready(alone, LIMIT).await?;
-    let caught_up = wait_until(LIMIT, "the lone entry's return", || async {
+    site.cluster.wait_ready(alone, STEP_TIMEOUT).await?;
+    let caught_up = wait_until(STEP_TIMEOUT, "the lone entry's return", || async {
         generation(site, alone).await.is_some_and(|has| has >= newest)
     })
     .await;
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -66,7 +66,7 @@
 }
 
 /// Everything takes at most this long, or the proof fails.
-pub const LIMIT: Duration = Duration::from_secs(25);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// A running installation with a first configuration, and callers' balancer.
 pub struct Site {
@@ -86,13 +86,13 @@
         let (entries, workers) = (plan.entries, plan.workers);
         let cluster = Cluster::start(plan).await?;
         for i in 0..entries {
-            cluster.wait_ready(i, LIMIT).await?;
+            cluster.wait_ready(i, STEP_TIMEOUT).await?;
         }
         let intent = site::first_intent(workers as u32);
         cluster.apply_intent(0, site::BOOTSTRAP_KEY, intent).await?;
-        cluster.wait_usable(0, workers, LIMIT).await?;
+        cluster.wait_usable(0, workers, STEP_TIMEOUT).await?;
         for i in 0..entries {
-            cluster.wait_serving(i, LIMIT).await?;
+            cluster.wait_serving(i, STEP_TIMEOUT).await?;
         }
         let stop = Arc::new(AtomicBool::new(false));
         let site = Self { cluster, balancer: Balancer::default(), stop };
@@ -154,7 +154,7 @@
                 .and_then(|v| v["job"].as_str().map(String::from));
             match job {
                 Some(job) => return Ok(job),
-                None if began.elapsed() > LIMIT => {
+                None if began.elapsed() > STEP_TIMEOUT => {
                     let text = String::from_utf8_lossy(&answer.body).into_owned();
                     return Err(io::Error::other(text));
                 }
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use serde_json::json;
 
-use super::{Site, Verdict, LIMIT};
+use super::{Site, Verdict, STEP_TIMEOUT};
 use crate::cluster::Plan;
 use crate::load::{self, LoadSpec};
 
@@ -41,7 +41,7 @@
         task::sleep(Duration::from_millis(200)).await;
     }
     site.cluster.set_host_list_down(false).await?;
-    site.wait_ended(0, &jobs, LIMIT).await?;
+    site.wait_ended(0, &jobs, STEP_TIMEOUT).await?;
     let tally = load.stop().await;
     let findings = site.cluster.collect_findings().await?;
     v.check_tally(&tally, &findings);
@@ -61,7 +61,7 @@
     for round in 0..3 {
         site.cluster.add_entry().await?;
         let newest = site.cluster.entries.len() - 1;
-        site.cluster.wait_ready(newest, LIMIT).await?;
+        site.cluster.wait_ready(newest, STEP_TIMEOUT).await?;
         site.update_balancer();
         task::sleep(Duration::from_millis(400)).await;
         let began = Instant::now();
@@ -72,12 +72,12 @@
             site.cluster.entries[0].process.terminate();
             v.faults += 1;
         }
-        let code = site.cluster.entries[0].process.wait(LIMIT);
+        let code = site.cluster.entries[0].process.wait(STEP_TIMEOUT);
         v.check(code == Some(0), || format!("round {round}: exit code {code:?}"));
         v.add_figure(format!("stop {round} took {:.2} s", began.elapsed().as_secs_f64()));
         site.cluster.entries.remove(0);
         site.update_balancer();
-        let idle = site.cluster.wait_usable(0, 8, LIMIT).await?;
+        let idle = site.cluster.wait_usable(0, 8, STEP_TIMEOUT).await?;
         v.add_figure(format!("workers usable again {:.2} s later", idle.as_secs_f64()));
     }
     let tally = load.stop().await;
