--- a/crates/demo/src/load.rs
+++ b/crates/demo/src/load.rs
@@ -30,7 +30,7 @@
     /// Refusals by code.
     pub codes: BTreeMap<u16, u64>,
     /// Refusals by their sentence.
-    pub sentences: BTreeMap<String, u64>,
+    pub messages: BTreeMap<String, u64>,
 }
 
 impl Tally {
@@ -57,7 +57,7 @@
         let ran = refusal.as_ref().map_or(codes::Ran::Unknown, |r| r.ran);
         *self.codes.entry(refusal.as_ref().map_or(0, |r| r.code)).or_default() += 1;
         let sentence = refusal.map(|r| r.message).unwrap_or_default();
-        *self.sentences.entry(sentence).or_default() += 1;
+        *self.messages.entry(sentence).or_default() += 1;
         match ran {
             codes::Ran::No => self.not_run.push(op),
             codes::Ran::Yes | codes::Ran::Unknown => self.unknown.push(op),
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -85,7 +85,7 @@
     v.check_tally(&tally, &findings);
     let failed = tally.total() - tally.answered.len();
     v.check(failed == 0, || {
-        let (cut, told) = (&tally.cut_off.len(), &tally.sentences);
+        let (cut, told) = (&tally.cut_off.len(), &tally.messages);
         format!("{failed} of {} requests failed: {cut} cut off, told {told:?}", tally.total())
     });
     v.add_figure(format!("{} of {} answered", tally.answered.len(), tally.total()));
