--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -63,7 +63,7 @@
 }
 
 /// Promise 2: no task runs in two places.
-pub async fn one_place() -> io::Result<Verdict> {
+pub async fn no_concurrent_runs() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let mut site = Site::open(Plan::default()).await?;
     let mut jobs = Vec::new();
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -226,7 +226,7 @@
 pub async fn prove(number: u32) -> io::Result<Verdict> {
     match number {
         1 => batch::capacity().await,
-        2 => batch::one_place().await,
+        2 => batch::no_concurrent_runs().await,
         3 => batch::resume_once().await,
         4 => requests::whole_answers().await,
         5 => requests::not_run().await,
