--- a/crates/demo/src/prove/configuration.rs
+++ b/crates/demo/src/prove/configuration.rs
@@ -16,7 +16,7 @@
 const KEY: &str = site::OPERATOR_KEY;
 
 /// Promise 9.
-pub async fn in_force() -> io::Result<Verdict> {
+pub async fn configuration_in_force() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let mut site = Site::open(Plan::default()).await?;
     race(&site, &mut v).await?;
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -233,7 +233,7 @@
         6 => requests::at_most_once().await,
         7 => stops::leaving_upstream().await,
         8 => stops::planned_stop().await,
-        9 => configuration::in_force().await,
+        9 => configuration::configuration_in_force().await,
         other => Err(io::Error::other(format!("there is no promise {other}"))),
     }
 }
