--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -133,7 +133,7 @@
         send_everywhere(&site, op, 0, &mut v).await;
     }
     let mut findings = site.cluster.collect_findings().await?;
-    findings.check_once(ops.iter().cloned());
+    findings.check_at_most_once(ops.iter().cloned());
     for op in &answered {
         let ran = findings.ops.get(op).copied().unwrap_or(0);
         v.check(ran == 1, || format!("{op} was answered and ran {ran} times"));
--- a/crates/standin/src/judge.rs
+++ b/crates/standin/src/judge.rs
@@ -99,7 +99,7 @@
     }
 
     /// Counts requests that ran more than once although they must not.
-    pub fn check_once(&mut self, ops: impl Iterator<Item = String>) {
+    pub fn check_at_most_once(&mut self, ops: impl Iterator<Item = String>) {
         for op in ops {
             self.checks += 1;
             let count = self.ops.get(&op).copied().unwrap_or(0);
