--- a/crates/standin/src/worker/mod.rs
+++ b/crates/standin/src/worker/mod.rs
@@ -389,7 +389,7 @@
     pub fn end_request(&mut self, service: &ids::ServiceId, took_us: u64) {
         self.slots_busy = self.slots_busy.saturating_sub(1);
         self.counts.requests += 1;
-        self.sample(service, took_us);
+        self.record_latency(service, took_us);
     }
 
     /// Tells whether an ended run still waits to be acknowledged.
--- a/crates/standin/src/worker/usage.rs
+++ b/crates/standin/src/worker/usage.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes in how long a request of a service took.
-    pub fn sample(&mut self, service: &ids::ServiceId, took_us: u64) {
+    pub fn record_latency(&mut self, service: &ids::ServiceId, took_us: u64) {
         self.samples.entry(service.clone()).or_default().push(took_us);
     }
 
