--- a/crates/standin/src/worker/mod.rs
+++ b/crates/standin/src/worker/mod.rs
@@ -179,7 +179,7 @@
             from = to;
         }
         self.advanced_to = now;
-        self.measure(now);
+        self.record_usage_window(now);
     }
 
     fn advance_step(&mut self, from: time::Instant, to: time::Instant) {
--- a/crates/standin/src/worker/usage.rs
+++ b/crates/standin/src/worker/usage.rs
@@ -10,7 +10,7 @@
 const USAGES_KEPT: usize = 64;
 
 impl Model {
-    pub(super) fn measure(&mut self, now: time::Instant) {
+    pub(super) fn record_usage_window(&mut self, now: time::Instant) {
         if now.since(self.window_from).0 < self.traits.window_ms {
             return;
         }
