--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implements the commands of `gaplock`: each calls an entry and prints its answer.
 
 use std::path::Path;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use crate::server::{Result, Server};
 use crate::{table, Exit};
 
-/// Runs the command that the settings' free arguments name.
+/// Runs the command that the positional arguments name.
 pub async fn run(values: &Values) -> Exit {
-    let words: Vec<&str> = values.free.iter().map(String::as_str).collect();
+    let command: Vec<&str> = values.free.iter().map(String::as_str).collect();
     let server = match Server::open(values) {
         Ok(server) => server,
         Err(ended) => return ended,
     };
     let json = values.switch("json");
-    let done = match words.as_slice() {
+    let result = match command.as_slice() {
         ["plan", file] => plan(&server, values, file).await,
         ["confirm", file] => confirm(&server, file, json).await,
         ["undo"] => undo(&server, values).await,
@@ -36,15 +36,15 @@
         ["report"] => report(values).await,
         [] => Err(Exit::Usage("name a command; --help lists them".to_string())),
         other => {
-            let why = format!("`{}` is no command; --help lists them", other.join(" "));
-            Err(Exit::Usage(why))
+            let message = format!("`{}` is no command; --help lists them", other.join(" "));
+            Err(Exit::Usage(message))
         }
     };
-    done.err().unwrap_or(Exit::Done)
+    result.err().unwrap_or(Exit::Done)
 }
 
 fn print_json(value: &impl Serialize) {
-    println!("{}", serde_json::to_string_pretty(value).expect("plain data serialises"));
+    println!("{}", serde_json::to_string_pretty(value).expect("plain data serializes to JSON"));
 }
 
 fn read_intent(file: &str) -> Result<Value> {
@@ -88,7 +88,7 @@
     }
     let out = values.text("out");
     if !out.is_empty() {
-        let text = serde_json::to_string_pretty(&plan).expect("plain data serialises");
+        let text = serde_json::to_string_pretty(&plan).expect("plain data serializes to JSON");
         std::fs::write(out, text).map_err(|e| Exit::Usage(format!("{out}: {e}")))?;
     }
     if !plan.refused.is_empty() {
@@ -104,7 +104,7 @@
     let text = std::fs::read_to_string(file).map_err(|e| Exit::Usage(format!("{file}: {e}")))?;
     let plan: api::Plan =
         serde_json::from_str(&text).map_err(|e| Exit::Usage(format!("{file}: {e}")))?;
-    let body = serde_json::to_vec(&plan).expect("plain data serialises");
+    let body = serde_json::to_vec(&plan).expect("plain data serializes to JSON");
     let done: Value = server.call(Method::Post, "/v1/plans/confirm", body).await?;
     let status: Option<api::ConfigStatus> = serde_json::from_value(done["status"].clone()).ok();
     match &status {
@@ -113,13 +113,13 @@
         None => println!("confirmed"),
     }
     match status.filter(|status| status.plan != plan.id) {
-        Some(newer) => Err(superseded(newer.generation)),
+        Some(newer) => Err(superseded_plan(newer.generation)),
         None => Ok(()),
     }
 }
 
-/// Says that a plan was confirmed, as a repeat learns, but is not what is in force.
-fn superseded(generation: ids::Generation) -> Exit {
+/// Builds the error for a repeated confirmation of a plan that a newer generation has replaced.
+fn superseded_plan(generation: ids::Generation) -> Exit {
     Exit::Stale(format!(
         "the plan was confirmed before, and {generation} has taken its place since"
     ))
@@ -190,7 +190,7 @@
     Ok(())
 }
 
-fn kind(kind: &wire::TaskKind) -> String {
+fn task_kind_text(kind: &wire::TaskKind) -> String {
     match kind {
         wire::TaskKind::Service(service) => format!("service {service}"),
         wire::TaskKind::Batch(class) => format!("batch {class}"),
@@ -207,7 +207,7 @@
         vec![
             r.job.to_string(),
             r.partner.to_string(),
-            kind(&r.kind),
+            task_kind_text(&r.kind),
             r.queued.to_string(),
             r.running.to_string(),
             r.done.to_string(),
@@ -226,7 +226,7 @@
         print_json(&status);
         return Ok(());
     }
-    println!("{} of {}: {}", status.job, status.partner, kind(&status.kind));
+    println!("{} of {}: {}", status.job, status.partner, task_kind_text(&status.kind));
     let cells = |t: &api::TaskStatus| {
         vec![
             t.task.to_string(),
@@ -260,7 +260,9 @@
     Ok(())
 }
 
-/// Prints the entries' own counters of services; `gaplock-burn` makes the full report.
+/// Prints the service request counters in the entries' metrics.
+///
+/// `gaplock-burn` produces the full report.
 async fn report(values: &Values) -> Result<()> {
     let health: Vec<String> = values.list("health").map_err(|e| Exit::Usage(e.to_string()))?;
     if health.is_empty() {
@@ -269,9 +271,9 @@
     let mut rows = Vec::new();
     for addr in &health {
         let client = Client::open(addr, 0);
-        let limit = Duration::from_secs(3);
+        let timeout = Duration::from_secs(3);
         let (method, path) = (Method::Get, "/metrics");
-        let call = Call { method, path, headers: &[], body: Vec::new(), limit };
+        let call = Call { method, path, headers: &[], body: Vec::new(), limit: timeout };
         let Ok(answer) = client.call(call).await else {
             rows.push(vec![addr.clone(), "cannot be reached".to_string(), String::new()]);
             continue;
