--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,7 @@
 //! `gaplock`: the command line for operators.
 //!
-//! Exit codes: 0 done, 1 refused, 2 wrong usage, 3 no entry could be reached, 4 stale plan.
+//! Exit codes: 0 success, 1 refused by an entry, 2 wrong usage, 3 no entry could be reached,
+//! 4 stale plan.
 
 mod commands;
 mod server;
@@ -40,29 +41,29 @@
     setting("json", Kind::Switch, "", None, "Print JSON for programs instead of tables."),
 ];
 
-/// How a command ended.
+/// How a command exits; `main` maps each variant to an exit code.
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Done,
-    /// Refused by gaplock, with the refusal as text.
+    /// An entry refused the command or parts of its plan; holds the refusal's text.
     Refused(String),
-    /// The command or a file is wrong.
+    /// The arguments or a given file are invalid.
     Usage(String),
-    /// No entry answered.
+    /// No entry could be reached, or the one that was called gave no complete answer.
     Unreachable(String),
-    /// The plan is stale.
+    /// The plan has expired, is based on an older configuration, or a newer plan replaced it.
     Stale(String),
 }
 
 fn main() -> ExitCode {
     let values = gaplock_settings::read_or_exit("gaplock", ABOUT, TABLE);
-    let (code, why) = match task::block_on(commands::run(&values)) {
+    let (code, message) = match task::block_on(commands::run(&values)) {
         Exit::Done => return ExitCode::SUCCESS,
-        Exit::Refused(why) => (1, why),
-        Exit::Usage(why) => (2, why),
-        Exit::Unreachable(why) => (3, why),
-        Exit::Stale(why) => (4, why),
+        Exit::Refused(message) => (1, message),
+        Exit::Usage(message) => (2, message),
+        Exit::Unreachable(message) => (3, message),
+        Exit::Stale(message) => (4, message),
     };
-    eprintln!("error: {why}");
+    eprintln!("error: {message}");
     ExitCode::from(code)
 }
