--- a/crates/standin/tests/delayed_writes.rs
+++ b/crates/standin/tests/delayed_writes.rs
@@ -1,4 +1,5 @@
-//! The store stand-in puts writes off where it is told to, and draws nothing where it is not.
+//! Checks that the store stand-in delays writes while that fault is on, and draws nothing for it while
+//! it is off.
 
 use gaplock_coord::action::{StoreAnswer, StoreCall};
 use gaplock_standin::store::{Faults, Model};
@@ -10,7 +11,7 @@
 }
 
 #[test]
-fn a_late_write_takes_effect_only_if_its_condition_still_holds() {
+fn a_delayed_write_takes_effect_only_if_its_condition_still_holds() {
     let faults = Faults { late_percent: 100, late_ms: 3_000, ..Faults::default() };
     let mut store = Model::default();
     store.faults = faults;
@@ -22,12 +23,12 @@
 }
 
 #[test]
-fn nothing_is_drawn_where_no_write_is_late() {
+fn nothing_is_drawn_while_no_writes_are_delayed() {
     let faults = Faults { lose_percent: 50, ..Faults::default() };
-    let (mut with, mut without) = (Model::default(), Model::default());
-    (with.faults, without.faults) = (faults, faults);
+    let (mut delay_drawn, mut delay_not_drawn) = (Model::default(), Model::default());
+    (delay_drawn.faults, delay_not_drawn.faults) = (faults, faults);
     for _ in 0..100 {
-        assert_eq!(with.late(), None);
-        assert_eq!(with.loses(), without.loses());
+        assert_eq!(delay_drawn.late(), None);
+        assert_eq!(delay_drawn.loses(), delay_not_drawn.loses());
     }
 }
