--- a/crates/standin/src/bin/store.rs
+++ b/crates/standin/src/bin/store.rs
@@ -1,4 +1,7 @@
-//! The store stand-in as a process: `PUT /v1/txn`, `GET /v1/kv/...`, and `/faults`, `/counts`.
+//! The store stand-in as a process.
+//!
+//! It serves `PUT /v1/txn` and `GET /v1/kv/...`. `/faults` sets the faults to inject, and `/counts`
+//! returns the calls so far.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -15,7 +18,8 @@
 
 const TABLE: &[Setting] =
     &[setting("listen", Kind::Addr, "ADDR", Some("127.0.0.1:0"), "Where the store listens.")];
-const WATCH_POLL: Duration = Duration::from_millis(20);
+/// How often a waiting read checks whether its key has changed.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 type Shared = Arc<Mutex<Model>>;
 
@@ -23,10 +27,11 @@
     let values = gaplock_settings::read_or_exit("standin-store", "stand-in store", TABLE);
     task::block_on(async {
         let model: Shared = Arc::default();
-        let handler = move |whole| answer(Arc::clone(&model), whole);
+        let handler = move |whole| handle_request(Arc::clone(&model), whole);
         let limits = gaplock_serve::Limits { body_bytes: 2 << 20, ..Default::default() };
-        let listener =
-            gaplock_serve::bind(values.text("listen"), limits, handler).await.expect("bind");
+        let listener = gaplock_serve::bind(values.text("listen"), limits, handler)
+            .await
+            .expect("the listen address can be bound");
         println!("listening {}", listener.addr());
         loop {
             task::sleep(Duration::from_secs(3600)).await;
@@ -34,25 +39,25 @@
     });
 }
 
-async fn answer(model: Shared, whole: Whole) -> Response {
+async fn handle_request(model: Shared, whole: Whole) -> Response {
     let url = whole.req.url().clone();
     let path = url.path().to_string();
     let body = whole.body.unwrap_or_default();
     if path == "/faults" {
         let faults: Faults = serde_json::from_slice(&body).unwrap_or_default();
-        model.lock().expect("lock").faults = faults;
+        model.lock().expect("the lock is not poisoned").faults = faults;
         return json_response(200, b"{}".to_vec());
     }
     if path == "/counts" {
-        let counts = model.lock().expect("lock").counts;
-        return json_response(200, serde_json::to_vec(&counts).expect("json"));
+        let counts = model.lock().expect("the lock is not poisoned").counts;
+        return json_response(200, serde_json::to_vec(&counts).expect("counts serialize to JSON"));
     }
-    let faults = model.lock().expect("lock").faults;
+    let faults = model.lock().expect("the lock is not poisoned").faults;
     if faults.slow_ms > 0 {
         task::sleep(Duration::from_millis(faults.slow_ms)).await;
     }
     if faults.down {
-        return never().await;
+        return hang().await;
     }
     match whole.req.method() {
         Method::Put => transact(&model, &body).await,
@@ -60,8 +65,8 @@
     }
 }
 
-/// Keeps the caller waiting, as a service that is down behind an open port does.
-async fn never() -> Response {
+/// Keeps the caller waiting, as a service does whose port is open but which is down.
+async fn hang() -> Response {
     task::sleep(Duration::from_secs(30)).await;
     Response::new(503)
 }
@@ -79,29 +84,29 @@
         }
         None => StoreCall::Delete { key: op.key.clone(), index },
     };
-    let late = model.lock().expect("lock").late();
-    if let Some(late_ms) = late {
+    let delay_ms = model.lock().expect("the lock is not poisoned").late();
+    if let Some(delay_ms) = delay_ms {
         let model = Arc::clone(model);
         task::spawn(async move {
-            task::sleep(Duration::from_millis(late_ms)).await;
-            model.lock().expect("lock").carry_out(&call);
+            task::sleep(Duration::from_millis(delay_ms)).await;
+            model.lock().expect("the lock is not poisoned").carry_out(&call);
         });
-        return never().await;
+        return hang().await;
     }
-    let (result, lost) = {
-        let mut model = model.lock().expect("lock");
+    let (result, answer_lost) = {
+        let mut model = model.lock().expect("the lock is not poisoned");
         let result = model.carry_out(&call);
-        let lost = model.loses();
-        (result, lost)
+        let answer_lost = model.loses();
+        (result, answer_lost)
     };
-    if lost {
-        return never().await;
+    if answer_lost {
+        return hang().await;
     }
     match result {
         StoreAnswer::Written(index) => {
             let kv = KvRow { key: op.key, value: None, modify_index: index.0 };
             let answer = TxnAnswer { results: vec![TxnResult { kv }] };
-            json_response(200, serde_json::to_vec(&answer).expect("json"))
+            json_response(200, serde_json::to_vec(&answer).expect("the answer serializes to JSON"))
         }
         _ => json_response(409, b"{\"Errors\":[{\"OpIndex\":0,\"What\":\"index\"}]}".to_vec()),
     }
@@ -114,19 +119,19 @@
     let after: u64 = param("index").and_then(|v| v.parse().ok()).unwrap_or(0);
     let wait = param("wait").and_then(|v| v.trim_end_matches("ms").parse().ok()).unwrap_or(0);
     if param("index").is_some() {
-        model.lock().expect("lock").counts.watches += 1;
+        model.lock().expect("the lock is not poisoned").counts.watches += 1;
         wait_for_change(model, &key, after, Duration::from_millis(wait)).await;
     }
     let call = match param("recurse") {
         Some(_) => StoreCall::List { prefix: key.clone() },
         None => StoreCall::Get { key: key.clone() },
     };
-    let down = model.lock().expect("lock").faults.down;
+    let down = model.lock().expect("the lock is not poisoned").faults.down;
     if down {
-        return never().await;
+        return hang().await;
     }
     let (answer, index) = {
-        let mut model = model.lock().expect("lock");
+        let mut model = model.lock().expect("the lock is not poisoned");
         let index = match &call {
             StoreCall::Get { key } => model.index_of(key),
             _ => model.index(),
@@ -143,16 +148,16 @@
 }
 
 async fn wait_for_change(model: &Shared, key: &str, after: u64, wait: Duration) {
-    // An index of 0 asks for no wait; a missing key counts as index 1.
+    // A request with index 0 does not wait. A key that does not exist has index 1 here.
     if after == 0 {
         return;
     }
     let began = std::time::Instant::now();
     while began.elapsed() < wait {
-        if model.lock().expect("lock").index_of(key).0.max(1) != after {
+        if model.lock().expect("the lock is not poisoned").index_of(key).0.max(1) != after {
             return;
         }
-        task::sleep(WATCH_POLL).await;
+        task::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
@@ -163,5 +168,5 @@
         modify_index: kv.index.0,
     };
     let rows: Vec<KvRow> = kvs.into_iter().map(encode).collect();
-    serde_json::to_vec(&rows).expect("json")
+    serde_json::to_vec(&rows).expect("rows serialize to JSON")
 }
