--- a/crates/standin/src/bin/worker.rs
+++ b/crates/standin/src/bin/worker.rs
@@ -1,4 +1,4 @@
-//! One or more worker stand-ins as a process, each with its own listener.
+//! One or more worker stand-ins in one process, each with its own listener.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -55,22 +55,23 @@
     setting("bad", Kind::Switch, "", None, "Everything that is started fails."),
 ];
 
-/// The most connections that a worker accepts at once.
-const CONNECTIONS: usize = 64;
+/// How many connections a worker accepts at the same time.
+const MAX_CONNECTIONS: usize = 64;
 
-/// One worker with what its process keeps beside the model.
-struct Shared {
+/// One worker's model and the state that its process keeps beside it.
+struct WorkerState {
     model: Model,
-    /// How often each request, named by its body's `op`, ran here.
+    /// How often each request ran here, by the `op` of its body.
     ops: BTreeMap<String, u32>,
-    /// Answers are cut short, for tests.
-    cut_answers: bool,
-    /// Orders are carried out so much later, without an answer, in milliseconds; 0 for at once.
-    late_ms: u64,
+    /// Whether answers to service requests are truncated, as a fault.
+    truncate_answers: bool,
+    /// The delay after which starts and control commands are carried out, without an answer, in
+    /// milliseconds; 0 carries them out immediately.
+    command_delay_ms: u64,
 }
 
-/// How long a caller waits in vain for the answer to a late order.
-const NO_ANSWER: Duration = Duration::from_secs(30);
+/// How long the caller of a delayed command is kept waiting; it gets no useful answer.
+const UNANSWERED_HOLD: Duration = Duration::from_secs(30);
 
 fn main() {
     let values = gaplock_settings::read_or_exit("standin-worker", "stand-in workers", TABLE);
@@ -85,11 +86,11 @@
         bad: values.switch("bad"),
         ..Traits::default()
     };
-    let given: Vec<String> = values.list("listen").expect("a list of addresses");
+    let listen_addrs: Vec<String> = values.list("listen").expect("`listen` is a list of addresses");
     task::block_on(async {
         let mut listeners = Vec::new();
         for i in 0..values.number("count") as usize {
-            let addr = given.get(i).map_or("127.0.0.1:0", String::as_str);
+            let addr = listen_addrs.get(i).map_or("127.0.0.1:0", String::as_str);
             listeners.push(serve_one(addr, traits.clone(), i).await);
         }
         for listener in &listeners {
@@ -107,89 +108,102 @@
         .duration_since(std::time::UNIX_EPOCH)
         .map_or(0, |d| d.as_nanos());
     let boot = wire::Boot(assign::stable_hash(&format!("{nanos}/{}/{i}", std::process::id())));
-    let shared = Arc::new(Mutex::new(Shared {
+    let shared = Arc::new(Mutex::new(WorkerState {
         model: Model::open(traits, boot, now),
         ops: BTreeMap::new(),
-        cut_answers: false,
-        late_ms: 0,
+        truncate_answers: false,
+        command_delay_ms: 0,
     }));
-    let handler = move |whole| answer(Arc::clone(&shared), whole);
-    // The control connections of a former and a new owner may overlap for a moment.
-    let limits = gaplock_serve::Limits { connections: CONNECTIONS, ..Default::default() };
-    gaplock_serve::bind(addr, limits, handler).await.expect("bind")
+    let handler = move |whole| handle_request(Arc::clone(&shared), whole);
+    // For a short time, the control connections of the previous owner and of the new one may
+    // exist together.
+    let limits = gaplock_serve::Limits { connections: MAX_CONNECTIONS, ..Default::default() };
+    gaplock_serve::bind(addr, limits, handler).await.expect("the listen address can be bound")
 }
 
-async fn answer(shared: Arc<Mutex<Shared>>, whole: Whole) -> Response {
+async fn handle_request(shared: Arc<Mutex<WorkerState>>, whole: Whole) -> Response {
     let path = whole.req.url().path().to_string();
     let body = whole.body.clone().unwrap_or_default();
     if let Some(rest) = path.strip_prefix("/svc/") {
         return service(shared, &whole, rest, body).await;
     }
-    let late_ms = shared.lock().expect("lock").late_ms;
-    if late_ms > 0 && ["/start", "/control"].contains(&path.as_str()) {
-        return put_off(shared, path, body, late_ms).await;
+    let command_delay_ms = shared.lock().expect("the lock is not poisoned").command_delay_ms;
+    if command_delay_ms > 0 && ["/start", "/control"].contains(&path.as_str()) {
+        return carry_out_delayed(shared, path, body, command_delay_ms).await;
     }
     carry_out(&shared, &path, &body)
 }
 
-/// Carries an order out late: its caller has long given it up, and newer ones may have come.
-async fn put_off(
-    shared: Arc<Mutex<Shared>>,
+/// Carries out a command after a delay. By then its caller has timed out, and newer commands may
+/// have been carried out.
+async fn carry_out_delayed(
+    shared: Arc<Mutex<WorkerState>>,
     path: String,
     body: Vec<u8>,
-    late_ms: u64,
+    command_delay_ms: u64,
 ) -> Response {
     task::spawn(async move {
-        task::sleep(Duration::from_millis(late_ms)).await;
+        task::sleep(Duration::from_millis(command_delay_ms)).await;
         carry_out(&shared, &path, &body);
     });
-    task::sleep(NO_ANSWER).await;
+    task::sleep(UNANSWERED_HOLD).await;
     Response::new(503)
 }
 
-fn carry_out(shared: &Mutex<Shared>, path: &str, body: &[u8]) -> Response {
+fn carry_out(shared: &Mutex<WorkerState>, path: &str, body: &[u8]) -> Response {
     let now = clock::now();
-    let mut shared = shared.lock().expect("lock");
+    let mut shared = shared.lock().expect("the lock is not poisoned");
     let model = &mut shared.model;
     match path {
-        "/lease" => with(body, |req| model.lease(now, &req)),
-        "/start" => with(body, |req| model.start(now, &req)),
-        "/control" => with(body, |req| model.control(now, &req)),
-        "/set-leaving" => with(body, |leaving: bool| model.set_leaving(now, leaving)),
-        "/set-late" => with(body, |late_ms: u64| shared.late_ms = late_ms),
-        "/set-cut" => with(body, |cut: bool| shared.cut_answers = cut),
+        "/lease" => handle_json(body, |req| model.lease(now, &req)),
+        "/start" => handle_json(body, |req| model.start(now, &req)),
+        "/control" => handle_json(body, |req| model.control(now, &req)),
+        "/set-leaving" => handle_json(body, |leaving: bool| model.set_leaving(now, leaving)),
+        "/set-late" => {
+            handle_json(body, |command_delay_ms: u64| shared.command_delay_ms = command_delay_ms)
+        }
+        "/set-cut" => handle_json(body, |cut: bool| shared.truncate_answers = cut),
         "/judge" => {
             model.advance(now);
-            let verdicts = Verdicts {
+            let report = Verdicts {
                 counts: shared.model.counts.clone(),
                 stretches: shared.model.stretches.clone(),
                 ops: shared.ops.clone(),
             };
-            json_response(200, serde_json::to_vec(&verdicts).expect("json"))
+            json_response(200, serde_json::to_vec(&report).expect("the report serializes to JSON"))
         }
         _ => Response::new(404),
     }
 }
 
-fn with<Q: serde::de::DeserializeOwned, A: Serialize>(
+/// Parses the body as a request, applies `f` to it and answers with the result as JSON.
+fn handle_json<Q: serde::de::DeserializeOwned, A: Serialize>(
     body: &[u8],
     f: impl FnOnce(Q) -> A,
 ) -> Response {
     match serde_json::from_slice(body) {
-        Ok(req) => json_response(200, serde_json::to_vec(&f(req)).expect("json")),
+        Ok(req) => {
+            json_response(200, serde_json::to_vec(&f(req)).expect("the reply serializes to JSON"))
+        }
         Err(_) => Response::new(400),
     }
 }
 
-/// Runs a service request: takes a slot, works for the service's time, echoes the body.
-async fn service(shared: Arc<Mutex<Shared>>, whole: &Whole, rest: &str, body: Vec<u8>) -> Response {
+/// Runs a service request: takes a slot, waits for the service time and echoes the body.
+async fn service(
+    shared: Arc<Mutex<WorkerState>>,
+    whole: &Whole,
+    rest: &str,
+    body: Vec<u8>,
+) -> Response {
     let service = ids::ServiceId::from(rest.split('/').next().unwrap_or_default());
     let header = whole.req.header(wire::EPOCH_HEADER).map(|v| v.last().as_str().to_string());
     let epoch = ids::Epoch(header.and_then(|v| v.parse().ok()).unwrap_or(0));
     let direct = whole.req.header("x-direct").is_some();
     let began = {
-        let mut shared = shared.lock().expect("lock");
-        // The load program measures a worker alone with `x-direct`, past leases and epochs.
+        let mut shared = shared.lock().expect("the lock is not poisoned");
+        // The load program measures a worker alone with `x-direct`; such requests bypass leases
+        // and epochs.
         match direct {
             true => Ok(shared.model.traits.service_us),
             false => shared.model.begin_request(clock::now(), epoch, &service),
@@ -197,20 +211,21 @@
     };
     let took_us = match began {
         Ok(took_us) => took_us,
-        Err(verdict) => return refuse(verdict),
+        Err(outcome) => return refuse(outcome),
     };
     count_op(&shared, &body);
     task::sleep(Duration::from_micros(took_us)).await;
-    let cut = {
-        let mut shared = shared.lock().expect("lock");
+    let truncate = {
+        let mut shared = shared.lock().expect("the lock is not poisoned");
         if !direct {
             shared.model.end_request(&service, took_us);
         }
-        shared.cut_answers
+        shared.truncate_answers
     };
     let mut res = json_response(200, body);
-    if cut {
-        // Declares more than is sent: the connection ends before the body is whole.
+    if truncate {
+        // Declares more bytes than are sent, so that the connection ends before the body is
+        // complete.
         let sent = res.take_body().into_bytes().await.unwrap_or_default();
         let declared = Some(sent.len() + 64);
         let reader = async_std::io::Cursor::new(sent);
@@ -219,16 +234,20 @@
     res
 }
 
-fn count_op(shared: &Mutex<Shared>, body: &[u8]) {
+fn count_op(shared: &Mutex<WorkerState>, body: &[u8]) {
     let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     let op = value.as_ref().and_then(|v| v.get("op")).and_then(|v| v.as_str());
     if let Some(op) = op {
-        *shared.lock().expect("lock").ops.entry(op.to_string()).or_default() += 1;
+        *shared.lock().expect("the lock is not poisoned").ops.entry(op.to_string()).or_default() +=
+            1;
     }
 }
 
-fn refuse(verdict: wire::CommandOutcome) -> Response {
+fn refuse(outcome: wire::CommandOutcome) -> Response {
     let mut res = Response::new(503);
-    res.insert_header(wire::REFUSAL_HEADER, serde_json::to_string(&verdict).expect("json"));
+    res.insert_header(
+        wire::REFUSAL_HEADER,
+        serde_json::to_string(&outcome).expect("a command outcome serializes to JSON"),
+    );
     res
 }
