--- a/crates/standin/src/judge.rs
+++ b/crates/standin/src/judge.rs
@@ -1,4 +1,4 @@
-//! Reads the worker stand-ins' judge and finds what must never have happened.
+//! Evaluates the reports of the worker stand-ins' checkers and finds violations of invariants.
 
 use std::collections::BTreeMap;
 
@@ -7,41 +7,43 @@
 
 use crate::worker::{Counts, Stretch};
 
-/// What one worker's judge says.
+/// What one worker's checker reports.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Verdicts {
-    /// Its counters.
+    /// The checker's counters.
     pub counts: Counts,
-    /// What ran when.
+    /// The intervals in which runs were active.
     pub stretches: Vec<Stretch>,
-    /// How often each request ran, by its body's `op`.
+    /// How often each request ran, by the `op` of its body.
     pub ops: BTreeMap<String, u32>,
 }
 
-/// Two stretches may touch within this many milliseconds, the judge's own step.
-const TOUCH_MS: u64 = 25;
+/// How far two run intervals may overlap without a violation, in milliseconds. It covers the step in
+/// which the checker itself advances time.
+const OVERLAP_TOLERANCE_MS: u64 = 25;
 
-/// Everything that the judges of all workers say together.
+/// The combined reports of all workers' checkers.
 #[derive(Debug, Default)]
 pub struct Findings {
-    /// Checks made.
+    /// How many checks were made.
     pub checks: u64,
-    /// What must never have happened, a sentence each.
+    /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
-    /// Runs by task, sorted by time.
+    /// Run intervals by task, sorted by start time.
     pub by_task: BTreeMap<ids::TaskId, Vec<Stretch>>,
-    /// How often each request ran.
+    /// How often each request ran on all workers together.
     pub ops: BTreeMap<String, u32>,
-    /// Starts, over all workers.
+    /// How many starts all workers carried out together.
     pub starts: u64,
 }
 
 impl Findings {
-    /// Joins the judges of all workers, `now_ms` being the machine's clock.
+    /// Combines the reports of all workers' checkers and checks them. `now_ms` is the time on the
+    /// machine's clock; intervals of active runs extend to it.
     pub fn of(all: &[Verdicts], now_ms: u64) -> Self {
         let mut f = Self::default();
         for (i, v) in all.iter().enumerate() {
-            f.take_in_counts(i, &v.counts);
+            f.add_counts(i, &v.counts);
             for (op, count) in &v.ops {
                 *f.ops.entry(op.clone()).or_default() += count;
             }
@@ -52,11 +54,11 @@
         for stretches in f.by_task.values_mut() {
             stretches.sort_by_key(|s| (s.from_ms, s.run.attempt));
         }
-        f.check_places(now_ms);
+        f.check_runs(now_ms);
         f
     }
 
-    fn take_in_counts(&mut self, worker: usize, c: &Counts) {
+    fn add_counts(&mut self, worker: usize, c: &Counts) {
         self.starts += c.starts;
         for (what, count) in [
             ("starts over capacity", c.over_capacity),
@@ -72,13 +74,15 @@
         }
     }
 
-    fn check_places(&mut self, now_ms: u64) {
+    /// Checks that the runs of each task do not overlap, never resume from before an earlier run's
+    /// checkpoint, and finish at most once.
+    fn check_runs(&mut self, now_ms: u64) {
         let mut found = Vec::new();
         for (task, stretches) in &self.by_task {
             for pair in stretches.windows(2) {
                 self.checks += 1;
                 let end = pair[0].to_ms.unwrap_or(now_ms);
-                if end > pair[1].from_ms + TOUCH_MS {
+                if end > pair[1].from_ms + OVERLAP_TOLERANCE_MS {
                     let (a, b) = (pair[0].run.attempt, pair[1].run.attempt);
                     found.push(format!(
                         "{task}: {a} and {b} overlap by {} ms",
@@ -98,7 +102,7 @@
         self.violations.extend(found);
     }
 
-    /// Counts requests that ran more than once although they must not.
+    /// Checks that each of these requests ran at most once.
     pub fn check_at_most_once(&mut self, ops: impl Iterator<Item = String>) {
         for op in ops {
             self.checks += 1;
