--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
 //! Small models of the platform: its store, its host list and its workers.
 //!
-//! They take the platform's place in tests, proofs and measurements and are not shipped. Each is
-//! a sans-I/O model with a thin HTTP program around it, so that the soak drives the same model on
-//! virtual time that the proofs drive as a process. The workers' counters are the judge: they
-//! count what must never happen.
+//! They replace the platform in tests, proofs and measurements, and are not shipped. The store and
+//! the workers are sans-I/O models with a thin HTTP program around each, so that the soak test runs
+//! the same model on virtual time that the proofs run as a process. Each worker contains a checker
+//! that counts violations of invariants.
 
 pub mod interference;
 pub mod judge;
