--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The store model: keys with modification indexes, compare-and-swap, and faults by command.
+//! The store model: keys with modification indexes, compare-and-swap, and injected faults.
 
 use std::collections::BTreeMap;
 
@@ -6,53 +6,54 @@
 use gaplock_types::ids;
 use serde::{Deserialize, Serialize};
 
-/// The largest value.
+/// The size of the largest value that a write may store.
 pub const VALUE_MAX_BYTES: usize = 1 << 20;
 
-/// What is wrong with the store now.
+/// The faults to inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Nothing is carried out and nothing answered.
+    /// Whether the store carries out no call and answers none.
     pub down: bool,
-    /// Every answer waits this long, in milliseconds.
+    /// The delay before each call is carried out, in milliseconds.
     pub slow_ms: u64,
-    /// Of each hundred writes, how many take effect without an answer.
+    /// The percentage of writes that take effect but are not answered.
     pub lose_percent: u64,
-    /// Of each hundred writes, how many are carried out only after `late_ms`, without an answer and
-    /// if their condition still holds then.
+    /// The percentage of writes that are carried out only after `late_ms`, without an answer. Such
+    /// a write takes effect only if its condition still holds then.
     pub late_percent: u64,
-    /// How late those are, in milliseconds.
+    /// The delay of those writes, in milliseconds.
     pub late_ms: u64,
 }
 
-/// Calls served so far.
+/// How many calls the store has carried out, by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Writes and deletions.
     pub writes: u64,
     /// Reads.
     pub reads: u64,
-    /// Waiting reads.
+    /// Reads that wait for a change.
     pub watches: u64,
     /// Bytes of values written.
     pub written_bytes: u64,
     /// Answers lost after the write took effect.
     pub lost: u64,
-    /// Writes put off.
+    /// Writes that were delayed.
     #[serde(default)]
     pub late: u64,
 }
 
-/// The store's contents.
+/// The store's contents and faults.
 #[derive(Debug, Default)]
 pub struct Model {
     keys: BTreeMap<String, (Vec<u8>, ids::StoreIndex)>,
     index: ids::StoreIndex,
-    /// What is wrong now.
+    /// The faults to inject.
     pub faults: Faults,
-    /// Calls so far.
+    /// The calls so far.
     pub counts: Counts,
+    /// How many pseudo-random numbers have been drawn; each is a hash of this count.
     draws: u64,
 }
 
@@ -62,7 +63,7 @@
         self.index
     }
 
-    /// Carries out a call; whether its answer arrives is another matter ([`Model::loses`]).
+    /// Carries out a call. Whether the caller receives the answer is drawn by [`Model::loses`].
     pub fn carry_out(&mut self, call: &StoreCall) -> StoreAnswer {
         match call {
             StoreCall::Cas { key, value, index } => {
@@ -98,20 +99,20 @@
         }
     }
 
-    /// Returns a key's modification index; 0 where it does not exist.
+    /// Returns a key's modification index, or 0 if the key does not exist.
     pub fn index_of(&self, key: &str) -> ids::StoreIndex {
         self.keys.get(key).map_or(ids::StoreIndex(0), |(_, index)| *index)
     }
 
-    /// Draws whether the answer to a write that took effect is lost.
+    /// Draws whether the answer to a write that has taken effect is lost.
     pub fn loses(&mut self) -> bool {
         let lost = self.draw() < self.faults.lose_percent;
         self.counts.lost += u64::from(lost);
         lost
     }
 
-    /// Draws whether a write is carried out late, and by how many milliseconds. Nothing is drawn
-    /// where no write is late, so that other faults keep their draws.
+    /// Draws whether a write is delayed, and returns the delay in milliseconds. Nothing is drawn
+    /// while this fault is off, so that the draws of other faults stay the same.
     pub fn late(&mut self) -> Option<u64> {
         if self.faults.late_percent == 0 || self.draw() >= self.faults.late_percent {
             return None;
