--- a/crates/standin/src/worker/mod.rs
+++ b/crates/standin/src/worker/mod.rs
@@ -1,4 +1,5 @@
-//! The worker model: leases by its own clock, runs, slots, late measurements, and a judge.
+//! The worker model: leases by its own clock, runs, slots, delayed measurements, and a checker that
+//! counts violations of invariants.
 
 mod usage;
 
@@ -7,26 +8,27 @@
 use gaplock_types::{ids, sizes, time, wire};
 use serde::{Deserialize, Serialize};
 
-/// What a worker is like.
+/// The configuration of a worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Traits {
-    /// What it can carry.
+    /// The resources that its runs may use together.
     pub capacity: sizes::Resources,
-    /// Service requests at once.
+    /// How many service requests it runs at the same time.
     pub slots: u32,
-    /// How late measurements are, in milliseconds.
+    /// The delay after which a measurement is reported, in milliseconds.
     pub usage_lag_ms: u64,
-    /// The window that they cover, in milliseconds.
+    /// The window that a measurement covers, in milliseconds.
     pub window_ms: u64,
-    /// Work between automatic checkpoints, in milliseconds.
+    /// How much work a run does between automatic checkpoints, in milliseconds.
     pub checkpoint_every_ms: u64,
-    /// A service's time alone, in microseconds.
+    /// A service's response time without interference, in microseconds.
     pub service_us: u64,
-    /// The seed of the hidden coefficients.
+    /// The seed of the hidden interference coefficients.
     pub seed: u64,
-    /// Whether every start fails soon after.
+    /// Whether every batch run fails shortly after its start.
     pub bad: bool,
-    /// After this long, an owner must have learnt that the worker is leaving, in milliseconds.
+    /// How long after the worker began to leave its owner may still send new work, in milliseconds;
+    /// later work is a violation.
     pub leaving_grace_ms: u64,
 }
 
@@ -59,77 +61,79 @@
     started_ms: u64,
 }
 
-/// One stretch of time in which a run was active, by the machine's clock.
+/// One interval in which a run was active, by the machine's clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stretch {
     /// The run.
     pub run: wire::Run,
     /// Whether it is a service replica.
     pub service: bool,
-    /// When it started, in milliseconds.
+    /// When the run started, in milliseconds.
     pub from_ms: u64,
-    /// When it ended; none while it is active.
+    /// When the run ended, in milliseconds; `None` while it is active.
     pub to_ms: Option<u64>,
-    /// The checkpoint that it resumed from.
+    /// The checkpoint that the run resumed from, in milliseconds of work.
     pub resume_ms: u64,
-    /// The checkpoint that it left.
+    /// The last checkpoint of the run, in milliseconds of work.
     pub checkpoint_ms: u64,
-    /// Whether it finished its work.
+    /// Whether the run finished its work.
     pub done: bool,
-    /// Whether it finished, but its host was replaced before the owner had acknowledged the end:
-    /// the result may be lost with the host, and running the task again is right then.
+    /// Whether the run finished, but its host was replaced before the owner had acknowledged the
+    /// end. The result may then be lost with the host, and running the task again is correct.
     #[serde(default)]
     pub unsure: bool,
 }
 
-/// What the judge has counted; everything but `starts`, `refused` and `requests` must stay 0.
+/// What the checker has counted. All counts except `starts`, `refused_stale`, `refused_late` and
+/// `requests` must stay 0.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Starts carried out.
     pub starts: u64,
-    /// Starts and commands refused because of an older epoch.
+    /// Renewals, commands and requests refused because of an older epoch.
     pub refused_stale: u64,
-    /// Starts refused because they came too late.
+    /// Starts refused because their lease had already expired.
     pub refused_late: u64,
-    /// Starts that would have exceeded the capacity.
+    /// Starts refused because they would have exceeded the capacity.
     pub over_capacity: u64,
-    /// Requests that would have exceeded the slots.
+    /// Requests refused because they would have exceeded the slots.
     pub over_slots: u64,
     /// Connections that would have exceeded the limit.
     pub over_connections: u64,
-    /// Starts of a task of which another attempt was active here.
+    /// Starts of a task while another attempt of it was active here.
     pub doubled: u64,
-    /// New work accepted by an owner's wish although the worker had been leaving for a while.
+    /// Starts and requests that were sent although the worker had been leaving for longer than the
+    /// grace period.
     pub leaving_work: u64,
     /// Service requests answered.
     pub requests: u64,
 }
 
-/// A worker.
+/// The state of a worker.
 #[derive(Debug)]
 pub struct Model {
-    /// What it is like.
+    /// The worker's configuration.
     pub traits: Traits,
-    /// The random number of its boot.
+    /// The random number that identifies this boot.
     pub boot: wire::Boot,
     booted_at: time::Instant,
     advanced_to: time::Instant,
     epoch: ids::Epoch,
-    /// Whether it is leaving.
+    /// Whether the worker is leaving.
     pub leaving: bool,
     leaving_since: time::Instant,
     runs: BTreeMap<wire::Run, Running>,
     slots_busy: u32,
-    /// What the judge has counted.
+    /// What the checker has counted.
     pub counts: Counts,
-    /// What ran when.
+    /// The intervals in which runs were active.
     pub stretches: Vec<Stretch>,
     usages: VecDeque<wire::Usage>,
     window_from: time::Instant,
     samples: BTreeMap<ids::ServiceId, Vec<u64>>,
 }
 
-/// After this much work, everything on a bad worker fails.
+/// After this much work, every batch run on a bad worker fails.
 const BAD_FAILS_AFTER_MS: u64 = 50;
 
 impl Model {
@@ -165,13 +169,14 @@
         self.leaving = leaving;
     }
 
-    /// Lets time pass up to `now`: runs progress, finish, or end with their leases.
+    /// Advances time to `now`: runs make progress, finish, or end with their leases.
     pub fn advance(&mut self, now: time::Instant) {
         let mut from = self.advanced_to;
         if now <= from {
             return;
         }
-        // After a long sleep the steps are coarse, but never past a lease or an end of work.
+        // After a long pause the steps are coarse, but no run progresses past the end of its lease
+        // and no checkpoint passes the end of the work.
         let step_ms = (now.since(from).0 / 200).max(20);
         while from < now {
             let to = time::Instant((from.0 + step_ms).min(now.0));
@@ -207,7 +212,7 @@
             if let Some(state) = ended {
                 r.state = state;
                 let at = to.min(lease_end);
-                end_stretch(&mut self.stretches, *run, at, r);
+                end_interval(&mut self.stretches, *run, at, r);
             }
         }
     }
@@ -247,8 +252,8 @@
         }
     }
 
-    /// Refuses a command of a former owner, or one meant for another boot.
-    fn refuses(&mut self, epoch: ids::Epoch, boot: wire::Boot) -> Option<wire::CommandOutcome> {
+    /// Returns the refusal of a command that a previous owner sent or that is for another boot.
+    fn refusal(&mut self, epoch: ids::Epoch, boot: wire::Boot) -> Option<wire::CommandOutcome> {
         if epoch < self.epoch {
             self.counts.refused_stale += 1;
             return Some(wire::CommandOutcome::StaleEpoch);
@@ -259,8 +264,8 @@
     /// Answers a start command.
     pub fn start(&mut self, now: time::Instant, req: &wire::StartRequest) -> wire::CommandOutcome {
         self.advance(now);
-        if let Some(verdict) = self.refuses(req.epoch, req.boot) {
-            return verdict;
+        if let Some(outcome) = self.refusal(req.epoch, req.boot) {
+            return outcome;
         }
         self.epoch = req.epoch;
         if self.runs.contains_key(&req.run) {
@@ -330,8 +335,8 @@
         req: &wire::ControlRequest,
     ) -> wire::CommandOutcome {
         self.advance(now);
-        if let Some(verdict) = self.refuses(req.epoch, req.boot) {
-            return verdict;
+        if let Some(outcome) = self.refusal(req.epoch, req.boot) {
+            return outcome;
         }
         let Some(r) = self.runs.get_mut(&req.run) else { return wire::CommandOutcome::UnknownRun };
         if r.state != wire::RunState::Running {
@@ -344,16 +349,16 @@
                     r.checkpoint_ms = (r.progress_us / 1000).min(r.work_ms);
                 }
                 r.state = wire::RunState::Stopped;
-                end_stretch(&mut self.stretches, req.run, now, r);
+                end_interval(&mut self.stretches, req.run, now, r);
             }
         }
         wire::CommandOutcome::Done
     }
 
-    /// Takes a slot for a service request, or refuses.
+    /// Takes a slot for a service request and returns the service time in microseconds.
     ///
     /// # Errors
-    /// Returns why the request is refused; it did not run.
+    /// Returns why the request is refused; it has not run then.
     pub fn begin_request(
         &mut self,
         now: time::Instant,
@@ -385,14 +390,14 @@
         Ok(self.service_time_us(service, now))
     }
 
-    /// Gives a slot back.
+    /// Releases a request's slot and records how long the request took.
     pub fn end_request(&mut self, service: &ids::ServiceId, took_us: u64) {
         self.slots_busy = self.slots_busy.saturating_sub(1);
         self.counts.requests += 1;
         self.record_latency(service, took_us);
     }
 
-    /// Tells whether an ended run still waits to be acknowledged.
+    /// Returns whether an ended run has not been acknowledged yet.
     pub fn unacknowledged(&self, run: &wire::Run) -> bool {
         self.runs.contains_key(run)
     }
@@ -406,7 +411,7 @@
     }
 }
 
-fn end_stretch(stretches: &mut [Stretch], run: wire::Run, at: time::Instant, r: &Running) {
+fn end_interval(stretches: &mut [Stretch], run: wire::Run, at: time::Instant, r: &Running) {
     let open = stretches.iter_mut().rev().find(|s| s.run == run && s.to_ms.is_none());
     if let Some(s) = open {
         s.to_ms = Some(at.0);
