--- a/crates/standin/src/worker/usage.rs
+++ b/crates/standin/src/worker/usage.rs
@@ -1,4 +1,4 @@
-//! What a worker uses and how its services fare, measured window by window.
+//! Measures, for each window of time, the worker's processor use and its services' response times.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,11 @@
 use super::Model;
 use crate::interference;
 
-const USAGES_KEPT: usize = 64;
+/// How many windows are kept, the newest; the report is delayed, so older ones are needed too.
+const MAX_USAGE_WINDOWS: usize = 64;
 
 impl Model {
+    /// Records the usage since the last window, once a whole window has passed.
     pub(super) fn record_usage_window(&mut self, now: time::Instant) {
         if now.since(self.window_from).0 < self.traits.window_ms {
             return;
@@ -41,31 +43,31 @@
                 .collect(),
         };
         self.usages.push_back(usage);
-        if self.usages.len() > USAGES_KEPT {
+        if self.usages.len() > MAX_USAGE_WINDOWS {
             self.usages.pop_front();
         }
     }
 
-    /// Takes in how long a request of a service took.
+    /// Records how long a request to a service took, in microseconds.
     pub fn record_latency(&mut self, service: &ids::ServiceId, took_us: u64) {
         self.samples.entry(service.clone()).or_default().push(took_us);
     }
 
-    /// Returns a service's mean time now, in microseconds.
+    /// Returns a service's response time under the present interference, in microseconds.
     pub fn service_time_us(&self, service: &ids::ServiceId, now: time::Instant) -> u64 {
         let shares = self.batch_shares();
         let factor = interference::slowdown(self.traits.seed, service, &shares, now.0);
         (self.traits.service_us as f64 * factor) as u64
     }
 
-    /// Returns the processors' share that each batch class uses now.
+    /// Returns the share of the worker's processors that each batch class uses now.
     pub fn batch_shares(&self) -> Vec<(ids::BatchClass, f64)> {
         let mut shares: BTreeMap<ids::BatchClass, f64> = BTreeMap::new();
-        let whole = f64::from(self.traits.capacity.cpu.0.max(1));
+        let total_cpu = f64::from(self.traits.capacity.cpu.0.max(1));
         for r in self.runs.values().filter(|r| r.state == wire::RunState::Running) {
             if let wire::TaskKind::Batch(class) = &r.kind {
                 let used = f64::from(r.demand.cpu.0) * f64::from(r.speed) / 1000.0;
-                *shares.entry(class.clone()).or_default() += used / whole;
+                *shares.entry(class.clone()).or_default() += used / total_cpu;
             }
         }
         shares.into_iter().collect()
