--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,29 +1,30 @@
-//! Puts together one job's story from the structured logs of all hosts.
+//! Assembles the timeline of one job from the structured logs of all hosts.
 //!
-//! Lines of several processes are merged by their timestamps. Lines that are not JSON, or that do
-//! not name the job or one of its tasks, are left out; a gap in the story is named, since a host
-//! whose log is missing may have decided meanwhile.
+//! Lines of several processes are merged by their timestamps. Lines that are not JSON, or that
+//! name neither the job nor one of its tasks, are omitted. Changes of leadership are included for
+//! every job: they show where a host whose log is missing may have made decisions.
 
 use serde_json::{Map, Value};
 
-/// One line of the story.
+/// One line of the timeline.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
-    /// When it was written, as the log says.
+    /// The timestamp that the log line carries.
     pub time: String,
-    /// What happened.
+    /// The event's name.
     pub event: String,
-    /// The task, where the line names one.
+    /// The task, if the line names one.
     pub task: Option<String>,
-    /// The other fields, in the order of their names.
+    /// The other fields, sorted by name.
     pub fields: Vec<(String, String)>,
 }
 
-/// Fields that the story does not repeat.
-const LEFT_OUT: [&str; 4] = ["timestamp", "level", "event", "task"];
+/// Fields that are not listed again among a line's other fields.
+const OMITTED_FIELDS: [&str; 4] = ["timestamp", "level", "event", "task"];
 
-/// Events that belong to every job's story, because they change who decides or what is in force.
-const FOR_ALL: [&str; 6] = [
+/// Events that belong to every job's timeline, because they change which host decides or which
+/// decisions are in force.
+const LEADERSHIP_EVENTS: [&str; 6] = [
     "leadership_claimed",
     "leadership_lost",
     "leadership_over",
@@ -32,37 +33,40 @@
     "commit_failed",
 ];
 
-/// Reads a log and returns the story of a job, in the order of time.
-pub fn story(log: &str, job: &str) -> Vec<Line> {
-    let mut lines: Vec<Line> = log.lines().filter_map(|text| line(text, job)).collect();
+/// Returns the timeline of a job from the text of a log, sorted by time.
+///
+/// It begins and ends with lines that name the job or one of its tasks, and is empty without one.
+pub fn timeline(log: &str, job: &str) -> Vec<Line> {
+    let mut lines: Vec<Line> = log.lines().filter_map(|text| parse_line(text, job)).collect();
     lines.sort_by(|a, b| a.time.cmp(&b.time));
-    let own = |l: &Line| !FOR_ALL.contains(&l.event.as_str());
-    let (Some(first), Some(last)) = (lines.iter().position(own), lines.iter().rposition(own))
+    let names_job = |l: &Line| !LEADERSHIP_EVENTS.contains(&l.event.as_str());
+    let (Some(first), Some(last)) =
+        (lines.iter().position(names_job), lines.iter().rposition(names_job))
     else {
         return Vec::new();
     };
     lines[first..=last].to_vec()
 }
 
-fn line(text: &str, job: &str) -> Option<Line> {
+fn parse_line(text: &str, job: &str) -> Option<Line> {
     let object: Map<String, Value> = serde_json::from_str(&text[text.find('{')?..]).ok()?;
-    let word = |name: &str| object.get(name).and_then(Value::as_str).map(str::to_string);
-    let (event, task) = (word("event")?, word("task"));
-    let of_job = word("job").as_deref() == Some(job)
+    let text_field = |name: &str| object.get(name).and_then(Value::as_str).map(str::to_string);
+    let (event, task) = (text_field("event")?, text_field("task"));
+    let of_job = text_field("job").as_deref() == Some(job)
         || task.as_deref().is_some_and(|t| t.split('.').next() == Some(job));
-    if !of_job && !FOR_ALL.contains(&event.as_str()) {
+    if !of_job && !LEADERSHIP_EVENTS.contains(&event.as_str()) {
         return None;
     }
-    let fields = object.iter().filter(|(name, _)| !LEFT_OUT.contains(&name.as_str()));
-    let fields = fields.map(|(name, value)| (name.clone(), plain(value)));
-    Some(Line { time: word("timestamp")?, event, task, fields: fields.collect() })
+    let fields = object.iter().filter(|(name, _)| !OMITTED_FIELDS.contains(&name.as_str()));
+    let fields = fields.map(|(name, value)| (name.clone(), value_text(value)));
+    Some(Line { time: text_field("timestamp")?, event, task, fields: fields.collect() })
 }
 
-fn plain(value: &Value) -> String {
+fn value_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
 
-/// Writes the story as text, one line for each event.
+/// Formats the timeline as text, one line for each event.
 pub fn render(lines: &[Line]) -> String {
     let mut text = String::new();
     for line in lines {
@@ -73,7 +77,7 @@
     text
 }
 
-/// Writes the story as JSON.
+/// Formats the timeline as a JSON array.
 pub fn to_json(lines: &[Line]) -> String {
     let rows = lines.iter().map(|line| {
         let fields = line.fields.iter().map(|(n, v)| (n.clone(), Value::from(v.as_str())));
--- a/crates/explain/src/main.rs
+++ b/crates/explain/src/main.rs
@@ -1,4 +1,4 @@
-//! Prints the story of one job from the logs of all hosts; see `docs/OPERATIONS.md`.
+//! Prints the timeline of one job from the logs of all hosts; see `docs/OPERATIONS.md`.
 
 use std::fs;
 use std::io::Read;
@@ -7,11 +7,11 @@
 const USAGE: &str =
     "gaplock-explain JOB [FILE...] - prints one job's story from logs or standard input";
 
-/// The exit code for wrong options and files that cannot be read.
-const WRONG_USE: u8 = 2;
+/// The exit code for invalid options and files that cannot be read.
+const EXIT_USAGE: u8 = 2;
 
-/// The exit code where no line names the job.
-const NOT_FOUND: u8 = 3;
+/// The exit code if no line names the job.
+const EXIT_NOT_FOUND: u8 = 3;
 
 fn main() -> ExitCode {
     let mut options = getopts::Options::new();
@@ -24,34 +24,34 @@
     let help = matches.opt_present("help");
     let Some((job, files)) = matches.free.split_first().filter(|_| !help) else {
         println!("{}", options.usage(USAGE));
-        return ExitCode::from(if help { 0 } else { WRONG_USE });
+        return ExitCode::from(if help { 0 } else { EXIT_USAGE });
     };
     match read(files) {
-        Ok(log) => print_story(&log, job, matches.opt_present("json")),
+        Ok(log) => print_timeline(&log, job, matches.opt_present("json")),
         Err(e) => fail(&e),
     }
 }
 
 fn fail(e: &dyn std::error::Error) -> ExitCode {
     eprintln!("error: {e}");
-    ExitCode::from(WRONG_USE)
+    ExitCode::from(EXIT_USAGE)
 }
 
-fn print_story(log: &str, job: &str, json: bool) -> ExitCode {
-    let story = gaplock_explain::story(log, job);
-    if story.is_empty() {
+fn print_timeline(log: &str, job: &str, json: bool) -> ExitCode {
+    let timeline = gaplock_explain::timeline(log, job);
+    if timeline.is_empty() {
         eprintln!("no line names job {job}");
-        return ExitCode::from(NOT_FOUND);
+        return ExitCode::from(EXIT_NOT_FOUND);
     }
     if json {
-        println!("{}", gaplock_explain::to_json(&story));
+        println!("{}", gaplock_explain::to_json(&timeline));
     } else {
-        print!("{}", gaplock_explain::render(&story));
+        print!("{}", gaplock_explain::render(&timeline));
     }
     ExitCode::SUCCESS
 }
 
-/// Reads all files one after the other, or standard input where none is named.
+/// Reads and concatenates all files, or reads standard input if none is given.
 fn read(files: &[String]) -> std::io::Result<String> {
     let mut log = String::new();
     if files.is_empty() {
--- a/crates/explain/tests/timelines.rs
+++ b/crates/explain/tests/timelines.rs
@@ -1,4 +1,4 @@
-//! Stories put together from lines of several hosts.
+//! Checks timelines that are assembled from log lines of several hosts.
 
 use expect_test::expect;
 
@@ -13,18 +13,18 @@
 "#;
 
 #[test]
-fn a_story_is_in_order_and_names_changes_of_leader() {
-    let story = gaplock_explain::story(LOG, "00000000000000aa");
+fn a_timeline_is_sorted_by_time_and_includes_leadership_changes() {
+    let timeline = gaplock_explain::timeline(LOG, "00000000000000aa");
     expect![[r#"
         T01 job_handed_in - job=00000000000000aa outcome=Stored
         T02 start_ordered 00000000000000aa.0.0.0 run=4097 waited_ms=3
         T025 takeover_began - term=2
         T03 run_ended 00000000000000aa.0.0.0 how=Done run=4097
     "#]]
-    .assert_eq(&gaplock_explain::render(&story));
+    .assert_eq(&gaplock_explain::render(&timeline));
 }
 
 #[test]
-fn a_job_that_no_line_names_has_no_story() {
-    assert!(gaplock_explain::story(LOG, "00000000000000ff").is_empty());
+fn a_job_that_no_line_names_has_an_empty_timeline() {
+    assert!(gaplock_explain::timeline(LOG, "00000000000000ff").is_empty());
 }
