--- a/crates/demo/src/bin/path.rs
+++ b/crates/demo/src/bin/path.rs
@@ -1,5 +1,7 @@
-//! Measures what two processes on the path cost: `gaplock-load` directly and through the entries,
-//! in one run on one installation. Prints the load program's JSON.
+//! `gaplock-path`: measures the latency that the entries add to a request.
+//!
+//! Runs `gaplock-load` directly against the workers and through the entries, in one run on one
+//! installation. Prints the JSON of the load program.
 
 use std::io;
 use std::process::ExitCode;
@@ -10,9 +12,12 @@
 use gaplock_demo::process::Process;
 use gaplock_demo::site;
 
-const LIMIT: Duration = Duration::from_secs(20);
-const RATE: &str = "300";
-const SECONDS: u64 = 16;
+/// Bounds the wait for each step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
+/// The rate of requests per second, an argument of the load program.
+const REQUESTS_PER_S: &str = "300";
+/// The length of the load.
+const LOAD_SECONDS: u64 = 16;
 
 fn main() -> ExitCode {
     match task::block_on(run()) {
@@ -27,15 +32,15 @@
 async fn run() -> io::Result<()> {
     let cluster = Cluster::start(Plan::default()).await?;
     for i in 0..3 {
-        cluster.wait_ready(i, LIMIT).await?;
+        cluster.wait_ready(i, STEP_TIMEOUT).await?;
     }
     cluster.apply_intent(0, site::BOOTSTRAP_KEY, site::first_intent(8)).await?;
-    cluster.wait_usable(0, 8, LIMIT).await?;
+    cluster.wait_usable(0, 8, STEP_TIMEOUT).await?;
     for i in 0..3 {
-        cluster.wait_serving(i, LIMIT).await?;
+        cluster.wait_serving(i, STEP_TIMEOUT).await?;
     }
     let entries: Vec<String> = cluster.entries.iter().map(|e| e.callers.clone()).collect();
-    let seconds = SECONDS.to_string();
+    let seconds = LOAD_SECONDS.to_string();
     let args: Vec<String> = [
         "--entries",
         &entries.join(","),
@@ -44,7 +49,7 @@
         "--service",
         site::SERVICE,
         "--rate",
-        RATE,
+        REQUESTS_PER_S,
         "--seconds",
         &seconds,
         "--rounds",
@@ -55,9 +60,9 @@
     .collect();
     let env = [("GAPLOCK_KEY", site::PARTNER_KEYS[0].1)];
     let mut load = Process::spawn("gaplock-load", &args, &env)?;
-    let ended = load.wait(Duration::from_secs(SECONDS + 20));
-    if ended != Some(0) {
-        return Err(io::Error::other("the load program failed"));
+    let exit_code = load.wait(Duration::from_secs(LOAD_SECONDS + 20));
+    if exit_code != Some(0) {
+        return Err(io::Error::other("gaplock-load failed or did not end in time"));
     }
     load.drain();
     println!("{}", load.printed.join("\n"));
