--- a/crates/demo/src/bin/prove.rs
+++ b/crates/demo/src/bin/prove.rs
@@ -1,4 +1,4 @@
-//! `gaplock-prove [PROMISE...]`: proves promises with separate processes under faults.
+//! `gaplock-prove [PROMISE...]`: checks with separate processes that promises hold under faults.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use async_std::task;
 use gaplock_demo::prove;
 
-/// The promises that the test command proves; the rest takes longer.
+/// The promises that `--quick` checks; the others take longer.
 const QUICK: [u32; 4] = [3, 4, 8, 9];
 
 fn main() -> ExitCode {
@@ -22,9 +22,9 @@
     for number in &numbers {
         held += usize::from(prove_one(*number));
     }
-    let not = numbers.len() - held;
-    println!("prove: {held} held, {not} not");
-    if not == 0 && held > 0 {
+    let not_held = numbers.len() - held;
+    println!("prove: {held} held, {not_held} not");
+    if not_held == 0 && held > 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
