--- a/crates/demo/src/bin/scale.rs
+++ b/crates/demo/src/bin/scale.rs
@@ -1,8 +1,9 @@
-//! `gaplock-scale [WORKERS...]`: what a fleet costs the entries, with real processes.
+//! `gaplock-scale [WORKERS...]`: measures what fleets of several sizes cost the entries, with real
+//! processes.
 //!
-//! For each fleet size: processor time, memory and store calls of the entries, idle and under a
-//! known rate of task starts, with the default timing; and how long urgent work takes to start on
-//! a full fleet. Prints a table and the slopes.
+//! For each fleet size it measures the processor time, memory and store calls of the entries, idle
+//! and under a known rate of task starts, with the default timing. It also measures how long urgent
+//! work takes to start on a full fleet. Prints a table and the slopes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,16 +20,20 @@
 use http_types::Method;
 use serde_json::json;
 
-const LIMIT: Duration = Duration::from_secs(40);
-const SPAN: Duration = Duration::from_secs(10);
+/// Bounds the wait for each step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(40);
+/// The length of each measurement.
+const MEASURED_SPAN: Duration = Duration::from_secs(10);
 const ENTRIES: usize = 3;
 const TASKS_PER_JOB: u32 = 8;
 const JOBS_PER_S: u64 = 8;
 const URGENT_JOBS: usize = 20;
+/// The unit of processor times in `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
+/// The unit of memory sizes in `/proc/PID/statm`.
 const PAGE_BYTES: f64 = 4_096.0;
 
-/// What a span cost one entry, on average.
+/// What an entry used during a measurement, as the mean over all entries.
 #[derive(Debug, Clone, Copy, Default)]
 struct Cost {
     cpu_percent: f64,
@@ -38,8 +43,9 @@
     written_bytes_per_s: f64,
 }
 
+/// The results for one fleet size.
 #[derive(Debug)]
-struct Size {
+struct FleetResult {
     workers: usize,
     idle: Cost,
     loaded: Cost,
@@ -48,18 +54,18 @@
 }
 
 fn main() -> ExitCode {
-    let asked: Vec<usize> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
-    let fleets = if asked.is_empty() { vec![48, 144, 288] } else { asked };
-    let mut sizes = Vec::new();
+    let sizes_given: Vec<usize> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
+    let fleets = if sizes_given.is_empty() { vec![48, 144, 288] } else { sizes_given };
+    let mut costs = Vec::new();
     println!(
         "workers  idle cpu%  idle MB  idle w/s  idle r/s  loaded cpu%  loaded MB  loaded w/s  \
          written B/s  starts/s  urgent p50 ms  urgent max ms"
     );
     for workers in fleets {
         match task::block_on(measure(workers)) {
-            Ok(size) => {
-                print_size(&size);
-                sizes.push(size);
+            Ok(cost) => {
+                print_row(&cost);
+                costs.push(cost);
             }
             Err(e) => {
                 eprintln!("error: {workers} workers: {e}");
@@ -67,16 +73,16 @@
             }
         }
     }
-    print_slopes(&sizes);
+    print_slopes(&costs);
     ExitCode::SUCCESS
 }
 
-fn print_size(s: &Size) {
+fn print_row(s: &FleetResult) {
     let median = s.urgent_ms.get(s.urgent_ms.len() / 2).copied().unwrap_or(0);
-    let most = s.urgent_ms.last().copied().unwrap_or(0);
+    let longest = s.urgent_ms.last().copied().unwrap_or(0);
     println!(
         "{:>7}  {:>9.2}  {:>7.1}  {:>8.1}  {:>8.1}  {:>11.2}  {:>9.1}  {:>10.1}  {:>11.0}  \
-         {:>8.1}  {median:>13}  {most:>13}",
+         {:>8.1}  {median:>13}  {longest:>13}",
         s.workers,
         s.idle.cpu_percent,
         s.idle.rss_mb,
@@ -91,13 +97,13 @@
 }
 
 /// Prints the slopes between the smallest and the largest fleet.
-fn print_slopes(sizes: &[Size]) {
-    let (Some(first), Some(last)) = (sizes.first(), sizes.last()) else { return };
+fn print_slopes(costs: &[FleetResult]) {
+    let (Some(first), Some(last)) = (costs.first(), costs.last()) else { return };
     if first.workers == last.workers {
         return;
     }
-    let own = |s: &Size| s.workers as f64 / ENTRIES as f64;
-    let span = own(last) - own(first);
+    let workers_per_entry = |s: &FleetResult| s.workers as f64 / ENTRIES as f64;
+    let span = workers_per_entry(last) - workers_per_entry(first);
     let cpu = (last.idle.cpu_percent - first.idle.cpu_percent) / span;
     let memory = (last.idle.rss_mb - first.idle.rss_mb) / span;
     let per_start =
@@ -106,7 +112,7 @@
     println!("slope: {per_start:.4}% of a core for each start a second that an entry makes");
 }
 
-async fn measure(workers: usize) -> io::Result<Size> {
+async fn measure(workers: usize) -> io::Result<FleetResult> {
     let plan = Plan {
         entries: ENTRIES,
         workers,
@@ -118,21 +124,22 @@
     };
     let cluster = Cluster::start(plan).await?;
     for i in 0..ENTRIES {
-        cluster.wait_ready(i, LIMIT).await?;
+        cluster.wait_ready(i, STEP_TIMEOUT).await?;
     }
     let intent = site::first_intent(workers as u32);
     cluster.apply_intent(0, site::BOOTSTRAP_KEY, intent).await?;
-    cluster.wait_usable(0, workers, LIMIT).await?;
+    cluster.wait_usable(0, workers, STEP_TIMEOUT).await?;
     task::sleep(Duration::from_secs(5)).await;
-    let idle = span_cost(&cluster, || task::sleep(SPAN)).await?;
+    let idle = measure_cost(&cluster, || task::sleep(MEASURED_SPAN)).await?;
     let before = cluster.collect_findings().await?.starts;
-    let loaded = span_cost(&cluster, || submit_steadily(&cluster)).await?;
+    let loaded = measure_cost(&cluster, || submit_steadily(&cluster)).await?;
     let starts = cluster.collect_findings().await?.starts - before;
-    let urgent_ms = urgent_starts(&cluster).await?;
-    let starts_per_s = starts as f64 / SPAN.as_secs_f64();
-    Ok(Size { workers, idle, loaded, starts_per_s, urgent_ms })
+    let urgent_ms = measure_urgent_starts(&cluster).await?;
+    let starts_per_s = starts as f64 / MEASURED_SPAN.as_secs_f64();
+    Ok(FleetResult { workers, idle, loaded, starts_per_s, urgent_ms })
 }
 
+/// Returns the processor time of a process in seconds and its resident memory in megabytes.
 fn process_cost(pid: u32) -> io::Result<(f64, f64)> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let after_name = stat.rsplit(')').next().unwrap_or_default();
@@ -146,10 +153,11 @@
 async fn store_counts(cluster: &Cluster) -> io::Result<Counts> {
     let addr = &cluster.store_addr;
     let answer = call(addr, Method::Get, "/counts", &[], Vec::new(), 2_000).await?;
-    answer.json().ok_or_else(|| io::Error::other("the store's counts cannot be read"))
+    answer.json().ok_or_else(|| io::Error::other("cannot parse the store's counts"))
 }
 
-async fn span_cost<F>(cluster: &Cluster, during: impl FnOnce() -> F) -> io::Result<Cost>
+/// Returns what the entries use while `during` runs.
+async fn measure_cost<F>(cluster: &Cluster, during: impl FnOnce() -> F) -> io::Result<Cost>
 where
     F: std::future::Future<Output = ()>,
 {
@@ -173,6 +181,7 @@
     })
 }
 
+/// Submits a job; returns its id, or `None` if it was not accepted.
 async fn submit(
     cluster: &Cluster,
     key: &str,
@@ -192,10 +201,11 @@
     answer.json::<serde_json::Value>()?["job"].as_str().map(String::from)
 }
 
+/// Submits jobs at a constant rate during a measurement.
 async fn submit_steadily(cluster: &Cluster) {
     let began = Instant::now();
     let mut n = 0;
-    while began.elapsed() < SPAN {
+    while began.elapsed() < MEASURED_SPAN {
         let due = began + Duration::from_millis(n * 1000 / JOBS_PER_S);
         task::sleep(due.saturating_duration_since(Instant::now())).await;
         if submit(cluster, &format!("steady-{n}"), false, 500, TASKS_PER_JOB).await.is_none() {
@@ -205,8 +215,9 @@
     }
 }
 
-/// Fills the fleet with long ordinary tasks, then measures from submission to start of urgent ones.
-async fn urgent_starts(cluster: &Cluster) -> io::Result<Vec<u64>> {
+/// Fills the fleet with long ordinary tasks, then measures the time from the submission of urgent
+/// tasks to their starts, in milliseconds.
+async fn measure_urgent_starts(cluster: &Cluster) -> io::Result<Vec<u64>> {
     let slots = cluster.worker_addrs.len() * 12;
     for n in 0..slots.div_ceil(200) {
         submit(cluster, &format!("fill-{n}"), false, 120_000, 200).await;
