--- a/crates/demo/src/bin/site.rs
+++ b/crates/demo/src/bin/site.rs
@@ -1,6 +1,7 @@
-//! `gaplock-site [SECONDS]`: an installation to try things on: stand-ins, 8 workers, 3 entries.
+//! `gaplock-site [SECONDS]`: runs an installation for trials: stand-ins, 8 workers, 3 entries.
 //!
-//! Prints the variables that `gaplock` and `gaplock-burn` need and ends after the given time.
+//! Prints the environment variables that `gaplock` and `gaplock-burn` need, and ends after the
+//! given time.
 
 use std::io;
 use std::process::ExitCode;
@@ -10,7 +11,8 @@
 use gaplock_demo::cluster::{Cluster, Plan};
 use gaplock_demo::site;
 
-const LIMIT: Duration = Duration::from_secs(20);
+/// Bounds the wait for each step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 const DEFAULT_SECONDS: u64 = 900;
 
 fn main() -> ExitCode {
@@ -27,7 +29,7 @@
 async fn run(seconds: u64) -> io::Result<()> {
     let cluster = Cluster::start(Plan::default()).await?;
     for i in 0..cluster.entries.len() {
-        cluster.wait_ready(i, LIMIT).await?;
+        cluster.wait_ready(i, STEP_TIMEOUT).await?;
     }
     let join = |pick: fn(&gaplock_demo::cluster::Entry) -> &str| {
         cluster.entries.iter().map(pick).collect::<Vec<_>>().join(",")
