--- a/crates/demo/src/calls.rs
+++ b/crates/demo/src/calls.rs
@@ -1,4 +1,4 @@
-//! Single calls to an address, and waits for a condition.
+//! Makes single calls to an address and waits for conditions.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -12,27 +12,27 @@
     call(addr, Method::Put, path, &[], body, 5_000).await
 }
 
-/// Makes one call on a connection of its own.
+/// Makes one call on a new connection.
 ///
 /// # Errors
-/// Returns an error where no whole answer came.
+/// Returns an error if no complete answer arrives within `timeout_ms`.
 pub async fn call(
     addr: &str,
     method: Method,
     path: &str,
     headers: &[(&str, &str)],
     body: Vec<u8>,
-    limit_ms: u64,
+    timeout_ms: u64,
 ) -> io::Result<Answer> {
     let client = Client::open(addr, 0);
-    let limit = Duration::from_millis(limit_ms);
+    let limit = Duration::from_millis(timeout_ms);
     client.call(Call { method, path, headers, body, limit }).await.map_err(http_error)
 }
 
-/// Sends a request with a key to a callers' listener.
+/// Sends a request with a key to an entry's listener for callers.
 ///
 /// # Errors
-/// Returns an error where no whole answer came.
+/// Returns an error if no complete answer arrives.
 pub async fn ask(
     addr: &str,
     method: Method,
@@ -42,18 +42,18 @@
     body: Value,
 ) -> io::Result<Answer> {
     let bearer = format!("Bearer {key}");
-    let mut all = vec![("authorization", bearer.as_str())];
-    all.extend_from_slice(headers);
+    let mut all_headers = vec![("authorization", bearer.as_str())];
+    all_headers.extend_from_slice(headers);
     let body = if body.is_null() { Vec::new() } else { body.to_string().into_bytes() };
-    call(addr, method, path, &all, body, 12_000).await
+    call(addr, method, path, &all_headers, body, 12_000).await
 }
 
-/// Waits until `holds`, and returns how long that took.
+/// Waits until `holds` returns true, and returns how long that took.
 ///
 /// # Errors
-/// Returns an error after `limit`.
+/// Returns an error if that takes longer than `timeout`.
 pub async fn wait_until<F>(
-    limit: Duration,
+    timeout: Duration,
     what: &str,
     mut holds: impl FnMut() -> F,
 ) -> io::Result<Duration>
@@ -62,7 +62,7 @@
 {
     let began = Instant::now();
     while !holds().await {
-        if began.elapsed() > limit {
+        if began.elapsed() > timeout {
             return Err(timed_out(what));
         }
         task::sleep(Duration::from_millis(25)).await;
@@ -70,7 +70,7 @@
     Ok(began.elapsed())
 }
 
-/// A wait that ran out.
+/// Builds the error for a wait that has timed out.
 pub(crate) fn timed_out(what: &str) -> io::Error {
     io::Error::other(format!("{what} did not happen in time"))
 }
