--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole installation of processes, with calls to its interfaces.
+//! Starts a whole installation as processes and calls its interfaces.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -15,27 +15,27 @@
 use crate::relay::{self, Relay};
 use crate::site;
 
-/// What an installation consists of.
+/// The parts and settings of an installation.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Entries.
+    /// The number of entries.
     pub entries: usize,
-    /// Workers.
+    /// The number of workers.
     pub workers: usize,
-    /// Partitions in each failure domain.
+    /// The number of partitions in each failure domain.
     pub slices: u32,
-    /// A service's time alone, in microseconds.
+    /// A service's response time without interference, in microseconds.
     pub service_us: u64,
-    /// Each worker's capacity.
+    /// The capacity of each worker.
     pub capacity: sizes::Resources,
-    /// Workers in each stand-in process; more than one for large fleets.
+    /// The number of workers in each stand-in process; more than one for large fleets.
     pub workers_per_process: usize,
-    /// Further settings of the entries.
+    /// Further settings for the entries.
     pub settings: Vec<(&'static str, String)>,
 }
 
-/// Timing that lets a failure test run in seconds; every ratio of the defaults is kept.
-pub const FAST: [(&str, &str); 14] = [
+/// Timing settings with which a failure test takes seconds. The ratios of the defaults are kept.
+pub const FAST_TIMING: [(&str, &str); 14] = [
     ("tick", "20"),
     ("lease-every", "300"),
     ("task-ttl", "3000"),
@@ -61,25 +61,25 @@
             service_us: 4_000,
             capacity: sizes::Resources::new(16_000, 60 * 1024, 0),
             workers_per_process: 1,
-            settings: FAST.iter().map(|(k, v)| (*k, (*v).to_string())).collect(),
+            settings: FAST_TIMING.iter().map(|(k, v)| (*k, (*v).to_string())).collect(),
         }
     }
 }
 
-/// An entry's process with its addresses.
+/// The process of an entry and its addresses.
 #[derive(Debug)]
 pub struct Entry {
     /// The process.
     pub process: Process,
-    /// Its name.
+    /// The entry's name.
     pub name: String,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: String,
-    /// Where health is served.
+    /// The address for health checks and metrics.
     pub health: String,
-    /// The relay to the store.
+    /// The relay through which it reaches the store.
     pub store_relay: Relay,
-    /// The relay that peers connect through.
+    /// The relay through which its peers connect to it.
     pub peer_relay: Relay,
 }
 
@@ -95,23 +95,26 @@
     hosts_addr: String,
     /// The workers' processes.
     pub workers: Vec<Process>,
-    /// The workers' own addresses.
+    /// The workers' addresses.
     pub worker_addrs: Vec<String>,
-    /// The hosts as last told to the host list.
+    /// The hosts to publish to the host list.
     pub hosts: Vec<wire::Host>,
     /// The entries.
     pub entries: Vec<Entry>,
-    started: usize,
+    /// How many entries have been started, including those that were removed since.
+    entries_started: usize,
 }
 
-const CONFIRM_LIMIT: Duration = Duration::from_secs(5);
-const CONFIRM_AGAIN: Duration = Duration::from_millis(200);
+/// How long a confirmation is repeated while the entry answers with 503.
+const CONFIRM_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+/// The pause between two such attempts.
+const CONFIRM_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Cluster {
     /// Starts the stand-ins and the entries.
     ///
     /// # Errors
-    /// Returns the first process that did not start.
+    /// Returns the error of the first process that did not start.
     pub async fn start(plan: Plan) -> io::Result<Self> {
         let mut store = Process::spawn("standin-store", &[], &[])?;
         let mut host_list = Process::spawn("standin-hosts", &[], &[])?;
@@ -137,7 +140,7 @@
             worker_addrs,
             hosts,
             entries: Vec::new(),
-            started: 0,
+            entries_started: 0,
         };
         cluster.publish_hosts().await?;
         for _ in 0..cluster.plan.entries {
@@ -146,12 +149,12 @@
         Ok(cluster)
     }
 
-    /// Starts one more entry.
+    /// Starts one more entry and returns its index.
     ///
     /// # Errors
     /// Returns why it did not start.
     pub async fn add_entry(&mut self) -> io::Result<usize> {
-        let name = format!("entry-{}", self.started);
+        let name = format!("entry-{}", self.entries_started);
         let port = free_port()?;
         let store_relay = relay::spawn(self.store_addr.clone()).await?;
         let peer_relay = relay::spawn(format!("127.0.0.1:{port}")).await?;
@@ -161,7 +164,7 @@
             args.push(value.to_string());
         };
         arg("name", &name);
-        arg("domain", site::DOMAINS[self.started % site::DOMAINS.len()]);
+        arg("domain", site::DOMAINS[self.entries_started % site::DOMAINS.len()]);
         arg("domains", &site::DOMAINS.join(","));
         arg("slices", &self.plan.slices.to_string());
         arg("store", &store_relay.addr());
@@ -178,12 +181,12 @@
         let mut process = Process::spawn("gaplock-entry", &args, &env)?;
         let callers = process.wait_for("callers", 0)?;
         let health = process.wait_for("health", 0)?;
-        self.started += 1;
+        self.entries_started += 1;
         self.entries.push(Entry { process, name, callers, health, store_relay, peer_relay });
         Ok(self.entries.len() - 1)
     }
 
-    /// Replaces a worker by a new process under the same address.
+    /// Replaces a worker with a new process at the same address.
     ///
     /// # Errors
     /// Returns why it did not start.
@@ -203,57 +206,58 @@
         }
     }
 
-    /// Tells the host list which hosts there are.
+    /// Publishes `hosts` to the host list.
     ///
     /// # Errors
-    /// Returns why the list did not take it.
+    /// Returns an error if the host list did not answer.
     pub async fn publish_hosts(&self) -> io::Result<()> {
-        let body = serde_json::to_vec(&self.hosts).expect("plain data serialises");
+        let body = serde_json::to_vec(&self.hosts).expect("plain data serializes to JSON");
         put(&self.hosts_addr, "/set", body).await.map(drop)
     }
 
-    /// Lets the host list hang, or answer again.
+    /// Makes the host list hang, or answer again.
     ///
     /// # Errors
-    /// Returns why the list did not take it.
+    /// Returns an error if the host list did not answer.
     pub async fn set_host_list_down(&self, down: bool) -> io::Result<()> {
         put(&self.hosts_addr, "/down", down.to_string().into_bytes()).await.map(drop)
     }
 
-    /// Sets the store's faults, as `{"down":true}`.
+    /// Sets the store's faults, for example `{"down":true}`.
     ///
     /// # Errors
-    /// Returns why the store did not take them.
+    /// Returns an error if the store did not answer.
     pub async fn set_store_faults(&self, faults: Value) -> io::Result<()> {
         put(&self.store_addr, "/faults", faults.to_string().into_bytes()).await.map(drop)
     }
 
-    /// Sends something to a worker stand-in, past gaplock.
+    /// Sends a request directly to a worker stand-in, not through an entry.
     ///
     /// # Errors
-    /// Returns why the worker did not take it.
+    /// Returns an error if the worker did not answer.
     pub async fn send_to_worker(&self, i: usize, path: &str, body: Value) -> io::Result<()> {
         put(&self.worker_addrs[i], path, body.to_string().into_bytes()).await.map(drop)
     }
 
-    /// Reads every worker's judge.
+    /// Reads the report of every worker's checker and combines them.
     ///
     /// # Errors
-    /// Returns the first worker that did not answer.
+    /// Returns the error of the first worker that did not answer.
     pub async fn collect_findings(&self) -> io::Result<Findings> {
-        let mut all = Vec::new();
+        let mut reports = Vec::new();
         for addr in &self.worker_addrs {
             let answer = call(addr, Method::Get, "/judge", &[], Vec::new(), 10_000).await?;
-            let verdicts: Option<Verdicts> = answer.json();
-            all.push(verdicts.ok_or_else(|| io::Error::other("the judge cannot be read"))?);
+            let report: Option<Verdicts> = answer.json();
+            reports
+                .push(report.ok_or_else(|| io::Error::other("cannot parse a checker's report"))?);
         }
-        Ok(Findings::of(&all, gaplock_remote::clock::now().0))
+        Ok(Findings::of(&reports, gaplock_remote::clock::now().0))
     }
 
-    /// Sends a request to an entry's callers' listener with a key.
+    /// Sends a request with a key to an entry's listener for callers.
     ///
     /// # Errors
-    /// Returns an error where no whole answer came.
+    /// Returns an error if no complete answer arrives.
     pub async fn ask(
         &self,
         entry: usize,
@@ -267,10 +271,10 @@
         ask(&addr, method, path, key, headers, body).await
     }
 
-    /// States an intent, and confirms its plan.
+    /// Posts an intent and confirms the resulting plan.
     ///
     /// # Errors
-    /// Returns the refusal as text.
+    /// Returns the text of the refusal.
     pub async fn apply_intent(&self, entry: usize, key: &str, intent: Value) -> io::Result<Value> {
         let plan = self.ask(entry, Method::Post, "/v1/intents", key, &[], intent).await?;
         if plan.status != 200 {
@@ -284,72 +288,72 @@
         done.json().ok_or_else(|| timed_out("a confirmation"))
     }
 
-    /// Confirms a plan; while the entry says "not run, come back", does so.
+    /// Confirms a plan, and repeats that while the entry answers with 503 ("not run, try again").
     ///
     /// # Errors
-    /// Returns an error where no whole answer came.
+    /// Returns an error if no complete answer arrives.
     pub async fn confirm(&self, entry: usize, key: &str, plan: &api::Plan) -> io::Result<Answer> {
-        let body = serde_json::to_value(plan).expect("plain data serialises");
+        let body = serde_json::to_value(plan).expect("plain data serializes to JSON");
         let began = Instant::now();
         loop {
             let path = "/v1/plans/confirm";
             let done = self.ask(entry, Method::Post, path, key, &[], body.clone()).await?;
-            if done.status != 503 || began.elapsed() > CONFIRM_LIMIT {
+            if done.status != 503 || began.elapsed() > CONFIRM_RETRY_TIMEOUT {
                 return Ok(done);
             }
-            task::sleep(CONFIRM_AGAIN).await;
+            task::sleep(CONFIRM_RETRY_INTERVAL).await;
         }
     }
 
-    /// Waits until an entry says that it is ready.
+    /// Waits until an entry reports that it is ready.
     ///
     /// # Errors
-    /// Returns an error after `limit`.
-    pub async fn wait_ready(&self, entry: usize, limit: Duration) -> io::Result<Duration> {
+    /// Returns an error if that takes longer than `timeout`.
+    pub async fn wait_ready(&self, entry: usize, timeout: Duration) -> io::Result<Duration> {
         let addr = self.entries[entry].health.clone();
-        wait_until(limit, "readiness", || async {
+        wait_until(timeout, "readiness", || async {
             let answer = call(&addr, Method::Get, "/ready", &[], Vec::new(), 500).await;
             answer.is_ok_and(|a| a.status == 200)
         })
         .await
     }
 
-    /// Returns the rows of every worker as an entry lists them.
+    /// Returns the list of workers that an entry serves.
     ///
     /// # Errors
-    /// Returns an error where the list cannot be read.
+    /// Returns an error if the list cannot be read.
     pub async fn worker_rows(&self, entry: usize) -> io::Result<Vec<api::WorkerRow>> {
         let path = "/v1/workers";
         let answer =
             self.ask(entry, Method::Get, path, site::OPERATOR_KEY, &[], Value::Null).await?;
-        answer.json().ok_or_else(|| io::Error::other("the workers cannot be read"))
+        answer.json().ok_or_else(|| io::Error::other("cannot parse the list of workers"))
     }
 
-    /// Waits until `count` workers are usable under some owner, by an entry's list.
+    /// Waits until an entry lists at least `count` workers as usable under some owner.
     ///
     /// # Errors
-    /// Returns an error after `limit`.
+    /// Returns an error if that takes longer than `timeout`.
     pub async fn wait_usable(
         &self,
         entry: usize,
         count: usize,
-        limit: Duration,
+        timeout: Duration,
     ) -> io::Result<Duration> {
-        wait_until(limit, "usable workers", || async {
+        wait_until(timeout, "usable workers", || async {
             let rows = self.worker_rows(entry).await.unwrap_or_default();
             rows.iter().filter(|r| r.state == "usable").count() >= count
         })
         .await
     }
 
-    /// Waits until requests are answered through an entry.
+    /// Waits until service requests are answered through an entry.
     ///
     /// # Errors
-    /// Returns an error after `limit`.
-    pub async fn wait_serving(&self, entry: usize, limit: Duration) -> io::Result<Duration> {
+    /// Returns an error if that takes longer than `timeout`.
+    pub async fn wait_serving(&self, entry: usize, timeout: Duration) -> io::Result<Duration> {
         let key = site::PARTNER_KEYS[0].1;
         let path = format!("/v1/services/{}/check", site::SERVICE);
-        wait_until(limit, "a served request", || async {
+        wait_until(timeout, "a served request", || async {
             let body = serde_json::json!({"warm": true});
             let answer = self.ask(entry, Method::Post, &path, key, &[], body).await;
             answer.is_ok_and(|a| a.status == 200)
@@ -357,10 +361,10 @@
         .await
     }
 
-    /// Reads a metric's value at an entry, summed over its labels.
+    /// Returns the value of an entry's metric, summed over its labels.
     ///
     /// # Errors
-    /// Returns an error where the metrics cannot be read.
+    /// Returns an error if the metrics cannot be read.
     pub async fn metric(&self, entry: usize, name: &str) -> io::Result<f64> {
         let addr = self.entries[entry].health.clone();
         let answer = call(&addr, Method::Get, "/metrics", &[], Vec::new(), 2_000).await?;
