--- a/crates/demo/src/load.rs
+++ b/crates/demo/src/load.rs
@@ -1,4 +1,5 @@
-//! Callers behind a balancer: they send through ready entries and tally what they are told.
+//! Simulates callers behind a load balancer: they send requests through the entries that are ready,
+//! and count the outcomes that they are told.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,22 +15,22 @@
 use crate::calls;
 use crate::site;
 
-/// What callers were told, by request.
+/// The outcomes that callers were told, by request.
 #[derive(Debug, Default, Clone)]
 pub struct Tally {
-    /// Whole answers to the caller's own request.
+    /// Requests that were completely answered.
     pub answered: Vec<String>,
-    /// Refused as "not run".
+    /// Requests that were refused as "not run".
     pub not_run: Vec<String>,
-    /// Told that the outcome is unknown.
+    /// Requests that were answered with the outcome unknown.
     pub unknown: Vec<String>,
-    /// No whole answer: a connection ended or the caller gave up.
+    /// Requests without a complete answer: the connection ended or the caller timed out.
     pub cut_off: Vec<String>,
-    /// Another's answer, or a part of one.
+    /// Requests that received the answer to another request, or a part of an answer.
     pub wrong: Vec<String>,
-    /// Refusals by code.
+    /// The number of refusals by code.
     pub codes: BTreeMap<u16, u64>,
-    /// Refusals by their sentence.
+    /// The number of refusals by message.
     pub messages: BTreeMap<String, u64>,
 }
 
@@ -43,21 +44,21 @@
             + self.wrong.len()
     }
 
-    fn note(&mut self, op: String, body: &Value, answer: std::io::Result<Answer>) {
+    fn record(&mut self, op: String, body: &Value, answer: std::io::Result<Answer>) {
         let Ok(answer) = answer else {
             self.cut_off.push(op);
             return;
         };
         if answer.status == 200 {
-            let own = answer.json::<Value>().as_ref() == Some(body);
-            if own { &mut self.answered } else { &mut self.wrong }.push(op);
+            let own_answer = answer.json::<Value>().as_ref() == Some(body);
+            if own_answer { &mut self.answered } else { &mut self.wrong }.push(op);
             return;
         }
         let refusal: Option<api::Refusal> = answer.json();
         let ran = refusal.as_ref().map_or(codes::Ran::Unknown, |r| r.ran);
         *self.codes.entry(refusal.as_ref().map_or(0, |r| r.code)).or_default() += 1;
-        let sentence = refusal.map(|r| r.message).unwrap_or_default();
-        *self.messages.entry(sentence).or_default() += 1;
+        let message = refusal.map(|r| r.message).unwrap_or_default();
+        *self.messages.entry(message).or_default() += 1;
         match ran {
             codes::Ran::No => self.not_run.push(op),
             codes::Ran::Yes | codes::Ran::Unknown => self.unknown.push(op),
@@ -65,35 +66,38 @@
     }
 }
 
-/// The balancer: which entries get callers now.
+/// The load balancer: sends callers in turn to the entries that are ready.
 #[derive(Debug, Clone, Default)]
 pub struct Balancer {
+    /// The callers' addresses of the entries that are ready.
     ready: Arc<Mutex<Vec<String>>>,
+    /// The callers' and health addresses of all entries.
     known: Arc<Mutex<Vec<(String, String)>>>,
-    turn: Arc<AtomicU64>,
+    next_turn: Arc<AtomicU64>,
 }
 
-const BALANCER_POLL: Duration = Duration::from_millis(50);
+/// How often the balancer asks the entries for their readiness.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Balancer {
-    /// Sets the entries' callers and health addresses.
+    /// Sets the addresses of the entries, for callers and for health checks.
     pub fn set_entries(&self, entries: Vec<(String, String)>) {
-        *self.known.lock().expect("lock") = entries;
+        *self.known.lock().expect("the lock is not poisoned") = entries;
     }
 
-    /// Begins to poll the entries' readiness until `stop`.
+    /// Starts to poll the readiness of the entries, until `stop` is set.
     pub fn spawn(&self, stop: Arc<AtomicBool>) {
         let this = self.clone();
         task::spawn(async move {
             while !stop.load(Ordering::SeqCst) {
                 this.poll().await;
-                task::sleep(BALANCER_POLL).await;
+                task::sleep(READINESS_POLL_INTERVAL).await;
             }
         });
     }
 
     async fn poll(&self) {
-        let known = self.known.lock().expect("lock").clone();
+        let known = self.known.lock().expect("the lock is not poisoned").clone();
         let mut ready = Vec::new();
         for (callers, health) in known {
             let answer = calls::call(&health, Method::Get, "/ready", &[], Vec::new(), 300).await;
@@ -101,31 +105,31 @@
                 ready.push(callers);
             }
         }
-        *self.ready.lock().expect("lock") = ready;
+        *self.ready.lock().expect("the lock is not poisoned") = ready;
     }
 
-    /// Returns the next entry's callers address.
+    /// Returns the callers' address of the next ready entry.
     pub fn next(&self) -> Option<String> {
-        let ready = self.ready.lock().expect("lock");
-        let turn = self.turn.fetch_add(1, Ordering::SeqCst) as usize;
+        let ready = self.ready.lock().expect("the lock is not poisoned");
+        let turn = self.next_turn.fetch_add(1, Ordering::SeqCst) as usize;
         (!ready.is_empty()).then(|| ready[turn % ready.len()].clone())
     }
 }
 
-/// What each caller sends.
+/// How many callers there are and what each of them sends.
 #[derive(Debug, Clone)]
 pub struct LoadSpec {
-    /// Callers at once.
+    /// The number of concurrent callers.
     pub callers: usize,
-    /// The pause between two requests of one caller.
+    /// The pause of a caller between two requests.
     pub pause: Duration,
-    /// The deadline that is sent along, in milliseconds.
+    /// The deadline that each request carries, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether each request has a key and so runs at most once.
+    /// Whether each request has an idempotency key and so runs at most once.
     pub once: bool,
-    /// Bytes of padding in each body.
+    /// The size of the padding in each body, in bytes.
     pub padding: usize,
-    /// The first part of each request's name.
+    /// The prefix of each request's name.
     pub prefix: &'static str,
 }
 
@@ -142,27 +146,27 @@
     }
 }
 
-/// Running callers.
+/// Callers that are running.
 pub struct Load {
     stop: Arc<AtomicBool>,
     tally: Arc<Mutex<Tally>>,
     callers: Vec<task::JoinHandle<()>>,
 }
 
-/// Starts callers.
-pub fn spawn(balancer: &Balancer, wish: &LoadSpec) -> Load {
+/// Starts the callers.
+pub fn spawn(balancer: &Balancer, spec: &LoadSpec) -> Load {
     let stop = Arc::new(AtomicBool::new(false));
     let tally: Arc<Mutex<Tally>> = Arc::default();
-    let callers = (0..wish.callers)
+    let callers = (0..spec.callers)
         .map(|c| {
-            let (balancer, wish) = (balancer.clone(), wish.clone());
+            let (balancer, spec) = (balancer.clone(), spec.clone());
             let (stop, tally) = (Arc::clone(&stop), Arc::clone(&tally));
             task::spawn(async move {
                 let mut n = 0;
                 while !stop.load(Ordering::SeqCst) {
                     n += 1;
-                    send(&balancer, &wish, format!("{}-{c}-{n}", wish.prefix), &tally).await;
-                    task::sleep(wish.pause).await;
+                    send(&balancer, &spec, format!("{}-{c}-{n}", spec.prefix), &tally).await;
+                    task::sleep(spec.pause).await;
                 }
             })
         })
@@ -170,27 +174,27 @@
     Load { stop, tally, callers }
 }
 
-async fn send(balancer: &Balancer, wish: &LoadSpec, op: String, tally: &Mutex<Tally>) {
+async fn send(balancer: &Balancer, spec: &LoadSpec, op: String, tally: &Mutex<Tally>) {
     let Some(addr) = balancer.next() else { return };
-    let body = json!({"op": op, "pad": "x".repeat(wish.padding)});
-    let answer = send_to(&addr, wish, &op, &body).await;
-    tally.lock().expect("lock").note(op, &body, answer);
+    let body = json!({"op": op, "pad": "x".repeat(spec.padding)});
+    let answer = send_to(&addr, spec, &op, &body).await;
+    tally.lock().expect("the lock is not poisoned").record(op, &body, answer);
 }
 
 /// Sends one request to one entry.
 ///
 /// # Errors
-/// Returns an error where no whole answer came.
+/// Returns an error if no complete answer arrives.
 pub async fn send_to(
     addr: &str,
-    wish: &LoadSpec,
+    spec: &LoadSpec,
     op: &str,
     body: &Value,
 ) -> std::io::Result<Answer> {
     let path = format!("/v1/services/{}/check", site::SERVICE);
-    let deadline = wish.deadline_ms.to_string();
+    let deadline = spec.deadline_ms.to_string();
     let mut headers = vec![("x-gaplock-deadline-ms", deadline.as_str())];
-    if wish.once {
+    if spec.once {
         headers.push(("idempotency-key", op));
     }
     let key = site::PARTNER_KEYS[0].1;
@@ -198,18 +202,18 @@
 }
 
 impl Load {
-    /// Returns what has been told so far.
+    /// Returns the outcomes so far.
     pub fn so_far(&self) -> Tally {
-        self.tally.lock().expect("lock").clone()
+        self.tally.lock().expect("the lock is not poisoned").clone()
     }
 
-    /// Lets every caller end its request, and returns what they were told.
+    /// Stops the callers, each after its current request, and returns all outcomes.
     pub async fn stop(self) -> Tally {
         self.stop.store(true, Ordering::SeqCst);
         for caller in self.callers {
             caller.await;
         }
-        let tally = self.tally.lock().expect("lock").clone();
+        let tally = self.tally.lock().expect("the lock is not poisoned").clone();
         tally
     }
 }
