--- a/crates/demo/src/process.rs
+++ b/crates/demo/src/process.rs
@@ -1,4 +1,4 @@
-//! One process that this program started, and nobody else's.
+//! Runs and signals a process that this program has started; it never signals any other process.
 
 use std::io::{self, BufRead, BufReader};
 use std::path::PathBuf;
@@ -8,21 +8,22 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 
-/// How long a process may take to print where it listens.
-const START_LIMIT: Duration = Duration::from_secs(15);
+/// How long a process may take to print the line that is waited for, such as where it listens.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
 
-const DRAIN_WAIT: Duration = Duration::from_millis(500);
+/// How long to wait for each further line of a process that has ended.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A running process; it is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     lines: mpsc::Receiver<String>,
-    /// The lines that it has printed so far.
+    /// The lines that have been read from its standard output so far.
     pub printed: Vec<String>,
 }
 
-/// Returns the folder of this program, where the others were built too.
+/// Returns the folder of this program, which also holds the other programs.
 fn bin_folder() -> io::Result<PathBuf> {
     let mut exe = std::env::current_exe()?;
     exe.pop();
@@ -33,10 +34,12 @@
 }
 
 impl Process {
-    /// Starts `program` from this program's own folder.
+    /// Starts `program` from the folder of this program.
+    ///
+    /// If `GAPLOCK_DEMO_LOGS` names a folder, the process logs to a file in it.
     ///
     /// # Errors
-    /// Returns the error of starting the process or of opening its log.
+    /// Returns an error if the process cannot be started or its log cannot be opened.
     pub fn spawn(program: &str, args: &[String], env: &[(&str, &str)]) -> io::Result<Self> {
         let stderr = match std::env::var_os("GAPLOCK_DEMO_LOGS") {
             Some(folder) => {
@@ -54,7 +57,10 @@
             .stdout(Stdio::piped())
             .stderr(stderr)
             .spawn()?;
-        let stdout = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
+        let stdout = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("the process has no standard output"))?;
         let (tx, lines) = mpsc::channel();
         std::thread::spawn(move || {
             for line in BufReader::new(stdout).lines().map_while(Result::ok) {
@@ -70,7 +76,7 @@
     /// time (from 0), and returns the line's second word.
     ///
     /// # Errors
-    /// Returns an error where the process ends or takes too long.
+    /// Returns an error if the process ends first or takes too long.
     pub fn wait_for(&mut self, word: &str, n: usize) -> io::Result<String> {
         let began = Instant::now();
         loop {
@@ -78,8 +84,8 @@
             if let Some(rest) = found {
                 return Ok(rest.trim().to_string());
             }
-            let left = START_LIMIT.saturating_sub(began.elapsed());
-            match self.lines.recv_timeout(left) {
+            let remaining = START_TIMEOUT.saturating_sub(began.elapsed());
+            match self.lines.recv_timeout(remaining) {
                 Ok(line) => self.printed.push(line),
                 Err(e) => return Err(io::Error::other(format!("waiting for `{word}`: {e}"))),
             }
@@ -88,36 +94,37 @@
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
-            // The process may have ended by itself; then there is nothing to signal.
+            // This fails if the process has already ended; then there is nothing to signal.
             let _ended = kill_process(pid, signal);
         }
     }
 
-    /// Kills it at once.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         let _status = self.child.wait();
     }
 
-    /// Freezes it.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Thaws it.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to stop.
+    /// Asks the process to stop, with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its end, at most `limit`; returns its exit code.
-    pub fn wait(&mut self, limit: Duration) -> Option<i32> {
+    /// Waits at most `timeout` for the end of the process and returns its exit code: -1 if a signal
+    /// ended it, `None` if it is still running.
+    pub fn wait(&mut self, timeout: Duration) -> Option<i32> {
         let began = Instant::now();
-        while began.elapsed() < limit {
+        while began.elapsed() < timeout {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status.code().unwrap_or(-1));
             }
@@ -126,14 +133,14 @@
         None
     }
 
-    /// Takes in every line that an ended process has printed.
+    /// Reads all remaining lines that an ended process has printed.
     pub fn drain(&mut self) {
-        while let Ok(line) = self.lines.recv_timeout(DRAIN_WAIT) {
+        while let Ok(line) = self.lines.recv_timeout(DRAIN_TIMEOUT) {
             self.printed.push(line);
         }
     }
 
-    /// Returns its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
