--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -1,4 +1,4 @@
-//! Promises 1 to 3: capacity, one place, exactly one resumption.
+//! Proofs of promises 1 to 3: capacity, no concurrent runs of a task, exactly one resumption.
 
 use std::io;
 use std::time::Duration;
@@ -14,9 +14,10 @@
 use crate::cluster::Plan;
 use crate::{load, site};
 
-const ENDED_LIMIT: Duration = Duration::from_secs(40);
+/// How long the submitted jobs may take to end.
+const JOBS_END_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Promise 1: no worker gets more than it can carry.
+/// Promise 1: no worker receives more work than its capacity allows.
 pub async fn capacity() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let plan = Plan {
@@ -32,24 +33,24 @@
     for i in 0..16 {
         jobs.push(site.submit(i % 2, &format!("fill-{i}"), 1_500, 4, 900).await?);
     }
-    // An owner is frozen across its lease, while another takes over, and thaws.
-    let frozen = site.owner_other_than(0).await?;
-    site.cluster.entries[frozen].process.pause();
+    // An owner is paused for longer than its lease, so that another takes over, and resumes.
+    let paused = site.owner_other_than(0).await?;
+    site.cluster.entries[paused].process.pause();
     v.faults += 1;
     task::sleep(Duration::from_millis(2_500)).await;
-    site.cluster.entries[frozen].process.resume();
+    site.cluster.entries[paused].process.resume();
     v.faults += 1;
-    // A worker is replaced under the same address.
+    // A worker is replaced by a new process at the same address.
     site.cluster.replace_worker(3)?;
     v.faults += 1;
     task::sleep(Duration::from_millis(500)).await;
-    // An owner does not reach the store, but its workers.
-    let cut = site.owner_other_than(0).await?;
-    site.cluster.entries[cut].store_relay.set_partitioned(true);
+    // An owner is partitioned from the store but still reaches its workers.
+    let partitioned = site.owner_other_than(0).await?;
+    site.cluster.entries[partitioned].store_relay.set_partitioned(true);
     v.faults += 1;
     task::sleep(Duration::from_millis(2_500)).await;
-    site.cluster.entries[cut].store_relay.set_partitioned(false);
-    let statuses = site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
+    site.cluster.entries[partitioned].store_relay.set_partitioned(false);
+    let statuses = site.wait_ended(0, &jobs, JOBS_END_TIMEOUT).await?;
     let tally = load.stop().await;
     let findings = site.cluster.collect_findings().await?;
     v.check_tally(&tally, &findings);
@@ -62,7 +63,7 @@
     Ok(v)
 }
 
-/// Promise 2: no task runs in two places.
+/// Promise 2: no task runs in two places at the same time.
 pub async fn no_concurrent_runs() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let mut site = Site::open(Plan::default()).await?;
@@ -70,19 +71,19 @@
     for i in 0..10 {
         jobs.push(site.submit(i % 3, &format!("one-{i}"), 4_000, 3, 1_000).await?);
     }
-    // Kills, freezes and cuts fall between decision, commit, start and acknowledgement, since
-    // further jobs are submitted all the while.
+    // Further jobs are submitted all the time, so that the kill, the pause and the partition happen
+    // between decision, commit, start and acknowledgement of some of them.
     for round in 0..3_u64 {
         v.faults += 1;
-        harm_an_owner(&mut site, round).await?;
+        disrupt_owner(&mut site, round).await?;
         site.update_balancer();
         for i in 0..4 {
             let key = format!("one-{round}-{i}");
             jobs.push(site.submit(i % 2, &key, 400, 2, 500).await?);
         }
     }
-    // A worker is frozen longer than its tasks' leases: they end there and run elsewhere or
-    // there again, never at once.
+    // A worker is paused for longer than its tasks' leases. The tasks end there and run again, on
+    // another worker or this one, but never in two places at the same time.
     for i in 0..6 {
         jobs.push(site.submit(i % 2, &format!("long-{i}"), 3_500, 4, 1_000).await?);
     }
@@ -91,9 +92,9 @@
     v.faults += 1;
     task::sleep(Duration::from_millis(4_000)).await;
     site.cluster.workers[1].resume();
-    site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
-    lose_a_failure_domain(&mut site, &mut v, &mut jobs).await?;
-    let statuses = site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
+    site.wait_ended(0, &jobs, JOBS_END_TIMEOUT).await?;
+    remove_failure_domain(&mut site, &mut v, &mut jobs).await?;
+    let statuses = site.wait_ended(0, &jobs, JOBS_END_TIMEOUT).await?;
     let attempts: u32 = statuses.iter().flat_map(|s| &s.tasks).map(|t| t.attempts).sum();
     let tasks: usize = statuses.iter().map(|s| s.tasks.len()).sum();
     check_done(&mut v, &statuses);
@@ -103,8 +104,9 @@
     Ok(v)
 }
 
-/// Kills, freezes or cuts off an owner, by the round.
-async fn harm_an_owner(site: &mut Site, round: u64) -> io::Result<()> {
+/// Kills an owner (round 0), pauses one (round 1), or partitions one from a store that loses
+/// answers (later rounds).
+async fn disrupt_owner(site: &mut Site, round: u64) -> io::Result<()> {
     let victim = site.owner_other_than(0).await?;
     match round {
         0 => {
@@ -128,15 +130,15 @@
     Ok(())
 }
 
-/// Checks that no task of a job was lost.
+/// Checks that every task is done and none was lost.
 fn check_done(v: &mut Verdict, statuses: &[JobStatus]) {
     for s in statuses {
         v.check(s.tasks.iter().all(|t| t.state == "done"), || format!("{} lost tasks", s.job));
     }
 }
 
-/// A failure domain loses all its workers: what its partition holds runs in others.
-async fn lose_a_failure_domain(
+/// Removes all workers of a failure domain; the tasks of its partition must run in other domains.
+async fn remove_failure_domain(
     site: &mut Site,
     v: &mut Verdict,
     jobs: &mut Vec<String>,
@@ -145,25 +147,28 @@
     site.cluster.hosts.retain(|h| h.domain != lost);
     site.cluster.publish_hosts().await?;
     v.faults += 1;
-    // Jobs spread over every partition by their keys, so some belong to the one without workers.
+    // Jobs are distributed over all partitions by their keys, so some belong to the partition
+    // without workers.
     for i in 0..16 {
         jobs.push(site.submit(i % 2, &format!("lost-{i}"), 300, 2, 500).await?);
     }
     Ok(())
 }
 
-/// Checks that each run of a task begins where the one before left off.
+/// Checks that each run of a task resumes from the last checkpoint of the previous run.
 fn check_resumed(v: &mut Verdict, findings: &Findings) {
     for (task, stretches) in &findings.by_task {
         for pair in stretches.windows(2).filter(|pair| !pair[0].service) {
             let resumed = pair[1].resume_ms;
-            let left = pair[0].checkpoint_ms;
-            v.check(resumed == left, || format!("{task}: left {left}, resumed from {resumed}"));
+            let checkpoint = pair[0].checkpoint_ms;
+            v.check(resumed == checkpoint, || {
+                format!("{task}: last checkpoint at {checkpoint} ms, resumed from {resumed} ms")
+            });
         }
     }
 }
 
-/// Promise 3: evicted work resumes exactly once, from its checkpoint.
+/// Promise 3: an evicted task resumes exactly once, from its checkpoint.
 pub async fn resume_once() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let mut site = Site::open(Plan::default()).await?;
@@ -172,8 +177,9 @@
         jobs.push(site.submit(i % 3, &format!("evict-{i}"), 5_000, 3, 1_000).await?);
     }
     task::sleep(Duration::from_millis(1_500)).await;
-    // Two workers leave, so that their tasks are evicted; meanwhile jobs are cancelled and an
-    // owner is killed. Then the workers come back and others leave: tasks move twice in a row.
+    // Two workers leave, so that their tasks are evicted. Then they return and two others leave, so
+    // that some tasks are evicted twice in a row. In each round a job is cancelled meanwhile, and
+    // in the second an owner is killed.
     for (round, leaving) in [[0_usize, 1], [2, 3]].iter().enumerate() {
         for i in leaving {
             site.cluster.send_to_worker(*i, "/set-leaving", json!(true)).await?;
@@ -200,10 +206,10 @@
         }
         site.cluster.publish_hosts().await?;
     }
-    let statuses = site.wait_ended(0, &jobs, ENDED_LIMIT).await?;
+    let statuses = site.wait_ended(0, &jobs, JOBS_END_TIMEOUT).await?;
     let findings = site.cluster.collect_findings().await?;
     let evictions: u32 = statuses.iter().flat_map(|s| &s.tasks).map(|t| t.evictions).sum();
-    v.check(evictions > 0, || "nothing was evicted".to_string());
+    v.check(evictions > 0, || "no task was evicted".to_string());
     check_done(&mut v, &statuses);
     check_resumed(&mut v, &findings);
     v.add_figure(format!("{evictions} evictions"));
