--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -1,7 +1,7 @@
-//! One proof for each promise of the brief: processes, faults, and the judges' verdict.
+//! One proof for each promise of the brief, with real processes, faults and checks.
 //!
-//! Each proof starts its own installation, does harm to it, and counts faults and checks.
-//! `docs/PROOFS.md` has a row for each.
+//! Each proof starts its own installation, injects faults, and counts faults and checks. The
+//! workers' checkers count violations of invariants. `docs/PROOFS.md` has a row for each proof.
 
 mod batch;
 mod configuration;
@@ -20,21 +20,21 @@
 use crate::load::{Balancer, Tally};
 use crate::site;
 
-/// What a proof found.
+/// The result of a proof.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// Faults done.
+    /// How many faults were injected.
     pub faults: u64,
-    /// Checks made.
+    /// How many checks were made.
     pub checks: u64,
-    /// What did not hold.
+    /// Descriptions of the checks that failed.
     pub violations: Vec<String>,
-    /// Measured figures, for the page.
+    /// Measured figures, for `docs/PROOFS.md`.
     pub figures: Vec<String>,
 }
 
 impl Verdict {
-    /// Makes a check.
+    /// Counts a check, and records a violation with the text of `what` unless `holds`.
     pub fn check(&mut self, holds: bool, what: impl FnOnce() -> String) {
         self.checks += 1;
         if !holds {
@@ -42,14 +42,14 @@
         }
     }
 
-    /// Takes in the workers' judge.
+    /// Adds the findings of the workers' checkers.
     pub fn add_findings(&mut self, findings: Findings) {
         self.checks += findings.checks;
         self.violations.extend(findings.violations);
     }
 
-    /// Checks that nobody got another's answer or a part of one, and that what was refused as
-    /// "not run" did not run.
+    /// Checks that no caller received another request's answer or a part of an answer, and that
+    /// requests refused as "not run" did not run.
     pub fn check_tally(&mut self, tally: &Tally, findings: &Findings) {
         self.check(tally.wrong.is_empty(), || format!("wrong answers: {:?}", tally.wrong));
         self.checks += tally.answered.len() as u64;
@@ -65,23 +65,23 @@
     }
 }
 
-/// Everything takes at most this long, or the proof fails.
+/// How long each step of a proof may take before the proof fails.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// A running installation with a first configuration, and callers' balancer.
+/// A running installation with the first configuration in force, and a load balancer for callers.
 pub struct Site {
-    /// The processes.
+    /// The installation's processes.
     pub cluster: Cluster,
-    /// The balancer.
+    /// The load balancer.
     pub balancer: Balancer,
     stop: Arc<AtomicBool>,
 }
 
 impl Site {
-    /// Starts an installation and waits until it serves.
+    /// Starts an installation and waits until every entry serves requests.
     ///
     /// # Errors
-    /// Returns what did not start or happen in time.
+    /// Returns an error if something does not start or happen in time.
     pub async fn open(plan: Plan) -> io::Result<Self> {
         let (entries, workers) = (plan.entries, plan.workers);
         let cluster = Cluster::start(plan).await?;
@@ -102,17 +102,17 @@
         Ok(site)
     }
 
-    /// Tells the balancer which entries there are.
+    /// Sets the balancer's entries to those of the installation.
     pub fn update_balancer(&self) {
         let entries = self.cluster.entries.iter();
         let addrs = entries.map(|e| (e.callers.clone(), e.health.clone())).collect();
         self.balancer.set_entries(addrs);
     }
 
-    /// Returns an entry that owns workers, by the workers' list at `asked`.
+    /// Returns an entry other than `asked` that owns workers, by the list of workers at `asked`.
     ///
     /// # Errors
-    /// Returns an error where no entry but `asked` owns one.
+    /// Returns an error if no other entry owns a worker.
     pub async fn owner_other_than(&self, asked: usize) -> io::Result<usize> {
         let rows = self.cluster.worker_rows(asked).await?;
         let found = self
@@ -127,7 +127,7 @@
     /// Submits a job and returns its id.
     ///
     /// # Errors
-    /// Returns the refusal as text.
+    /// Returns the text of the refusal if the job is not accepted within [`STEP_TIMEOUT`].
     pub async fn submit(
         &self,
         entry: usize,
@@ -158,21 +158,21 @@
                     let text = String::from_utf8_lossy(&answer.body).into_owned();
                     return Err(io::Error::other(text));
                 }
-                // A job has a key, so that sending it again stores it once.
+                // The job has an idempotency key, so sending it again does not store it twice.
                 None => async_std::task::sleep(Duration::from_millis(200)).await,
             }
         }
     }
 
-    /// Waits until every job has ended, asking `entry`; returns the jobs' statuses.
+    /// Waits until `entry` reports that every job has ended, and returns the jobs' statuses.
     ///
     /// # Errors
-    /// Returns an error after `limit`.
+    /// Returns an error if that takes longer than `timeout`.
     pub async fn wait_ended(
         &self,
         entry: usize,
         jobs: &[String],
-        limit: Duration,
+        timeout: Duration,
     ) -> io::Result<Vec<gaplock_types::api::JobStatus>> {
         let mut ended = Vec::new();
         let began = Instant::now();
@@ -189,8 +189,10 @@
                         ended.push(status);
                         break;
                     }
-                    None if began.elapsed() > limit => {
-                        return Err(io::Error::other(format!("{job} has not ended")));
+                    None if began.elapsed() > timeout => {
+                        return Err(io::Error::other(format!(
+                            "job {job} has not ended within {timeout:?}"
+                        )));
                     }
                     None => async_std::task::sleep(Duration::from_millis(50)).await,
                 }
@@ -199,15 +201,16 @@
         Ok(ended)
     }
 
-    /// Sums the entries' own invariant violations into the verdict.
+    /// Checks that the entries in `alive` have counted no invariant violations themselves.
     ///
     /// # Errors
-    /// Returns an error where an entry's metrics cannot be read.
+    /// Returns an error if an entry's metrics cannot be read.
     pub async fn check_entries(&self, verdict: &mut Verdict, alive: &[usize]) -> io::Result<()> {
         for i in alive {
             let name = "gaplock_invariant_violations_total";
             let count = self.cluster.metric(*i, name).await?;
-            verdict.check(count == 0.0, || format!("entry {i} counted {count} violations"));
+            verdict
+                .check(count == 0.0, || format!("entry {i} counted {count} invariant violations"));
         }
         Ok(())
     }
@@ -219,10 +222,11 @@
     }
 }
 
-/// Returns the proof of promise `number`, 1 to 9.
+/// Runs the proof of promise `number`, 1 to 9, and returns its result.
 ///
 /// # Errors
-/// Returns what did not start or happen in time; the promise is then not held.
+/// Returns an error if something did not start or happen in time; the promise then counts as not
+/// held.
 pub async fn prove(number: u32) -> io::Result<Verdict> {
     match number {
         1 => batch::capacity().await,
