--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -1,4 +1,4 @@
-//! Promises 4 to 6: whole answers, "not run" means not run, at most once.
+//! Proofs of promises 4 to 6: complete answers, "not run" means not run, at most one run.
 
 use std::io;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::cluster::Plan;
 use crate::load::{self, LoadSpec};
 
-/// Promise 4: every caller receives the whole answer to its own request.
+/// Promise 4: every answer that a caller receives is complete and belongs to its own request.
 pub async fn whole_answers() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let site = Site::open(Plan::default()).await?;
     let small = load::spawn(&site.balancer, &LoadSpec { callers: 16, ..LoadSpec::default() });
     let large = LoadSpec { callers: 2, padding: 700_000, prefix: "large", ..LoadSpec::default() };
     let large = load::spawn(&site.balancer, &large);
-    // Callers that leave before their answer.
+    // Callers that disconnect before they receive their answer.
     for i in 0..60 {
         let wish = LoadSpec { prefix: "left", ..LoadSpec::default() };
         let op = format!("left-{i}");
@@ -30,7 +30,7 @@
             v.faults += 1;
         }
     }
-    // Workers whose answers are cut short.
+    // Workers that truncate their answers.
     for i in 0..4 {
         site.cluster.send_to_worker(i, "/set-cut", json!(true)).await?;
         v.faults += 1;
@@ -39,7 +39,7 @@
     for i in 0..4 {
         site.cluster.send_to_worker(i, "/set-cut", json!(false)).await?;
     }
-    // An entry's connections to its peers are cut while answers are on their way.
+    // Each entry in turn is partitioned from its peers while answers are being sent.
     for i in 0..3 {
         site.cluster.entries[i].peer_relay.set_partitioned(true);
         v.faults += 1;
@@ -51,7 +51,7 @@
     let findings = site.cluster.collect_findings().await?;
     v.check_tally(&small, &findings);
     v.check_tally(&large, &findings);
-    v.check(!large.answered.is_empty(), || "no large answer came".to_string());
+    v.check(!large.answered.is_empty(), || "no large request was answered".to_string());
     let answered = small.answered.len() + large.answered.len();
     v.add_figure(format!(
         "{answered} of {} answered whole, {} large",
@@ -63,20 +63,20 @@
     Ok(v)
 }
 
-/// Promise 5: when a refusal says "not run", the work did not run.
+/// Promise 5: a request that is refused as "not run" did not run.
 pub async fn not_run() -> io::Result<Verdict> {
     let mut v = Verdict::default();
     let plan = Plan { service_us: 40_000, ..Plan::default() };
     let mut site = Site::open(plan).await?;
-    // Far more callers than slots, with deadlines that cannot all be met.
-    let hurried = LoadSpec {
+    // There are far more callers than slots, so not all deadlines can be met.
+    let short_deadline = LoadSpec {
         callers: 120,
         pause: Duration::from_millis(1),
         deadline_ms: 90,
         prefix: "hurried",
         ..LoadSpec::default()
     };
-    let hurried = load::spawn(&site.balancer, &hurried);
+    let short_deadline = load::spawn(&site.balancer, &short_deadline);
     let once = LoadSpec { callers: 8, once: true, prefix: "once", ..LoadSpec::default() };
     let once = load::spawn(&site.balancer, &once);
     task::sleep(Duration::from_millis(1_000)).await;
@@ -96,14 +96,14 @@
     site.cluster.workers[5].kill();
     v.faults += 1;
     task::sleep(Duration::from_millis(600)).await;
-    let (hurried, once) = (hurried.stop().await, once.stop().await);
+    let (short_deadline, once) = (short_deadline.stop().await, once.stop().await);
     site.cluster.replace_worker(5)?;
     let findings = site.cluster.collect_findings().await?;
-    v.check_tally(&hurried, &findings);
+    v.check_tally(&short_deadline, &findings);
     v.check_tally(&once, &findings);
-    v.check(!hurried.not_run.is_empty(), || "nothing was refused".to_string());
-    let refused = hurried.not_run.len() + once.not_run.len();
-    v.add_figure(format!("{refused} refusals as not run, codes {:?}", hurried.codes));
+    v.check(!short_deadline.not_run.is_empty(), || "no request was refused as not run".to_string());
+    let refused = short_deadline.not_run.len() + once.not_run.len();
+    v.add_figure(format!("{refused} refusals as not run, codes {:?}", short_deadline.codes));
     v.violations.extend(findings.violations);
     Ok(v)
 }
@@ -116,19 +116,19 @@
     let mut ops = Vec::new();
     for round in 0..5 {
         begin_round(&mut site, &mut v, round).await?;
-        // While the store is down each claim waits for its limit, so there are fewer of them.
+        // While the store is down each claim waits until its timeout, so fewer are sent.
         let count = if round == 3 { 8 } else { 40 };
         for i in 0..count {
             let op = format!("hold-{round}-{i}");
-            let told = send_everywhere(&site, &op, round, &mut v).await;
-            if told.contains(&codes::Code::Ok) {
+            let codes_received = send_everywhere(&site, &op, round, &mut v).await;
+            if codes_received.contains(&codes::Code::Ok) {
                 answered.push(op.clone());
             }
             ops.push(op);
         }
         end_round(&mut site, round).await?;
     }
-    // Every key once more, when all faults are over: still never again.
+    // After all faults, every key is sent once more; none of the requests may run again.
     for op in &ops {
         send_everywhere(&site, op, 0, &mut v).await;
     }
@@ -144,6 +144,8 @@
     Ok(v)
 }
 
+/// Injects the round's fault: none, lost store answers, a killed owner, a store that is down, or
+/// truncated answers.
 async fn begin_round(site: &mut Site, v: &mut Verdict, round: usize) -> io::Result<()> {
     v.faults += u64::from(round > 0);
     match round {
@@ -166,6 +168,7 @@
     Ok(())
 }
 
+/// Ends the round's fault.
 async fn end_round(site: &mut Site, round: usize) -> io::Result<()> {
     site.cluster.set_store_faults(json!({})).await?;
     if round == 4 {
@@ -176,22 +179,24 @@
     Ok(())
 }
 
-/// Sends one key to every entry at once; returns what was told.
+/// Sends a request with one idempotency key to all entries at the same time; returns the result
+/// codes.
 async fn send_everywhere(site: &Site, op: &str, round: usize, v: &mut Verdict) -> Vec<codes::Code> {
-    // While the store is down a claim waits for its limit; fewer at once keep the proof short.
+    // While the store is down a claim waits until its timeout; a short deadline keeps the proof
+    // short.
     let deadline_ms = if round == 3 { 500 } else { 3_000 };
     let wish = LoadSpec { once: true, deadline_ms, ..LoadSpec::default() };
     let body = json!({"op": op});
     let sent = site.cluster.entries.iter().map(|e| load::send_to(&e.callers, &wish, op, &body));
-    let mut told = Vec::new();
+    let mut codes_received = Vec::new();
     for answer in join_all(sent).await.into_iter().flatten() {
         if answer.status == 200 {
             let own = answer.json::<serde_json::Value>().as_ref() == Some(&body);
-            v.check(own, || format!("{op}: another's answer"));
-            told.push(codes::Code::Ok);
+            v.check(own, || format!("{op}: the answer belongs to another request"));
+            codes_received.push(codes::Code::Ok);
         } else if let Some(refusal) = answer.json::<api::Refusal>() {
-            told.push(refusal.result_code());
+            codes_received.push(refusal.result_code());
         }
     }
-    told
+    codes_received
 }
