--- a/crates/demo/src/relay.rs
+++ b/crates/demo/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two processes that can be cut and mended.
+//! A TCP relay between two processes that can simulate a network partition.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,33 +10,34 @@
 use futures::future::Either;
 use futures::StreamExt;
 
-const CUT_POLL: Duration = Duration::from_millis(10);
+/// How often a connection checks whether the relay is partitioned.
+const PARTITION_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running relay.
 #[derive(Debug, Clone)]
 pub struct Relay {
     addr: SocketAddr,
-    cut: Arc<AtomicBool>,
+    partitioned: Arc<AtomicBool>,
 }
 
 /// Starts a relay to `target`.
 ///
 /// # Errors
-/// Returns the error of binding a port.
+/// Returns an error if no port can be bound.
 pub async fn spawn(target: String) -> io::Result<Relay> {
     let listener = net::TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
-    let cut = Arc::new(AtomicBool::new(false));
-    let is_cut = Arc::clone(&cut);
+    let partitioned = Arc::new(AtomicBool::new(false));
+    let is_partitioned = Arc::clone(&partitioned);
     task::spawn(async move {
         let mut incoming = listener.incoming();
         while let Some(Ok(stream)) = incoming.next().await {
-            if !is_cut.load(Ordering::SeqCst) {
-                task::spawn(carry(stream, target.clone(), Arc::clone(&is_cut)));
+            if !is_partitioned.load(Ordering::SeqCst) {
+                task::spawn(forward(stream, target.clone(), Arc::clone(&is_partitioned)));
             }
         }
     });
-    Ok(Relay { addr, cut })
+    Ok(Relay { addr, partitioned })
 }
 
 impl Relay {
@@ -45,28 +46,28 @@
         self.addr.to_string()
     }
 
-    /// Cuts every connection and refuses new ones, or mends the relay.
-    pub fn set_partitioned(&self, cut: bool) {
-        self.cut.store(cut, Ordering::SeqCst);
+    /// Closes every connection and refuses new ones, or forwards connections again.
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.store(partitioned, Ordering::SeqCst);
     }
 }
 
-async fn carry(near: net::TcpStream, target: String, cut: Arc<AtomicBool>) {
-    let Ok(far) = net::TcpStream::connect(&target).await else { return };
-    if near.set_nodelay(true).is_err() || far.set_nodelay(true).is_err() {
+async fn forward(inbound: net::TcpStream, target: String, partitioned: Arc<AtomicBool>) {
+    let Ok(outbound) = net::TcpStream::connect(&target).await else { return };
+    if inbound.set_nodelay(true).is_err() || outbound.set_nodelay(true).is_err() {
         return;
     }
-    let there = async_io::copy(near.clone(), far.clone());
-    let back = async_io::copy(far.clone(), near.clone());
-    let both = futures::future::select(Box::pin(there), Box::pin(back));
+    let forth = async_io::copy(inbound.clone(), outbound.clone());
+    let back = async_io::copy(outbound.clone(), inbound.clone());
+    let both = futures::future::select(Box::pin(forth), Box::pin(back));
     let watch = async {
-        while !cut.load(Ordering::SeqCst) {
-            task::sleep(CUT_POLL).await;
+        while !partitioned.load(Ordering::SeqCst) {
+            task::sleep(PARTITION_POLL_INTERVAL).await;
         }
     };
     if let Either::Right(_) = futures::future::select(both, Box::pin(watch)).await {
-        // Ending both directions is the cut; they may have ended already.
-        let _near = near.shutdown(std::net::Shutdown::Both);
-        let _far = far.shutdown(std::net::Shutdown::Both);
+        // Closes both directions; a connection that has already ended gives an error here.
+        let _inbound = inbound.shutdown(std::net::Shutdown::Both);
+        let _outbound = outbound.shutdown(std::net::Shutdown::Both);
     }
 }
