--- a/crates/demo/src/site.rs
+++ b/crates/demo/src/site.rs
@@ -1,20 +1,21 @@
-//! The installation that the demo and the proofs run: hosts, keys, a first configuration.
+//! Data of the installation that the demo and the proofs run: hosts, keys and the first
+//! configuration.
 
 use gaplock_types::{ids, sizes, wire};
 use serde_json::json;
 use sha2::{Digest, Sha256};
 
-/// The operator's key.
+/// The first operator's key.
 pub const OPERATOR_KEY: &str = "operator-key-1";
-/// Another operator's key.
+/// The second operator's key.
 pub const SECOND_OPERATOR_KEY: &str = "operator-key-2";
-/// The key that counts before the first configuration.
+/// The key that is valid until the first configuration is in force.
 pub const BOOTSTRAP_KEY: &str = "bootstrap-key";
-/// The secret that entries share.
+/// The secret with which entries authenticate to each other.
 pub const PEER_SECRET: &str = "a-secret-between-entries";
-/// The partners' keys.
+/// The partners and their keys.
 pub const PARTNER_KEYS: [(&str, &str); 2] = [("alpina", "alpina-key"), ("savica", "savica-key")];
-/// The service.
+/// The id of the service.
 pub const SERVICE: &str = "coldtrace";
 /// The failure domains.
 pub const DOMAINS: [&str; 4] = ["vrhnika-hall", "domzale-hall", "grosuplje-hall", "kamnik-hall"];
@@ -23,7 +24,7 @@
     Sha256::digest(key.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Builds the host list of workers that listen on `addrs`.
+/// Builds the host list for workers that listen on `addrs`.
 pub fn hosts(addrs: &[String], capacity: sizes::Resources) -> Vec<wire::Host> {
     let host = |(i, addr): (usize, &String)| wire::Host {
         worker: ids::WorkerId(format!("w{i:02}")),
@@ -38,7 +39,8 @@
     addrs.iter().enumerate().map(host).collect()
 }
 
-/// Builds the first intent: one service with `replicas`, two batch classes, two partners.
+/// Builds the first intent: one service with this many replicas, two batch classes, two partners
+/// and two operators.
 pub fn first_intent(replicas: u32) -> serde_json::Value {
     let partners: Vec<serde_json::Value> = PARTNER_KEYS
         .iter()
