--- a/crates/demo/tests/operators.rs
+++ b/crates/demo/tests/operators.rs
@@ -1,4 +1,5 @@
-//! An operator's day with the command line: plan, confirm, look, undo, and every wrong turn.
+//! Checks the command line from an operator's view: plan, confirm, read commands, undo, and every
+//! kind of wrong use.
 
 use std::io;
 use std::time::Duration;
@@ -10,8 +11,10 @@
 use http_types::Method;
 use serde_json::{json, Value};
 
-const LIMIT: Duration = Duration::from_secs(20);
+/// Bounds the wait for each step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Runs the command-line programs against an installation.
 struct Shell {
     entries: String,
     health: String,
@@ -19,16 +22,16 @@
 }
 
 impl Shell {
-    /// Runs a program with a key; returns its exit code and what it printed.
-    fn run(&self, program: &str, key: &str, words: &[&str]) -> (i32, String) {
-        let args: Vec<String> = words.iter().map(|w| (*w).to_string()).collect();
+    /// Runs a program with a key, and returns its exit code and standard output.
+    fn run(&self, program: &str, key: &str, args: &[&str]) -> (i32, String) {
+        let args: Vec<String> = args.iter().map(|w| (*w).to_string()).collect();
         let env = [
             ("GAPLOCK_ENTRY", self.entries.as_str()),
             ("GAPLOCK_HEALTH", self.health.as_str()),
             ("GAPLOCK_KEY", key),
         ];
         let mut p = Process::spawn(program, &args, &env).expect("the program starts");
-        let code = p.wait(Duration::from_secs(30)).expect("the program ends");
+        let code = p.wait(Duration::from_secs(30)).expect("the program ends within 30 s");
         p.drain();
         (code, p.printed.join("\n"))
     }
@@ -45,7 +48,7 @@
 async fn open() -> io::Result<(Cluster, Shell)> {
     let cluster = Cluster::start(Plan::default()).await?;
     for i in 0..3 {
-        cluster.wait_ready(i, LIMIT).await?;
+        cluster.wait_ready(i, STEP_TIMEOUT).await?;
     }
     let join = |pick: fn(&cluster::Entry) -> &str| {
         cluster.entries.iter().map(pick).collect::<Vec<_>>().join(",")
@@ -57,28 +60,28 @@
 }
 
 #[test]
-fn an_operators_day() {
+fn the_command_line_plans_confirms_undoes_and_refuses_wrong_use() {
     task::block_on(async {
         let (cluster, shell) = open().await.expect("the installation starts");
         let first = shell.file("first.json");
-        let gaplock = |key: &str, words: &[&str]| shell.run("gaplock", key, words);
+        let gaplock = |key: &str, args: &[&str]| shell.run("gaplock", key, args);
         let (code, text) = gaplock(site::BOOTSTRAP_KEY, &["plan", &example(), "--out", &first]);
         assert_eq!(code, 0, "{text}");
         assert!(text.contains("service coldtrace would start with 8 replicas"), "{text}");
         assert_eq!(confirm(&shell, site::BOOTSTRAP_KEY, &first).0, 0);
         let key = site::OPERATOR_KEY;
-        cluster.wait_usable(0, 8, LIMIT).await.expect("workers");
-        cluster.wait_serving(0, LIMIT).await.expect("service");
-        looks(&shell, key);
-        changes_and_undoes(&shell, key);
-        wrong_turns(&shell, key, &first);
-        answers_are_numbered(&cluster).await.expect("answers");
-        burns(&shell);
-        std::fs::remove_dir_all(&shell.folder).expect("the folder is this test's own");
+        cluster.wait_usable(0, 8, STEP_TIMEOUT).await.expect("8 workers become usable");
+        cluster.wait_serving(0, STEP_TIMEOUT).await.expect("the service answers through entry 0");
+        read_commands_work(&shell, key);
+        a_change_can_be_undone(&shell, key);
+        wrong_use_gives_its_exit_code(&shell, key, &first);
+        wrong_requests_get_their_code(&cluster).await.expect("every request is answered");
+        the_burn_report_is_written(&shell);
+        std::fs::remove_dir_all(&shell.folder).expect("the folder of this test can be removed");
     });
 }
 
-/// Confirms a plan, again while the entry says "come back".
+/// Confirms a plan, and repeats that for four seconds while the command is refused (exit code 1).
 fn confirm(shell: &Shell, key: &str, plan: &str) -> (i32, String) {
     for _ in 0..20 {
         let (code, text) = shell.run("gaplock", key, &["confirm", plan]);
@@ -87,29 +90,32 @@
         }
         std::thread::sleep(Duration::from_millis(200));
     }
-    (1, "it was refused for four seconds".to_string())
+    (1, "the confirmation was refused for four seconds".to_string())
 }
 
-fn looks(shell: &Shell, key: &str) {
+fn read_commands_work(shell: &Shell, key: &str) {
     let (code, text) = shell.run("gaplock", key, &["status"]);
     assert!(code == 0 && text.contains("g1 in force at: entry-0, entry-1, entry-2"), "{text}");
     let (code, text) = shell.run("gaplock", key, &["workers"]);
     assert!(code == 0 && text.matches("usable").count() == 8, "{text}");
     let (code, text) = shell.run("gaplock", key, &["jobs", "--json"]);
-    let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON for programs");
+    let rows: Vec<Value> = serde_json::from_str(&text).expect("`--json` prints JSON");
     assert!(code == 0 && !rows.is_empty(), "{text}");
-    let job = rows[0]["job"].as_str().expect("a job id").to_string();
+    let job = rows[0]["job"].as_str().expect("a row has a job id").to_string();
     let (code, text) = shell.run("gaplock", key, &["why", &job]);
     assert!(code == 0 && text.contains("it runs"), "{text}");
     let (code, text) = shell.run("gaplock", key, &["report"]);
     assert!(code == 0 && text.contains("coldtrace"), "{text}");
 }
 
-fn changes_and_undoes(shell: &Shell, key: &str) {
+fn a_change_can_be_undone(shell: &Shell, key: &str) {
     let intent = shell.file("fewer.json");
     let mut wanted = site::first_intent(4);
-    wanted.as_object_mut().expect("an object").retain(|name, _| name == "placements");
-    std::fs::write(&intent, wanted.to_string()).expect("written");
+    wanted
+        .as_object_mut()
+        .expect("an intent is a JSON object")
+        .retain(|name, _| name == "placements");
+    std::fs::write(&intent, wanted.to_string()).expect("the file can be written");
     let plan = shell.file("fewer-plan.json");
     let (code, text) = shell.run("gaplock", key, &["plan", &intent, "--out", &plan]);
     assert!(code == 0 && text.contains("coldtrace would stop 4 replicas"), "{text}");
@@ -123,7 +129,7 @@
     assert!(code == 0 && text.contains("g3") && text.contains("ana"), "{text}");
 }
 
-fn wrong_turns(shell: &Shell, key: &str, stale: &str) {
+fn wrong_use_gives_its_exit_code(shell: &Shell, key: &str, stale: &str) {
     assert_eq!(shell.run("gaplock", key, &["plan", "/nowhere.toml"]).0, 2);
     assert_eq!(shell.run("gaplock", key, &["dance"]).0, 2);
     assert_eq!(shell.run("gaplock", key, &["--colour", "red", "status"]).0, 2);
@@ -131,18 +137,18 @@
     assert_eq!(shell.run("gaplock", site::PARTNER_KEYS[0].1, &["workers"]).0, 1);
     assert_eq!(shell.run("gaplock", key, &["why", "j0-9999"]).0, 1);
     assert_eq!(shell.run("gaplock", key, &["confirm", stale]).0, 4);
-    let nobody = shell.run("gaplock", key, &["--entry", "127.0.0.1:1", "status"]);
-    assert_eq!(nobody.0, 3);
+    let unreachable = shell.run("gaplock", key, &["--entry", "127.0.0.1:1", "status"]);
+    assert_eq!(unreachable.0, 3);
     let never_fits = shell.file("huge.json");
     let mut wanted = site::first_intent(4);
     wanted["placements"][0]["services"][0]["demand"]["cpu"] = json!(64_000);
-    std::fs::write(&never_fits, wanted.to_string()).expect("written");
+    std::fs::write(&never_fits, wanted.to_string()).expect("the file can be written");
     let (code, text) = shell.run("gaplock", key, &["plan", &never_fits]);
     assert!(code == 1 && text.contains("no worker can hold a replica"), "{text}");
 }
 
-/// Every wrong request gets a numbered answer.
-async fn answers_are_numbered(cluster: &Cluster) -> io::Result<()> {
+/// Checks that each kind of wrong request gets a refusal with the code and status of its cause.
+async fn wrong_requests_get_their_code(cluster: &Cluster) -> io::Result<()> {
     let partner = site::PARTNER_KEYS[0].1;
     let service = format!("/v1/services/{}/check", site::SERVICE);
     let huge = json!({"pad": "x".repeat(2 << 20)});
@@ -169,27 +175,33 @@
     for (method, path, key, headers, body, expected) in cases {
         let answer = cluster.ask(0, method, path, key, headers, body).await?;
         let refusal: gaplock_types::api::Refusal = answer.json().unwrap_or_else(|| {
-            panic!("{path}: status {} without a refusal", answer.status);
+            panic!("{path}: the answer with status {} holds no refusal", answer.status);
         });
         assert_eq!(refusal.code, expected, "{path}: {}", refusal.message);
         assert_eq!(answer.status, refusal.result_code().row().status, "{path}");
     }
-    // A partner sees and cancels only its own work.
+    // A partner can read and cancel only its own jobs.
     let stored = cluster.ask(0, Method::Post, "/v1/jobs", partner, &once, spec).await?;
     let job = stored.json::<Value>().and_then(|v| v["job"].as_str().map(String::from));
-    let path = format!("/v1/jobs/{}", job.expect("a stored job"));
-    let rival = site::PARTNER_KEYS[1].1;
-    assert_eq!(cluster.ask(1, Method::Get, &path, rival, &[], Value::Null).await?.status, 404);
-    assert_eq!(cluster.ask(1, Method::Delete, &path, rival, &[], Value::Null).await?.status, 404);
+    let path = format!("/v1/jobs/{}", job.expect("the answer holds the id of the stored job"));
+    let other_partner = site::PARTNER_KEYS[1].1;
+    assert_eq!(
+        cluster.ask(1, Method::Get, &path, other_partner, &[], Value::Null).await?.status,
+        404
+    );
+    assert_eq!(
+        cluster.ask(1, Method::Delete, &path, other_partner, &[], Value::Null).await?.status,
+        404
+    );
     assert_eq!(cluster.ask(2, Method::Get, &path, partner, &[], Value::Null).await?.status, 200);
     Ok(())
 }
 
-fn burns(shell: &Shell) {
+fn the_burn_report_is_written(shell: &Shell) {
     let page = shell.file("burn.html");
-    let words = ["--objective", "coldtrace=40:99", "--for", "2", "--every", "1", "--html", &page];
-    let (code, text) = shell.run("gaplock-burn", "none", &words);
+    let args = ["--objective", "coldtrace=40:99", "--for", "2", "--every", "1", "--html", &page];
+    let (code, text) = shell.run("gaplock-burn", "none", &args);
     assert!(code == 0 && text.contains("coldtrace for alpina"), "{text}");
-    let html = std::fs::read_to_string(&page).expect("the page is written");
+    let html = std::fs::read_to_string(&page).expect("the HTML file is written");
     assert!(html.contains("<h2>coldtrace for alpina</h2>"), "{html}");
 }
