--- a/crates/standin/src/bin/hosts.rs
+++ b/crates/standin/src/bin/hosts.rs
@@ -1,7 +1,7 @@
 //! The host list stand-in as a process.
 //!
-//! It serves `GET /v1/hosts`. `PUT /set` replaces the list, which becomes visible after the lag that
-//! is set, and `PUT /down` makes reads hang or answer again.
+//! It serves `GET /v1/hosts`. `PUT /set` replaces the list, which becomes visible after the lag
+//! that is set, and `PUT /down` makes reads hang or answer again.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
