--- a/crates/standin/src/judge.rs
+++ b/crates/standin/src/judge.rs
@@ -18,8 +18,8 @@
     pub ops: BTreeMap<String, u32>,
 }
 
-/// How far two run intervals may overlap without a violation, in milliseconds. It covers the step in
-/// which the checker itself advances time.
+/// How far two run intervals may overlap without a violation, in milliseconds. It covers the step
+/// in which the checker itself advances time.
 const OVERLAP_TOLERANCE_MS: u64 = 25;
 
 /// The combined reports of all workers' checkers.
