--- a/crates/standin/tests/delayed_writes.rs
+++ b/crates/standin/tests/delayed_writes.rs
@@ -1,5 +1,5 @@
-//! Checks that the store stand-in delays writes while that fault is on, and draws nothing for it while
-//! it is off.
+//! Checks that the store stand-in delays writes while that fault is on, and draws nothing for it
+//! while it is off.
 
 use gaplock_coord::action::{StoreAnswer, StoreCall};
 use gaplock_standin::store::{Faults, Model};
