--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -10,7 +10,7 @@
 use http_types::Method;
 use serde_json::{json, Value};
 
-use super::{Site, Verdict};
+use super::{ProofResult, Site};
 use crate::cluster::Plan;
 use crate::{load, site};
 
@@ -18,8 +18,8 @@
 const JOBS_END_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Promise 1: no worker receives more work than its capacity allows.
-pub async fn capacity() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn capacity() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let plan = Plan {
         service_us: 30_000,
         capacity: sizes::Resources::new(6_000, 24 * 1024, 0),
@@ -64,8 +64,8 @@
 }
 
 /// Promise 2: no task runs in two places at the same time.
-pub async fn no_concurrent_runs() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn no_concurrent_runs() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let mut site = Site::open(Plan::default()).await?;
     let mut jobs = Vec::new();
     for i in 0..10 {
@@ -131,7 +131,7 @@
 }
 
 /// Checks that every task is done and none was lost.
-fn check_done(v: &mut Verdict, statuses: &[JobStatus]) {
+fn check_done(v: &mut ProofResult, statuses: &[JobStatus]) {
     for s in statuses {
         v.check(s.tasks.iter().all(|t| t.state == "done"), || format!("{} lost tasks", s.job));
     }
@@ -140,7 +140,7 @@
 /// Removes all workers of a failure domain; the tasks of its partition must run in other domains.
 async fn remove_failure_domain(
     site: &mut Site,
-    v: &mut Verdict,
+    v: &mut ProofResult,
     jobs: &mut Vec<String>,
 ) -> io::Result<()> {
     let lost = site.cluster.hosts[3].domain.clone();
@@ -156,7 +156,7 @@
 }
 
 /// Checks that each run of a task resumes from the last checkpoint of the previous run.
-fn check_resumed(v: &mut Verdict, findings: &Findings) {
+fn check_resumed(v: &mut ProofResult, findings: &Findings) {
     for (task, stretches) in &findings.by_task {
         for pair in stretches.windows(2).filter(|pair| !pair[0].service) {
             let resumed = pair[1].resume_ms;
@@ -169,8 +169,8 @@
 }
 
 /// Promise 3: an evicted task resumes exactly once, from its checkpoint.
-pub async fn resume_once() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn resume_once() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let mut site = Site::open(Plan::default()).await?;
     let mut jobs = Vec::new();
     for i in 0..8 {
--- a/crates/demo/src/prove/configuration.rs
+++ b/crates/demo/src/prove/configuration.rs
@@ -9,7 +9,7 @@
 use http_types::Method;
 use serde_json::{json, Value};
 
-use super::{Site, Verdict, STEP_TIMEOUT};
+use super::{ProofResult, Site, STEP_TIMEOUT};
 use crate::calls::wait_until;
 use crate::cluster::Plan;
 use crate::site;
@@ -17,8 +17,8 @@
 const KEY: &str = site::OPERATOR_KEY;
 
 /// Promise 9: runs all cases, one after the other, on one installation.
-pub async fn configuration_in_force() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn configuration_in_force() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let mut site = Site::open(Plan::default()).await?;
     concurrent_confirmations(&site, &mut v).await?;
     stale_plan_is_refused(&site, &mut v).await?;
@@ -51,7 +51,7 @@
 
 /// Two operators confirm different plans with the same base at two entries at the same time: one
 /// plan is accepted and the other refused.
-async fn concurrent_confirmations(site: &Site, v: &mut Verdict) -> io::Result<()> {
+async fn concurrent_confirmations(site: &Site, v: &mut ProofResult) -> io::Result<()> {
     for round in 0..4 {
         let a = plan(site, 0, KEY, 3 + round).await?;
         let b = plan(site, 1, site::SECOND_OPERATOR_KEY, 6 + round).await?;
@@ -73,7 +73,7 @@
 
 /// A plan that became stale before its confirmation is refused, and the refusal names the
 /// difference.
-async fn stale_plan_is_refused(site: &Site, v: &mut Verdict) -> io::Result<()> {
+async fn stale_plan_is_refused(site: &Site, v: &mut ProofResult) -> io::Result<()> {
     let old = plan(site, 0, KEY, 4).await?;
     let fresh = plan(site, 1, KEY, 5).await?;
     let done = site.cluster.confirm(1, KEY, &fresh).await?;
@@ -91,7 +91,7 @@
 
 /// The store loses the answer to the write: the confirming entry reads the stored document back and
 /// recognizes its own write.
-async fn lost_write_answer(site: &Site, v: &mut Verdict) -> io::Result<()> {
+async fn lost_write_answer(site: &Site, v: &mut ProofResult) -> io::Result<()> {
     for round in 0..3 {
         let base = generation(site, 0).await;
         let p = plan(site, 0, KEY, 6 + round).await?;
@@ -111,7 +111,7 @@
 }
 
 /// An entry that reaches its peers but not the store receives a new generation within seconds.
-async fn partition_from_store(site: &Site, v: &mut Verdict) -> io::Result<()> {
+async fn partition_from_store(site: &Site, v: &mut ProofResult) -> io::Result<()> {
     site.cluster.entries[2].store_relay.set_partitioned(true);
     v.faults += 1;
     task::sleep(Duration::from_millis(500)).await;
@@ -134,7 +134,7 @@
 }
 
 /// An entry that starts while the store is down serves the newest generation or none.
-async fn start_during_store_outage(site: &mut Site, v: &mut Verdict) -> io::Result<()> {
+async fn start_during_store_outage(site: &mut Site, v: &mut ProofResult) -> io::Result<()> {
     let newest = generation(site, 0).await;
     let with_store = {
         let began = Instant::now();
@@ -170,7 +170,7 @@
 
 /// An entry that reaches neither the store nor its peers stops serving before its configuration
 /// could be outdated for long.
-async fn partition_from_store_and_peers(site: &Site, v: &mut Verdict) -> io::Result<()> {
+async fn partition_from_store_and_peers(site: &Site, v: &mut ProofResult) -> io::Result<()> {
     let isolated = 2;
     for (i, entry) in site.cluster.entries.iter().enumerate() {
         if i != isolated {
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -22,7 +22,7 @@
 
 /// The result of a proof.
 #[derive(Debug, Default)]
-pub struct Verdict {
+pub struct ProofResult {
     /// How many faults were injected.
     pub faults: u64,
     /// How many checks were made.
@@ -33,7 +33,7 @@
     pub figures: Vec<String>,
 }
 
-impl Verdict {
+impl ProofResult {
     /// Counts a check, and records a violation with the text of `what` unless `holds`.
     pub fn check(&mut self, holds: bool, what: impl FnOnce() -> String) {
         self.checks += 1;
@@ -205,7 +205,11 @@
     ///
     /// # Errors
     /// Returns an error if an entry's metrics cannot be read.
-    pub async fn check_entries(&self, verdict: &mut Verdict, alive: &[usize]) -> io::Result<()> {
+    pub async fn check_entries(
+        &self,
+        verdict: &mut ProofResult,
+        alive: &[usize],
+    ) -> io::Result<()> {
         for i in alive {
             let name = "gaplock_invariant_violations_total";
             let count = self.cluster.metric(*i, name).await?;
@@ -227,7 +231,7 @@
 /// # Errors
 /// Returns an error if something did not start or happen in time; the promise then counts as not
 /// held.
-pub async fn prove(number: u32) -> io::Result<Verdict> {
+pub async fn prove(number: u32) -> io::Result<ProofResult> {
     match number {
         1 => batch::capacity().await,
         2 => batch::no_concurrent_runs().await,
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -8,13 +8,13 @@
 use gaplock_types::{api, codes};
 use serde_json::json;
 
-use super::{Site, Verdict};
+use super::{ProofResult, Site};
 use crate::cluster::Plan;
 use crate::load::{self, LoadSpec};
 
 /// Promise 4: every answer that a caller receives is complete and belongs to its own request.
-pub async fn whole_answers() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn whole_answers() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let site = Site::open(Plan::default()).await?;
     let small = load::spawn(&site.balancer, &LoadSpec { callers: 16, ..LoadSpec::default() });
     let large = LoadSpec { callers: 2, padding: 700_000, prefix: "large", ..LoadSpec::default() };
@@ -64,8 +64,8 @@
 }
 
 /// Promise 5: a request that is refused as "not run" did not run.
-pub async fn not_run() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn not_run() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let plan = Plan { service_us: 40_000, ..Plan::default() };
     let mut site = Site::open(plan).await?;
     // There are far more callers than slots, so not all deadlines can be met.
@@ -109,8 +109,8 @@
 }
 
 /// Promise 6: a request that must not be repeated runs at most once.
-pub async fn at_most_once() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn at_most_once() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let mut site = Site::open(Plan::default()).await?;
     let mut answered = Vec::new();
     let mut ops = Vec::new();
@@ -146,7 +146,7 @@
 
 /// Injects the round's fault: none, lost store answers, a killed owner, a store that is down, or
 /// truncated answers.
-async fn begin_round(site: &mut Site, v: &mut Verdict, round: usize) -> io::Result<()> {
+async fn begin_round(site: &mut Site, v: &mut ProofResult, round: usize) -> io::Result<()> {
     v.faults += u64::from(round > 0);
     match round {
         1 => site.cluster.set_store_faults(json!({"lose_percent": 30})).await?,
@@ -181,7 +181,12 @@
 
 /// Sends a request with one idempotency key to all entries at the same time; returns the result
 /// codes.
-async fn send_everywhere(site: &Site, op: &str, round: usize, v: &mut Verdict) -> Vec<codes::Code> {
+async fn send_everywhere(
+    site: &Site,
+    op: &str,
+    round: usize,
+    v: &mut ProofResult,
+) -> Vec<codes::Code> {
     // While the store is down a claim waits until its timeout; a short deadline keeps the proof
     // short.
     let deadline_ms = if round == 3 { 500 } else { 3_000 };
--- a/crates/demo/src/prove/stops.rs
+++ b/crates/demo/src/prove/stops.rs
@@ -6,13 +6,13 @@
 use async_std::task;
 use serde_json::json;
 
-use super::{Site, Verdict, STEP_TIMEOUT};
+use super::{ProofResult, Site, STEP_TIMEOUT};
 use crate::cluster::Plan;
 use crate::load::{self, LoadSpec};
 
 /// Promise 7: an upstream that is leaving receives no new work after a few seconds.
-pub async fn leaving_upstream() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn leaving_upstream() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let mut site = Site::open(Plan::default()).await?;
     let load = load::spawn(&site.balancer, &LoadSpec { callers: 16, ..LoadSpec::default() });
     let mut jobs = Vec::new();
@@ -51,8 +51,8 @@
 }
 
 /// Promise 8: a planned stop of an entry interrupts no request in flight.
-pub async fn planned_stop() -> io::Result<Verdict> {
-    let mut v = Verdict::default();
+pub async fn planned_stop() -> io::Result<ProofResult> {
+    let mut v = ProofResult::default();
     let plan = Plan { service_us: 40_000, ..Plan::default() };
     let mut site = Site::open(plan).await?;
     let load = load::spawn(&site.balancer, &LoadSpec { callers: 24, ..LoadSpec::default() });
