--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -236,7 +236,7 @@
         1 => batch::capacity().await,
         2 => batch::no_concurrent_runs().await,
         3 => batch::resume_once().await,
-        4 => requests::whole_answers().await,
+        4 => requests::complete_answers().await,
         5 => requests::not_run().await,
         6 => requests::at_most_once().await,
         7 => stops::leaving_upstream().await,
--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -13,7 +13,7 @@
 use crate::load::{self, LoadSpec};
 
 /// Promise 4: every answer that a caller receives is complete and belongs to its own request.
-pub async fn whole_answers() -> io::Result<ProofResult> {
+pub async fn complete_answers() -> io::Result<ProofResult> {
     let mut v = ProofResult::default();
     let site = Site::open(Plan::default()).await?;
     let small = load::spawn(&site.balancer, &LoadSpec { callers: 16, ..LoadSpec::default() });
