--- a/crates/demo/src/load.rs
+++ b/crates/demo/src/load.rs
@@ -1,5 +1,5 @@
 //! Simulates callers behind a load balancer: they send requests through the entries that are ready,
-//! and count the outcomes that they are told.
+//! and count the outcomes that are reported to them.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -15,7 +15,7 @@
 use crate::calls;
 use crate::site;
 
-/// The outcomes that callers were told, by request.
+/// The outcomes that were reported to callers, by request.
 #[derive(Debug, Default, Clone)]
 pub struct Tally {
     /// Requests that were completely answered.
