--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -26,9 +26,9 @@
         ..Plan::default()
     };
     let mut site = Site::open(plan).await?;
-    let wish =
+    let spec =
         load::LoadSpec { callers: 40, pause: Duration::from_millis(1), ..Default::default() };
-    let load = load::spawn(&site.balancer, &wish);
+    let load = load::spawn(&site.balancer, &spec);
     let mut jobs = Vec::new();
     for i in 0..16 {
         jobs.push(site.submit(i % 2, &format!("fill-{i}"), 1_500, 4, 900).await?);
@@ -157,8 +157,8 @@
 
 /// Checks that each run of a task resumes from the last checkpoint of the previous run.
 fn check_resumed(v: &mut ProofResult, findings: &Findings) {
-    for (task, stretches) in &findings.by_task {
-        for pair in stretches.windows(2).filter(|pair| !pair[0].service) {
+    for (task, intervals) in &findings.by_task {
+        for pair in intervals.windows(2).filter(|pair| !pair[0].service) {
             let resumed = pair[1].resume_ms;
             let checkpoint = pair[0].checkpoint_ms;
             v.check(resumed == checkpoint, || {
