--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -205,15 +205,11 @@
     ///
     /// # Errors
     /// Returns an error if an entry's metrics cannot be read.
-    pub async fn check_entries(
-        &self,
-        verdict: &mut ProofResult,
-        alive: &[usize],
-    ) -> io::Result<()> {
+    pub async fn check_entries(&self, result: &mut ProofResult, alive: &[usize]) -> io::Result<()> {
         for i in alive {
             let name = "gaplock_invariant_violations_total";
             let count = self.cluster.metric(*i, name).await?;
-            verdict
+            result
                 .check(count == 0.0, || format!("entry {i} counted {count} invariant violations"));
         }
         Ok(())
