--- a/crates/demo/src/prove/requests.rs
+++ b/crates/demo/src/prove/requests.rs
@@ -21,11 +21,11 @@
     let large = load::spawn(&site.balancer, &large);
     // Callers that disconnect before they receive their answer.
     for i in 0..60 {
-        let wish = LoadSpec { prefix: "left", ..LoadSpec::default() };
+        let spec = LoadSpec { prefix: "left", ..LoadSpec::default() };
         let op = format!("left-{i}");
         let body = json!({"op": op});
         let Some(addr) = site.balancer.next() else { continue };
-        let sending = load::send_to(&addr, &wish, &op, &body);
+        let sending = load::send_to(&addr, &spec, &op, &body);
         if future::timeout(Duration::from_millis(2), sending).await.is_err() {
             v.faults += 1;
         }
@@ -190,9 +190,9 @@
     // While the store is down a claim waits until its timeout; a short deadline keeps the proof
     // short.
     let deadline_ms = if round == 3 { 500 } else { 3_000 };
-    let wish = LoadSpec { once: true, deadline_ms, ..LoadSpec::default() };
+    let spec = LoadSpec { once: true, deadline_ms, ..LoadSpec::default() };
     let body = json!({"op": op});
-    let sent = site.cluster.entries.iter().map(|e| load::send_to(&e.callers, &wish, op, &body));
+    let sent = site.cluster.entries.iter().map(|e| load::send_to(&e.callers, &spec, op, &body));
     let mut codes_received = Vec::new();
     for answer in join_all(sent).await.into_iter().flatten() {
         if answer.status == 200 {
