--- a/crates/demo/tests/prove.rs
+++ b/crates/demo/tests/prove.rs
@@ -9,10 +9,9 @@
 fn assert_held(number: u32) {
     let proving = move || task::block_on(prove(number)).expect("the proof runs to its end");
     let thread = std::thread::Builder::new().stack_size(STACK_BYTES).spawn(proving);
-    let verdict =
-        thread.expect("a thread can be started").join().expect("the proof does not panic");
-    assert_eq!(verdict.violations, Vec::<String>::new(), "promise {number}");
-    assert!(verdict.checks > 10 && verdict.faults > 0, "{verdict:?}");
+    let result = thread.expect("a thread can be started").join().expect("the proof does not panic");
+    assert_eq!(result.violations, Vec::<String>::new(), "promise {number}");
+    assert!(result.checks > 10 && result.faults > 0, "{result:?}");
 }
 
 /// The proofs run one after the other, so that the processes of one do not delay the lease renewals
