--- a/crates/standin/src/judge.rs
+++ b/crates/standin/src/judge.rs
@@ -51,8 +51,8 @@
                 f.by_task.entry(s.run.task).or_default().push(s.clone());
             }
         }
-        for stretches in f.by_task.values_mut() {
-            stretches.sort_by_key(|s| (s.from_ms, s.run.attempt));
+        for intervals in f.by_task.values_mut() {
+            intervals.sort_by_key(|s| (s.from_ms, s.run.attempt));
         }
         f.check_runs(now_ms);
         f
@@ -78,8 +78,8 @@
     /// checkpoint, and finish at most once.
     fn check_runs(&mut self, now_ms: u64) {
         let mut found = Vec::new();
-        for (task, stretches) in &self.by_task {
-            for pair in stretches.windows(2) {
+        for (task, intervals) in &self.by_task {
+            for pair in intervals.windows(2) {
                 self.checks += 1;
                 let end = pair[0].to_ms.unwrap_or(now_ms);
                 if end > pair[1].from_ms + OVERLAP_TOLERANCE_MS {
@@ -94,7 +94,7 @@
                 }
             }
             self.checks += 1;
-            let done = stretches.iter().filter(|s| s.done).count();
+            let done = intervals.iter().filter(|s| s.done).count();
             if done > 1 {
                 found.push(format!("{task}: finished {done} times"));
             }
