--- a/crates/standin/src/worker/mod.rs
+++ b/crates/standin/src/worker/mod.rs
@@ -411,8 +411,8 @@
     }
 }
 
-fn end_interval(stretches: &mut [Stretch], run: wire::Run, at: time::Instant, r: &Running) {
-    let open = stretches.iter_mut().rev().find(|s| s.run == run && s.to_ms.is_none());
+fn end_interval(intervals: &mut [Stretch], run: wire::Run, at: time::Instant, r: &Running) {
+    let open = intervals.iter_mut().rev().find(|s| s.run == run && s.to_ms.is_none());
     if let Some(s) = open {
         s.to_ms = Some(at.0);
         s.checkpoint_ms = r.checkpoint_ms;
