--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -5,8 +5,8 @@
 //! a chart with an unreachable state or with an event that some state does not handle. The language
 //! is described in `docs/DESIGN.md`, section State charts.
 
+pub mod charts;
 mod parse;
-pub mod table;
 
 use std::fmt;
 
--- a/crates/chart/tests/charts.rs
+++ b/crates/chart/tests/charts.rs
@@ -1,7 +1,7 @@
 //! Tests that invalid charts are rejected and that the charts of the daemons are valid.
 
 use expect_test::expect;
-use gaplock_chart::table::{intent, ownership, task, upstream};
+use gaplock_chart::charts::{intent, ownership, task, upstream};
 use gaplock_chart::Chart;
 
 fn parse_error(text: &str) -> String {
--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -5,7 +5,7 @@
 //! created each generation. Another entry may have confirmed the same plan, and a newer plan may
 //! build on it, so the document that was read is adopted, and never the writer's own.
 
-use gaplock_chart::table::intent;
+use gaplock_chart::charts::intent;
 use gaplock_policy::attempts::Execution;
 use gaplock_types::{api, codes, ids, time};
 
--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -13,7 +13,7 @@
 mod replies;
 mod snapshot;
 
-use gaplock_chart::table::ownership;
+use gaplock_chart::charts::ownership;
 use gaplock_types::{ids, time};
 
 use crate::action::{CallId, StoreAnswer, StoreCall};
--- a/crates/coord/src/journal/replay.rs
+++ b/crates/coord/src/journal/replay.rs
@@ -2,7 +2,7 @@
 //!
 //! An entry that claims a partition rebuilds the state this way, and then writes its claim.
 
-use gaplock_chart::table::ownership;
+use gaplock_chart::charts::ownership;
 use gaplock_types::ids;
 
 use super::{Journal, Outcome, RETRY_EVERY, RING_SLOTS};
--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -2,7 +2,7 @@
 //!
 //! A slot that is written again loses its old entry, so a snapshot must cover that entry by then.
 
-use gaplock_chart::table::ownership;
+use gaplock_chart::charts::ownership;
 use gaplock_types::{ids, time};
 
 use super::{Journal, RETRY_EVERY};
--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use gaplock_chart::table::upstream;
+use gaplock_chart::charts::upstream;
 use gaplock_policy::{guard, interference};
 use gaplock_types::{ids, time, wire};
 
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use gaplock_chart::table::ownership;
+use gaplock_chart::charts::ownership;
 use gaplock_types::{api, codes, ids, time, wire};
 use gaplock_verify::EntryCheck;
 
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use gaplock_chart::table::ownership;
+use gaplock_chart::charts::ownership;
 use gaplock_types::{api, ids, wire};
 
 use super::Node;
--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -1,6 +1,6 @@
 //! Handles the commands that callers and operators send to a partition's owner.
 
-use gaplock_chart::table::{task, upstream};
+use gaplock_chart::charts::{task, upstream};
 use gaplock_policy::placement;
 use gaplock_types::{api, codes, ids, wire};
 
--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -7,7 +7,7 @@
 //! stores the task once and afterwards only reports the task's state. Neither a lost message nor a
 //! new owner on either side can therefore run the task twice.
 
-use gaplock_chart::table::task;
+use gaplock_chart::charts::task;
 use gaplock_types::{api, ids, sizes, time, wire};
 use gaplock_verify::Fact;
 
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use gaplock_chart::table::{ownership, upstream};
+use gaplock_chart::charts::{ownership, upstream};
 use gaplock_policy::{fair, health, route};
 use gaplock_types::{api, codes, ids, sizes, time, wire};
 use gaplock_verify::{Fact, PartitionCheck};
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -4,7 +4,7 @@
 //! report of the worker under this epoch, or the certain expiry of every lease that could keep the
 //! run alive.
 
-use gaplock_chart::table::upstream;
+use gaplock_chart::charts::upstream;
 use gaplock_policy::health;
 use gaplock_types::{ids, time, wire};
 use gaplock_verify::Fact;
--- a/crates/coord/src/partition/renewing.rs
+++ b/crates/coord/src/partition/renewing.rs
@@ -1,7 +1,7 @@
 //! Renews the leases of a partition's workers, and stops before a successor may assume that the
 //! renewals have ended.
 
-use gaplock_chart::table::upstream;
+use gaplock_chart::charts::upstream;
 use gaplock_types::ids;
 
 use super::Partition;
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -1,7 +1,7 @@
 //! Keeps the partition's share of every service's replicas running, and removes expired jobs and
 //! claims from the state.
 
-use gaplock_chart::table::upstream;
+use gaplock_chart::charts::upstream;
 use gaplock_policy::placement;
 use gaplock_types::{config, ids, sizes, wire};
 
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -1,6 +1,6 @@
 //! Assigns waiting tasks to workers. Decides which partner's task is next and which worker gets it.
 
-use gaplock_chart::table::upstream;
+use gaplock_chart::charts::upstream;
 use gaplock_policy::{fair, guard, interference, placement};
 use gaplock_types::{config, ids, sizes, wire};
 use gaplock_verify::Fact;
--- a/crates/coord/src/partition/starting.rs
+++ b/crates/coord/src/partition/starting.rs
@@ -1,7 +1,7 @@
 //! Sends the start commands of committed assignments, and repeats them until the workers have
 //! accepted or refused them.
 
-use gaplock_chart::table::{task, upstream};
+use gaplock_chart::charts::{task, upstream};
 use gaplock_types::{ids, time, wire};
 use gaplock_verify::Fact;
 
--- a/crates/coord/src/partition/status.rs
+++ b/crates/coord/src/partition/status.rs
@@ -1,6 +1,6 @@
 //! Reports the status of a partition's jobs and workers to callers and operators.
 
-use gaplock_chart::table::task;
+use gaplock_chart::charts::task;
 use gaplock_types::{api, ids, wire};
 
 use super::Partition;
--- a/crates/coord/src/state/index.rs
+++ b/crates/coord/src/state/index.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gaplock_chart::table::task;
+use gaplock_chart::charts::task;
 use gaplock_types::{ids, sizes};
 
 use super::{task_id, PartState};
--- a/crates/coord/src/state/mod.rs
+++ b/crates/coord/src/state/mod.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use gaplock_chart::table::task;
+use gaplock_chart::charts::task;
 use gaplock_types::{api, ids, sizes, wire};
 use serde::{Deserialize, Serialize};
 
@@ -27,7 +27,7 @@
 pub type Result<T> = std::result::Result<T, ApplyError>;
 
 mod state_name {
-    use gaplock_chart::table::task;
+    use gaplock_chart::charts::task;
     use serde::{Deserialize, Deserializer, Serializer};
 
     pub fn serialize<S: Serializer>(is: &task::Is, s: S) -> Result<S::Ok, S::Error> {
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -5,7 +5,7 @@
 
 use async_std::task;
 use gaplock_remote::http::Answer;
-use gaplock_standin::judge::{Findings, Verdicts};
+use gaplock_standin::checker::{Findings, Verdicts};
 use gaplock_types::{api, sizes, wire};
 use http_types::Method;
 use serde_json::Value;
--- a/crates/demo/src/prove/batch.rs
+++ b/crates/demo/src/prove/batch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use gaplock_standin::judge::Findings;
+use gaplock_standin::checker::Findings;
 use gaplock_types::api::JobStatus;
 use gaplock_types::sizes;
 use http_types::Method;
--- a/crates/demo/src/prove/mod.rs
+++ b/crates/demo/src/prove/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use gaplock_standin::judge::Findings;
+use gaplock_standin::checker::Findings;
 use serde_json::json;
 
 use crate::cluster::{Cluster, Plan};
--- a/crates/node/tests/cancelled.rs
+++ b/crates/node/tests/cancelled.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 use gaplock_jobs::JobKey;
-use gaplock_platform_standin::judge::{acknowledges, OUTSTAY_LIMIT};
+use gaplock_platform_standin::checker::{acknowledges, OUTSTAY_LIMIT};
+use gaplock_platform_standin::faults::{Lateness, Stops, WorkerTrouble};
 use gaplock_platform_standin::site::{self, gang, lasting, two_steps, Site};
-use gaplock_platform_standin::trouble::{Lateness, Stops, WorkerTrouble};
 use support::{open_site, wait_for};
 
 /// How long a task takes; no task ends by itself in these tests.
--- a/crates/node/tests/changing_capacity.rs
+++ b/crates/node/tests/changing_capacity.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use gaplock_jobs::JobKey;
-use gaplock_platform_standin::room::KNOWN_WITHIN;
+use gaplock_platform_standin::capacity::KNOWN_WITHIN;
 use gaplock_platform_standin::site::{two_steps, Site};
 use support::{open_site, wait_for};
 
--- a/crates/node/tests/processes.rs
+++ b/crates/node/tests/processes.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 use gaplock_jobs::{JobKey, TaskKey};
+use gaplock_platform_standin::checker::SeenRun;
 use gaplock_platform_standin::cloud;
-use gaplock_platform_standin::judge::SeenRun;
+use gaplock_platform_standin::faults::WorkerTrouble;
 use gaplock_platform_standin::relay::Mode;
 use gaplock_platform_standin::site::{
     call, connect_as_peer, gang, saving, two_steps, Output, Site, PREFIX,
 };
-use gaplock_platform_standin::trouble::WorkerTrouble;
 use gaplock_types::ids;
 use rustix::process::Signal;
 use serde_json::{json, Value};
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gaplock_coord::state;
-use gaplock_standin::judge::{Findings, Verdicts};
+use gaplock_standin::checker::{Findings, Verdicts};
 use gaplock_types::{ids, wire};
 
 use crate::clients::Clients;
--- a/crates/soak/src/processes.rs
+++ b/crates/soak/src/processes.rs
@@ -25,7 +25,7 @@
 use std::{io, thread};
 
 use gaplock_jobs::JobKey;
-use gaplock_platform_standin::judge;
+use gaplock_platform_standin::checker;
 use gaplock_platform_standin::site::{self, Output, Plan, Site};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -111,7 +111,7 @@
 
 /// How long runs of cancelled jobs may still exist after all other checks: a start that was carried out late at
 /// the end of the watched quiet phase is stopped within that time.
-const CANCELLED_STOP_LIMIT: Duration = judge::OUTSTAY_LIMIT;
+const CANCELLED_STOP_LIMIT: Duration = checker::OUTSTAY_LIMIT;
 
 /// Number of worker incarnations that must have ended under a task before the task may fail as one that crashes
 /// workers. It counts only in seeds where all workers crash together: there an innocent task cannot be
@@ -218,7 +218,7 @@
     if profile.late_orders {
         thread::sleep(QUIET_WATCH_TIME);
     } else {
-        thread::sleep(judge::OUTSTAY_LIMIT + POLL_INTERVAL);
+        thread::sleep(checker::OUTSTAY_LIMIT + POLL_INTERVAL);
     }
 }
 
--- a/crates/soak/src/processes/callers.rs
+++ b/crates/soak/src/processes/callers.rs
@@ -6,8 +6,8 @@
 
 use gaplock_jobs::JobKey;
 use gaplock_platform_standin::caller::Caller;
+use gaplock_platform_standin::checker::acknowledges;
 use gaplock_platform_standin::fleet::Acknowledgements;
-use gaplock_platform_standin::judge::acknowledges;
 use gaplock_platform_standin::site::{crashing, gang, lasting, saving, two_steps, Site};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/soak/src/processes/cancels.rs
+++ b/crates/soak/src/processes/cancels.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use gaplock_jobs::JobKey;
-use gaplock_platform_standin::judge::acknowledges;
+use gaplock_platform_standin::checker::acknowledges;
 use gaplock_platform_standin::site::Site;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/soak/src/processes/faults.rs
+++ b/crates/soak/src/processes/faults.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 use std::{io, thread};
 
-use gaplock_platform_standin::judge;
+use gaplock_platform_standin::checker;
+use gaplock_platform_standin::faults::{Lateness, StoreTrouble, WorkerTrouble};
 use gaplock_platform_standin::relay::Mode;
 use gaplock_platform_standin::site::{self, Site};
-use gaplock_platform_standin::trouble::{Lateness, StoreTrouble, WorkerTrouble};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rustix::process::Signal;
@@ -92,7 +92,7 @@
 /// worker and is at most half of the limit. Every third worker refuses checkpoints that it cannot use, and
 /// every second one also lists a checkpoint text for tasks that save nothing.
 fn healthy_worker(n: usize) -> WorkerTrouble {
-    let stop_takes = judge::STOP_LIMIT * (n as u32 % 4) / 6;
+    let stop_takes = checker::STOP_LIMIT * (n as u32 % 4) / 6;
     let (refuses_checkpoints, lists_unsaved) = (n % 3 == 1, n.is_multiple_of(2));
     WorkerTrouble { stop_takes, refuses_checkpoints, lists_unsaved, ..WorkerTrouble::default() }
 }
--- a/crates/standin/src/bin/worker.rs
+++ b/crates/standin/src/bin/worker.rs
@@ -9,7 +9,7 @@
 use gaplock_remote::clock;
 use gaplock_serve::{json_response, Whole};
 use gaplock_settings::{setting, Kind, Setting};
-use gaplock_standin::judge::Verdicts;
+use gaplock_standin::checker::Verdicts;
 use gaplock_standin::worker::{Model, Traits};
 use gaplock_types::{ids, sizes, wire};
 use http_types::Response;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -5,7 +5,7 @@
 //! the same model on virtual time that the proofs run as a process. Each worker contains a checker
 //! that counts violations of invariants.
 
+pub mod checker;
 pub mod interference;
-pub mod judge;
 pub mod store;
 pub mod worker;
