--- a/crates/burn/src/sample.rs
+++ b/crates/burn/src/sample.rs
@@ -31,7 +31,7 @@
     for entry in health {
         let client = Client::open(entry, 0);
         let (method, path) = (Method::Get, "/metrics");
-        let call = Call { method, path, headers: &[], body: Vec::new(), limit: SCRAPE_TIMEOUT };
+        let call = Call { method, path, headers: &[], body: Vec::new(), timeout: SCRAPE_TIMEOUT };
         let Ok(answer) = client.call(call).await else {
             eprintln!(
                 "warning: can't read metrics of entry at {entry}; it is left out of this sample"
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -15,7 +15,7 @@
 
 /// Runs the command that the positional arguments name.
 pub async fn run(values: &Values) -> Exit {
-    let command: Vec<&str> = values.free.iter().map(String::as_str).collect();
+    let command: Vec<&str> = values.positional.iter().map(String::as_str).collect();
     let server = match Server::open(values) {
         Ok(server) => server,
         Err(ended) => return ended,
@@ -273,7 +273,7 @@
         let client = Client::open(addr, 0);
         let timeout = Duration::from_secs(3);
         let (method, path) = (Method::Get, "/metrics");
-        let call = Call { method, path, headers: &[], body: Vec::new(), limit: timeout };
+        let call = Call { method, path, headers: &[], body: Vec::new(), timeout };
         let Ok(answer) = client.call(call).await else {
             rows.push(vec![addr.clone(), "cannot be reached".to_string(), String::new()]);
             continue;
--- a/crates/cli/src/server.rs
+++ b/crates/cli/src/server.rs
@@ -58,7 +58,7 @@
         for entry in &self.entries {
             let client = Client::open(entry, 0);
             let call =
-                Call { method, path, headers: &headers, body: body.clone(), limit: CALL_TIMEOUT };
+                Call { method, path, headers: &headers, body: body.clone(), timeout: CALL_TIMEOUT };
             match client.call(call).await {
                 Ok(answer) => return Ok(answer),
                 Err(HttpError::NotSent) => eprintln!("note: {entry} cannot be reached"),
--- a/crates/coord/src/action.rs
+++ b/crates/coord/src/action.rs
@@ -85,7 +85,7 @@
     /// The answer to a lease request.
     Lease(wire::LeaseReply),
     /// The answer to a command.
-    Verdict(wire::CommandOutcome),
+    CommandOutcome(wire::CommandOutcome),
     /// No answer: the worker may or may not have received the command.
     Unclear,
 }
@@ -119,7 +119,7 @@
         reply: api::Reply,
     },
     /// Send a heartbeat to every peer.
-    Beat(api::Heartbeat),
+    Heartbeat(api::Heartbeat),
     /// Tell a peer to claim a partition now, because this entry has released it.
     HandOver {
         /// The peer.
@@ -130,7 +130,7 @@
     /// Offer a worker's slots to the router.
     Offer(route::WorkerUpdate),
     /// Tell the router how many slots of a worker are occupied, as the worker reported.
-    Busy {
+    BusySlots {
         /// The worker.
         worker: ids::WorkerId,
         /// Requests that the worker was handling.
@@ -141,7 +141,7 @@
     /// Stop sending requests to a partition's workers.
     ClosePartition(ids::PartitionId),
     /// Send a command about a lent run to the owner of another partition, on any entry.
-    Ask {
+    ForwardCommand {
         /// The partition that sends the command.
         from: ids::PartitionId,
         /// The partition that receives the command.
@@ -166,14 +166,14 @@
     /// Put a configuration in force in the driver.
     InForce(std::sync::Arc<gaplock_types::config::Config>),
     /// Log a decision.
-    Note(Note),
+    Decision(Decision),
     /// Log and count a violated invariant; the action that violates it was not taken.
     Violated(gaplock_verify::Violation),
 }
 
 /// A decision that is logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Note {
+pub struct Decision {
     /// The kind of decision, a fixed word by which decisions are counted.
     pub kind: &'static str,
     /// What the decision concerns.
--- a/crates/coord/src/context.rs
+++ b/crates/coord/src/context.rs
@@ -9,7 +9,7 @@
 use gaplock_types::{api, config, ids, sizes, time};
 use gaplock_verify::Violation;
 
-use crate::action::{Action, CallId, Note, ReplyId, StoreCall};
+use crate::action::{Action, CallId, Decision, ReplyId, StoreCall};
 
 /// Intervals and time limits of leases, commits and membership; all are settings.
 #[derive(Debug, Clone, Copy)]
@@ -27,7 +27,7 @@
     /// may still report it.
     pub silent_limit: time::Millis,
     /// How long an owner that cannot reach the store keeps renewing leases.
-    pub renew_right: time::Millis,
+    pub renew_limit: time::Millis,
     /// How often an idle owner checks in the store that no other entry has claimed its partition.
     pub confirm_every: time::Millis,
     /// How often an entry sends heartbeats to its peers.
@@ -41,16 +41,16 @@
     /// The assumed bound on clock drift, in parts per thousand.
     pub drift_per_mille: u64,
     /// How long a request that must not be repeated stays claimed.
-    pub once_keep: time::Millis,
+    pub claim_retention: time::Millis,
     /// How long an ended job stays visible.
-    pub job_keep: time::Millis,
+    pub job_retention: time::Millis,
 }
 
 impl Timing {
     /// Returns how long an owner keeps renewing leases once it has sent its release. The owner may
     /// get no answer although the release is stored, and the successor waits exactly this long.
-    pub fn release_right(&self) -> time::Millis {
-        self.renew_right.min(self.silent_limit)
+    pub fn release_renew_limit(&self) -> time::Millis {
+        self.renew_limit.min(self.silent_limit)
     }
 }
 
@@ -62,15 +62,15 @@
             lease_every: time::Millis(4_000),
             task_ttl: time::Millis(30_000),
             silent_limit: time::Millis(120_000),
-            renew_right: time::Millis(4_500_000),
+            renew_limit: time::Millis(4_500_000),
             confirm_every: time::Millis(10_000),
             beat_every: time::Millis(1_000),
             member_ttl: time::Millis(3_000),
             member_refresh: time::Millis(2_000),
             config_max_age: time::Millis(10_000),
             drift_per_mille: time::DEFAULT_DRIFT_PER_MILLE,
-            once_keep: time::Millis(86_400_000),
-            job_keep: time::Millis(3_600_000),
+            claim_retention: time::Millis(86_400_000),
+            job_retention: time::Millis(3_600_000),
         }
     }
 }
@@ -99,9 +99,9 @@
     /// The whole fleet's capacity.
     pub fleet_capacity: sizes::Resources,
     /// The partitions without waiting tasks, each with the largest free capacity of one worker.
-    pub rooms: BTreeMap<ids::PartitionId, sizes::Resources>,
+    pub free_capacity: BTreeMap<ids::PartitionId, sizes::Resources>,
     /// The learned interference between tasks and services that share a host.
-    pub pairing: interference::InterferenceModel,
+    pub interference: interference::InterferenceModel,
     /// Each service's tail latency and the allowance derived from it.
     pub tails: BTreeMap<ids::ServiceId, tail::TailController>,
     /// The learned processor use of tasks.
@@ -122,8 +122,8 @@
             config: Arc::default(),
             fleet: Vec::new(),
             fleet_capacity: sizes::Resources::default(),
-            rooms: BTreeMap::new(),
-            pairing: interference::InterferenceModel::default(),
+            free_capacity: BTreeMap::new(),
+            interference: interference::InterferenceModel::default(),
             tails: BTreeMap::new(),
             estimator: estimate::Estimator::default(),
             actions: Vec::new(),
@@ -134,7 +134,7 @@
 
     /// Returns the limit of a service's 99th percentile latency on one worker at present, in
     /// microseconds.
-    pub fn ceiling_us(&self, service: &ids::ServiceId) -> Option<f64> {
+    pub fn p99_limit_us(&self, service: &ids::ServiceId) -> Option<f64> {
         let (_, service) = self.config.placement_of(service)?;
         let allowance = self.tails.get(&service.id).map_or(1.0, tail::TailController::allowance);
         Some(f64::from(service.objective_ms) * 1000.0 * allowance)
@@ -154,12 +154,12 @@
     }
 
     /// Logs a decision.
-    pub fn note(&mut self, kind: &'static str, subject: String, why: impl Into<String>) {
-        self.actions.push(Action::Note(Note { kind, subject, why: why.into() }));
+    pub fn log_decision(&mut self, kind: &'static str, subject: String, why: impl Into<String>) {
+        self.actions.push(Action::Decision(Decision { kind, subject, why: why.into() }));
     }
 
     /// Reports a violation that a check found. Returns whether the action may go on.
-    pub fn allowed(&mut self, checked: std::result::Result<(), Violation>) -> bool {
+    pub fn report_check(&mut self, checked: std::result::Result<(), Violation>) -> bool {
         match checked {
             Ok(()) => true,
             Err(violation) => {
@@ -171,7 +171,7 @@
 
     /// Returns the time after which a lease of `ttl` has ended for certain, with any clock drift
     /// within the assumed bound.
-    pub fn certain(&self, ttl: time::Millis) -> time::Millis {
+    pub fn with_drift_margin(&self, ttl: time::Millis) -> time::Millis {
         ttl.with_drift(self.timing.drift_per_mille)
     }
 }
--- a/crates/coord/src/generation.rs
+++ b/crates/coord/src/generation.rs
@@ -61,7 +61,7 @@
 
     /// Returns whether a plan made against `base` was carried out, from this document and its
     /// history alone. A newer generation is no proof against the plan: it may build on it.
-    pub fn fate(&self, plan: &ids::PlanId, base: ids::Generation) -> Execution {
+    pub fn plan_outcome(&self, plan: &ids::PlanId, base: ids::Generation) -> Execution {
         match self.plan_of(base.next()) {
             Some(creator) if creator == plan => Execution::Done,
             Some(_) => Execution::NotDone,
--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -136,7 +136,7 @@
     ) -> Outcome {
         match found {
             Some((doc, index)) if doc.config.generation >= self.generation() => {
-                match doc.fate(self.plan(), self.base) {
+                match doc.plan_outcome(self.plan(), self.base) {
                     Execution::Done => self.stored(sent_at, doc, index),
                     Execution::NotDone => self.conflict(),
                     Execution::Unknown => Outcome::Unknown,
--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -20,7 +20,7 @@
 use crate::context::Context;
 use crate::keys;
 use crate::records::{Entry, Record};
-use crate::state::PartState;
+use crate::state::PartitionState;
 
 /// The number of slots in the ring.
 pub const RING_SLOTS: u64 = 64;
@@ -29,13 +29,13 @@
 /// How long to wait after a store call without a clear answer, before the next attempt.
 const RETRY_EVERY: time::Millis = time::Millis(300);
 
-pub use replies::{begun_reply, not_owner_reply, After};
+pub use replies::{in_progress_reply, not_owner_reply, AfterCommit};
 
 /// A record that has not been sent yet, with the replies that wait for its commit.
 #[derive(Debug)]
 struct Pending {
     record: Record,
-    after: Vec<After>,
+    after: Vec<AfterCommit>,
 }
 
 /// The progress of writing an entry.
@@ -54,7 +54,7 @@
 struct Inflight {
     entry: Entry,
     phase: Phase,
-    after: Vec<After>,
+    after: Vec<AfterCommit>,
     since: time::Instant,
 }
 
@@ -80,7 +80,7 @@
     me: ids::Member,
     is: ownership::Is,
     /// The state after all committed entries.
-    pub committed: PartState,
+    pub committed: PartitionState,
     /// The modification index of each slot.
     slots: Vec<ids::StoreIndex>,
     /// The modification index of the stored snapshot, and the last sequence number it covers.
@@ -94,7 +94,7 @@
     /// The unanswered read that checks whether another entry has claimed, and when it was sent.
     ownership_check: Option<(CallId, time::Instant)>,
     /// The latest time at which this entry is known to have owned the partition.
-    pub confirmed_at: time::Instant,
+    pub ownership_confirmed_at: time::Instant,
     /// Whether the previous owner had released the partition before the claim. It is also true if
     /// there was no previous owner.
     pub was_released: bool,
@@ -107,7 +107,7 @@
             id,
             me,
             is: ownership::Is::Other,
-            committed: PartState::default(),
+            committed: PartitionState::default(),
             slots: vec![ids::StoreIndex(0); RING_SLOTS as usize],
             stored_snapshot: (ids::StoreIndex(0), ids::Seq(0)),
             snapshot_phase: snapshot::Phase::Idle,
@@ -117,7 +117,7 @@
             pending_since: time::Instant(0),
             inflight: None,
             ownership_check: None,
-            confirmed_at: time::Instant(0),
+            ownership_confirmed_at: time::Instant(0),
             was_released: false,
         }
     }
@@ -150,19 +150,19 @@
     }
 
     /// Returns whether records wait to be committed.
-    pub fn busy(&self) -> bool {
+    pub fn has_uncommitted(&self) -> bool {
         self.inflight.is_some() || !self.pending.is_empty()
     }
 
     fn step(&mut self, cx: &mut Context, on: ownership::On) {
         match self.is.step(on) {
             Ok(next) => self.is = next,
-            Err(e) => cx.note("chart", self.id.to_string(), e.to_string()),
+            Err(e) => cx.log_decision("chart", self.id.to_string(), e.to_string()),
         }
     }
 
     /// Begins to claim the partition, by loading its journal.
-    pub fn want(&mut self, cx: &mut Context) {
+    pub fn begin_claim(&mut self, cx: &mut Context) {
         if self.is == ownership::Is::Other {
             self.step(cx, ownership::On::Want);
             self.load(cx);
@@ -170,7 +170,7 @@
     }
 
     /// Adds a record to the next entry; `after` is carried out after its commit.
-    pub fn append(&mut self, cx: &Context, record: Record, after: Option<After>) {
+    pub fn append(&mut self, cx: &Context, record: Record, after: Option<AfterCommit>) {
         if self.pending.is_empty() {
             self.pending_since = cx.now;
         }
@@ -184,16 +184,16 @@
                 self.append(cx, Record::Release, None);
                 self.step(cx, ownership::On::Release);
             }
-            ownership::Is::Loading => self.give_up(cx, ownership::On::Release),
+            ownership::Is::Loading => self.drop_ownership(cx, ownership::On::Release),
             _ => {}
         }
     }
 
     /// Stops being the owner: drops all uncommitted records and answers the waiting commands.
-    pub fn give_up(&mut self, cx: &mut Context, on: ownership::On) {
+    pub fn drop_ownership(&mut self, cx: &mut Context, on: ownership::On) {
         self.step(cx, on);
-        if self.busy() {
-            cx.note("journal-dropped", self.id.to_string(), "ownership was lost");
+        if self.has_uncommitted() {
+            cx.log_decision("journal-dropped", self.id.to_string(), "ownership was lost");
         }
         self.drop_replies(cx);
         self.loading = None;
@@ -243,12 +243,12 @@
         }
         let count = self.pending.len().min(MAX_RECORDS_PER_ENTRY);
         let sent: Vec<Pending> = self.pending.drain(..count).collect();
-        let (records, after): (Vec<Record>, Vec<Vec<After>>) =
+        let (records, after): (Vec<Record>, Vec<Vec<AfterCommit>>) =
             sent.into_iter().map(|p| (p.record, p.after)).unzip();
         self.write(cx, records, after.into_iter().flatten().collect());
     }
 
-    fn write(&mut self, cx: &mut Context, records: Vec<Record>, after: Vec<After>) {
+    fn write(&mut self, cx: &mut Context, records: Vec<Record>, after: Vec<AfterCommit>) {
         let claim = matches!(records.first(), Some(Record::Claim));
         let epoch = if claim { self.committed.epoch.next() } else { self.committed.epoch };
         let seq = self.committed.seq.next();
@@ -265,7 +265,7 @@
     }
 
     fn poll_ownership_check(&mut self, cx: &mut Context) {
-        let due = cx.now.since(self.confirmed_at) >= cx.timing.confirm_every;
+        let due = cx.now.since(self.ownership_confirmed_at) >= cx.timing.confirm_every;
         if due
             && self.ownership_check.is_none()
             && self.inflight.is_none()
@@ -331,7 +331,7 @@
         match found {
             Some((index, Ok(entry))) if entry == inflight.entry => self.commit(cx, index),
             Some((_, Ok(entry))) if entry.seq >= seq => {
-                self.give_up(cx, ownership::On::Fenced);
+                self.drop_ownership(cx, ownership::On::Fenced);
                 Outcome::Fenced
             }
             _ => {
@@ -350,17 +350,17 @@
         let Inflight { entry, after, since, .. } = inflight;
         self.slots[(entry.seq.0 % RING_SLOTS) as usize] = index;
         for error in self.committed.apply_entry(self.id, &entry) {
-            cx.note("journal-misfit", self.id.to_string(), error.to_string());
+            cx.log_decision("journal-misfit", self.id.to_string(), error.to_string());
         }
         // The commit proves ownership at the time of sending. By the time of the answer, another
         // entry may have claimed.
-        self.confirmed_at = since;
+        self.ownership_confirmed_at = since;
         for after in after {
             after.answer(cx);
         }
         if entry.records.contains(&Record::Release) {
             // No record may be left over: if this process claims again, it would commit the record.
-            self.give_up(cx, ownership::On::Released);
+            self.drop_ownership(cx, ownership::On::Released);
             return Outcome::Released;
         }
         if self.is == ownership::Is::Claiming {
@@ -390,12 +390,12 @@
             .and_then(|kv| serde_json::from_slice::<Entry>(&kv.value).ok())
             .is_some_and(|entry| entry.seq >= next);
         if newer {
-            self.give_up(cx, ownership::On::Fenced);
+            self.drop_ownership(cx, ownership::On::Fenced);
             return Outcome::Fenced;
         }
         // The answer may be late, for example after this process was frozen, so the read proves
         // ownership only at the time of sending.
-        self.confirmed_at = self.confirmed_at.max(sent_at);
+        self.ownership_confirmed_at = self.ownership_confirmed_at.max(sent_at);
         Outcome::Nothing
     }
 }
--- a/crates/coord/src/journal/replay.rs
+++ b/crates/coord/src/journal/replay.rs
@@ -10,7 +10,7 @@
 use crate::context::Context;
 use crate::keys;
 use crate::records::{Entry, Record};
-use crate::state::PartState;
+use crate::state::PartitionState;
 
 impl Journal {
     pub(super) fn load(&mut self, cx: &mut Context) {
@@ -32,7 +32,7 @@
                 Outcome::Nothing
             }
             Err(why) => {
-                cx.note("journal-unreadable", self.id.to_string(), why);
+                cx.log_decision("journal-unreadable", self.id.to_string(), why);
                 self.retry_at = cx.now + RETRY_EVERY;
                 Outcome::Nothing
             }
@@ -41,7 +41,7 @@
 
     /// Rebuilds the committed state from the snapshot and the entries after it.
     pub(super) fn replay(&mut self, kvs: &[Kv]) -> Result<(), String> {
-        self.committed = PartState::default();
+        self.committed = PartitionState::default();
         self.stored_snapshot = (ids::StoreIndex(0), ids::Seq(0));
         self.slots.fill(ids::StoreIndex(0));
         let snap_key = keys::snapshot(self.id);
--- a/crates/coord/src/journal/replies.rs
+++ b/crates/coord/src/journal/replies.rs
@@ -12,14 +12,14 @@
 
 /// What follows once a record is committed.
 #[derive(Debug, Clone)]
-pub enum After {
+pub enum AfterCommit {
     /// Answer the command that created the record.
     Reply(ReplyId, api::Reply),
     /// Answer a repeated command, which depends on an earlier record.
     Repeat(ReplyId, api::Reply),
 }
 
-impl After {
+impl AfterCommit {
     /// Gives the reply, after the commit.
     pub(super) fn answer(self, cx: &mut Context) {
         let (Self::Reply(id, reply) | Self::Repeat(id, reply)) = self;
@@ -34,7 +34,7 @@
                 let refusal = api::Refusal::new(codes::Code::OutcomeUnknown, why);
                 cx.reply(id, api::Reply::Refused(refusal));
             }
-            Self::Repeat(id, _) => cx.reply(id, begun_reply()),
+            Self::Repeat(id, _) => cx.reply(id, in_progress_reply()),
         }
     }
 
@@ -50,7 +50,7 @@
 impl Journal {
     /// Answers a command once all records appended so far are committed.
     pub fn reply_after_commit(&mut self, cx: &mut Context, id: ReplyId, reply: api::Reply) {
-        let after = After::Repeat(id, reply);
+        let after = AfterCommit::Repeat(id, reply);
         match (self.pending.last_mut(), &mut self.inflight) {
             (Some(last), _) => last.after.push(after),
             (None, Some(inflight)) => inflight.after.push(after),
@@ -84,7 +84,7 @@
 
 /// Builds the refusal of a repeated command whose earlier attempt was recorded. The outcome of that
 /// attempt is not known yet, and repeating the command again is safe.
-pub fn begun_reply() -> api::Reply {
+pub fn in_progress_reply() -> api::Reply {
     let why = "The store has not confirmed an earlier try in time";
     api::Reply::Refused(api::Refusal::new(codes::Code::InProgress, why))
 }
--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -9,7 +9,7 @@
 use crate::action::{CallId, StoreAnswer, StoreCall};
 use crate::context::Context;
 use crate::keys;
-use crate::state::PartState;
+use crate::state::PartitionState;
 
 /// The number of entries after which a new snapshot is written: half of the ring.
 const SNAPSHOT_EVERY_ENTRIES: u64 = 32;
@@ -74,7 +74,7 @@
         self.snapshot_phase = Phase::Idle;
         self.stored_snapshot = match kvs.first() {
             None => (ids::StoreIndex(0), ids::Seq(0)),
-            Some(kv) => match serde_json::from_slice::<PartState>(&kv.value) {
+            Some(kv) => match serde_json::from_slice::<PartitionState>(&kv.value) {
                 Ok(state) => (kv.index, state.seq),
                 Err(_) => (kv.index, self.stored_snapshot.1),
             },
--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -69,20 +69,20 @@
     /// When this boot was first seen.
     pub boot_since: time::Instant,
     /// The last reading of its clock, and when that reading arrived.
-    pub seen: Option<(wire::WorkerClock, time::Instant)>,
+    pub clock_reading: Option<(wire::WorkerClock, time::Instant)>,
     /// Until when runs may be alive under leases that this entry renewed, on the owner's clock.
     pub alive_until: time::Instant,
     /// Whether it has answered under this epoch. From then on it refuses all previous owners.
     pub heard: bool,
     /// When the unanswered lease request was sent.
-    pub asked_at: Option<time::Instant>,
+    pub lease_sent_at: Option<time::Instant>,
     /// When the next lease request is due.
     pub next_lease: time::Instant,
     /// Consecutive lease requests without an answer.
     pub unanswered_leases: u32,
     /// Since when lease requests have been unanswered. Time in which the owner itself must not send
     /// any does not count.
-    pub missing_since: Option<time::Instant>,
+    pub unanswered_since: Option<time::Instant>,
     /// Ended runs to acknowledge with the next lease request.
     pub acks: Vec<wire::Run>,
     /// The runs assigned to this worker.
@@ -92,7 +92,7 @@
     /// The tail-latency guard of this worker's services.
     pub guard: guard::TailGuard,
     /// When the last measurement that was applied was taken, on the worker's clock.
-    pub usage_taken: wire::WorkerClock,
+    pub usage_measured_at: wire::WorkerClock,
     /// The smoothed number of service requests per measurement window.
     pub load: f64,
 }
@@ -107,18 +107,18 @@
             is,
             boot: None,
             boot_since: time::Instant(0),
-            seen: None,
+            clock_reading: None,
             alive_until: time::Instant(0),
             heard: false,
-            asked_at: None,
+            lease_sent_at: None,
             next_lease: time::Instant(0),
             unanswered_leases: 0,
-            missing_since: None,
+            unanswered_since: None,
             acks: Vec::new(),
             runs: BTreeMap::new(),
             exposures: interference::ExposureHistory::default(),
             guard: guard::TailGuard::default(),
-            usage_taken: wire::WorkerClock(0),
+            usage_measured_at: wire::WorkerClock(0),
             load: 0.0,
         }
     }
@@ -128,21 +128,21 @@
         match self.is.step(on) {
             Ok(next) if next != self.is => {
                 self.is = next;
-                cx.note("worker", format!("{} {next}", self.host.worker), why);
+                cx.log_decision("worker", format!("{} {next}", self.host.worker), why);
             }
             Ok(_) => {}
-            Err(e) => cx.note("chart", self.host.worker.to_string(), e.to_string()),
+            Err(e) => cx.log_decision("chart", self.host.worker.to_string(), e.to_string()),
         }
     }
 
     /// Returns whether the worker may get new work.
     pub fn usable(&self) -> bool {
-        self.is == upstream::Is::Usable && self.seen.is_some()
+        self.is == upstream::Is::Usable && self.clock_reading.is_some()
     }
 
     /// Returns whether a lease request is due.
     pub fn lease_due(&self, cx: &Context) -> bool {
-        let open = match self.asked_at {
+        let open = match self.lease_sent_at {
             None => true,
             Some(at) => cx.now.since(at) >= LEASE_CALL_TIMEOUT,
         };
@@ -150,40 +150,41 @@
     }
 
     /// Builds the next lease request and extends [`Self::alive_until`] accordingly.
-    pub fn ask(
+    pub fn lease_request(
         &mut self,
         cx: &Context,
         partition: ids::PartitionId,
         epoch: ids::Epoch,
         owner: &ids::Member,
     ) -> wire::LeaseRequest {
-        if self.asked_at.is_some() {
+        if self.lease_sent_at.is_some() {
             self.count_unanswered(cx);
         }
-        self.asked_at = Some(cx.now);
+        self.lease_sent_at = Some(cx.now);
         self.next_lease = cx.now + cx.timing.lease_every;
-        self.extend(cx);
+        self.extend_alive_until(cx);
         wire::LeaseRequest {
             partition,
             epoch,
             owner: owner.clone(),
             boot: self.boot,
-            seen: self.seen.map(|(clock, _)| clock),
+            seen: self.clock_reading.map(|(clock, _)| clock),
             ttl_ms: cx.timing.task_ttl.0,
             acked: std::mem::take(&mut self.acks),
         }
     }
 
     /// Extends [`Self::alive_until`] for a command that is based on the last clock reading.
-    pub fn extend(&mut self, cx: &Context) {
-        if let Some((_, read_at)) = self.seen {
-            self.alive_until = self.alive_until.max(read_at + cx.certain(cx.timing.task_ttl));
+    pub fn extend_alive_until(&mut self, cx: &Context) {
+        if let Some((_, read_at)) = self.clock_reading {
+            self.alive_until =
+                self.alive_until.max(read_at + cx.with_drift_margin(cx.timing.task_ttl));
         }
     }
 
     /// Handles a lease request that got no answer.
-    pub fn missed(&mut self, cx: &mut Context) {
-        self.asked_at = None;
+    pub fn lease_unanswered(&mut self, cx: &mut Context) {
+        self.lease_sent_at = None;
         self.count_unanswered(cx);
         if self.unanswered_leases >= UNANSWERED_BEFORE_SILENCE {
             self.step(cx, upstream::On::Silence, "no answer to lease requests");
@@ -192,20 +193,20 @@
 
     fn count_unanswered(&mut self, cx: &Context) {
         self.unanswered_leases += 1;
-        self.missing_since.get_or_insert(cx.now);
+        self.unanswered_since.get_or_insert(cx.now);
     }
 
     /// Clears the worker's silence, because the owner itself must not send lease requests now.
-    pub fn pause(&mut self) {
-        self.asked_at = None;
-        self.missing_since = None;
+    pub fn reset_silence(&mut self) {
+        self.lease_sent_at = None;
+        self.unanswered_since = None;
     }
 
     /// Handles a worker's answer under this entry's epoch. Returns whether the worker has rebooted.
     pub fn answered(&mut self, cx: &mut Context, reply: &wire::LeaseReply) -> bool {
-        self.asked_at = None;
+        self.lease_sent_at = None;
         self.unanswered_leases = 0;
-        self.missing_since = None;
+        self.unanswered_since = None;
         self.heard = true;
         let rebooted = self.boot != Some(reply.boot);
         if rebooted {
@@ -213,13 +214,13 @@
             self.boot_since = cx.now;
             self.guard = guard::TailGuard::default();
             self.exposures = interference::ExposureHistory::default();
-            self.usage_taken = wire::WorkerClock(0);
+            self.usage_measured_at = wire::WorkerClock(0);
         }
         // An answer that arrives after a newer one must not replace the newer clock reading.
-        if rebooted || self.seen.is_none_or(|(clock, _)| clock < reply.clock) {
-            self.seen = Some((reply.clock, cx.now));
+        if rebooted || self.clock_reading.is_none_or(|(clock, _)| clock < reply.clock) {
+            self.clock_reading = Some((reply.clock, cx.now));
             // Commands may be based on this reading from now on.
-            self.extend(cx);
+            self.extend_alive_until(cx);
         }
         self.step(cx, upstream::On::Answer, "it answered");
         if reply.leaving {
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -32,7 +32,7 @@
 
     pub(super) fn put_in_force(&mut self, cx: &mut Context) {
         let checked = self.check.generation(self.generations.generation());
-        if !cx.allowed(checked) {
+        if !cx.report_check(checked) {
             return;
         }
         cx.config = std::sync::Arc::new(self.generations.doc.config.clone());
@@ -43,7 +43,7 @@
 
     pub(super) fn confirm(&mut self, cx: &mut Context, id: ReplyId, plan: &api::Plan, by: &str) {
         let refuse = |refusal| Action::Confirmed { id, outcome: Err(refusal) };
-        match self.generations.doc.fate(&plan.id, plan.base) {
+        match self.generations.doc.plan_outcome(&plan.id, plan.base) {
             Execution::Done => {
                 cx.actions.push(Action::Confirmed { id, outcome: Ok(plan.base.next()) });
                 return;
--- a/crates/coord/src/node/membership.rs
+++ b/crates/coord/src/node/membership.rs
@@ -14,7 +14,7 @@
             return;
         }
         self.next_heartbeat = cx.now + cx.timing.beat_every;
-        cx.actions.push(Action::Beat(api::Heartbeat {
+        cx.actions.push(Action::Heartbeat(api::Heartbeat {
             from: self.me.clone(),
             store_ok: self.store_ok(cx),
             stopping: self.stopping,
@@ -78,7 +78,7 @@
     pub(super) fn take_in_beat(&mut self, cx: &mut Context, beat: api::Heartbeat) {
         for (id, epoch) in &beat.owned {
             if let Some(p) = self.partitions.get_mut(id) {
-                p.successor_seen(cx, *epoch);
+                p.handle_successor(cx, *epoch);
             }
         }
         let newer = beat.generation > self.generations.generation();
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -50,7 +50,7 @@
     /// The host list was read.
     Hosts(Vec<wire::Host>),
     /// A peer's heartbeat arrived.
-    Beat(api::Heartbeat),
+    Heartbeat(api::Heartbeat),
     /// A peer released a partition, so that this entry can claim it.
     HandOver(ids::PartitionId),
     /// A command for a partition arrived.
@@ -72,7 +72,7 @@
     /// A peer sent the document that it has in force.
     PeerConfig(Document),
     /// The owner of another partition reported the state of a lent run.
-    LoanTold {
+    LoanReported {
         /// The lending partition.
         partition: ids::PartitionId,
         /// The run, as the lending partition identifies it.
@@ -274,10 +274,10 @@
                 self.hosts = hosts;
                 self.distribute_shares(cx);
             }
-            Event::Beat(beat) => self.take_in_beat(cx, beat),
+            Event::Heartbeat(beat) => self.take_in_beat(cx, beat),
             Event::HandOver(id) => {
                 if let Some(p) = self.partitions.get_mut(&id).filter(|_| !self.stopping) {
-                    p.want(cx);
+                    p.begin_claim(cx);
                 }
             }
             Event::Command { partition, id, command } => self.command(cx, partition, id, command),
@@ -292,9 +292,9 @@
                     self.put_in_force(cx);
                 }
             }
-            Event::LoanTold { partition, run, reply } => {
+            Event::LoanReported { partition, run, reply } => {
                 if let Some(p) = self.partitions.get_mut(&partition) {
-                    p.loan_told(cx, run, &reply);
+                    p.handle_loan_report(cx, run, &reply);
                 }
             }
             Event::Confirm { id, plan, by } => self.confirm(cx, id, &plan, &by),
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -35,7 +35,7 @@
                 self.release(cx, id, want.cloned());
             } else if !owns && mine && store_ok && settled && self.may_claim(cx, id) {
                 if let Some(p) = self.partitions.get_mut(&id) {
-                    p.want(cx);
+                    p.begin_claim(cx);
                 }
             }
         }
@@ -101,18 +101,20 @@
     }
 
     pub(super) fn free_capacity(&self) -> Vec<api::FreeCapacity> {
-        let report =
-            |p: &Partition| p.room().map(|free| api::FreeCapacity { partition: p.id, free });
+        let report = |p: &Partition| {
+            p.lendable_capacity().map(|free| api::FreeCapacity { partition: p.id, free })
+        };
         self.partitions.values().filter_map(report).collect()
     }
 
     /// Collects the partitions that could take lent tasks, of this entry and of its peers.
     pub(super) fn collect_free_capacity(&mut self, cx: &mut Context) {
-        cx.rooms = self.free_capacity().into_iter().map(|r| (r.partition, r.free)).collect();
+        cx.free_capacity =
+            self.free_capacity().into_iter().map(|r| (r.partition, r.free)).collect();
         for (entry, peer) in &self.members.peers {
             let heard = self.members.heard(cx.now, &cx.timing, entry);
             let reports = peer.heartbeat.iter().filter(|_| heard).flat_map(|b| b.rooms.iter());
-            cx.rooms.extend(reports.map(|r| (r.partition, r.free)));
+            cx.free_capacity.extend(reports.map(|r| (r.partition, r.free)));
         }
     }
 }
--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -8,7 +8,7 @@
 use super::Partition;
 use crate::action::ReplyId;
 use crate::context::Context;
-use crate::journal::{self, After};
+use crate::journal::{self, AfterCommit};
 use crate::records::Record;
 use crate::state::{Job, Once};
 
@@ -45,7 +45,7 @@
         if writes && !self.journal.healthy(cx) {
             // The refusal is only about this attempt; an earlier attempt may be stored.
             let reply = match self.is_recorded(&command) {
-                true => journal::begun_reply(),
+                true => journal::in_progress_reply(),
                 false => refused(codes::Code::StoreDown, ""),
             };
             cx.reply(id, reply);
@@ -72,7 +72,7 @@
             api::Command::Borrow(wanted) => self.borrow(cx, id, &wanted),
             api::Command::ConfirmDead { worker, boot } => self.confirm_dead(cx, id, worker, boot),
             api::Command::Survey => {
-                let survey = self.survey();
+                let survey = self.summary();
                 cx.reply(id, api::Reply::Survey(survey));
             }
         }
@@ -143,7 +143,7 @@
             at_unix_ms: cx.unix_ms,
         };
         self.append_history(cx, job, format!("submitted with {} tasks", spec.tasks));
-        self.record(cx, record, Some(After::Reply(id, api::Reply::Submitted(job))));
+        self.record(cx, record, Some(AfterCommit::Reply(id, api::Reply::Submitted(job))));
         self.schedule(cx);
     }
 
@@ -214,11 +214,11 @@
             let attempt = self.state.task(task).map(|t| t.attempt).unwrap_or_default();
             let run = wire::Run { task, attempt };
             let checked = self.verifier.check(&gaplock_verify::Fact::Ended(run));
-            cx.allowed(checked);
+            cx.report_check(checked);
         }
         self.append_history(cx, job, "cancelled by its owner".to_string());
         let record = Record::Cancel { number: job.number, index: None };
-        self.record(cx, record, Some(After::Reply(id, api::Reply::Done)));
+        self.record(cx, record, Some(AfterCommit::Reply(id, api::Reply::Done)));
     }
 
     fn once_claim(
@@ -250,7 +250,7 @@
         }
         let at_unix_ms = cx.unix_ms;
         let record = Record::OnceClaim { id: name.to_string(), digest, claimer, at_unix_ms };
-        self.record(cx, record, Some(After::Reply(id, api::Reply::Granted)));
+        self.record(cx, record, Some(AfterCommit::Reply(id, api::Reply::Granted)));
     }
 
     fn once_done(
@@ -272,7 +272,7 @@
             }
         }
         let record = Record::OnceEnd { id: name.to_string(), end };
-        self.record(cx, record, Some(After::Reply(id, api::Reply::Done)));
+        self.record(cx, record, Some(AfterCommit::Reply(id, api::Reply::Done)));
     }
 
     fn confirm_dead(
@@ -297,7 +297,7 @@
             return;
         }
         let record = Record::WorkerDead { worker };
-        self.record(cx, record, Some(After::Reply(id, api::Reply::Done)));
+        self.record(cx, record, Some(AfterCommit::Reply(id, api::Reply::Done)));
     }
 }
 
--- a/crates/coord/src/partition/guarding.rs
+++ b/crates/coord/src/partition/guarding.rs
@@ -27,17 +27,17 @@
         let Some(link) = self.links.get_mut(worker) else { return };
         link.exposures.record(reply.clock, shares);
         let Some(usage) = &reply.usage else { return };
-        if usage.taken <= link.usage_taken {
+        if usage.taken <= link.usage_measured_at {
             return;
         }
-        link.usage_taken = usage.taken;
+        link.usage_measured_at = usage.taken;
         let slots = f64::from(link.host.slots.max(1));
         let busy = f64::from(reply.slots_busy) / slots;
         link.load += LOAD_SMOOTHING * (busy - link.load);
         let band = interference::LoadBand::of(link.load);
         if let Some(shares) = link.exposures.during(usage.taken, MEASUREMENT_WINDOW.0) {
             for s in usage.services.iter().filter(|s| s.requests > 0) {
-                cx.pairing.observe(&s.service, shares, band, s.p99_us as f64);
+                cx.interference.observe(&s.service, shares, band, s.p99_us as f64);
             }
         }
         for s in usage.services.iter().filter(|s| s.requests > 0) {
@@ -88,8 +88,8 @@
         let Some(link) = self.links.get_mut(worker) else { return };
         let band = interference::LoadBand::of(link.load);
         let to_measurement = |s: &wire::ServiceUsage| {
-            let ceiling_us = cx.ceiling_us(&s.service)?;
-            let baseline_us = cx.pairing.baseline_us(&s.service, band).unwrap_or(0.0);
+            let ceiling_us = cx.p99_limit_us(&s.service)?;
+            let baseline_us = cx.interference.baseline_us(&s.service, band).unwrap_or(0.0);
             Some(guard::TailMeasurement {
                 worst: s.p99_us as f64 / ceiling_us,
                 baseline: baseline_us / ceiling_us,
@@ -118,7 +118,7 @@
         match link.guard.evaluate(clock, usage.taken, MEASUREMENT_WINDOW, measurement) {
             guard::GuardAction::Nothing => self.send_speed(cx, worker, &batch_runs),
             guard::GuardAction::Speed(speed) => {
-                cx.note(
+                cx.log_decision(
                     "throttle",
                     worker.to_string(),
                     format!("batch to {speed}, worst {worst:.2}"),
@@ -161,7 +161,7 @@
             let wire::TaskKind::Batch(class) = &job.kind else { continue };
             let cpu = t.place.as_ref().map_or(sizes::MilliCores(0), |p| p.reserve.cpu);
             let shares = vec![(class.clone(), f64::from(cpu.0) / total_cpu)];
-            let slowdowns = services.iter().map(|s| cx.pairing.slowdown(s, &shares, band));
+            let slowdowns = services.iter().map(|s| cx.interference.slowdown(s, &shares, band));
             victims.push(guard::Victim {
                 unsaved_ms: view.progress_ms.saturating_sub(view.checkpoint_ms),
                 evictions: t.evictions,
@@ -195,7 +195,7 @@
         if view.evicting.is_some() {
             return;
         }
-        cx.note("evict", run.task.to_string(), why.clone());
+        cx.log_decision("evict", run.task.to_string(), why.clone());
         view.evicting = Some(why.clone());
         self.append_history(cx, run.task.job, format!("{} is evicted: {why}", run.task));
         self.control(cx, worker, boot, run, wire::Control::CheckpointAndStop);
@@ -211,7 +211,7 @@
 }
 
 fn services_of_runs(
-    state: &crate::state::PartState,
+    state: &crate::state::PartitionState,
     runs: impl Iterator<Item = wire::Run>,
 ) -> Vec<ids::ServiceId> {
     let mut services: Vec<ids::ServiceId> =
--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -14,7 +14,7 @@
 use super::Partition;
 use crate::action::{Action, ReplyId};
 use crate::context::Context;
-use crate::journal::After;
+use crate::journal::AfterCommit;
 use crate::records::Record;
 use crate::state::{self, Job};
 
@@ -43,7 +43,7 @@
 
 impl Job {
     /// Returns whether another partition lent this job's task.
-    pub fn borrowed(&self) -> bool {
+    pub fn is_borrowed(&self) -> bool {
         self.key.as_str().starts_with(LOAN_KEY_PREFIX)
     }
 }
@@ -56,7 +56,7 @@
 impl Partition {
     /// Returns the largest free capacity of one worker. Returns `None` if tasks of this partition
     /// wait, or if this entry does not own it.
-    pub fn room(&self) -> Option<sizes::Resources> {
+    pub fn lendable_capacity(&self) -> Option<sizes::Resources> {
         if !self.owns() || self.state.waiting_partners().next().is_some() {
             return None;
         }
@@ -77,13 +77,14 @@
                 let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
                 let waits_for_worker = usable && cx.unix_ms < job.at_unix_ms + LEND_AFTER_MS;
                 let batch = matches!(job.kind, wire::TaskKind::Batch(_));
-                if waits_for_worker || !batch || job.borrowed() || loans >= MAX_LOANS_PER_TICK {
+                if waits_for_worker || !batch || job.is_borrowed() || loans >= MAX_LOANS_PER_TICK {
                     continue;
                 }
                 let demand = job.demand;
-                let to = cx.rooms.iter().find(|(p, free)| **p != self.id && free.holds(&demand));
+                let to =
+                    cx.free_capacity.iter().find(|(p, free)| **p != self.id && free.holds(&demand));
                 let Some((to, _)) = to.map(|(p, free)| (*p, *free)) else { continue };
-                if let Some(free) = cx.rooms.get_mut(&to) {
+                if let Some(free) = cx.free_capacity.get_mut(&to) {
                     *free = free.minus(&demand);
                 }
                 loans += 1;
@@ -106,10 +107,10 @@
         let fact =
             Fact::Assigned { run, worker: &worker, demand: reserve, capacity: None, resume_ms };
         let checked = self.verifier.check(&fact);
-        if !cx.allowed(checked) {
+        if !cx.report_check(checked) {
             return;
         }
-        cx.note("lend", id.to_string(), format!("{to} has room"));
+        cx.log_decision("lend", id.to_string(), format!("{to} has room"));
         self.append_history(cx, id.job, format!("{id} is lent to {to}, which has room"));
         self.record(cx, Record::Lend { run, to, reserve }, None);
     }
@@ -147,12 +148,12 @@
                 stop,
             };
             let command = api::Command::Borrow(wanted);
-            cx.actions.push(Action::Ask { from: self.id, to, run, command });
+            cx.actions.push(Action::ForwardCommand { from: self.id, to, run, command });
         }
     }
 
     /// Handles the borrowing partition's answer about a loan.
-    pub fn loan_told(&mut self, cx: &mut Context, run: wire::Run, reply: &api::Reply) {
+    pub fn handle_loan_report(&mut self, cx: &mut Context, run: wire::Run, reply: &api::Reply) {
         if !self.owns() {
             return;
         }
@@ -181,7 +182,7 @@
 
     fn record_loan_end(&mut self, cx: &mut Context, run: wire::Run, record: Record) {
         let checked = self.verifier.check(&Fact::Ended(run));
-        if cx.allowed(checked) {
+        if cx.report_check(checked) {
             self.append_history(
                 cx,
                 run.task.job,
@@ -206,7 +207,7 @@
         }
         let checkpoint_ms = report.checkpoint_ms.max(t.checkpoint_ms);
         let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
-        if cx.allowed(checked) {
+        if cx.report_check(checked) {
             let why = "it came back from where it was lent to".to_string();
             let record =
                 Record::Requeue { run, checkpoint_ms, evicted: false, failed, crashed: false, why };
@@ -243,12 +244,12 @@
             // Stored as cancelled, so that a late duplicate of the request cannot start it.
             self.record(cx, start, None);
             let report = loan_report(api::LoanState::Stopped, wanted.resume_ms);
-            let after = After::Reply(id, api::Reply::Loan(report));
+            let after = AfterCommit::Reply(id, api::Reply::Loan(report));
             self.record(cx, Record::Cancel { number, index: None }, Some(after));
             return;
         }
         let report = loan_report(api::LoanState::Running, wanted.resume_ms);
-        self.record(cx, start, Some(After::Reply(id, api::Reply::Loan(report))));
+        self.record(cx, start, Some(AfterCommit::Reply(id, api::Reply::Loan(report))));
         self.schedule(cx);
     }
 
@@ -267,7 +268,7 @@
             let run = wire::Run { task: state::task_id(self.id, number, 0), attempt: t.attempt };
             if t.is == task::Is::Queued {
                 let checked = self.verifier.check(&Fact::Ended(run));
-                cx.allowed(checked);
+                cx.report_check(checked);
             }
             self.record(cx, Record::Cancel { number, index: None }, None);
         }
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -24,10 +24,10 @@
 
 use crate::action::{Action, CallId, StoreAnswer, WorkerAnswer, WorkerCall};
 use crate::context::{Context, Shares};
-use crate::journal::{After, Journal, Outcome};
+use crate::journal::{AfterCommit, Journal, Outcome};
 use crate::link::Link;
 use crate::records::Record;
-use crate::state::PartState;
+use crate::state::PartitionState;
 
 /// Older lines of a job's history are dropped, which bounds memory.
 const MAX_HISTORY_LINES_PER_JOB: usize = 40;
@@ -42,7 +42,7 @@
     me: ids::Member,
     journal: Journal,
     /// The state from the committed and the pending records.
-    state: PartState,
+    state: PartitionState,
     verifier: PartitionCheck,
     links: BTreeMap<ids::WorkerId, Link>,
     health: health::HealthTracker,
@@ -66,7 +66,7 @@
             id,
             journal: Journal::open(id, me.clone()),
             me,
-            state: PartState::default(),
+            state: PartitionState::default(),
             verifier: PartitionCheck::default(),
             links: BTreeMap::new(),
             health: health::HealthTracker::default(),
@@ -102,13 +102,13 @@
     }
 
     /// Returns the state from the committed records only, for tests and status reports.
-    pub fn committed(&self) -> &PartState {
+    pub fn committed(&self) -> &PartitionState {
         &self.journal.committed
     }
 
     /// Starts to claim the partition for this entry.
-    pub fn want(&mut self, cx: &mut Context) {
-        self.journal.want(cx);
+    pub fn begin_claim(&mut self, cx: &mut Context) {
+        self.journal.begin_claim(cx);
     }
 
     /// Starts to release the partition.
@@ -117,7 +117,7 @@
     }
 
     /// Handles the news that a peer owns the partition under `epoch`.
-    pub fn successor_seen(&mut self, cx: &mut Context, epoch: ids::Epoch) {
+    pub fn handle_successor(&mut self, cx: &mut Context, epoch: ids::Epoch) {
         if epoch <= self.epoch() {
             return;
         }
@@ -206,13 +206,13 @@
         self.restore_verifier();
         let epoch = self.journal.epoch();
         let checked = self.verifier.check(&Fact::Owned(epoch));
-        cx.allowed(checked);
+        cx.report_check(checked);
         self.claimed_at = cx.now;
         // The previous owner may not know that its release is stored, and may still be renewing
         // leases.
-        self.previous_owner_grace = cx.certain(match self.journal.was_released {
-            true => cx.timing.release_right(),
-            false => cx.timing.renew_right,
+        self.previous_owner_grace = cx.with_drift_margin(match self.journal.was_released {
+            true => cx.timing.release_renew_limit(),
+            false => cx.timing.renew_limit,
         });
         self.links.retain(|_, link| link.is != upstream::Is::Gone);
         for link in self.links.values_mut() {
@@ -222,7 +222,7 @@
         self.loans.clear();
         self.offers.clear();
         self.routed_after_release = false;
-        cx.note("claimed", self.id.to_string(), format!("under {epoch}"));
+        cx.log_decision("claimed", self.id.to_string(), format!("under {epoch}"));
         self.tick(cx);
     }
 
@@ -242,7 +242,7 @@
         for record in records {
             if let Record::Assign { run, .. } = record {
                 let checked = self.verifier.check(&Fact::Stored(*run));
-                cx.allowed(checked);
+                cx.report_check(checked);
             }
         }
         self.send_starts(cx);
@@ -254,16 +254,16 @@
     }
 
     fn clear_owner_state(&mut self, cx: &mut Context) {
-        cx.note("lost", self.id.to_string(), "another entry owns it, or it was released");
+        cx.log_decision("lost", self.id.to_string(), "another entry owns it, or it was released");
         self.offers.clear();
-        self.state = PartState::default();
+        self.state = PartitionState::default();
     }
 
     /// Ends ownership at once, for example when a worker or a peer reports a higher epoch.
     pub fn fence(&mut self, cx: &mut Context) {
         if self.journal.is() == ownership::Is::Owner || self.journal.is() == ownership::Is::Draining
         {
-            self.journal.give_up(cx, ownership::On::Fenced);
+            self.journal.drop_ownership(cx, ownership::On::Fenced);
             self.lose_ownership(cx);
         }
     }
@@ -292,11 +292,11 @@
             }
             (WorkerCall::Lease(_), _) => {
                 if let Some(link) = self.links.get_mut(worker) {
-                    link.missed(cx);
+                    link.lease_unanswered(cx);
                 }
             }
             (WorkerCall::Start(start), answer) => self.start_answered(cx, worker, start, answer),
-            (WorkerCall::Control(control), WorkerAnswer::Verdict(verdict)) => {
+            (WorkerCall::Control(control), WorkerAnswer::CommandOutcome(verdict)) => {
                 self.control_answered(cx, worker, control, *verdict);
             }
             (WorkerCall::Control(_), _) => {}
@@ -309,13 +309,13 @@
     }
 
     /// Applies a record to the pending state and appends it to the journal.
-    fn record(&mut self, cx: &mut Context, record: Record, after: Option<After>) {
+    fn record(&mut self, cx: &mut Context, record: Record, after: Option<AfterCommit>) {
         let epoch = self.journal.epoch();
         match self.state.apply(self.id, epoch, &self.me, &record) {
             Ok(()) => self.journal.append(cx, record, after),
             Err(e) => {
-                cx.note("record-misfit", self.id.to_string(), e.to_string());
-                if let Some(After::Reply(id, _) | After::Repeat(id, _)) = after {
+                cx.log_decision("record-misfit", self.id.to_string(), e.to_string());
+                if let Some(AfterCommit::Reply(id, _) | AfterCommit::Repeat(id, _)) = after {
                     let why = "The change does not fit the partition's state";
                     let refusal = api::Refusal::new(codes::Code::Internal, why);
                     cx.reply(id, api::Reply::Refused(refusal));
@@ -384,7 +384,7 @@
     }
 
     /// Returns the address for requests to a worker.
-    pub fn addr_of(&self, worker: &ids::WorkerId) -> Option<&str> {
+    pub fn worker_addr(&self, worker: &ids::WorkerId) -> Option<&str> {
         self.links.get(worker).map(|l| l.host.addr.as_str())
     }
 
@@ -411,14 +411,14 @@
     let mut link = Link::open(host.clone());
     link.boot = old.boot;
     link.boot_since = old.boot_since;
-    link.seen = old.seen;
+    link.clock_reading = old.clock_reading;
     link.heard = old.heard;
     link.alive_until = old.alive_until;
     link.runs = old.runs.clone();
     link
 }
 
-fn service_of(state: &PartState, task: ids::TaskId) -> Option<ids::ServiceId> {
+fn service_of(state: &PartitionState, task: ids::TaskId) -> Option<ids::ServiceId> {
     match &state.jobs.get(&task.job.number)?.kind {
         wire::TaskKind::Service(service) => Some(service.clone()),
         wire::TaskKind::Batch(_) => None,
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -55,7 +55,7 @@
             let record = Record::WorkerBack { worker: worker.clone() };
             self.record(cx, record, None);
         }
-        cx.actions.push(Action::Busy {
+        cx.actions.push(Action::BusySlots {
             worker: worker.clone(),
             busy: reply.slots_busy,
             asked_at: sent_at,
@@ -224,7 +224,7 @@
 
     fn finish(&mut self, cx: &mut Context, worker: &ids::WorkerId, run: wire::Run) {
         let checked = self.verifier.check(&Fact::Ended(run));
-        if !cx.allowed(checked) {
+        if !cx.report_check(checked) {
             return;
         }
         self.health.record_success(worker, run.task.job);
@@ -244,7 +244,7 @@
         let (unwanted, last_checkpoint_ms, crashes) = (t.unwanted, t.checkpoint_ms, t.crashes);
         if unwanted {
             let checked = self.verifier.check(&Fact::Ended(run));
-            if cx.allowed(checked) {
+            if cx.report_check(checked) {
                 self.record(cx, Record::Cancelled { run }, None);
             }
             return;
@@ -270,7 +270,7 @@
         }
         let checkpoint_ms = stopped.checkpoint_ms.max(last_checkpoint_ms);
         let checked = self.verifier.check(&Fact::Requeued { run, checkpoint_ms });
-        if !cx.allowed(checked) {
+        if !cx.report_check(checked) {
             return;
         }
         let view = self.links.get(worker).and_then(|l| l.runs.get(&run));
@@ -284,7 +284,7 @@
     /// Ends the task of a run that is proven to have stopped as failed.
     fn fail_task(&mut self, cx: &mut Context, run: wire::Run, why: String) {
         let checked = self.verifier.check(&Fact::Ended(run));
-        if cx.allowed(checked) {
+        if cx.report_check(checked) {
             self.append_history(cx, run.task.job, format!("{} given up: {why}", run.task));
             self.record(cx, Record::GiveUp { task: run.task, why }, None);
         }
@@ -422,11 +422,12 @@
         if self.state.dead.contains(worker) {
             return cx.now;
         }
-        let ttl = cx.certain(cx.timing.task_ttl);
+        let ttl = cx.with_drift_margin(cx.timing.task_ttl);
         let previous_owner_leases_end = self.claimed_at + self.previous_owner_grace + ttl;
         // A worker that is still in the host list may just be partitioned from the network, with
         // finished work still to report.
-        let listed = |link: &Link, leases_end: time::Instant| match (link.is, link.missing_since) {
+        let listed = |link: &Link, leases_end: time::Instant| match (link.is, link.unanswered_since)
+        {
             (upstream::Is::Gone, _) => leases_end,
             (_, Some(since)) => leases_end.max(since + cx.timing.silent_limit),
             (_, None) => time::Instant(u64::MAX),
--- a/crates/coord/src/partition/renewing.rs
+++ b/crates/coord/src/partition/renewing.rs
@@ -17,8 +17,9 @@
         let release_limit_passed = self
             .journal
             .release_sent_at()
-            .is_some_and(|at| cx.now.since(at) >= cx.timing.release_right());
-        !release_limit_passed && cx.now.since(self.journal.confirmed_at) < cx.timing.renew_right
+            .is_some_and(|at| cx.now.since(at) >= cx.timing.release_renew_limit());
+        !release_limit_passed
+            && cx.now.since(self.journal.ownership_confirmed_at) < cx.timing.renew_limit
     }
 
     /// Handles a worker's answer while the release is in flight. Updates only what further renewals
@@ -40,7 +41,7 @@
     /// Sends the lease requests that are due.
     pub(super) fn renew_leases(&mut self, cx: &mut Context) {
         if !self.may_renew(cx) {
-            self.links.values_mut().for_each(Link::pause);
+            self.links.values_mut().for_each(Link::reset_silence);
             return;
         }
         let epoch = self.journal.epoch();
@@ -48,7 +49,7 @@
             if link.is == upstream::Is::Gone || !link.lease_due(cx) {
                 continue;
             }
-            let req = link.ask(cx, self.id, epoch, &self.me);
+            let req = link.lease_request(cx, self.id, epoch, &self.me);
             cx.actions.push(Action::Worker {
                 partition: self.id,
                 worker: worker.clone(),
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -164,7 +164,7 @@
     /// Removes ended jobs, stored answers and claims after their retention times, at most
     /// [`MAX_REMOVALS_PER_TICK`] jobs and as many claims at a time.
     pub(super) fn remove_expired(&mut self, cx: &mut Context) {
-        let keep_ms = cx.timing.job_keep.0;
+        let keep_ms = cx.timing.job_retention.0;
         let old_jobs: Vec<u64> = self
             .state
             .jobs
@@ -172,7 +172,7 @@
             .filter(|(_, job)| matches!(job.kind, wire::TaskKind::Batch(_)) && job.ended())
             .filter(|(_, job)| {
                 // The lender polls a lent task until it has stored the task's end.
-                let keep_ms = if job.borrowed() { cx.timing.once_keep.0 } else { keep_ms };
+                let keep_ms = if job.is_borrowed() { cx.timing.claim_retention.0 } else { keep_ms };
                 job.at_unix_ms + keep_ms < cx.unix_ms
             })
             .map(|(number, _)| *number)
@@ -185,7 +185,7 @@
             }
             self.record(cx, Record::JobForget { number }, None);
         }
-        let once_keep_ms = cx.timing.once_keep.0;
+        let once_keep_ms = cx.timing.claim_retention.0;
         let old_claims: Vec<(String, bool)> = self
             .state
             .once
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -177,12 +177,12 @@
                 tail_weight: p.weights.tail,
             };
             let allowed = self.allowed_candidates(cx, workers, p);
-            let Some(choice) = placement::for_batch(&allowed.1, &want, &cx.pairing) else {
+            let Some(choice) = placement::for_batch(&allowed.1, &want, &cx.interference) else {
                 continue;
             };
             let at = allowed.0[choice];
             if self.assign(cx, &workers[at].clone(), id, reserve) {
-                add_batch_reservation(&mut cx.candidates[at], &class, &reserve, &cx.pairing);
+                add_batch_reservation(&mut cx.candidates[at], &class, &reserve, &cx.interference);
                 return true;
             }
         }
@@ -222,7 +222,7 @@
         let capacity = Some(link.host.capacity);
         let fact = Fact::Assigned { run, worker, demand: reserve, capacity, resume_ms };
         let checked = self.verifier.check(&fact);
-        if !cx.allowed(checked) {
+        if !cx.report_check(checked) {
             return false;
         }
         let view = RunView {
@@ -275,7 +275,7 @@
         for id in self.state.on_worker(worker) {
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             if let wire::TaskKind::Service(service) = &job.kind {
-                let ceiling_us = match cx.ceiling_us(service) {
+                let ceiling_us = match cx.p99_limit_us(service) {
                     Some(ceiling_us) if link.load >= IDLE_LOAD => ceiling_us,
                     _ => f64::INFINITY,
                 };
@@ -286,7 +286,7 @@
             let Some(job) = self.state.jobs.get(&id.job.number) else { continue };
             let Some(place) = self.state.task(id).and_then(|t| t.place.as_ref()) else { continue };
             if let wire::TaskKind::Batch(class) = &job.kind {
-                add_batch_reservation(&mut c, class, &place.reserve, &cx.pairing);
+                add_batch_reservation(&mut c, class, &place.reserve, &cx.interference);
                 c.used = c.used.minus(&place.reserve);
             }
         }
--- a/crates/coord/src/partition/starting.rs
+++ b/crates/coord/src/partition/starting.rs
@@ -38,7 +38,7 @@
         }
         let Some(job) = self.journal.committed.jobs.get(&id.job.number) else { return };
         let Some(link) = self.links.get_mut(worker) else { return };
-        let (Some((seen, _)), true) = (link.seen, link.heard) else { return };
+        let (Some((seen, _)), true) = (link.clock_reading, link.heard) else { return };
         let (leaving, boot) = (link.is == upstream::Is::Leaving, link.boot);
         let Some(view) = link.runs.get_mut(&run) else { return };
         let may_send = !view.started && !view.in_flight && view.refused.is_none();
@@ -53,11 +53,11 @@
         let epoch = self.journal.epoch();
         let fact = Fact::StartSent { run, worker, epoch, leaving_and_new };
         let checked = self.verifier.check(&fact);
-        if !cx.allowed(checked) {
+        if !cx.report_check(checked) {
             return;
         }
         view.in_flight = true;
-        link.extend(cx);
+        link.extend_alive_until(cx);
         let valid_until = link.alive_until;
         if let Some(view) = link.runs.get_mut(&run) {
             view.valid_until = valid_until;
@@ -87,7 +87,7 @@
         let Some(view) = link.runs.get_mut(&start.run) else { return };
         view.in_flight = false;
         view.retry_at = cx.now + START_RETRY;
-        let WorkerAnswer::Verdict(verdict) = answer else { return };
+        let WorkerAnswer::CommandOutcome(verdict) = answer else { return };
         match verdict {
             wire::CommandOutcome::Done => view.mark_started(cx.now),
             wire::CommandOutcome::StaleEpoch => self.fence(cx),
--- a/crates/coord/src/partition/status.rs
+++ b/crates/coord/src/partition/status.rs
@@ -15,7 +15,7 @@
             worker: t.place.as_ref().map(|p| p.worker.clone()),
             attempts: t.attempt.0,
             evictions: t.evictions,
-            why: self.why_assigned(ids::TaskId { job: id, index: i as u32 }, t),
+            why: self.explain_task(ids::TaskId { job: id, index: i as u32 }, t),
         };
         let history = self.history.get(&id);
         api::JobStatus {
@@ -29,7 +29,7 @@
     }
 
     /// Returns the state of an assigned task on its worker, or why another task waits or has ended.
-    pub fn why_assigned(&self, id: ids::TaskId, t: &Task) -> String {
+    pub fn explain_task(&self, id: ids::TaskId, t: &Task) -> String {
         let Some(place) = &t.place else { return t.why.clone() };
         if let Some(to) = place.lent {
             return format!("it is lent to {to}, which had room");
@@ -70,7 +70,7 @@
     }
 
     /// Returns a summary of the partition's jobs and workers.
-    pub fn survey(&self) -> api::PartitionSummary {
+    pub fn summary(&self) -> api::PartitionSummary {
         let workers = self.links.iter().map(|(worker, link)| api::WorkerRow {
             worker: worker.clone(),
             boot: self.known_boots(worker).next(),
--- a/crates/coord/src/state/index.rs
+++ b/crates/coord/src/state/index.rs
@@ -7,7 +7,7 @@
 use gaplock_chart::charts::task;
 use gaplock_types::{ids, sizes};
 
-use super::{task_id, PartState};
+use super::{task_id, PartitionState};
 
 /// Indexes over the tasks and jobs.
 #[derive(Debug, Clone, PartialEq, Default)]
@@ -26,7 +26,7 @@
     pub(super) keys: BTreeMap<(ids::PartnerId, ids::RequestKey), u64>,
 }
 
-impl PartState {
+impl PartitionState {
     /// Rebuilds the indexes, which a snapshot does not contain.
     pub fn rebuild(&mut self, home: ids::PartitionId) {
         self.index = Index::default();
--- a/crates/coord/src/state/mod.rs
+++ b/crates/coord/src/state/mod.rs
@@ -132,7 +132,7 @@
 
 /// A partition's state.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct PartState {
+pub struct PartitionState {
     /// The sequence number of the last journal entry that was applied.
     pub seq: ids::Seq,
     /// The owner's epoch.
@@ -153,7 +153,7 @@
     index: index::Index,
 }
 
-impl PartState {
+impl PartitionState {
     /// Finds a task.
     pub fn task(&self, id: ids::TaskId) -> Option<&Task> {
         self.jobs.get(&id.job.number)?.tasks.get(id.index as usize)
--- a/crates/coord/tests/journal.rs
+++ b/crates/coord/tests/journal.rs
@@ -84,7 +84,7 @@
     }
 
     fn claim(&mut self, store: &mut Store) -> Vec<Outcome> {
-        self.journal.want(&mut self.cx);
+        self.journal.begin_claim(&mut self.cx);
         self.serve_calls(store, || false)
     }
 
@@ -158,8 +158,8 @@
 #[test]
 fn of_two_concurrent_claims_exactly_one_is_committed() {
     let (mut store, mut a, mut b) = (Store::default(), owner("a"), owner("b"));
-    a.journal.want(&mut a.cx);
-    b.journal.want(&mut b.cx);
+    a.journal.begin_claim(&mut a.cx);
+    b.journal.begin_claim(&mut b.cx);
     let mut outcomes = Vec::new();
     for _ in 0..6 {
         for owner in [&mut a, &mut b] {
@@ -203,6 +203,6 @@
     assert_eq!(outcomes, [Outcome::Released]);
     assert_eq!(a.claim(&mut store), [Outcome::Claimed]);
     assert!(a.journal.was_released);
-    assert!(!a.journal.busy());
+    assert!(!a.journal.has_uncommitted());
     assert!(a.journal.committed.once.is_empty());
 }
--- a/crates/coord/tests/late_answers.rs
+++ b/crates/coord/tests/late_answers.rs
@@ -11,7 +11,7 @@
 
 use gaplock_coord::action::{Action, CallId, Kv, ReplyId, StoreAnswer, StoreCall};
 use gaplock_coord::context::{Context, Timing};
-use gaplock_coord::journal::{After, Journal, Outcome};
+use gaplock_coord::journal::{AfterCommit, Journal, Outcome};
 use gaplock_coord::records::Record;
 use gaplock_types::time::Millis;
 use gaplock_types::{api, codes, ids};
@@ -31,7 +31,7 @@
         let timing = Timing { commit_delay: Millis(0), ..Timing::default() };
         let journal = Journal::open(ids::PartitionId(0), me);
         let mut owner = Self { journal, cx: Context::open(timing) };
-        owner.journal.want(&mut owner.cx);
+        owner.journal.begin_claim(&mut owner.cx);
         assert_eq!(owner.answer(&StoreAnswer::Read(Vec::new())), Outcome::Nothing);
         let written = StoreAnswer::Written(ids::StoreIndex(1));
         assert_eq!(owner.answer(&written), Outcome::Claimed);
@@ -59,7 +59,7 @@
             claimer: "c".to_string(),
             at_unix_ms: 0,
         };
-        let after = After::Reply(ReplyId(n), api::Reply::Granted);
+        let after = AfterCommit::Reply(ReplyId(n), api::Reply::Granted);
         self.journal.append(&self.cx, record, Some(after));
     }
 
@@ -139,7 +139,7 @@
     // The process is frozen; meanwhile another entry may claim.
     a.cx.now = a.cx.now + Millis(9_000);
     assert_eq!(a.answer(&StoreAnswer::Read(Vec::new())), Outcome::Nothing);
-    assert_eq!(a.journal.confirmed_at, asked_at);
+    assert_eq!(a.journal.ownership_confirmed_at, asked_at);
 }
 
 #[test]
--- a/crates/demo/src/calls.rs
+++ b/crates/demo/src/calls.rs
@@ -26,7 +26,7 @@
 ) -> io::Result<Answer> {
     let client = Client::open(addr, 0);
     let limit = Duration::from_millis(timeout_ms);
-    client.call(Call { method, path, headers, body, limit }).await.map_err(http_error)
+    client.call(Call { method, path, headers, body, timeout: limit }).await.map_err(http_error)
 }
 
 /// Sends a request with a key to an entry's listener for callers.
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -5,7 +5,7 @@
 
 use async_std::task;
 use gaplock_remote::http::Answer;
-use gaplock_standin::checker::{Findings, Verdicts};
+use gaplock_standin::checker::{CheckerReport, Findings};
 use gaplock_types::{api, sizes, wire};
 use http_types::Method;
 use serde_json::Value;
@@ -247,7 +247,7 @@
         let mut reports = Vec::new();
         for addr in &self.worker_addrs {
             let answer = call(addr, Method::Get, "/judge", &[], Vec::new(), 10_000).await?;
-            let report: Option<Verdicts> = answer.json();
+            let report: Option<CheckerReport> = answer.json();
             reports
                 .push(report.ok_or_else(|| io::Error::other("cannot parse a checker's report"))?);
         }
--- a/crates/entry/src/executor.rs
+++ b/crates/entry/src/executor.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use gaplock_coord::action::{Action, CallId, Note, StoreCall, WorkerCall};
+use gaplock_coord::action::{Action, CallId, Decision, StoreCall, WorkerCall};
 use gaplock_coord::node::Event;
 use gaplock_remote::clock;
 use gaplock_types::{api, ids, wire};
@@ -28,15 +28,17 @@
         }
         Action::Reply { id, reply } => engine.deliver_reply(id, reply),
         Action::Confirmed { id, outcome } => engine.deliver_confirmation(id, outcome),
-        Action::Beat(beat) => send_heartbeat(engine, &beat),
+        Action::Heartbeat(beat) => send_heartbeat(engine, &beat),
         Action::HandOver { to, partition } => hand_over(engine, to, partition),
-        Action::Ask { from, to, run, command } => send_loan_command(engine, from, to, run, command),
+        Action::ForwardCommand { from, to, run, command } => {
+            send_loan_command(engine, from, to, run, command)
+        }
         Action::FetchConfig { from } => fetch_config(engine, from),
         Action::Offer(offer) => {
             engine.with_routing(|r| r.router.update_worker(offer));
             wake_waiters(engine);
         }
-        Action::Busy { worker, busy, asked_at } => {
+        Action::BusySlots { worker, busy, asked_at } => {
             engine.with_routing(|r| {
                 let changes = r.changes_at_renewal.remove(&(worker.clone(), asked_at));
                 r.router.record_busy(&worker, busy, changes.unwrap_or(u64::MAX));
@@ -48,12 +50,12 @@
             engine.metrics.set_generation(config.generation);
             tracing::info!(generation = %config.generation, by = config.by, "configuration in force");
         }
-        Action::Note(note) => log_note(engine, &note),
+        Action::Decision(note) => log_note(engine, &note),
         Action::Violated(violation) => log_violation(engine, &violation),
     }
 }
 
-fn log_note(engine: &Engine, note: &Note) {
+fn log_note(engine: &Engine, note: &Decision) {
     engine.metrics.count_note(note.kind);
     tracing::info!(kind = note.kind, subject = note.subject, why = note.why, "decision");
 }
@@ -136,7 +138,7 @@
     let engine = Arc::clone(engine);
     task::spawn(async move {
         let reply = once::execute_command(&engine, to, command).await;
-        engine.handle(Event::LoanTold { partition, run, reply });
+        engine.handle(Event::LoanReported { partition, run, reply });
     });
 }
 
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::sync::Arc;
 
-use gaplock_serve::{json_response, Limits, Listener, Whole};
+use gaplock_serve::{json_response, FullRequest, Limits, Listener};
 use http_types::Response;
 
 use crate::engine::Engine;
@@ -14,12 +14,12 @@
 /// # Errors
 /// Returns the error of binding the address.
 pub async fn bind(addr: &str, engine: Arc<Engine>) -> io::Result<Listener> {
-    let limits = Limits { connections: 64, body_bytes: 1_024, ..Default::default() };
+    let limits = Limits { max_connections: 64, max_body_bytes: 1_024, ..Default::default() };
     let handler = move |request| answer(Arc::clone(&engine), request);
     gaplock_serve::bind(addr, limits, handler).await
 }
 
-async fn answer(engine: Arc<Engine>, request: Whole) -> Response {
+async fn answer(engine: Arc<Engine>, request: FullRequest) -> Response {
     match request.req.url().path() {
         "/health" => json_response(200, b"{\"alive\":true}".to_vec()),
         "/ready" => {
--- a/crates/entry/src/operators.rs
+++ b/crates/entry/src/operators.rs
@@ -81,7 +81,8 @@
         let why = format!("The plan has refusals: {}", plan.refused.join("; "));
         return Err(api::Refusal::new(codes::Code::BadRequest, why));
     }
-    let execution = engine.with_core(|core| core.node.generations.doc.fate(&plan.id, plan.base));
+    let execution =
+        engine.with_core(|core| core.node.generations.doc.plan_outcome(&plan.id, plan.base));
     // A repeated confirmation of an executed plan gets its outcome even after the plan has expired.
     let done_before = execution == Execution::Done;
     let age_s = clock::unix_ms().saturating_sub(made_at) / 1000;
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -214,7 +214,7 @@
 
 fn register(module: &mut RpcModule<Shared>) {
     add(module, BEAT, |engine, beat: api::Heartbeat| async move {
-        engine.handle(Event::Beat(beat));
+        engine.handle(Event::Heartbeat(beat));
     });
     add(module, HAND_OVER, |engine, id: ids::PartitionId| async move {
         engine.handle(Event::HandOver(id));
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -319,9 +319,9 @@
         bootstrap_key: non_empty(values.text("bootstrap-key")),
         log: values.text("log").to_string(),
         limits: gaplock_serve::Limits {
-            connections: values.number("max-connections") as usize,
-            header: duration("header-limit"),
-            body_bytes: values.number("max-body") as usize,
+            max_connections: values.number("max-connections") as usize,
+            header_timeout: duration("header-limit"),
+            max_body_bytes: values.number("max-body") as usize,
             ..Default::default()
         },
         store_limit: duration("store-limit"),
@@ -343,15 +343,15 @@
         lease_every: millis("lease-every"),
         task_ttl: millis("task-ttl"),
         silent_limit: millis("silent-limit"),
-        renew_right: millis("renew-right"),
+        renew_limit: millis("renew-right"),
         confirm_every: millis("confirm-every"),
         beat_every: millis("beat-every"),
         member_ttl: millis("member-ttl"),
         member_refresh: millis("member-refresh"),
         config_max_age: millis("config-max-age"),
         drift_per_mille: values.number("drift"),
-        once_keep: millis("once-keep"),
-        job_keep: millis("job-keep"),
+        claim_retention: millis("once-keep"),
+        job_retention: millis("job-keep"),
     }
 }
 
@@ -372,7 +372,7 @@
         "--member-ttl: it must be at least three times --beat-every",
     );
     require(
-        t.renew_right.0 >= 3 * t.confirm_every.0,
+        t.renew_limit.0 >= 3 * t.confirm_every.0,
         "--renew-right: it must be at least three times --confirm-every",
     );
     require(
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use gaplock_serve::{BodyError, Limits, Listener, Whole};
+use gaplock_serve::{BodyError, FullRequest, Limits, Listener};
 use gaplock_types::{api, codes, config, ids};
 use http_types::headers::HeaderValue;
 use http_types::StatusCode;
@@ -29,7 +29,7 @@
 /// Returns the error of binding the address.
 pub async fn bind(addr: &str, limits: Limits, engine: Arc<Engine>) -> io::Result<Listener> {
     let app = routes(Arc::clone(&engine));
-    let handler = move |request: Whole| answer(app.clone(), Arc::clone(&engine), request);
+    let handler = move |request: FullRequest| answer(app.clone(), Arc::clone(&engine), request);
     gaplock_serve::bind(addr, limits, handler).await
 }
 
@@ -53,7 +53,7 @@
 async fn answer(
     app: tide::Server<Arc<Engine>>,
     engine: Arc<Engine>,
-    request: Whole,
+    request: FullRequest,
 ) -> http_types::Response {
     let began = Instant::now();
     let mut req = request.req;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -167,7 +167,8 @@
     let headers: Vec<(&str, &str)> =
         route.headers.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
     let body = format!("{{\"n\":{n}}}").into_bytes();
-    let call = Call { method: Method::Post, path: &route.path, headers: &headers, body, limit };
+    let call =
+        Call { method: Method::Post, path: &route.path, headers: &headers, body, timeout: limit };
     let answer = client.call(call).await;
     let latency_us = intended.elapsed().as_micros() as u64;
     let mut tally =
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -40,7 +40,7 @@
 
 fn main() -> ExitCode {
     let values = gaplock_settings::read_or_exit("gaplock-measure", ABOUT, TABLE);
-    let name = values.free.first().map(String::as_str).unwrap_or_default();
+    let name = values.positional.first().map(String::as_str).unwrap_or_default();
     if name == "patterns" {
         return run_patterns(&values);
     }
@@ -58,7 +58,7 @@
 fn run_patterns(values: &Values) -> ExitCode {
     let file = |name| Some(values.text(name)).filter(|text| !text.is_empty()).map(Into::into);
     let options = RunOptions {
-        names: values.free[1..].to_vec(),
+        names: values.positional[1..].to_vec(),
         first_seed: values.number("seed"),
         seeds: values.number("seeds"),
         threads: values.number("threads") as usize,
--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use gaplock_coord::records::{Entry, Record};
-use gaplock_coord::state::PartState;
+use gaplock_coord::state::PartitionState;
 use gaplock_coord::{assign, members};
 use gaplock_policy::{interference, placement};
 use gaplock_types::{api, ids, sizes, wire};
@@ -169,9 +169,9 @@
     }
 }
 
-fn state_of(tasks: usize) -> PartState {
+fn state_of(tasks: usize) -> PartitionState {
     let home = ids::PartitionId(12);
-    let mut state = PartState::default();
+    let mut state = PartitionState::default();
     for number in 0..tasks as u64 {
         for record in [add_job(number), assignment(number)] {
             state
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -10,7 +10,7 @@
 use gaplock_platform::store::StoreError;
 use gaplock_policy::store_outcome::StoreOutcome;
 use gaplock_remote::clock;
-use gaplock_serve::Whole;
+use gaplock_serve::FullRequest;
 use gaplock_types::codes::Code;
 use http_types::{Method, Response, StatusCode};
 
@@ -26,7 +26,7 @@
 const GATEWAY_TIMEOUT: u16 = 504;
 
 /// Handles one request.
-pub async fn handle(node: Arc<Node>, request: Whole) -> Response {
+pub async fn handle(node: Arc<Node>, request: FullRequest) -> Response {
     let method = request.req.method();
     let path = request.req.url().path().to_string();
     let Some(config) = node.config() else {
@@ -55,13 +55,13 @@
 }
 
 /// Returns the host name in the request's `Host` header, without the port.
-fn host_of(request: &Whole) -> String {
+fn host_of(request: &FullRequest) -> String {
     let header = request.req.header("host").map(|v| v.last().as_str().to_string());
     let host = header.unwrap_or_default();
     host.split(':').next().unwrap_or_default().to_string()
 }
 
-async fn submit(node: &Arc<Node>, key: JobKey, queue: &str, request: Whole) -> Response {
+async fn submit(node: &Arc<Node>, key: JobKey, queue: &str, request: FullRequest) -> Response {
     let max_bytes = node.config().map_or(0, |config| config.limits.body_bytes);
     let Some(body) = request.body.ok().filter(|body| body.len() <= max_bytes) else {
         return answer(node, Code::TooLarge, StatusCode::PayloadTooLarge.into(), Vec::new());
--- a/crates/node/src/listeners.rs
+++ b/crates/node/src/listeners.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_std::task;
-use gaplock_serve::{Limits, Listener, Whole};
+use gaplock_serve::{FullRequest, Limits, Listener};
 use http_types::{Response, StatusCode};
 
 use crate::node::Node;
@@ -37,7 +37,7 @@
 /// Returns the error of binding an address.
 pub async fn bind(node: &Arc<Node>, metrics_addr: &str) -> io::Result<Listeners> {
     let installation = &node.installation;
-    let limits = Limits { header: IDLE_LIMIT, ..Limits::default() };
+    let limits = Limits { header_timeout: IDLE_LIMIT, ..Limits::default() };
     let shared = Arc::clone(node);
     let callers = gaplock_serve::bind(&installation.callers_addr, limits, move |request| {
         callers::handle(Arc::clone(&shared), request)
@@ -49,7 +49,7 @@
     })
     .await?;
     let shared = Arc::clone(node);
-    let metrics = gaplock_serve::bind(metrics_addr, limits, move |request: Whole| {
+    let metrics = gaplock_serve::bind(metrics_addr, limits, move |request: FullRequest| {
         metrics(Arc::clone(&shared), request)
     })
     .await?;
@@ -62,7 +62,7 @@
     Response::new(if ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable })
 }
 
-async fn metrics(node: Arc<Node>, request: Whole) -> Response {
+async fn metrics(node: Arc<Node>, request: FullRequest) -> Response {
     if request.req.url().path() != "/metrics" {
         return Response::new(StatusCode::NotFound);
     }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -33,7 +33,7 @@
 use async_std::task;
 use futures::StreamExt;
 use gaplock_platform::{installation, store};
-use gaplock_settings::logs::{ErrorCounter, Logs};
+use gaplock_settings::logs::{ErrorCounter, LogGuard};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
 const PROGRAM: &str = "gaplock-node";
@@ -53,7 +53,7 @@
     code
 }
 
-async fn run(values: &gaplock_settings::Values, logs: &Logs) -> ExitCode {
+async fn run(values: &gaplock_settings::Values, logs: &LogGuard) -> ExitCode {
     let path = std::env::var(installation::SETTINGS_PATH_VARIABLE).unwrap_or_default();
     let installation = match installation::load(&PathBuf::from(&path)) {
         Ok(installation) => installation,
--- a/crates/node/tests/cancelled.rs
+++ b/crates/node/tests/cancelled.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 use gaplock_jobs::JobKey;
-use gaplock_platform_standin::checker::{acknowledges, OUTSTAY_LIMIT};
-use gaplock_platform_standin::faults::{Lateness, Stops, WorkerTrouble};
-use gaplock_platform_standin::site::{self, gang, lasting, two_steps, Site};
+use gaplock_platform_standin::checker::{acknowledges, CANCELLED_RUN_LIMIT};
+use gaplock_platform_standin::faults::{Lateness, Stops, WorkerFaults};
+use gaplock_platform_standin::site::{self, gang, long_running, two_steps, Site};
 use support::{open_site, wait_for};
 
 /// How long a task takes; no task ends by itself in these tests.
@@ -37,7 +37,7 @@
 /// Opens a site whose leader knows the workers; returns that leader too.
 fn open(hosts: usize, workers: usize) -> (Site, usize) {
     let site = open_site(hosts, workers, TASK_DURATION);
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let leader = site.leader().expect("there is a leader");
     (site, leader)
 }
@@ -68,9 +68,9 @@
 
 /// The same where starts may still be carried out during the time `late`.
 fn assert_nothing_runs_after(site: &Site, host: usize, keys: &[u64], late: Duration) {
-    site.fleet.note_calm();
+    site.fleet.note_no_faults();
     let began = Instant::now();
-    while began.elapsed() < late + OUTSTAY_LIMIT + MARGIN {
+    while began.elapsed() < late + CANCELLED_RUN_LIMIT + MARGIN {
         assert!(site.fleet.violations().is_empty(), "{:#?}", site.fleet.violations());
         thread::sleep(Duration::from_millis(20));
     }
@@ -85,8 +85,8 @@
     (0..site.fleet.len()).for_each(|worker| site.fleet.crash(worker));
 }
 
-fn set_trouble_on_all(site: &Site, trouble: WorkerTrouble) {
-    (0..site.fleet.len()).for_each(|worker| site.fleet.set_trouble(worker, trouble));
+fn set_trouble_on_all(site: &Site, trouble: WorkerFaults) {
+    (0..site.fleet.len()).for_each(|worker| site.fleet.set_faults(worker, trouble));
 }
 
 /// Guards against suspect tasks that are tried after the cancellation of their jobs and then run
@@ -128,7 +128,7 @@
     let keys = [1, 2, 3];
     run_jobs(&site, leader, &keys);
     cancel(&site, leader, &keys[..1]);
-    (0..site.fleet.len()).for_each(|worker| site.fleet.start_over(worker));
+    (0..site.fleet.len()).for_each(|worker| site.fleet.restart_in_place(worker));
     cancel(&site, leader, &keys[1..2]);
     wait_for("the restart to be noticed", || site.fleet.starts() > 3 * FIRST_TASKS);
     cancel(&site, leader, &keys[2..]);
@@ -154,10 +154,10 @@
     let (mut site, first) = open(3, 3);
     let other = (first + 1) % 3;
     run_jobs(&site, first, &[1, 2]);
-    set_trouble_on_all(&site, WorkerTrouble { stops: Stops::Lost, ..WorkerTrouble::default() });
+    set_trouble_on_all(&site, WorkerFaults { stops: Stops::Lost, ..WorkerFaults::default() });
     cancel(&site, first, &[1, 2]);
     site.hosts[first].kill().expect("the process runs");
-    set_trouble_on_all(&site, WorkerTrouble::default());
+    set_trouble_on_all(&site, WorkerFaults::default());
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
     assert_nothing_runs(&site, other, &[1, 2]);
 }
@@ -188,11 +188,11 @@
 fn assert_stopped_despite(stops: Stops) {
     let (site, leader) = open(2, 2);
     run_jobs(&site, leader, &[1, 2]);
-    set_trouble_on_all(&site, WorkerTrouble { stops, ..WorkerTrouble::default() });
+    set_trouble_on_all(&site, WorkerFaults { stops, ..WorkerFaults::default() });
     cancel(&site, leader, &[1, 2]);
     wait_for("a stop of each run", || site.fleet.stops_arrived() >= 2 * FIRST_TASKS);
     assert_eq!(site.fleet.cancelled_runs().len() as u64, 2 * FIRST_TASKS);
-    set_trouble_on_all(&site, WorkerTrouble::default());
+    set_trouble_on_all(&site, WorkerFaults::default());
     assert_nothing_runs(&site, leader, &[1, 2]);
 }
 
@@ -201,15 +201,15 @@
 #[test]
 fn starts_that_are_carried_out_after_the_cancellation_are_stopped() {
     let (site, leader) = open(2, 2);
-    let late = WorkerTrouble { late_starts: 100, ..WorkerTrouble::default() };
+    let late = WorkerFaults { late_starts: 100, ..WorkerFaults::default() };
     set_trouble_on_all(&site, late);
     (0..site.fleet.len()).for_each(|n| site.fleet.set_lateness(n, Lateness::ByLeases));
     for key in [1, 2] {
-        assert_eq!(site.hosts[leader].submit(JobKey(key), &lasting()), Some(200));
+        assert_eq!(site.hosts[leader].submit(JobKey(key), &long_running()), Some(200));
     }
-    wait_for("the starts to arrive", || site.fleet.arrived() >= 4);
+    wait_for("the starts to arrive", || site.fleet.starts_arrived() >= 4);
     cancel(&site, leader, &[1, 2]);
-    set_trouble_on_all(&site, WorkerTrouble::default());
+    set_trouble_on_all(&site, WorkerFaults::default());
     assert_nothing_runs_after(&site, leader, &[1, 2], LONGEST_ORDER_DELAY);
 }
 
@@ -236,7 +236,7 @@
     let (one, other) = ((leader + 1) % 3, (leader + 2) % 3);
     let keys: Vec<u64> = (1..=40).collect();
     for &key in &keys {
-        assert_eq!(site.hosts[one].submit(JobKey(key), &lasting()), Some(200));
+        assert_eq!(site.hosts[one].submit(JobKey(key), &long_running()), Some(200));
         cancel(&site, other, &[key]);
     }
     assert_nothing_runs(&site, leader, &keys);
@@ -249,18 +249,18 @@
     let (site, leader) = open(2, 2);
     let job = JobKey(1);
     let other = &site.hosts[1 - leader];
-    site.store.hold_next(JOBS);
+    site.store.hold_back_next(JOBS);
     let callers = other.callers.clone();
-    let submission = thread::spawn(move || site::submit(&callers, job, &lasting()));
-    wait_for("a submission without an answer", || site.store.holds_one());
+    let submission = thread::spawn(move || site::submit(&callers, job, &long_running()));
+    wait_for("a submission without an answer", || site.store.has_held_back());
     site.store.set_writes_refused(true);
     assert_eq!(submission.join().expect("the caller does not panic"), Some(OUTCOME_UNKNOWN_STATUS));
     site.store.set_writes_refused(false);
     cancel(&site, leader, &[1]);
     site.store.carry_out_held();
-    site.fleet.note_calm();
+    site.fleet.note_no_faults();
     let began = Instant::now();
-    while began.elapsed() < OUTSTAY_LIMIT + MARGIN {
+    while began.elapsed() < CANCELLED_RUN_LIMIT + MARGIN {
         assert_eq!(site.fleet.starts_of(job), Vec::<String>::new());
         thread::sleep(Duration::from_millis(20));
     }
--- a/crates/node/tests/changing_capacity.rs
+++ b/crates/node/tests/changing_capacity.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use gaplock_jobs::JobKey;
-use gaplock_platform_standin::capacity::KNOWN_WITHIN;
+use gaplock_platform_standin::capacity::CAPACITY_KNOWN_WITHIN;
 use gaplock_platform_standin::site::{two_steps, Site};
 use support::{open_site, wait_for};
 
@@ -24,8 +24,8 @@
 
 fn open_unguarded(hosts: usize, workers: usize) -> Site {
     let site = open_site(hosts, workers, TASK_DURATION);
-    site.leave_room_unguarded();
-    wait_for("the workers to be known", || site.knows_workers());
+    site.disable_capacity_checks();
+    wait_for("the workers to be known", || site.has_stored_workers());
     site
 }
 
@@ -40,17 +40,17 @@
     let site = open_unguarded(2, 1);
     submit(&site, 0, 1..2);
     wait_for("the first starts", || site.fleet.starts() == FIRST_TASKS);
-    site.fleet.set_room(0, 2_000);
-    thread::sleep(KNOWN_WITHIN);
+    site.fleet.set_capacity(0, 2_000);
+    thread::sleep(CAPACITY_KNOWN_WITHIN);
     submit(&site, 0, 2..5);
     thread::sleep(SETTLE_TIME);
     assert_eq!(site.fleet.starts(), FIRST_TASKS, "{:?}", site.fleet.violations());
     assert_eq!(site.fleet.running_at(0), FIRST_TASKS as usize, "runs were stopped");
-    site.fleet.set_room(0, 9_000);
+    site.fleet.set_capacity(0, 9_000);
     wait_for("what fits now", || site.fleet.starts() == 9);
     thread::sleep(SETTLE_TIME);
     assert_eq!(site.fleet.starts(), 9, "{:?}", site.fleet.violations());
-    site.fleet.set_room(0, 40_000);
+    site.fleet.set_capacity(0, 40_000);
     wait_for("all starts", || site.fleet.starts() == 4 * FIRST_TASKS);
     assert!(site.fleet.violations().is_empty(), "{:?}", site.fleet.violations());
 }
@@ -62,11 +62,11 @@
     wait_for("the first starts", || site.fleet.starts() == 2 * FIRST_TASKS);
     let first = site.leader().expect("there is a leader");
     // The first starts may all be at one worker; the other one must not get any either.
-    site.fleet.set_room(0, 0);
-    site.fleet.set_room(1, 0);
+    site.fleet.set_capacity(0, 0);
+    site.fleet.set_capacity(1, 0);
     site.hosts[first].kill().expect("the process runs");
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
-    thread::sleep(KNOWN_WITHIN);
+    thread::sleep(CAPACITY_KNOWN_WITHIN);
     submit(&site, (first + 1) % 3, 3..6);
     thread::sleep(SETTLE_TIME);
     assert_eq!(site.fleet.starts(), 2 * FIRST_TASKS, "{:?}", site.fleet.violations());
--- a/crates/node/tests/faulty_store.rs
+++ b/crates/node/tests/faulty_store.rs
@@ -8,7 +8,7 @@
 
 use gaplock_jobs::JobKey;
 use gaplock_platform_standin::relay::Mode;
-use gaplock_platform_standin::site::{self, lasting, two_steps};
+use gaplock_platform_standin::site::{self, long_running, two_steps};
 use serde_json::Value;
 use support::wait_for;
 
@@ -29,7 +29,7 @@
 /// leader. A host that the store refuses before that knows no leader and is not ready.
 fn open_site_with_leader() -> (site::Site, usize) {
     let site = support::open_site(3, 2, Duration::from_millis(200));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let leader = site.leader().expect("there is a leader");
     let follows = |host: &site::Host| !host.logged("following").is_empty();
     wait_for("the others to follow", || {
@@ -41,18 +41,18 @@
 #[test]
 fn a_leader_whose_watches_ask_for_dropped_history_misses_no_job_and_no_worker() {
     let site = support::open_site(2, 2, Duration::from_millis(200));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let other = 1 - site.leader().expect("there is a leader");
     for n in 1..=5 {
         let job = JobKey(n);
-        site.store.forget_history();
+        site.store.discard_history();
         assert_eq!(site.hosts[other].submit(job, &two_steps()), Some(ACCEPTED));
-        site.store.forget_history();
+        site.store.discard_history();
         wait_for("completion", || completed(&site.hosts[other], job));
     }
-    assert!(site.store.watches_gone() > 0, "no watch asked for dropped history");
+    assert!(site.store.watches_refused() > 0, "no watch asked for dropped history");
     assert_eq!(site.fleet.starts(), 5 * TASKS);
-    assert!(site.twice().is_empty());
+    assert!(site.tasks_run_concurrently().is_empty());
 }
 
 /// Guards against a cancellation that is listed before its job, in key order, and is then dropped:
@@ -60,11 +60,11 @@
 #[test]
 fn a_cancellation_that_is_listed_together_with_its_job_takes_effect() {
     let site = support::open_site(1, 2, Duration::from_secs(60));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let host = &site.hosts[0];
     for n in 1..=3 {
         let (known, listed) = (JobKey(n), JobKey(100 + n));
-        assert_eq!(host.submit(known, &lasting()), Some(ACCEPTED));
+        assert_eq!(host.submit(known, &long_running()), Some(ACCEPTED));
         wait_for("a start", || site.has_started(known));
         let record = site.store.get(&format!("{JOBS}{known}")).expect("the job is stored");
         let record = record.to_string().replace(&known.to_string(), &listed.to_string());
@@ -72,7 +72,7 @@
         // The leader's watch has just been answered, and the leader pauses before the next one.
         site.store.put_bytes(&format!("{JOBS}{listed}"), record.as_bytes());
         site.store.put_bytes(&format!("{CANCELS}{listed}"), b"{}");
-        site.store.forget_history();
+        site.store.discard_history();
         let state = || host.state(listed).map(|(_, shown)| shown);
         let is_known = |line: &Value| line["job"] == listed.to_string();
         wait_for("the job to be known", || host.logged("job_known").iter().any(is_known));
@@ -80,7 +80,7 @@
             state().is_some_and(|state| state == "canceled")
         });
     }
-    assert!(site.store.watches_gone() > 0, "no watch asked for dropped history");
+    assert!(site.store.watches_refused() > 0, "no watch asked for dropped history");
 }
 
 #[test]
@@ -128,5 +128,5 @@
     assert_eq!(site.hosts[next].submit(job, &two_steps()), Some(ACCEPTED));
     wait_for("completion", || completed(&site.hosts[next], job));
     assert_eq!(site.fleet.starts(), TASKS);
-    assert!(site.twice().is_empty());
+    assert!(site.tasks_run_concurrently().is_empty());
 }
--- a/crates/node/tests/foreign.rs
+++ b/crates/node/tests/foreign.rs
@@ -9,7 +9,7 @@
 use gaplock_jobs::JobKey;
 use gaplock_platform::directory;
 use gaplock_platform_standin::fleet::SERVICE;
-use gaplock_platform_standin::foreign::{self, Foreign};
+use gaplock_platform_standin::foreign::{self, ForeignRecord};
 use gaplock_platform_standin::site::{two_steps, Site};
 use support::{open_site, wait_for};
 
@@ -27,7 +27,7 @@
     site.hosts[host].state(JobKey(key)).is_some_and(|(_, shown)| shown == state)
 }
 
-fn put_all(site: &Site, all: &[Foreign]) {
+fn put_all(site: &Site, all: &[ForeignRecord]) {
     all.iter().for_each(|f| site.store.put_bytes(&f.key, &f.value));
 }
 
@@ -53,7 +53,7 @@
 #[test]
 fn an_overwritten_entry_names_no_worker_until_it_is_valid_again() {
     let mut site = open_site(2, 2, Duration::from_secs(60));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let leader = site.leader().expect("there is a leader");
     submit(&site, 0, 1);
     wait_for("the first starts", || site.fleet.starts() == 6);
@@ -70,7 +70,7 @@
     (2..6).for_each(|key| submit(&site, 0, key));
     wait_for("the other worker to be full", || site.fleet.running_at(1) == 16);
     assert_eq!(site.fleet.running_at(0), held, "tasks were started or stopped there");
-    site.fleet.enter_again(0);
+    site.fleet.register_again(0);
     wait_for("all starts", || site.fleet.starts() == 30);
     assert_eq!(site.hosts[leader].metric(UNREADABLE_METRIC), Some(0));
     assert_eq!(site.leader(), Some(leader), "the leader lost its leadership");
@@ -80,7 +80,7 @@
 #[test]
 fn a_successor_ignores_overwritten_entries_and_knows_what_their_workers_run() {
     let mut site = open_site(3, 2, Duration::from_secs(3));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let first = site.leader().expect("there is a leader");
     submit(&site, 0, 1);
     wait_for("the first starts", || site.fleet.starts() == 6);
@@ -90,7 +90,7 @@
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
     thread::sleep(Duration::from_secs(4));
     assert_eq!(site.fleet.starts(), 6, "{:?}", site.fleet.violations());
-    (0..2).for_each(|worker| site.fleet.enter_again(worker));
+    (0..2).for_each(|worker| site.fleet.register_again(worker));
     let other = (first + 1) % 3;
     wait_for("completion", || shows(&site, other, 1, "completed"));
     assert_eq!(site.fleet.starts(), 10, "a task was started again");
@@ -101,11 +101,11 @@
 #[test]
 fn unknown_keys_stop_neither_a_leader_nor_its_successor() {
     let mut site = open_site(3, 2, Duration::from_millis(300));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let first = site.leader().expect("there is a leader");
     let other = (first + 1) % 3;
     put_all(&site, &foreign::directory_keys(&site.fleet.entry(0)));
-    put_all(&site, &foreign::own_keys());
+    put_all(&site, &foreign::foreign_keys_under_daemon_prefix());
     submit(&site, other, 1);
     wait_for("completion", || shows(&site, other, 1, "completed"));
     site.hosts[first].kill().expect("the process runs");
@@ -124,7 +124,7 @@
 #[test]
 fn an_entry_with_the_address_of_another_worker_does_not_end_what_runs() {
     let mut site = open_site(3, 2, Duration::from_secs(60));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let first = site.leader().expect("there is a leader");
     submit(&site, 0, 1);
     wait_for("the first starts", || site.fleet.starts() == 6);
@@ -151,7 +151,7 @@
     entry["Address"] = serde_json::json!("127.0.0.1:9");
     site.fleet.overwrite(0, entry.to_string().as_bytes());
     thread::sleep(FOREIGN_ENTRY_DURATION * 8);
-    site.fleet.enter_again(0);
+    site.fleet.register_again(0);
     submit(&site, 0, 1);
     wait_for("completion", || shows(&site, 0, 1, "completed"));
     assert_no_violations(&mut site);
--- a/crates/node/tests/late_cancels.rs
+++ b/crates/node/tests/late_cancels.rs
@@ -23,16 +23,16 @@
 #[test]
 fn a_cancellation_that_may_be_stored_here_is_not_refused_because_the_leader_was() {
     let site = support::open_site(2, 2, Duration::from_secs(60));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let job = JobKey(1);
     let leader = site.leader().expect("there is a leader");
     let follower = &site.hosts[1 - leader];
     assert_eq!(follower.submit(job, &two_steps()), Some(200));
     wait_for("a start", || site.fleet.starts() > 0);
-    site.store.hold_next(CANCELS);
+    site.store.hold_back_next(CANCELS);
     let callers = follower.callers.clone();
     let cancellation = thread::spawn(move || site::cancel(&callers, job));
-    wait_for("a cancellation without an answer", || site.store.holds_one());
+    wait_for("a cancellation without an answer", || site.store.has_held_back());
     site.store.set_writes_refused(true);
     let status = cancellation.join().expect("the caller does not panic");
     assert!(site.store.carry_out_held(), "the late cancellation's conditions no longer hold");
--- a/crates/node/tests/late_writes.rs
+++ b/crates/node/tests/late_writes.rs
@@ -26,13 +26,13 @@
 #[test]
 fn a_commit_carried_out_after_its_repeat_was_refused_is_not_taken_for_a_newer_one() {
     let mut site = support::open_site(2, 4, Duration::from_millis(200));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let job = JobKey(1);
     let first = site.leader().expect("there is a leader");
     let other = 1 - first;
-    site.store.hold_next(PROGRESS);
+    site.store.hold_back_next(PROGRESS);
     assert_eq!(site.hosts[other].submit(job, &two_steps()), Some(200));
-    wait_for("a commit without an answer", || site.store.holds_one());
+    wait_for("a commit without an answer", || site.store.has_held_back());
     site.store.set_writes_refused(true);
     wait_for("all starts", || site.fleet.starts() == TASKS);
     // The last tasks end, and the commits of their ends are refused.
@@ -48,5 +48,5 @@
     wait_for("another leader", || site.leader() == Some(other));
     wait_for("completion under the next leader", || completed(&site.hosts[other]));
     assert_eq!(site.fleet.starts(), TASKS, "tasks that had ended were started again");
-    assert!(site.twice().is_empty());
+    assert!(site.tasks_run_concurrently().is_empty());
 }
--- a/crates/node/tests/processes.rs
+++ b/crates/node/tests/processes.rs
@@ -7,7 +7,7 @@
 use gaplock_jobs::{JobKey, TaskKey};
 use gaplock_platform_standin::checker::SeenRun;
 use gaplock_platform_standin::cloud;
-use gaplock_platform_standin::faults::WorkerTrouble;
+use gaplock_platform_standin::faults::WorkerFaults;
 use gaplock_platform_standin::relay::Mode;
 use gaplock_platform_standin::site::{
     call, connect_as_peer, gang, saving, two_steps, Output, Site, PREFIX,
@@ -39,7 +39,7 @@
         }
     }
     assert_eq!(site.fleet.starts(), 30);
-    assert!(site.twice().is_empty());
+    assert!(site.tasks_run_concurrently().is_empty());
     let host = &site.hosts[0];
     assert_eq!(host.state(JobKey(99)).map(|(status, _)| status), Some(410));
     assert_eq!(call(&host.callers, "GET", "/nowhere/", "").map(|a| a.status), Some(404));
@@ -58,7 +58,7 @@
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
     wait_for("completion", || shows(&site, other, 1, "completed"));
     assert_eq!(site.fleet.starts(), 10, "a task was started again");
-    assert!(site.twice().is_empty());
+    assert!(site.tasks_run_concurrently().is_empty());
 }
 
 /// The three tasks of the first step run for 6 s, and each loses its worker under the second
@@ -82,7 +82,7 @@
     wait_for("completion", || shows(&site, other, 1, "completed"));
     assert!(site.fleet.violations().is_empty(), "{:#?}", site.fleet.violations());
     let discarded: Vec<_> =
-        site.fleet.thrown_away().into_iter().map(|(_, timeline)| timeline).collect();
+        site.fleet.discarded_work().into_iter().map(|(_, timeline)| timeline).collect();
     assert!(discarded.is_empty(), "{discarded:#?}");
 }
 
@@ -92,13 +92,13 @@
 #[test]
 fn a_checkpoint_listed_for_a_task_that_saves_nothing_is_not_sent() {
     let site = open_site(2, 3, Duration::from_secs(1));
-    let lists_unsaved = WorkerTrouble { lists_unsaved: true, ..WorkerTrouble::default() };
-    (0..site.fleet.len()).for_each(|worker| site.fleet.set_trouble(worker, lists_unsaved));
+    let lists_unsaved = WorkerFaults { lists_unsaved: true, ..WorkerFaults::default() };
+    (0..site.fleet.len()).for_each(|worker| site.fleet.set_faults(worker, lists_unsaved));
     assert_eq!(site.hosts[0].submit(JobKey(1), &saving(0)), Some(200));
     wait_for("the later steps", || site.fleet.starts() == 7);
     let busy = (0..site.fleet.len()).filter(|&worker| site.fleet.running_at(worker) > 0);
     for worker in busy.collect::<Vec<_>>() {
-        site.fleet.leave(worker, Duration::from_millis(1_700));
+        site.fleet.drain(worker, Duration::from_millis(1_700));
     }
     wait_for("the next starts", || site.fleet.starts() > 7);
     wait_for("completion", || shows(&site, 0, 1, "completed"));
@@ -172,8 +172,9 @@
     assert_eq!(submit(&site, via, 1), Some(200));
     wait_for("completion", || shows(&site, via, 1, "completed"));
     let workers = 0..site.fleet.len();
-    let previous: Vec<_> = workers.clone().map(|worker| site.fleet.present_start(worker)).collect();
-    workers.for_each(|worker| site.fleet.start_over(worker));
+    let previous: Vec<_> =
+        workers.clone().map(|worker| site.fleet.current_incarnation(worker)).collect();
+    workers.for_each(|worker| site.fleet.restart_in_place(worker));
     assert_eq!(submit(&site, via, 2), Some(200));
     wait_for("completion after the restart", || shows(&site, via, 2, "completed"));
     assert_ran_once(&site, 1, &[]);
@@ -189,11 +190,11 @@
     std::thread::sleep(Duration::from_millis(1_000));
     site.hosts[first].signal(Signal::TERM);
     wait_for("another leader", || site.leader().is_some_and(|leader| leader != first));
-    assert_eq!(site.claims_lost(), 0, "nobody led for a while");
+    assert_eq!(site.leader_claims_lost(), 0, "nobody led for a while");
     let other = (first + 1) % 3;
     assert_eq!(submit(&site, other, 1), Some(200));
     wait_for("completion", || shows(&site, other, 1, "completed"));
-    assert!(site.twice().is_empty());
+    assert!(site.tasks_run_concurrently().is_empty());
 }
 
 #[test]
@@ -204,11 +205,11 @@
     let wave = json!({"Wave": 1, "Machines": hosts, "DurationS": 30, "Maximum": 1});
     site.store.put("op/wave/1", &wave);
     let state = |site: &Site| site.store.get("status/wave/1").map(|s| s["State"].clone());
-    wait_for("the first maintenance", || site.cloud.upkeeps() > 0);
+    wait_for("the first maintenance", || site.cloud.hosts_taken_down() > 0);
     assert_eq!(state(&site), Some(json!("active")));
     site.hosts[first].kill().expect("the process runs");
     wait_for("the end of the wave", || state(&site) == Some(json!("completed")));
-    assert_eq!((site.cloud.upkeeps(), site.cloud.most_away()), (4, 1));
+    assert_eq!((site.cloud.hosts_taken_down(), site.cloud.most_hosts_down()), (4, 1));
 }
 
 /// How long a successor may take to read the state, in milliseconds, where each call to the store
@@ -250,13 +251,13 @@
     assert!(shows(&site, other, 1, "queued"));
     site.store.remove("op/evacuate/hall");
     wait_for("completion", || shows(&site, other, 1, "completed"));
-    assert!(site.twice().is_empty());
+    assert!(site.tasks_run_concurrently().is_empty());
 }
 
 #[test]
 fn a_leader_shows_how_many_events_wait_for_it() {
     let site = open_site(2, 2, Duration::from_millis(300));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     assert_eq!(submit(&site, 0, 1), Some(200));
     wait_for("completion", || shows(&site, 0, 1, "completed"));
     let leader = site.leader().expect("there is a leader");
@@ -268,7 +269,7 @@
 fn a_job_is_refused_at_once_while_the_store_is_unavailable() {
     let site = open_site(2, 2, Duration::from_millis(300));
     // Hosts are ready before one of them leads; workers that no leader has stored get no tasks.
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     assert_eq!(submit(&site, 0, 1), Some(200));
     site.store.set_down(true);
     let began = Instant::now();
@@ -299,7 +300,7 @@
 #[test]
 fn an_unread_standard_output_stops_nothing() {
     let site = open_site_with(2, 4, Duration::from_millis(50), Output::BlockedPipe);
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     for key in 1..=60 {
         assert_eq!(submit(&site, key as usize % 2, key), Some(200));
     }
@@ -327,18 +328,18 @@
 #[test]
 fn connections_that_become_silent_without_a_reset_neither_end_a_leadership_nor_stop_work() {
     let site = open_site(2, 2, Duration::from_millis(100));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let first = site.leader().expect("there is a leader");
     for key in 1..=4 {
         assert_eq!(submit(&site, key as usize % 2, key), Some(200));
     }
     wait_for("completion", || (1..=4).all(|key| shows(&site, first, key, "completed")));
-    site.hosts.iter().for_each(|host| host.store_link.silence_open());
-    (0..site.fleet.len()).for_each(|worker| site.fleet.silence_open(worker));
+    site.hosts.iter().for_each(|host| host.store_link.silence_open_connections());
+    (0..site.fleet.len()).for_each(|worker| site.fleet.silence_open_connections(worker));
     // Longer than the leader's lease in the store.
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(site.leader(), Some(first), "the leader lost its leadership");
     assert_eq!(submit(&site, 0, 5), Some(200));
     wait_for("completion", || shows(&site, first, 5, "completed"));
-    assert!(site.twice().is_empty());
+    assert!(site.tasks_run_concurrently().is_empty());
 }
--- a/crates/node/tests/records.rs
+++ b/crates/node/tests/records.rs
@@ -48,7 +48,7 @@
 #[test]
 fn a_malformed_claim_does_not_keep_hosts_from_leading_forever() {
     let site = open_site(2, 2, Duration::from_millis(300));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     submit(&site, 0, 1);
     site.store.put_bytes(LEADER, MALFORMED);
     wait_for("a leader", || site.leader().is_some());
@@ -62,7 +62,7 @@
 #[test]
 fn a_malformed_learned_model_and_a_malformed_commit_id_stop_nothing() {
     let mut site = open_site(3, 2, Duration::from_millis(300));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     submit(&site, 0, 1);
     site.store.put_bytes(COMMITS, MALFORMED);
     site.store.put_bytes(LEARNED, MALFORMED);
@@ -80,7 +80,7 @@
 #[test]
 fn tasks_that_were_done_are_not_started_again_if_their_jobs_record_is_malformed() {
     let mut site = open_site(3, 2, Duration::from_millis(300));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let via = site.leader().expect("there is a leader");
     submit(&site, via, 1);
     wait_for("completion", || completed(&site, via, 1));
@@ -100,12 +100,12 @@
 /// them; returns that worker's index too.
 fn open_with_malformed_record() -> (Site, usize) {
     let site = open_site(3, 2, Duration::from_secs(60));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let via = site.leader().expect("there is a leader");
     submit(&site, via, 1);
     wait_for("the first starts", || site.fleet.starts() == 6);
     let holder = usize::from(site.fleet.running_at(0) == 0);
-    site.store.put_bytes(&format!("{ROSTER}{}", site.fleet.present_start(holder)), MALFORMED);
+    site.store.put_bytes(&format!("{ROSTER}{}", site.fleet.current_incarnation(holder)), MALFORMED);
     (site, holder)
 }
 
@@ -140,7 +140,7 @@
     thread::sleep(Duration::from_secs(9));
     assert_eq!(site.fleet.running_at(0) + site.fleet.running_at(1), 6);
     assert_no_violations(&site);
-    site.fleet.enter_again(holder);
+    site.fleet.register_again(holder);
     let via = site.leader().expect("there is a leader");
     (2..6).for_each(|key| submit(&site, via, key));
     wait_for("starts at both workers", || {
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -74,7 +74,7 @@
 /// crashes of all workers.
 #[test]
 fn nothing_of_cancelled_jobs_is_started_or_goes_on() {
-    soak_with(&[50_001], Options { faulty: Duration::from_secs(4), ..Options::default() });
+    soak_with(&[50_001], Options { fault_time: Duration::from_secs(4), ..Options::default() });
 }
 
 /// Entries of other writers, capacities that shrink and grow, and hosts suspended for longer than
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -46,7 +46,7 @@
 #[test]
 fn leaders_suspended_in_turn_during_their_starts_start_nothing_twice() {
     let mut site = open_site(3, 4, Duration::from_millis(400));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     for (round, after_ms) in [0, 4, 9, 15].into_iter().enumerate() {
         let first = site.leader().expect("there is a leader");
         let via = (first + 1) % 3;
@@ -63,7 +63,7 @@
 #[test]
 fn a_leader_suspended_beyond_all_leases_during_a_store_outage_and_a_kill_starts_nothing_twice() {
     let mut site = open_site(3, 3, Duration::from_millis(1_500));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let first = site.leader().expect("there is a leader");
     let (via, killed) = ((first + 1) % 3, (first + 2) % 3);
     suspend_during_starts(&mut site, via, 1..4, 8);
@@ -82,7 +82,7 @@
 #[test]
 fn a_site_whose_every_process_was_suspended_goes_on() {
     let mut site = open_site(2, 3, Duration::from_millis(800));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let first = site.leader().expect("there is a leader");
     suspend_during_starts(&mut site, 1 - first, 1..3, 20);
     site.hosts[1 - first].signal(Signal::STOP);
@@ -97,7 +97,7 @@
 #[test]
 fn orders_that_arrive_after_the_leases_of_a_suspended_leader_start_nothing_twice() {
     let mut site = open_site(2, 2, Duration::from_secs(60));
-    wait_for("the workers to be known", || site.knows_workers());
+    wait_for("the workers to be known", || site.has_stored_workers());
     let first = site.leader().expect("there is a leader");
     site.fleet.set_link(0, Mode::Silent);
     suspend_during_starts(&mut site, 1 - first, 1..4, 60);
--- a/crates/remote/src/hosts.rs
+++ b/crates/remote/src/hosts.rs
@@ -35,7 +35,7 @@
             path: "/v1/hosts",
             headers: &headers,
             body: Vec::new(),
-            limit: self.limit,
+            timeout: self.limit,
         };
         let answer = self.http.call(call).await.ok()?;
         if answer.status != 200 {
--- a/crates/remote/src/http.rs
+++ b/crates/remote/src/http.rs
@@ -70,7 +70,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// The longest wait for the complete answer, connecting included.
-    pub limit: time::Duration,
+    pub timeout: time::Duration,
 }
 
 /// A client for one address, with the connections that it keeps.
@@ -134,9 +134,9 @@
     /// not one for each connection that is kept.
     pub async fn call(&self, call: Call<'_>) -> Result<Answer> {
         let began = time::Instant::now();
-        let stream = self.connect(call.limit).await?;
+        let stream = self.connect(call.timeout).await?;
         let req = self.build(&call)?;
-        let left = call.limit.saturating_sub(began.elapsed());
+        let left = call.timeout.saturating_sub(began.elapsed());
         let exchange = exchange(stream.clone(), req);
         let Ok(exchanged) = future::timeout(left, exchange).await else {
             // If one connection stopped answering without a reset, the others may have too.
@@ -180,7 +180,8 @@
         let body = serde_json::to_vec(body).map_err(|_| HttpError::NotSent)?;
         let headers = [("content-type", "application/json")];
         let method = http_types::Method::Post;
-        let answer = self.call(Call { method, path, headers: &headers, body, limit }).await?;
+        let answer =
+            self.call(Call { method, path, headers: &headers, body, timeout: limit }).await?;
         answer.json().ok_or(HttpError::Unclear)
     }
 }
--- a/crates/remote/src/store.rs
+++ b/crates/remote/src/store.rs
@@ -150,7 +150,7 @@
             path: "/v1/txn",
             headers: &[("content-type", "application/json")],
             body,
-            limit: self.limit,
+            timeout: self.limit,
         };
         let Ok(answer) = self.http.call(call).await else { return StoreAnswer::Unclear };
         match answer.status {
@@ -168,7 +168,13 @@
 
     async fn read(&self, path: &str, limit: time::Duration) -> (StoreAnswer, u64) {
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
-        let call = http::Call { method: Method::Get, path, headers: &[], body: Vec::new(), limit };
+        let call = http::Call {
+            method: Method::Get,
+            path,
+            headers: &[],
+            body: Vec::new(),
+            timeout: limit,
+        };
         let Ok(answer) = self.http.call(call).await else { return (StoreAnswer::Unclear, 0) };
         let index = answer.header(INDEX_HEADER).and_then(|v| v.parse().ok()).unwrap_or(0);
         match answer.status {
--- a/crates/remote/src/worker.rs
+++ b/crates/remote/src/worker.rs
@@ -65,7 +65,7 @@
         limit: time::Duration,
     ) -> WorkerAnswer {
         match self.http.post_json(path, req, limit).await {
-            Ok(outcome) => WorkerAnswer::Verdict(outcome),
+            Ok(outcome) => WorkerAnswer::CommandOutcome(outcome),
             Err(_) => WorkerAnswer::Unclear,
         }
     }
@@ -83,7 +83,13 @@
         let path = format!("/svc/{service}{path}");
         let epoch = epoch.0.to_string();
         let headers = [(wire::EPOCH_HEADER, epoch.as_str()), ("x-request-id", request_id)];
-        let call = http::Call { method: Method::Post, path: &path, headers: &headers, body, limit };
+        let call = http::Call {
+            method: Method::Post,
+            path: &path,
+            headers: &headers,
+            body,
+            timeout: limit,
+        };
         match self.http.call(call).await {
             Ok(answer) => match answer.header(wire::REFUSAL_HEADER) {
                 Some(text) => {
--- a/crates/remote/tests/whole.rs
+++ b/crates/remote/tests/whole.rs
@@ -44,7 +44,7 @@
 
 fn call(limit_ms: u64) -> Call<'static> {
     let limit = Duration::from_millis(limit_ms);
-    Call { method: Method::Get, path: "/", headers: &[], body: Vec::new(), limit }
+    Call { method: Method::Get, path: "/", headers: &[], body: Vec::new(), timeout: limit }
 }
 
 async fn ask(answers: Vec<&'static str>) -> Result<Vec<u8>, HttpError> {
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -23,22 +23,22 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// The most connections at a time; further ones are closed on accept.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The longest wait for a complete header, idle time included.
-    pub header: Duration,
+    pub header_timeout: Duration,
     /// The longest time to read a body.
-    pub body: Duration,
+    pub body_timeout: Duration,
     /// The largest body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connections: 4_096,
-            header: Duration::from_secs(30),
-            body: Duration::from_secs(10),
-            body_bytes: 1 << 20,
+            max_connections: 4_096,
+            header_timeout: Duration::from_secs(30),
+            body_timeout: Duration::from_secs(10),
+            max_body_bytes: 1 << 20,
         }
     }
 }
@@ -54,7 +54,7 @@
 
 /// A request and the result of reading its body.
 #[derive(Debug)]
-pub struct Whole {
+pub struct FullRequest {
     /// The request; its own body is empty.
     pub req: Request,
     /// The body, or why it was not accepted.
@@ -84,7 +84,7 @@
 /// Returns the error of binding the address.
 pub async fn bind<H, F>(addr: &str, limits: Limits, handler: H) -> io::Result<Listener>
 where
-    H: Fn(Whole) -> F + Clone + Send + Sync + 'static,
+    H: Fn(FullRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let listener = net::TcpListener::bind(addr).await?;
@@ -131,7 +131,7 @@
     shared: Arc<ListenerState>,
     handler: H,
 ) where
-    H: Fn(Whole) -> F + Clone + Send + Sync + 'static,
+    H: Fn(FullRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let mut incoming = listener.incoming();
@@ -142,7 +142,7 @@
             task::sleep(POLL_INTERVAL).await;
             continue;
         };
-        if shared.connections.load(Ordering::SeqCst) >= limits.connections {
+        if shared.connections.load(Ordering::SeqCst) >= limits.max_connections {
             continue;
         }
         shared.connections.fetch_add(1, Ordering::SeqCst);
@@ -162,7 +162,7 @@
     shared: &Arc<ListenerState>,
     handler: H,
 ) where
-    H: Fn(Whole) -> F + Clone + Send + Sync + 'static,
+    H: Fn(FullRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     // Counts the request as in flight until its answer has been written, not only built.
@@ -179,7 +179,7 @@
     });
     loop {
         let exchange = server.accept_one();
-        let timeout = header_timeout(limits.header, &current);
+        let timeout = header_timeout(limits.header_timeout, &current);
         futures::pin_mut!(exchange, timeout);
         let ended = match futures::future::select(exchange, timeout).await {
             Either::Left((status, _)) => status,
@@ -232,12 +232,12 @@
     handler: H,
 ) -> Response
 where
-    H: Fn(Whole) -> F,
+    H: Fn(FullRequest) -> F,
     F: Future<Output = Response> + Send + 'static,
 {
     let body = read_body(&mut req, limits).await;
     let body_unread = body.is_err();
-    let handling = handler(Whole { req, body });
+    let handling = handler(FullRequest { req, body });
     // The handler runs in a task of its own, so that a caller who disconnects doesn't cancel it
     // between storing a claim and storing how the request ended.
     let res = task::spawn(async move {
@@ -254,14 +254,14 @@
 
 async fn read_body(req: &mut Request, limits: Limits) -> Result<Vec<u8>, BodyError> {
     let declared = req.len();
-    if declared.is_some_and(|len| len > limits.body_bytes) {
+    if declared.is_some_and(|len| len > limits.max_body_bytes) {
         return Err(BodyError::TooLarge);
     }
     let mut bytes = Vec::with_capacity(declared.unwrap_or(0));
-    let mut body = req.take_body().take(limits.body_bytes as u64 + 1);
-    let read = future::timeout(limits.body, body.read_to_end(&mut bytes)).await;
+    let mut body = req.take_body().take(limits.max_body_bytes as u64 + 1);
+    let read = future::timeout(limits.body_timeout, body.read_to_end(&mut bytes)).await;
     match read {
-        Ok(Ok(_)) if bytes.len() > limits.body_bytes => Err(BodyError::TooLarge),
+        Ok(Ok(_)) if bytes.len() > limits.max_body_bytes => Err(BodyError::TooLarge),
         Ok(Ok(_)) if declared.is_none_or(|len| len == bytes.len()) => Ok(bytes),
         _ => Err(BodyError::Truncated),
     }
--- a/crates/serve/tests/limits.rs
+++ b/crates/serve/tests/limits.rs
@@ -4,20 +4,20 @@
 
 use async_std::io::{ReadExt, WriteExt};
 use async_std::{net, task};
-use gaplock_serve::{bind, json_response, BodyError, Limits, Listener, Whole};
+use gaplock_serve::{bind, json_response, BodyError, FullRequest, Limits, Listener};
 
 fn limits() -> Limits {
     Limits {
-        connections: 2,
-        header: Duration::from_millis(300),
-        body: Duration::from_millis(300),
-        body_bytes: 100,
+        max_connections: 2,
+        header_timeout: Duration::from_millis(300),
+        body_timeout: Duration::from_millis(300),
+        max_body_bytes: 100,
     }
 }
 
 /// Starts a listener that answers each request with its body, `delay` later.
 async fn echo(delay: Duration) -> Listener {
-    let handler = move |request: Whole| async move {
+    let handler = move |request: FullRequest| async move {
         task::sleep(delay).await;
         match request.body {
             Ok(body) => json_response(200, body),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -81,7 +81,7 @@
     values: BTreeMap<&'static str, String>,
     table: &'static [Setting],
     /// The arguments that are not flags.
-    pub free: Vec<String>,
+    pub positional: Vec<String>,
 }
 
 /// What the command line requests.
@@ -137,7 +137,7 @@
     if !errors.is_empty() {
         return Err(SettingErrors(errors));
     }
-    let values = Values { values, table, free: matches.free.clone() };
+    let values = Values { values, table, positional: matches.free.clone() };
     if matches.opt_present("check") {
         return Ok(Invocation::Print(values.describe()));
     }
--- a/crates/settings/src/logs.rs
+++ b/crates/settings/src/logs.rs
@@ -20,12 +20,12 @@
 }
 
 /// Keeps the writer of queued logs running; dropping it writes the lines that are still queued.
-pub struct Logs {
+pub struct LogGuard {
     _writer: tracing_appender::non_blocking::WorkerGuard,
     dropped: ErrorCounter,
 }
 
-impl Logs {
+impl LogGuard {
     /// Returns the counter of lines that were dropped because the output was not read fast enough.
     pub fn dropped(&self) -> ErrorCounter {
         self.dropped.clone()
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// Returns why the filter `level` does not parse or logging can't start.
-pub fn start_bounded(level: &str) -> Result<Logs, String> {
+pub fn start_bounded(level: &str) -> Result<LogGuard, String> {
     let filter = EnvFilter::try_new(level).map_err(|e| format!("--log: {e}"))?;
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
         .lossy(true)
@@ -54,5 +54,5 @@
         .with_writer(writer)
         .try_init()
         .map_err(|e| e.to_string())?;
-    Ok(Logs { _writer: guard, dropped })
+    Ok(LogGuard { _writer: guard, dropped })
 }
--- a/crates/soak/src/bin/processes.rs
+++ b/crates/soak/src/bin/processes.rs
@@ -44,7 +44,7 @@
     };
     let given = |name| Some(values.number(name)).filter(|n| *n > 0);
     let options = Options {
-        faulty: Duration::from_secs(values.number("seconds")),
+        fault_time: Duration::from_secs(values.number("seconds")),
         workers: given("workers").map(|n| n as usize),
         threads: given("node-threads"),
     };
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gaplock_coord::state;
-use gaplock_standin::checker::{Findings, Verdicts};
+use gaplock_standin::checker::{CheckerReport, Findings};
 use gaplock_types::{ids, wire};
 
 use crate::clients::Clients;
@@ -28,7 +28,7 @@
     found
 }
 
-fn collect_verdicts(w: &mut Simulation) -> Vec<Verdicts> {
+fn collect_verdicts(w: &mut Simulation) -> Vec<CheckerReport> {
     (0..w.workers.len())
         .flat_map(|i| {
             let now = w.worker_clock(i);
@@ -36,13 +36,16 @@
             let stretches = w.stretches(i);
             let host = &w.workers[i];
             let ops = BTreeMap::new;
-            let past = host.past_counts.iter().map(move |counts| Verdicts {
+            let past = host.past_counts.iter().map(move |counts| CheckerReport {
                 counts: counts.clone(),
                 stretches: Vec::new(),
                 ops: ops(),
             });
-            let current =
-                Verdicts { counts: host.model.counts.clone(), stretches, ops: BTreeMap::new() };
+            let current = CheckerReport {
+                counts: host.model.counts.clone(),
+                stretches,
+                ops: BTreeMap::new(),
+            };
             past.chain([current]).collect::<Vec<_>>()
         })
         .collect()
@@ -50,13 +53,13 @@
 
 /// Attributes the time that a borrowed run ran to the lender's run, so that a task that runs at both
 /// is detected.
-fn attribute_borrowed_runs(w: &Simulation, verdicts: &mut [Verdicts]) {
+fn attribute_borrowed_runs(w: &Simulation, verdicts: &mut [CheckerReport]) {
     let mut lenders: BTreeMap<ids::TaskId, wire::Run> = BTreeMap::new();
     for e in &w.entries {
         let Some(node) = &e.node else { continue };
         for (id, _) in node.owned() {
             let Some(p) = node.partition(id) else { continue };
-            for (number, job) in p.committed().jobs.iter().filter(|(_, job)| job.borrowed()) {
+            for (number, job) in p.committed().jobs.iter().filter(|(_, job)| job.is_borrowed()) {
                 let borrowed = state::task_id(id, *number, 0);
                 let mut parts = job.key.as_str().split(':').skip(1);
                 let task = parts.next().and_then(|t| t.parse().ok());
@@ -145,7 +148,7 @@
         let Some(node) = &e.node else { continue };
         for (id, _) in node.owned() {
             let Some(p) = node.partition(id) else { continue };
-            for row in p.survey().workers {
+            for row in p.summary().workers {
                 let (state, tasks) = (row.state, row.tasks);
                 workers
                     .push(format!("{} {state} {}/{} {tasks}", row.worker, row.used, row.capacity));
@@ -153,7 +156,7 @@
             for (number, job) in &p.committed().jobs {
                 for (i, t) in job.tasks.iter().enumerate() {
                     let task = state::task_id(id, *number, i as u32);
-                    whys.insert(task, p.why_assigned(task, t));
+                    whys.insert(task, p.explain_task(task, t));
                 }
             }
             for (number, job) in &p.committed().jobs {
--- a/crates/soak/src/processes.rs
+++ b/crates/soak/src/processes.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
     /// How long faults are injected and jobs are submitted.
-    pub faulty: Duration,
+    pub fault_time: Duration,
     /// Number of workers; `None` for the number drawn from the seed.
     pub workers: Option<usize>,
     /// Number of threads of each daemon; `None` for the default of its runtime library.
@@ -63,7 +63,7 @@
 
 impl Default for Options {
     fn default() -> Self {
-        Self { faulty: FAULT_DURATION, workers: None, threads: None }
+        Self { fault_time: FAULT_DURATION, workers: None, threads: None }
     }
 }
 
@@ -111,7 +111,7 @@
 
 /// How long runs of cancelled jobs may still exist after all other checks: a start that was carried out late at
 /// the end of the watched quiet phase is stopped within that time.
-const CANCELLED_STOP_LIMIT: Duration = checker::OUTSTAY_LIMIT;
+const CANCELLED_STOP_LIMIT: Duration = checker::CANCELLED_RUN_LIMIT;
 
 /// Number of worker incarnations that must have ended under a task before the task may fail as one that crashes
 /// workers. It counts only in seeds where all workers crash together: there an innocent task cannot be
@@ -154,7 +154,7 @@
 /// Returns an error if the site could not be started or its processes could not be controlled.
 pub fn run_with(program: PathBuf, seed: u64, options: Options) -> io::Result<Report> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let profile = fault_profile(seed, options.faulty, &mut rng);
+    let profile = fault_profile(seed, options.fault_time, &mut rng);
     let plan = plan(program, seed, profile, options, &mut rng);
     let mut report = Report { seed, ..Report::default() };
     let site = Mutex::new(site::open(&plan)?);
@@ -214,11 +214,11 @@
 /// Lets the checker watch the site without faults, once one host is its leader.
 fn watch_quiet_phase(site: &Site, profile: FaultProfile) {
     wait(READY_LIMIT, || site.leader().is_some_and(|leader| site.hosts[leader].is_ready()));
-    site.fleet.note_calm();
+    site.fleet.note_no_faults();
     if profile.late_orders {
         thread::sleep(QUIET_WATCH_TIME);
     } else {
-        thread::sleep(checker::OUTSTAY_LIMIT + POLL_INTERVAL);
+        thread::sleep(checker::CANCELLED_RUN_LIMIT + POLL_INTERVAL);
     }
 }
 
@@ -248,7 +248,7 @@
             if met() {
                 return true;
             }
-            let left = if site.fleet.has_room() { &mut self.left } else { &mut self.full };
+            let left = if site.fleet.has_capacity() { &mut self.left } else { &mut self.full };
             let before = Instant::now();
             thread::sleep(POLL_INTERVAL);
             *left = left.saturating_sub(before.elapsed());
@@ -288,7 +288,7 @@
     check_cancelled(site, report);
     report.violations.extend(site.fleet.violations());
     report.resumed = site.fleet.resumed();
-    report.thrown_away = site.fleet.thrown_away();
+    report.thrown_away = site.fleet.discarded_work();
 }
 
 /// Checks that no task of a cancelled job runs at the end of the quiet phase. Starts that were carried out late
@@ -301,7 +301,7 @@
 
 /// Checks that all tasks of a long-running job run; there is enough capacity for them.
 fn check_runs(site: &Site, key: JobKey, budget: &mut WaitBudget, report: &mut Report) {
-    let wanted = site::LASTING_TASKS;
+    let wanted = site::LONG_RUNNING_TASKS;
     if !budget.wait(site, || site.fleet.running_of(key) == wanted) {
         let running = site.fleet.running_of(key);
         report.violations.push(format!("{key} lasts, and {running} of its {wanted} tasks run"));
@@ -311,8 +311,8 @@
 /// Checks that an accepted job ends or is cancelled, and that its state is shown to its caller.
 fn check_ended(site: &Site, key: JobKey, end: &str, budget: &mut WaitBudget, report: &mut Report) {
     let mut last = None;
-    let may_fail =
-        cancels::applies_to(report.seed) && site.fleet.most_lost(key) >= MIN_LOSSES_TO_FAIL;
+    let may_fail = cancels::applies_to(report.seed)
+        && site.fleet.most_lost_incarnations(key) >= MIN_LOSSES_TO_FAIL;
     let ended = budget.wait(site, || {
         last = site.hosts.iter().find_map(|h| h.state(key));
         let word = last.as_ref().map(|(_, word)| word.as_str());
--- a/crates/soak/src/processes/callers.rs
+++ b/crates/soak/src/processes/callers.rs
@@ -8,7 +8,7 @@
 use gaplock_platform_standin::caller::Caller;
 use gaplock_platform_standin::checker::acknowledges;
 use gaplock_platform_standin::fleet::Acknowledgements;
-use gaplock_platform_standin::site::{crashing, gang, lasting, saving, two_steps, Site};
+use gaplock_platform_standin::site::{crashing, gang, long_running, saving, two_steps, Site};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -101,7 +101,7 @@
         Kind::Checkpoints => saving(0),
         Kind::CheckpointsTwice => saving(2),
         Kind::Gang => gang(),
-        Kind::LongRunning => lasting(),
+        Kind::LongRunning => long_running(),
         Kind::Crashes => crashing(),
     }
 }
--- a/crates/soak/src/processes/environment.rs
+++ b/crates/soak/src/processes/environment.rs
@@ -102,7 +102,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(STREAM);
     if rng.random_range(0..2) == 0 {
-        site.leave_room_unguarded();
+        site.disable_capacity_checks();
     }
     Some(EnvironmentFaults { rng, periods: Vec::new(), next: Instant::now() })
 }
@@ -122,7 +122,7 @@
             begin(site, period.fault, !period.active);
             period.active = true;
         }
-        site.note_readable();
+        site.note_directory_readable();
         Ok(added)
     }
 
@@ -130,9 +130,9 @@
     pub(super) fn end(&mut self, site: &mut Site) {
         self.periods.clear();
         for worker in 0..site.fleet.len() {
-            site.fleet.set_room(worker, FULL_CAPACITY_MILLICORES);
+            site.fleet.set_capacity(worker, FULL_CAPACITY_MILLICORES);
         }
-        site.note_readable();
+        site.note_directory_readable();
     }
 
     fn end_due(&mut self, site: &mut Site, now: Instant) {
@@ -145,9 +145,9 @@
         };
         for period in ended.iter().filter(|s| s.active && !other_active(s.fault)) {
             match period.fault {
-                EnvironmentFault::ForeignEntry(worker, _) => site.fleet.enter_again(worker),
+                EnvironmentFault::ForeignEntry(worker, _) => site.fleet.register_again(worker),
                 EnvironmentFault::Capacity(worker, _) => {
-                    site.fleet.set_room(worker, FULL_CAPACITY_MILLICORES)
+                    site.fleet.set_capacity(worker, FULL_CAPACITY_MILLICORES)
                 }
                 EnvironmentFault::Suspended(host) => site.hosts[host].signal(Signal::CONT),
                 EnvironmentFault::StoreUnavailable => site.store.set_down(false),
@@ -190,7 +190,7 @@
 
     /// Writes a key that no part of the system uses.
     fn write_key(&mut self, site: &Site, worker: usize) {
-        let mut keys = foreign::own_keys();
+        let mut keys = foreign::foreign_keys_under_daemon_prefix();
         keys.extend(foreign::directory_keys(&site.fleet.entry(worker)));
         if let Some(found) = keys.choose(&mut self.rng) {
             site.store.put_bytes(&found.key, &found.value);
@@ -230,7 +230,7 @@
             let all = foreign::entries(&site.fleet.entry(worker));
             site.fleet.overwrite(worker, &all[entry].1);
         }
-        EnvironmentFault::Capacity(worker, capacity) => site.fleet.set_room(worker, capacity),
+        EnvironmentFault::Capacity(worker, capacity) => site.fleet.set_capacity(worker, capacity),
         EnvironmentFault::StoreUnavailable => site.store.set_down(true),
     }
 }
--- a/crates/soak/src/processes/faults.rs
+++ b/crates/soak/src/processes/faults.rs
@@ -6,7 +6,7 @@
 use std::{io, thread};
 
 use gaplock_platform_standin::checker;
-use gaplock_platform_standin::faults::{Lateness, StoreTrouble, WorkerTrouble};
+use gaplock_platform_standin::faults::{Lateness, StoreFaults, WorkerFaults};
 use gaplock_platform_standin::relay::Mode;
 use gaplock_platform_standin::site::{self, Site};
 use rand::Rng;
@@ -58,9 +58,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeriodFault {
     /// A worker carries orders out late or is overloaded.
-    Worker(usize, WorkerTrouble),
+    Worker(usize, WorkerFaults),
     /// The store writes late and loses answers, as drawn from a seed.
-    Writes(StoreTrouble, u64),
+    Writes(StoreFaults, u64),
     /// The store refuses transactions.
     Refusals,
     /// The leader is killed.
@@ -84,17 +84,17 @@
         let by_leases = !profile.only_single_faults() && rng.random_range(0..2) == 0;
         let lateness = if by_leases { Lateness::ByLeases } else { Lateness::ByStart };
         site.fleet.set_lateness(worker, lateness);
-        site.fleet.set_trouble(worker, healthy_worker(worker));
+        site.fleet.set_faults(worker, healthy_worker(worker));
     }
 }
 
 /// Returns the settings of a worker without faults. How long its runs take to stop depends on the
 /// worker and is at most half of the limit. Every third worker refuses checkpoints that it cannot use, and
 /// every second one also lists a checkpoint text for tasks that save nothing.
-fn healthy_worker(n: usize) -> WorkerTrouble {
+fn healthy_worker(n: usize) -> WorkerFaults {
     let stop_takes = checker::STOP_LIMIT * (n as u32 % 4) / 6;
     let (refuses_checkpoints, lists_unsaved) = (n % 3 == 1, n.is_multiple_of(2));
-    WorkerTrouble { stop_takes, refuses_checkpoints, lists_unsaved, ..WorkerTrouble::default() }
+    WorkerFaults { stop_takes, refuses_checkpoints, lists_unsaved, ..WorkerFaults::default() }
 }
 
 /// Injects faults until the fault phase and the faults of the store are over, then ends all faults.
@@ -212,10 +212,10 @@
             PeriodFault::Worker(n, _)
                 if !other_active(&|t| matches!(t, PeriodFault::Worker(m, _) if m == n)) =>
             {
-                site.fleet.set_trouble(n, healthy_worker(n));
+                site.fleet.set_faults(n, healthy_worker(n));
             }
             PeriodFault::Writes(..) if !other_active(&|t| matches!(t, PeriodFault::Writes(..))) => {
-                site.store.set_trouble(StoreTrouble::default(), 0);
+                site.store.set_faults(StoreFaults::default(), 0);
             }
             PeriodFault::NetworkCut(n) if !other_active(&|t| t == fault) => {
                 site.fleet.set_link(n, Mode::Pass)
@@ -241,7 +241,7 @@
                 continue;
             }
             let (late, unwell) = (rng.random_range(CALL_PERCENT), rng.random_range(CALL_PERCENT));
-            let fault = WorkerTrouble { late, unwell, ..healthy_worker(worker) };
+            let fault = WorkerFaults { late, overloaded: unwell, ..healthy_worker(worker) };
             let until = Instant::now() + millis(rng, FAULT_PERIOD_MS);
             self.add(PeriodFault::Worker(worker, fault), Instant::now(), until);
         }
@@ -254,11 +254,7 @@
         let late = rng.random_range(LATE_WRITE_PERCENT);
         let lost = if rng.random_range(0..3) == 0 { rng.random_range(CALL_PERCENT) } else { 0 };
         let refusing_from = now + millis(rng, LATE_WRITES_MS);
-        self.add(
-            PeriodFault::Writes(StoreTrouble { late, lost }, rng.random()),
-            now,
-            refusing_from,
-        );
+        self.add(PeriodFault::Writes(StoreFaults { late, lost }, rng.random()), now, refusing_from);
         if rng.random_range(0..4) == 0 {
             return;
         }
@@ -273,8 +269,8 @@
 
 fn begin(site: &mut Site, fault: PeriodFault) -> io::Result<()> {
     match fault {
-        PeriodFault::Worker(n, fault) => site.fleet.set_trouble(n, fault),
-        PeriodFault::Writes(fault, seed) => site.store.set_trouble(fault, seed),
+        PeriodFault::Worker(n, fault) => site.fleet.set_faults(n, fault),
+        PeriodFault::Writes(fault, seed) => site.store.set_faults(fault, seed),
         PeriodFault::Refusals => site.store.set_writes_refused(true),
         PeriodFault::NetworkCut(n) => site.fleet.set_link(n, Mode::Silent),
         PeriodFault::KillLeader => {
@@ -290,10 +286,10 @@
 fn end_all_faults(site: &mut Site) -> io::Result<()> {
     site.store.set_down(false);
     site.store.set_writes_refused(false);
-    site.store.set_trouble(StoreTrouble::default(), 0);
+    site.store.set_faults(StoreFaults::default(), 0);
     for worker in 0..site.fleet.len() {
         site.fleet.set_link(worker, Mode::Pass);
-        site.fleet.set_trouble(worker, healthy_worker(worker));
+        site.fleet.set_faults(worker, healthy_worker(worker));
     }
     for host in &mut site.hosts {
         host.store_link.set(Mode::Pass);
@@ -325,7 +321,7 @@
         6 => site.hosts[at].store_link.set(Mode::OneWay),
         7 => site.hosts[at].store_link.set(Mode::Delay),
         8 => site.store.set_down(rng.random_range(0..2) == 0),
-        9 => site.hosts[at].store_link.silence_open(),
+        9 => site.hosts[at].store_link.silence_open_connections(),
         _ => return repair_host(site, rng),
     }
     // Half of the time another fault is repaired, so that faults overlap but do not accumulate until
@@ -346,7 +342,7 @@
         2 => site.fleet.set_link(at, Mode::Reset),
         3 => site.fleet.set_link(at, Mode::OneWay),
         4 => site.fleet.set_link(at, Mode::Delay),
-        5 => site.fleet.silence_open(at),
+        5 => site.fleet.silence_open_connections(at),
         _ => site.fleet.set_link(at, Mode::Pass),
     }
 }
@@ -356,7 +352,7 @@
     let (at, now) = (rng.random_range(0..site.fleet.len()), Instant::now());
     match rng.random_range(0..3) {
         0 => site.fleet.crash(at),
-        1 => site.fleet.leave(at, millis(rng, LEAVING_NOTICE_MS)),
+        1 => site.fleet.drain(at, millis(rng, LEAVING_NOTICE_MS)),
         _ => periods.add(PeriodFault::NetworkCut(at), now, now + millis(rng, NETWORK_CUT_MS)),
     }
 }
--- a/crates/soak/src/processes/restarts.rs
+++ b/crates/soak/src/processes/restarts.rs
@@ -55,7 +55,7 @@
         let workers = site.fleet.len();
         let many = self.rng.random_range(0..5) == 0;
         for _ in 0..if many { workers } else { 1 } {
-            site.fleet.start_over(self.rng.random_range(0..workers));
+            site.fleet.restart_in_place(self.rng.random_range(0..workers));
         }
         let leader = site.leader().filter(|_| self.rng.random_range(0..6) == 0);
         if let Some(leader) = leader {
--- a/crates/soak/src/simulation/actions.rs
+++ b/crates/soak/src/simulation/actions.rs
@@ -21,7 +21,7 @@
                 self.note(format!("confirmation {} at e{i}: {outcome:?}", id.0));
                 self.confirmations.entry(id.0).or_insert(outcome);
             }
-            Action::Beat(beat) => self.beat(i, &beat),
+            Action::Heartbeat(beat) => self.beat(i, &beat),
             Action::HandOver { to, partition } => {
                 let to = entry_number(&to);
                 if !self.peers_partitioned(i, to) {
@@ -30,7 +30,7 @@
                     self.send(Due::ToNode { to, process_number, event });
                 }
             }
-            Action::Ask { from, to, run, command } => {
+            Action::ForwardCommand { from, to, run, command } => {
                 let id = self.command(i, to, command);
                 self.loan_queries.insert(id, (i, process_number, from, run));
             }
@@ -41,14 +41,14 @@
                 }
             }
             Action::InForce(config) => self.put_in_force(i, &config),
-            Action::Note(n) if n.kind.ends_with("misfit") || n.kind == "chart" => {
+            Action::Decision(n) if n.kind.ends_with("misfit") || n.kind == "chart" => {
                 self.violations.push(format!("e{i} {} {}: {}", n.kind, n.subject, n.why));
             }
-            Action::Note(n) => self.note(format!("e{i} {} {}: {}", n.kind, n.subject, n.why)),
+            Action::Decision(n) => self.note(format!("e{i} {} {}: {}", n.kind, n.subject, n.why)),
             Action::Violated(v) => {
                 self.violations.push(format!("e{i} {:?}: {}", v.invariant, v.evidence));
             }
-            Action::Offer(_) | Action::Busy { .. } | Action::ClosePartition(_) => {}
+            Action::Offer(_) | Action::BusySlots { .. } | Action::ClosePartition(_) => {}
         }
     }
 
@@ -84,7 +84,7 @@
             self.send(Due::ToNode {
                 to,
                 process_number,
-                event: Box::new(Event::Beat(beat.clone())),
+                event: Box::new(Event::Heartbeat(beat.clone())),
             });
         }
     }
@@ -101,7 +101,7 @@
         }
         let answer = self.store.carry_out(req);
         let write = matches!(req, StoreCall::Cas { .. } | StoreCall::Delete { .. });
-        if write && self.store.loses() {
+        if write && self.store.draw_answer_loss() {
             self.faults += 1;
             return;
         }
--- a/crates/soak/src/simulation/mod.rs
+++ b/crates/soak/src/simulation/mod.rs
@@ -122,7 +122,7 @@
     /// Its model.
     pub model: worker::Model,
     /// Runs on earlier boots, by the clock of the simulation.
-    pub past: Vec<worker::Stretch>,
+    pub past: Vec<worker::RunInterval>,
     /// Counters of earlier boots.
     pub past_counts: Vec<worker::Counts>,
     /// When its suspension ends.
@@ -189,15 +189,15 @@
         task_ttl: ms(3_000),
         // Longer than any silence that the faults can cause in sum; the scenario silent_limit tests it.
         silent_limit: ms(60_000),
-        renew_right: ms(5_000),
+        renew_limit: ms(5_000),
         confirm_every: ms(500),
         beat_every: ms(150),
         member_ttl: ms(900),
         member_refresh: ms(400),
         config_max_age: ms(3_000),
         drift_per_mille: 20,
-        once_keep: ms(10_000_000),
-        job_keep: ms(10_000_000),
+        claim_retention: ms(10_000_000),
+        job_retention: ms(10_000_000),
     }
 }
 
@@ -369,7 +369,7 @@
             }
             Due::ReplyTo { id, reply } => {
                 if let Some((to, process_number, partition, run)) = self.loan_queries.remove(&id) {
-                    self.deliver(to, process_number, Event::LoanTold { partition, run, reply });
+                    self.deliver(to, process_number, Event::LoanReported { partition, run, reply });
                     return;
                 }
                 self.replies.entry(id).or_insert(reply);
--- a/crates/soak/src/simulation/workers.rs
+++ b/crates/soak/src/simulation/workers.rs
@@ -17,7 +17,7 @@
 impl Simulation {
     pub(super) fn add_worker(&mut self, i: usize) {
         let rate_per_mille = self.draw_rate();
-        let traits = worker::Traits {
+        let traits = worker::WorkerConfig {
             capacity: CAPACITY,
             usage_lag_ms: 500,
             checkpoint_every_ms: 200,
@@ -25,7 +25,7 @@
             // as two suspensions in a row.
             leaving_grace_ms: 25_000,
             seed: i as u64,
-            ..worker::Traits::default()
+            ..worker::WorkerConfig::default()
         };
         let model = worker::Model::open(traits, wire::Boot(1000 * i as u64 + 1), time::Instant(0));
         self.workers.push(WorkerHost {
@@ -83,14 +83,14 @@
     pub(super) fn serve_worker(&mut self, to: usize, req: &WorkerCall) -> WorkerAnswer {
         let start = matches!(req, WorkerCall::Start(_));
         if start && self.draw_fault(Fault::RefusedStarts, REFUSED_ONE_IN) {
-            return WorkerAnswer::Verdict(wire::CommandOutcome::NoRoom);
+            return WorkerAnswer::CommandOutcome(wire::CommandOutcome::NoRoom);
         }
         let now = self.worker_clock(to);
         let model = &mut self.workers[to].model;
         match req {
             WorkerCall::Lease(req) => WorkerAnswer::Lease(model.lease(now, req)),
-            WorkerCall::Start(req) => WorkerAnswer::Verdict(model.start(now, req)),
-            WorkerCall::Control(req) => WorkerAnswer::Verdict(model.control(now, req)),
+            WorkerCall::Start(req) => WorkerAnswer::CommandOutcome(model.start(now, req)),
+            WorkerCall::Control(req) => WorkerAnswer::CommandOutcome(model.control(now, req)),
         }
     }
 
@@ -100,12 +100,12 @@
     }
 
     /// Returns when which runs ran on a worker, over all its boots, by the clock of the simulation.
-    pub fn stretches(&self, i: usize) -> Vec<worker::Stretch> {
+    pub fn stretches(&self, i: usize) -> Vec<worker::RunInterval> {
         let w = &self.workers[i];
         let rate = w.rate_per_mille;
         let global = |ms: u64| ms * 1000 / rate;
         let mut all = w.past.clone();
-        all.extend(w.model.stretches.iter().map(|s| worker::Stretch {
+        all.extend(w.model.stretches.iter().map(|s| worker::RunInterval {
             from_ms: global(s.from_ms),
             to_ms: s.to_ms.map(global),
             ..s.clone()
@@ -130,7 +130,7 @@
         let mut past = self.stretches(i);
         for s in &mut past {
             s.to_ms.get_or_insert(self.now);
-            if s.done && self.workers[i].model.unacknowledged(&s.run) {
+            if s.done && self.workers[i].model.is_unacknowledged(&s.run) {
                 (s.done, s.unsure) = (false, true);
             }
         }
--- a/crates/soak/tests/late_calls.rs
+++ b/crates/soak/tests/late_calls.rs
@@ -74,7 +74,8 @@
 impl Simulation {
     fn open(workers: &[&str]) -> Self {
         let model = |i: usize| {
-            let traits = worker::Traits { capacity: CAPACITY, ..worker::Traits::default() };
+            let traits =
+                worker::WorkerConfig { capacity: CAPACITY, ..worker::WorkerConfig::default() };
             worker::Model::open(traits, wire::Boot(i as u64 + 1), time::Instant(0))
         };
         let each = workers.iter().enumerate().map(|(i, name)| (name.to_string(), model(i)));
@@ -116,8 +117,8 @@
         let answer = match self.workers.get_mut(name.as_str()) {
             Some(model) if !o.partitioned.contains(name.as_str()) => match req {
                 WorkerCall::Lease(req) => WorkerAnswer::Lease(model.lease(now, req)),
-                WorkerCall::Start(req) => WorkerAnswer::Verdict(model.start(now, req)),
-                WorkerCall::Control(req) => WorkerAnswer::Verdict(model.control(now, req)),
+                WorkerCall::Start(req) => WorkerAnswer::CommandOutcome(model.start(now, req)),
+                WorkerCall::Control(req) => WorkerAnswer::CommandOutcome(model.control(now, req)),
             },
             _ => WorkerAnswer::Unclear,
         };
@@ -143,7 +144,7 @@
         let mut running = BTreeSet::new();
         for (name, model) in &mut self.workers {
             model.advance(now);
-            for (run, _) in model.active() {
+            for (run, _) in model.active_runs() {
                 assert!(
                     running.insert(run.task),
                     "{} runs a second time, at {name}, at {now:?}",
@@ -175,7 +176,7 @@
     }
 
     fn claim(&mut self, o: &mut Owner) {
-        o.partition.want(&mut o.cx);
+        o.partition.begin_claim(&mut o.cx);
         self.carry_out_all(o);
     }
 
@@ -217,14 +218,14 @@
     }
 
     fn runs_at(&self, name: &str) -> usize {
-        self.workers[name].active().count()
+        self.workers[name].active_runs().count()
     }
 }
 
 /// Returns a timing whose right to renew outlasts every wait of a successor, as the default of 75
 /// minutes does.
 fn timing_with_long_renew_right() -> Timing {
-    Timing { renew_right: time::Millis(600_000), ..simulation::timing() }
+    Timing { renew_limit: time::Millis(600_000), ..simulation::timing() }
 }
 
 #[test]
@@ -281,7 +282,7 @@
     w.set_hosts(&mut a, &["w0"]);
     w.claim(&mut a);
     w.tick(&mut [&mut a], 400);
-    let old_boot = a.partition.survey().workers[0].boot;
+    let old_boot = a.partition.summary().workers[0].boot;
     let now = time::Instant(w.now);
     let traits = w.workers["w0"].traits.clone();
     w.workers.insert("w0".to_string(), worker::Model::open(traits, wire::Boot(9), now));
--- a/crates/soak/tests/scenarios.rs
+++ b/crates/soak/tests/scenarios.rs
@@ -62,10 +62,10 @@
         self.hosts.clear();
         for name in names {
             let now = self.cx.now;
-            let traits = worker::Traits {
+            let traits = worker::WorkerConfig {
                 capacity: CAPACITY,
                 checkpoint_every_ms: 200,
-                ..worker::Traits::default()
+                ..worker::WorkerConfig::default()
             };
             let boot = wire::Boot(self.workers.len() as u64 + 1);
             let model = self
@@ -128,8 +128,12 @@
                 let answer = match self.workers.get_mut(worker.as_str()) {
                     Some(model) if !self.partitioned.contains(worker.as_str()) => match &req {
                         WorkerCall::Lease(req) => WorkerAnswer::Lease(model.lease(now, req)),
-                        WorkerCall::Start(req) => WorkerAnswer::Verdict(model.start(now, req)),
-                        WorkerCall::Control(req) => WorkerAnswer::Verdict(model.control(now, req)),
+                        WorkerCall::Start(req) => {
+                            WorkerAnswer::CommandOutcome(model.start(now, req))
+                        }
+                        WorkerCall::Control(req) => {
+                            WorkerAnswer::CommandOutcome(model.control(now, req))
+                        }
                     },
                     _ => WorkerAnswer::Unclear,
                 };
@@ -145,7 +149,7 @@
                 };
                 let _ = writeln!(self.out, "reply {}: {text}", id.0);
             }
-            Action::Note(n) => {
+            Action::Decision(n) => {
                 let _ =
                     writeln!(self.out, "@{} {} {}: {}", self.cx.now.0, n.kind, n.subject, n.why);
             }
@@ -167,15 +171,17 @@
         for (number, job) in &state.jobs {
             for (i, t) in job.tasks.iter().enumerate() {
                 let id = gaplock_coord::state::task_id(ids::PartitionId(0), *number, i as u32);
-                let why = self.partition.why_assigned(id, t);
+                let why = self.partition.explain_task(id, t);
                 let (attempt, evictions) = (t.attempt, t.evictions);
                 let _ = writeln!(self.out, "{id} {} {attempt} evictions={evictions} {why}", t.is);
             }
         }
         for (name, model) in &mut self.workers {
             model.advance(self.cx.now);
-            let runs: Vec<String> =
-                model.active().map(|(run, _)| format!("{}/{}", run.task, run.attempt)).collect();
+            let runs: Vec<String> = model
+                .active_runs()
+                .map(|(run, _)| format!("{}/{}", run.task, run.attempt))
+                .collect();
             let doubled = model.counts.doubled + model.counts.over_capacity;
             let _ = writeln!(self.out, "{name} runs [{}] faults={doubled}", runs.join(" "));
         }
@@ -187,7 +193,7 @@
         let mut args = command.consume_args();
         match command.name.as_str() {
             "claim" => {
-                self.partition.want(&mut self.cx);
+                self.partition.begin_claim(&mut self.cx);
                 self.carry_out_all();
             }
             "release" => {
--- a/crates/standin/src/bin/hosts.rs
+++ b/crates/standin/src/bin/hosts.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use async_std::task;
-use gaplock_serve::{json_response, Whole};
+use gaplock_serve::{json_response, FullRequest};
 use gaplock_settings::{setting, Kind, Setting};
 use gaplock_types::wire;
 use http_types::{Method, Response};
@@ -47,7 +47,7 @@
     task::block_on(async {
         let list: Arc<Mutex<HostList>> = Arc::default();
         let handler = move |whole| handle_request(Arc::clone(&list), lag, whole);
-        let limits = gaplock_serve::Limits { body_bytes: 4 << 20, ..Default::default() };
+        let limits = gaplock_serve::Limits { max_body_bytes: 4 << 20, ..Default::default() };
         let listener = gaplock_serve::bind(values.text("listen"), limits, handler)
             .await
             .expect("the listen address can be bound");
@@ -58,7 +58,7 @@
     });
 }
 
-async fn handle_request(list: Arc<Mutex<HostList>>, lag: Duration, whole: Whole) -> Response {
+async fn handle_request(list: Arc<Mutex<HostList>>, lag: Duration, whole: FullRequest) -> Response {
     let path = whole.req.url().path().to_string();
     let body = whole.body.unwrap_or_default();
     match (whole.req.method(), path.as_str()) {
--- a/crates/standin/src/bin/store.rs
+++ b/crates/standin/src/bin/store.rs
@@ -10,7 +10,7 @@
 use base64::Engine;
 use gaplock_coord::action::{Kv, StoreAnswer, StoreCall};
 use gaplock_remote::store::{KvRow, TxnAnswer, TxnOp, TxnResult, INDEX_HEADER};
-use gaplock_serve::{json_response, Whole};
+use gaplock_serve::{json_response, FullRequest};
 use gaplock_settings::{setting, Kind, Setting};
 use gaplock_standin::store::{Faults, Model};
 use gaplock_types::ids;
@@ -28,7 +28,7 @@
     task::block_on(async {
         let model: Shared = Arc::default();
         let handler = move |whole| handle_request(Arc::clone(&model), whole);
-        let limits = gaplock_serve::Limits { body_bytes: 2 << 20, ..Default::default() };
+        let limits = gaplock_serve::Limits { max_body_bytes: 2 << 20, ..Default::default() };
         let listener = gaplock_serve::bind(values.text("listen"), limits, handler)
             .await
             .expect("the listen address can be bound");
@@ -39,7 +39,7 @@
     });
 }
 
-async fn handle_request(model: Shared, whole: Whole) -> Response {
+async fn handle_request(model: Shared, whole: FullRequest) -> Response {
     let url = whole.req.url().clone();
     let path = url.path().to_string();
     let body = whole.body.unwrap_or_default();
@@ -84,7 +84,7 @@
         }
         None => StoreCall::Delete { key: op.key.clone(), index },
     };
-    let delay_ms = model.lock().expect("the lock is not poisoned").late();
+    let delay_ms = model.lock().expect("the lock is not poisoned").draw_write_delay();
     if let Some(delay_ms) = delay_ms {
         let model = Arc::clone(model);
         task::spawn(async move {
@@ -96,7 +96,7 @@
     let (result, answer_lost) = {
         let mut model = model.lock().expect("the lock is not poisoned");
         let result = model.carry_out(&call);
-        let answer_lost = model.loses();
+        let answer_lost = model.draw_answer_loss();
         (result, answer_lost)
     };
     if answer_lost {
--- a/crates/standin/src/bin/worker.rs
+++ b/crates/standin/src/bin/worker.rs
@@ -7,10 +7,10 @@
 use async_std::task;
 use gaplock_coord::assign;
 use gaplock_remote::clock;
-use gaplock_serve::{json_response, Whole};
+use gaplock_serve::{json_response, FullRequest};
 use gaplock_settings::{setting, Kind, Setting};
-use gaplock_standin::checker::Verdicts;
-use gaplock_standin::worker::{Model, Traits};
+use gaplock_standin::checker::CheckerReport;
+use gaplock_standin::worker::{Model, WorkerConfig};
 use gaplock_types::{ids, sizes, wire};
 use http_types::Response;
 use serde::Serialize;
@@ -75,7 +75,7 @@
 
 fn main() {
     let values = gaplock_settings::read_or_exit("standin-worker", "stand-in workers", TABLE);
-    let traits = Traits {
+    let traits = WorkerConfig {
         capacity: sizes::Resources::new(
             values.number("cpu") as u32,
             values.number("mem") as u32,
@@ -84,7 +84,7 @@
         usage_lag_ms: values.number("usage-lag-ms"),
         service_us: values.number("service-us"),
         bad: values.switch("bad"),
-        ..Traits::default()
+        ..WorkerConfig::default()
     };
     let listen_addrs: Vec<String> = values.list("listen").expect("`listen` is a list of addresses");
     task::block_on(async {
@@ -102,7 +102,7 @@
     });
 }
 
-async fn serve_one(addr: &str, traits: Traits, i: usize) -> gaplock_serve::Listener {
+async fn serve_one(addr: &str, traits: WorkerConfig, i: usize) -> gaplock_serve::Listener {
     let now = clock::now();
     let nanos = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -117,11 +117,11 @@
     let handler = move |whole| handle_request(Arc::clone(&shared), whole);
     // For a short time, the control connections of the previous owner and of the new one may
     // exist together.
-    let limits = gaplock_serve::Limits { connections: MAX_CONNECTIONS, ..Default::default() };
+    let limits = gaplock_serve::Limits { max_connections: MAX_CONNECTIONS, ..Default::default() };
     gaplock_serve::bind(addr, limits, handler).await.expect("the listen address can be bound")
 }
 
-async fn handle_request(shared: Arc<Mutex<WorkerState>>, whole: Whole) -> Response {
+async fn handle_request(shared: Arc<Mutex<WorkerState>>, whole: FullRequest) -> Response {
     let path = whole.req.url().path().to_string();
     let body = whole.body.clone().unwrap_or_default();
     if let Some(rest) = path.strip_prefix("/svc/") {
@@ -165,7 +165,7 @@
         "/set-cut" => handle_json(body, |cut: bool| shared.truncate_answers = cut),
         "/judge" => {
             model.advance(now);
-            let report = Verdicts {
+            let report = CheckerReport {
                 counts: shared.model.counts.clone(),
                 stretches: shared.model.stretches.clone(),
                 ops: shared.ops.clone(),
@@ -192,7 +192,7 @@
 /// Runs a service request: takes a slot, waits for the service time and echoes the body.
 async fn service(
     shared: Arc<Mutex<WorkerState>>,
-    whole: &Whole,
+    whole: &FullRequest,
     rest: &str,
     body: Vec<u8>,
 ) -> Response {
--- a/crates/standin/src/checker.rs
+++ b/crates/standin/src/checker.rs
@@ -5,15 +5,15 @@
 use gaplock_types::ids;
 use serde::{Deserialize, Serialize};
 
-use crate::worker::{Counts, Stretch};
+use crate::worker::{Counts, RunInterval};
 
 /// What one worker's checker reports.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Verdicts {
+pub struct CheckerReport {
     /// The checker's counters.
     pub counts: Counts,
     /// The intervals in which runs were active.
-    pub stretches: Vec<Stretch>,
+    pub stretches: Vec<RunInterval>,
     /// How often each request ran, by the `op` of its body.
     pub ops: BTreeMap<String, u32>,
 }
@@ -30,7 +30,7 @@
     /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
     /// Run intervals by task, sorted by start time.
-    pub by_task: BTreeMap<ids::TaskId, Vec<Stretch>>,
+    pub by_task: BTreeMap<ids::TaskId, Vec<RunInterval>>,
     /// How often each request ran on all workers together.
     pub ops: BTreeMap<String, u32>,
     /// How many starts all workers carried out together.
@@ -40,7 +40,7 @@
 impl Findings {
     /// Combines the reports of all workers' checkers and checks them. `now_ms` is the time on the
     /// machine's clock; intervals of active runs extend to it.
-    pub fn of(all: &[Verdicts], now_ms: u64) -> Self {
+    pub fn of(all: &[CheckerReport], now_ms: u64) -> Self {
         let mut f = Self::default();
         for (i, v) in all.iter().enumerate() {
             f.add_counts(i, &v.counts);
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -63,7 +63,7 @@
         self.index
     }
 
-    /// Carries out a call. Whether the caller receives the answer is drawn by [`Model::loses`].
+    /// Carries out a call. Whether the caller receives the answer is drawn by [`Model::draw_answer_loss`].
     pub fn carry_out(&mut self, call: &StoreCall) -> StoreAnswer {
         match call {
             StoreCall::Cas { key, value, index } => {
@@ -105,7 +105,7 @@
     }
 
     /// Draws whether the answer to a write that has taken effect is lost.
-    pub fn loses(&mut self) -> bool {
+    pub fn draw_answer_loss(&mut self) -> bool {
         let lost = self.draw() < self.faults.lose_percent;
         self.counts.lost += u64::from(lost);
         lost
@@ -113,7 +113,7 @@
 
     /// Draws whether a write is delayed, and returns the delay in milliseconds. Nothing is drawn
     /// while this fault is off, so that the draws of other faults stay the same.
-    pub fn late(&mut self) -> Option<u64> {
+    pub fn draw_write_delay(&mut self) -> Option<u64> {
         if self.faults.late_percent == 0 || self.draw() >= self.faults.late_percent {
             return None;
         }
--- a/crates/standin/src/worker/mod.rs
+++ b/crates/standin/src/worker/mod.rs
@@ -10,7 +10,7 @@
 
 /// The configuration of a worker.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Traits {
+pub struct WorkerConfig {
     /// The resources that its runs may use together.
     pub capacity: sizes::Resources,
     /// How many service requests it runs at the same time.
@@ -32,7 +32,7 @@
     pub leaving_grace_ms: u64,
 }
 
-impl Default for Traits {
+impl Default for WorkerConfig {
     fn default() -> Self {
         Self {
             capacity: sizes::Resources::new(16_000, 60 * 1024, 0),
@@ -63,7 +63,7 @@
 
 /// One interval in which a run was active, by the machine's clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stretch {
+pub struct RunInterval {
     /// The run.
     pub run: wire::Run,
     /// Whether it is a service replica.
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 pub struct Model {
     /// The worker's configuration.
-    pub traits: Traits,
+    pub traits: WorkerConfig,
     /// The random number that identifies this boot.
     pub boot: wire::Boot,
     booted_at: time::Instant,
@@ -127,7 +127,7 @@
     /// What the checker has counted.
     pub counts: Counts,
     /// The intervals in which runs were active.
-    pub stretches: Vec<Stretch>,
+    pub stretches: Vec<RunInterval>,
     usages: VecDeque<wire::Usage>,
     window_from: time::Instant,
     samples: BTreeMap<ids::ServiceId, Vec<u64>>,
@@ -138,7 +138,7 @@
 
 impl Model {
     /// Boots a worker at `now`.
-    pub fn open(traits: Traits, boot: wire::Boot, now: time::Instant) -> Self {
+    pub fn open(traits: WorkerConfig, boot: wire::Boot, now: time::Instant) -> Self {
         Self {
             traits,
             boot,
@@ -315,7 +315,7 @@
             state: wire::RunState::Running,
             started_ms: now.0,
         };
-        self.stretches.push(Stretch {
+        self.stretches.push(RunInterval {
             run: req.run,
             service: matches!(req.kind, wire::TaskKind::Service(_)),
             from_ms: running.started_ms,
@@ -398,12 +398,12 @@
     }
 
     /// Returns whether an ended run has not been acknowledged yet.
-    pub fn unacknowledged(&self, run: &wire::Run) -> bool {
+    pub fn is_unacknowledged(&self, run: &wire::Run) -> bool {
         self.runs.contains_key(run)
     }
 
     /// Returns the runs that are active now.
-    pub fn active(&self) -> impl Iterator<Item = (wire::Run, &wire::TaskKind)> {
+    pub fn active_runs(&self) -> impl Iterator<Item = (wire::Run, &wire::TaskKind)> {
         self.runs
             .iter()
             .filter(|(_, r)| r.state == wire::RunState::Running)
@@ -411,7 +411,7 @@
     }
 }
 
-fn end_interval(intervals: &mut [Stretch], run: wire::Run, at: time::Instant, r: &Running) {
+fn end_interval(intervals: &mut [RunInterval], run: wire::Run, at: time::Instant, r: &Running) {
     let open = intervals.iter_mut().rev().find(|s| s.run == run && s.to_ms.is_none());
     if let Some(s) = open {
         s.to_ms = Some(at.0);
--- a/crates/standin/tests/delayed_writes.rs
+++ b/crates/standin/tests/delayed_writes.rs
@@ -16,7 +16,7 @@
     let mut store = Model::default();
     store.faults = faults;
     let (first, repeat) = (write("first", 0), write("repeat", 0));
-    assert_eq!(store.late(), Some(3_000));
+    assert_eq!(store.draw_write_delay(), Some(3_000));
     assert_eq!(store.carry_out(&first), StoreAnswer::Written(ids::StoreIndex(1)));
     assert_eq!(store.carry_out(&repeat), StoreAnswer::Conflict);
     assert_eq!(store.counts.late, 1);
@@ -28,7 +28,7 @@
     let (mut delay_drawn, mut delay_not_drawn) = (Model::default(), Model::default());
     (delay_drawn.faults, delay_not_drawn.faults) = (faults, faults);
     for _ in 0..100 {
-        assert_eq!(delay_drawn.late(), None);
-        assert_eq!(delay_drawn.loses(), delay_not_drawn.loses());
+        assert_eq!(delay_drawn.draw_write_delay(), None);
+        assert_eq!(delay_drawn.draw_answer_loss(), delay_not_drawn.draw_answer_loss());
     }
 }
