--- a/crates/chart/src/charts.rs
+++ b/crates/chart/src/charts.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync;
 
-use crate::{Chart, Event, ForbiddenEvent, State};
+use crate::{Chart, ForbiddenEvent};
 
 /// Declares the typed states and events of one chart file.
 macro_rules! chart {
@@ -28,17 +28,17 @@
 
             /// A state of the chart.
             #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-            pub enum Is {
+            pub enum State {
                 $(#[doc = concat!("The state `", $state_name, "`.")] $state,)*
             }
 
             /// An event of the chart.
             #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-            pub enum On {
+            pub enum Event {
                 $(#[doc = concat!("The event `", $event_name, "`.")] $event,)*
             }
 
-            impl Is {
+            impl State {
                 const ALL: &'static [Self] = &[$(Self::$state,)*];
 
                 /// Returns the state's name in the chart file.
@@ -53,7 +53,7 @@
                     Self::ALL.iter().copied().find(|s| s.name() == name)
                 }
 
-                fn id(self) -> State {
+                fn id(self) -> crate::State {
                     let name = self.name();
                     chart()
                         .state(name)
@@ -64,7 +64,7 @@
                 ///
                 /// # Errors
                 /// Returns [`ForbiddenEvent`] if the chart marks `event` as `never` in this state.
-                pub fn step(self, event: On) -> Result<Self, ForbiddenEvent> {
+                pub fn step(self, event: Event) -> Result<Self, ForbiddenEvent> {
                     let next = chart().step(self.id(), event.id())?;
                     let name = chart().state_name(next);
                     Ok(Self::from_name(name).unwrap_or_else(|| panic!("no variant for `{name}`")))
@@ -76,7 +76,7 @@
                 }
             }
 
-            impl On {
+            impl Event {
                 /// Returns the event's name in the chart file.
                 pub fn name(self) -> &'static str {
                     match self {
@@ -84,7 +84,7 @@
                     }
                 }
 
-                fn id(self) -> Event {
+                fn id(self) -> crate::Event {
                     let name = self.name();
                     chart()
                         .event(name)
@@ -92,7 +92,7 @@
                 }
             }
 
-            impl fmt::Display for Is {
+            impl fmt::Display for State {
                 fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                     f.write_str(self.name())
                 }
--- a/crates/chart/tests/charts.rs
+++ b/crates/chart/tests/charts.rs
@@ -39,13 +39,13 @@
     }
     for name in task::chart().state_names() {
         assert!(
-            task::Is::from_name(name).is_some(),
+            task::State::from_name(name).is_some(),
             "state {name} of the task chart has no variant"
         );
     }
     for name in upstream::chart().state_names() {
         assert!(
-            upstream::Is::from_name(name).is_some(),
+            upstream::State::from_name(name).is_some(),
             "state {name} of the upstream chart has no variant"
         );
     }
@@ -53,8 +53,8 @@
 
 #[test]
 fn a_finished_task_cannot_finish_again() {
-    let done = task::Is::Assigned.step(task::On::Finish).unwrap();
+    let done = task::State::Assigned.step(task::Event::Finish).unwrap();
     assert!(done.is_final());
-    let again = done.step(task::On::Finish).unwrap_err();
+    let again = done.step(task::Event::Finish).unwrap_err();
     assert_eq!(again.to_string(), "chart task: `finish` must not come in state `done`");
 }
--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -20,7 +20,7 @@
 /// One confirmation in progress.
 #[derive(Debug)]
 pub struct Confirmation {
-    is: intent::Is,
+    is: intent::State,
     waiting: Vec<ReplyId>,
     base: ids::Generation,
     doc: Document,
@@ -55,7 +55,8 @@
         by: &str,
     ) -> Self {
         let doc = Document::from_plan(&generations.doc, plan, by, cx.unix_ms);
-        let is = intent::Is::Planned.step(intent::On::Confirm).unwrap_or(intent::Is::Refused);
+        let is =
+            intent::State::Planned.step(intent::Event::Confirm).unwrap_or(intent::State::Refused);
         let mut confirmation = Self {
             is,
             waiting: vec![id],
@@ -159,12 +160,12 @@
     }
 
     fn stored(&mut self, sent_at: time::Instant, doc: Document, index: ids::StoreIndex) -> Outcome {
-        self.is = self.is.step(intent::On::Stored).unwrap_or(self.is);
+        self.is = self.is.step(intent::Event::Stored).unwrap_or(self.is);
         Outcome::Stored(sent_at, Box::new(doc), index)
     }
 
     fn conflict(&mut self) -> Outcome {
-        self.is = self.is.step(intent::On::Conflict).unwrap_or(self.is);
+        self.is = self.is.step(intent::Event::Conflict).unwrap_or(self.is);
         Outcome::Conflict
     }
 }
--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -78,7 +78,7 @@
 pub struct Journal {
     id: ids::PartitionId,
     me: ids::Member,
-    is: ownership::Is,
+    is: ownership::State,
     /// The state after all committed entries.
     pub committed: PartitionState,
     /// The modification index of each slot.
@@ -106,7 +106,7 @@
         Self {
             id,
             me,
-            is: ownership::Is::Other,
+            is: ownership::State::Other,
             committed: PartitionState::default(),
             slots: vec![ids::StoreIndex(0); RING_SLOTS as usize],
             stored_snapshot: (ids::StoreIndex(0), ids::Seq(0)),
@@ -123,13 +123,13 @@
     }
 
     /// Returns the ownership state, as defined in `charts/ownership.chart`.
-    pub fn is(&self) -> ownership::Is {
+    pub fn is(&self) -> ownership::State {
         self.is
     }
 
     /// Returns whether this entry owns the partition and may make decisions for it.
     pub fn owns(&self) -> bool {
-        self.is == ownership::Is::Owner
+        self.is == ownership::State::Owner
     }
 
     /// Returns the epoch under which this entry owns the partition.
@@ -154,7 +154,7 @@
         self.inflight.is_some() || !self.pending.is_empty()
     }
 
-    fn step(&mut self, cx: &mut Context, on: ownership::On) {
+    fn step(&mut self, cx: &mut Context, on: ownership::Event) {
         match self.is.step(on) {
             Ok(next) => self.is = next,
             Err(e) => cx.log_decision("chart", self.id.to_string(), e.to_string()),
@@ -163,8 +163,8 @@
 
     /// Begins to claim the partition, by loading its journal.
     pub fn begin_claim(&mut self, cx: &mut Context) {
-        if self.is == ownership::Is::Other {
-            self.step(cx, ownership::On::Want);
+        if self.is == ownership::State::Other {
+            self.step(cx, ownership::Event::Want);
             self.load(cx);
         }
     }
@@ -180,17 +180,17 @@
     /// Begins to release the partition. Pending records are committed with the release.
     pub fn release(&mut self, cx: &mut Context) {
         match self.is {
-            ownership::Is::Owner => {
+            ownership::State::Owner => {
                 self.append(cx, Record::Release, None);
-                self.step(cx, ownership::On::Release);
+                self.step(cx, ownership::Event::Release);
             }
-            ownership::Is::Loading => self.drop_ownership(cx, ownership::On::Release),
+            ownership::State::Loading => self.drop_ownership(cx, ownership::Event::Release),
             _ => {}
         }
     }
 
     /// Stops being the owner: drops all uncommitted records and answers the waiting commands.
-    pub fn drop_ownership(&mut self, cx: &mut Context, on: ownership::On) {
+    pub fn drop_ownership(&mut self, cx: &mut Context, on: ownership::Event) {
         self.step(cx, on);
         if self.has_uncommitted() {
             cx.log_decision("journal-dropped", self.id.to_string(), "ownership was lost");
@@ -204,13 +204,13 @@
     /// Carries out what is due: loading, reading back, snapshots, commits and the ownership check.
     pub fn poll(&mut self, cx: &mut Context) {
         match self.is {
-            ownership::Is::Other => {}
-            ownership::Is::Loading => {
+            ownership::State::Other => {}
+            ownership::State::Loading => {
                 if self.loading.is_none() && cx.now >= self.retry_at {
                     self.load(cx);
                 }
             }
-            ownership::Is::Claiming | ownership::Is::Owner | ownership::Is::Draining => {
+            ownership::State::Claiming | ownership::State::Owner | ownership::State::Draining => {
                 self.poll_inflight(cx);
                 self.poll_snapshot(cx);
                 self.flush(cx);
@@ -232,7 +232,7 @@
 
     fn flush(&mut self, cx: &mut Context) {
         let due = cx.now.since(self.pending_since) >= cx.timing.commit_delay;
-        let draining = self.is == ownership::Is::Draining;
+        let draining = self.is == ownership::State::Draining;
         if self.inflight.is_some() || self.pending.is_empty() || !(due || draining) {
             return;
         }
@@ -331,7 +331,7 @@
         match found {
             Some((index, Ok(entry))) if entry == inflight.entry => self.commit(cx, index),
             Some((_, Ok(entry))) if entry.seq >= seq => {
-                self.drop_ownership(cx, ownership::On::Fenced);
+                self.drop_ownership(cx, ownership::Event::Fenced);
                 Outcome::Fenced
             }
             _ => {
@@ -360,11 +360,11 @@
         }
         if entry.records.contains(&Record::Release) {
             // No record may be left over: if this process claims again, it would commit the record.
-            self.drop_ownership(cx, ownership::On::Released);
+            self.drop_ownership(cx, ownership::Event::Released);
             return Outcome::Released;
         }
-        if self.is == ownership::Is::Claiming {
-            self.step(cx, ownership::On::Claimed);
+        if self.is == ownership::State::Claiming {
+            self.step(cx, ownership::Event::Claimed);
             return Outcome::Claimed;
         }
         self.flush(cx);
@@ -390,7 +390,7 @@
             .and_then(|kv| serde_json::from_slice::<Entry>(&kv.value).ok())
             .is_some_and(|entry| entry.seq >= next);
         if newer {
-            self.drop_ownership(cx, ownership::On::Fenced);
+            self.drop_ownership(cx, ownership::Event::Fenced);
             return Outcome::Fenced;
         }
         // The answer may be late, for example after this process was frozen, so the read proves
--- a/crates/coord/src/journal/replay.rs
+++ b/crates/coord/src/journal/replay.rs
@@ -27,7 +27,7 @@
             Ok(()) => {
                 self.was_released =
                     self.committed.released || self.committed.epoch == ids::Epoch(0);
-                self.step(cx, ownership::On::Loaded);
+                self.step(cx, ownership::Event::Loaded);
                 self.write(cx, vec![Record::Claim], Vec::new());
                 Outcome::Nothing
             }
--- a/crates/coord/src/journal/snapshot.rs
+++ b/crates/coord/src/journal/snapshot.rs
@@ -34,7 +34,7 @@
         let behind = self.committed.seq.0.saturating_sub(self.stored_snapshot.1 .0);
         match self.snapshot_phase {
             Phase::Idle
-                if self.is != ownership::Is::Claiming && behind >= SNAPSHOT_EVERY_ENTRIES =>
+                if self.is != ownership::State::Claiming && behind >= SNAPSHOT_EVERY_ENTRIES =>
             {
                 let value = serde_json::to_vec(&self.committed)
                     .expect("a partition's state always serialises to JSON");
--- a/crates/coord/src/link.rs
+++ b/crates/coord/src/link.rs
@@ -63,7 +63,7 @@
     /// The worker's row in the host list.
     pub host: wire::Host,
     /// Its state in `charts/upstream.chart`.
-    pub is: upstream::Is,
+    pub is: upstream::State,
     /// Its boot, which identifies its current incarnation.
     pub boot: Option<wire::Boot>,
     /// When this boot was first seen.
@@ -101,7 +101,7 @@
     /// Builds the link to a worker that has not answered yet. A worker that the host list marks as
     /// leaving starts in that state, so that a new owner gives it no new work either.
     pub fn open(host: wire::Host) -> Self {
-        let is = if host.leaving { upstream::Is::Leaving } else { upstream::Is::Unknown };
+        let is = if host.leaving { upstream::State::Leaving } else { upstream::State::Unknown };
         Self {
             host,
             is,
@@ -124,7 +124,7 @@
     }
 
     /// Applies an event to the state machine. A forbidden event is logged and changes nothing.
-    pub fn step(&mut self, cx: &mut Context, on: upstream::On, why: &str) {
+    pub fn step(&mut self, cx: &mut Context, on: upstream::Event, why: &str) {
         match self.is.step(on) {
             Ok(next) if next != self.is => {
                 self.is = next;
@@ -137,7 +137,7 @@
 
     /// Returns whether the worker may get new work.
     pub fn usable(&self) -> bool {
-        self.is == upstream::Is::Usable && self.clock_reading.is_some()
+        self.is == upstream::State::Usable && self.clock_reading.is_some()
     }
 
     /// Returns whether a lease request is due.
@@ -187,7 +187,7 @@
         self.lease_sent_at = None;
         self.count_unanswered(cx);
         if self.unanswered_leases >= UNANSWERED_BEFORE_SILENCE {
-            self.step(cx, upstream::On::Silence, "no answer to lease requests");
+            self.step(cx, upstream::Event::Silence, "no answer to lease requests");
         }
     }
 
@@ -222,11 +222,11 @@
             // Commands may be based on this reading from now on.
             self.extend_alive_until(cx);
         }
-        self.step(cx, upstream::On::Answer, "it answered");
+        self.step(cx, upstream::Event::Answer, "it answered");
         if reply.leaving {
-            self.step(cx, upstream::On::Leave, "the worker said that it is leaving");
-        } else if self.is == upstream::Is::Leaving && !self.host.leaving {
-            self.step(cx, upstream::On::Return, "neither worker nor host list says so any more");
+            self.step(cx, upstream::Event::Leave, "the worker said that it is leaving");
+        } else if self.is == upstream::State::Leaving && !self.host.leaving {
+            self.step(cx, upstream::Event::Return, "neither worker nor host list says so any more");
         }
         rebooted
     }
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -203,7 +203,7 @@
 
     /// Returns whether all partitions have been handed over, after a stop.
     pub fn handed_over(&self) -> bool {
-        self.partitions.values().all(|p| p.is() == ownership::Is::Other)
+        self.partitions.values().all(|p| p.is() == ownership::State::Other)
     }
 
     /// Returns whether the store answered recently: to a call sent within one membership lease plus
--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -208,7 +208,7 @@
         }
         let waiting: Vec<ids::TaskId> = (0..found.tasks.len() as u32)
             .map(|i| crate::state::task_id(self.id, job.number, i))
-            .filter(|id| self.state.task(*id).is_some_and(|t| t.is == task::Is::Queued))
+            .filter(|id| self.state.task(*id).is_some_and(|t| t.is == task::State::Queued))
             .collect();
         for task in waiting {
             let attempt = self.state.task(task).map(|t| t.attempt).unwrap_or_default();
@@ -286,7 +286,7 @@
             cx.reply(id, refused(codes::Code::NotFound, "There is no such worker here"));
             return;
         };
-        if link.is == upstream::Is::Usable {
+        if link.is == upstream::State::Usable {
             let why = "The worker answers; only a silent one can be declared dead";
             cx.reply(id, refused(codes::Code::BadRequest, why));
             return;
--- a/crates/coord/src/partition/lending.rs
+++ b/crates/coord/src/partition/lending.rs
@@ -256,17 +256,17 @@
     fn answer_repeated_loan(&mut self, cx: &mut Context, id: ReplyId, number: u64, stop: bool) {
         let Some(t) = self.state.jobs.get(&number).and_then(|j| j.tasks.first()) else { return };
         let state = match t.is {
-            task::Is::Queued => api::LoanState::Waiting,
-            task::Is::Assigned => api::LoanState::Running,
-            task::Is::Done => api::LoanState::Done,
-            task::Is::Failed => api::LoanState::Failed,
-            task::Is::Cancelled => api::LoanState::Stopped,
+            task::State::Queued => api::LoanState::Waiting,
+            task::State::Assigned => api::LoanState::Running,
+            task::State::Done => api::LoanState::Done,
+            task::State::Failed => api::LoanState::Failed,
+            task::State::Cancelled => api::LoanState::Stopped,
         };
         let report = loan_report(state, t.checkpoint_ms);
         let begin_stop = stop && !t.is.is_final() && !t.unwanted;
         if begin_stop {
             let run = wire::Run { task: state::task_id(self.id, number, 0), attempt: t.attempt };
-            if t.is == task::Is::Queued {
+            if t.is == task::State::Queued {
                 let checked = self.verifier.check(&Fact::Ended(run));
                 cx.report_check(checked);
             }
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns the ownership state, one of `charts/ownership.chart`.
-    pub fn is(&self) -> ownership::Is {
+    pub fn is(&self) -> ownership::State {
         self.journal.is()
     }
 
@@ -133,17 +133,17 @@
         for host in hosts {
             let link =
                 self.links.entry(host.worker.clone()).or_insert_with(|| Link::open(host.clone()));
-            if link.is == upstream::Is::Gone {
+            if link.is == upstream::State::Gone {
                 *link = reopen_link(link, host);
             }
             link.host = host.clone();
             if host.leaving {
-                link.step(cx, upstream::On::Leave, "the host list says that it is leaving");
+                link.step(cx, upstream::Event::Leave, "the host list says that it is leaving");
             }
         }
         for (worker, link) in &mut self.links {
             if !hosts.iter().any(|h| h.worker == *worker) {
-                link.step(cx, upstream::On::Drop, "the host list does not show it any more");
+                link.step(cx, upstream::Event::Drop, "the host list does not show it any more");
             }
         }
         self.remove_gone_links(cx);
@@ -156,14 +156,14 @@
         let state = &self.state;
         self.links.retain(|worker, link| {
             let in_use = cx.now < link.alive_until || state.on_worker(worker).next().is_some();
-            link.is != upstream::Is::Gone || in_use
+            link.is != upstream::State::Gone || in_use
         });
     }
 
     /// Runs all periodic work that is due.
     pub fn tick(&mut self, cx: &mut Context) {
         self.journal.poll(cx);
-        if self.journal.is() == ownership::Is::Draining {
+        if self.journal.is() == ownership::State::Draining {
             // No other entry renews the workers' leases until the release is stored.
             self.renew_leases(cx);
         }
@@ -214,7 +214,7 @@
             true => cx.timing.release_renew_limit(),
             false => cx.timing.renew_limit,
         });
-        self.links.retain(|_, link| link.is != upstream::Is::Gone);
+        self.links.retain(|_, link| link.is != upstream::State::Gone);
         for link in self.links.values_mut() {
             *link = Link::open(link.host.clone());
         }
@@ -261,9 +261,10 @@
 
     /// Ends ownership at once, for example when a worker or a peer reports a higher epoch.
     pub fn fence(&mut self, cx: &mut Context) {
-        if self.journal.is() == ownership::Is::Owner || self.journal.is() == ownership::Is::Draining
+        if self.journal.is() == ownership::State::Owner
+            || self.journal.is() == ownership::State::Draining
         {
-            self.journal.drop_ownership(cx, ownership::On::Fenced);
+            self.journal.drop_ownership(cx, ownership::Event::Fenced);
             self.lose_ownership(cx);
         }
     }
@@ -280,7 +281,7 @@
         if call_epoch(req) != self.journal.epoch() {
             return;
         }
-        if self.journal.is() == ownership::Is::Draining {
+        if self.journal.is() == ownership::State::Draining {
             self.answered_while_draining(cx, worker, answer);
         }
         if !self.journal.owns() {
@@ -376,7 +377,7 @@
             wire::CommandOutcome::StaleEpoch => self.fence(cx),
             wire::CommandOutcome::Leaving => {
                 if let Some(link) = self.links.get_mut(worker) {
-                    link.step(cx, upstream::On::Leave, "the worker refused a request");
+                    link.step(cx, upstream::Event::Leave, "the worker refused a request");
                 }
             }
             _ => {}
@@ -392,7 +393,7 @@
     pub fn capacity(&self) -> sizes::Resources {
         self.links
             .values()
-            .filter(|l| l.is != upstream::Is::Gone)
+            .filter(|l| l.is != upstream::State::Gone)
             .fold(sizes::Resources::default(), |sum, l| sum.plus(&l.host.capacity))
     }
 }
--- a/crates/coord/src/partition/reconcile.rs
+++ b/crates/coord/src/partition/reconcile.rs
@@ -255,7 +255,7 @@
         }
         if action == health::FailureAction::Quarantine {
             if let Some(link) = self.links.get_mut(worker) {
-                link.step(cx, upstream::On::Bad, "it fails what it starts");
+                link.step(cx, upstream::Event::Bad, "it fails what it starts");
             }
         }
         if action == health::FailureAction::FailJob {
@@ -361,10 +361,10 @@
         }
         self.evict_from_leaving_workers(cx);
         for link in self.links.values_mut() {
-            let probation = link.is == upstream::Is::Quarantined
+            let probation = link.is == upstream::State::Quarantined
                 && self.health.end_quarantine_if_due(cx.now, &link.host.worker);
             if probation {
-                link.step(cx, upstream::On::Probation, "its quarantine has ended");
+                link.step(cx, upstream::Event::Probation, "its quarantine has ended");
             }
         }
     }
@@ -372,7 +372,7 @@
     /// Evicts batch tasks from workers that are leaving. Service replicas run on until a replica on
     /// another worker has taken over.
     fn evict_from_leaving_workers(&mut self, cx: &mut Context) {
-        let leaving = self.links.iter().filter(|(_, l)| l.is == upstream::Is::Leaving);
+        let leaving = self.links.iter().filter(|(_, l)| l.is == upstream::State::Leaving);
         let mut evictions = Vec::new();
         for (worker, link) in leaving {
             let runs = link.runs.iter().filter(|(_, v)| v.started && v.evicting.is_none());
@@ -428,7 +428,7 @@
         // finished work still to report.
         let listed = |link: &Link, leases_end: time::Instant| match (link.is, link.unanswered_since)
         {
-            (upstream::Is::Gone, _) => leases_end,
+            (upstream::State::Gone, _) => leases_end,
             (_, Some(since)) => leases_end.max(since + cx.timing.silent_limit),
             (_, None) => time::Instant(u64::MAX),
         };
@@ -446,7 +446,7 @@
 /// Returns whether a worker rebooted soon after its previous boot may have started a run. A leaving
 /// worker's shutdown was announced and does not count.
 fn crashed_after_start(link: &Link, run: wire::Run, boot: wire::Boot) -> bool {
-    let rebooted = link.boot.is_some_and(|b| b != boot) && link.is != upstream::Is::Leaving;
+    let rebooted = link.boot.is_some_and(|b| b != boot) && link.is != upstream::State::Leaving;
     let may_have_started = |v: &RunView| v.started || v.valid_until > time::Instant::default();
     let soon = |v: &RunView| may_have_started(v) && v.progress_ms < CRASH_WINDOW_WORK_MS;
     rebooted && link.runs.get(&run).is_some_and(soon)
--- a/crates/coord/src/partition/renewing.rs
+++ b/crates/coord/src/partition/renewing.rs
@@ -46,7 +46,7 @@
         }
         let epoch = self.journal.epoch();
         for (worker, link) in &mut self.links {
-            if link.is == upstream::Is::Gone || !link.lease_due(cx) {
+            if link.is == upstream::State::Gone || !link.lease_due(cx) {
                 continue;
             }
             let req = link.lease_request(cx, self.id, epoch, &self.me);
--- a/crates/coord/src/partition/replicas.rs
+++ b/crates/coord/src/partition/replicas.rs
@@ -89,7 +89,9 @@
                     let serves = link.is_some_and(|l| {
                         !matches!(
                             l.is,
-                            upstream::Is::Silent | upstream::Is::Leaving | upstream::Is::Gone
+                            upstream::State::Silent
+                                | upstream::State::Leaving
+                                | upstream::State::Gone
                         )
                     });
                     if serves {
--- a/crates/coord/src/partition/schedule.rs
+++ b/crates/coord/src/partition/schedule.rs
@@ -298,7 +298,7 @@
         for partner in skipped {
             let Some(first) = self.state.waiting(partner).next() else { continue };
             let usable = self.links.values().filter(|l| l.usable()).count();
-            let bad = self.links.values().filter(|l| l.is == upstream::Is::Quarantined).count();
+            let bad = self.links.values().filter(|l| l.is == upstream::State::Quarantined).count();
             let why = format!(
                 "{first} waits: none of {usable} usable workers ({bad} quarantined) has room for \
                  it beside the services there"
--- a/crates/coord/src/partition/starting.rs
+++ b/crates/coord/src/partition/starting.rs
@@ -33,13 +33,13 @@
         let run = wire::Run { task: id, attempt: t.attempt };
         // A pending record may already have ended this attempt.
         let pending = self.state.task(id).map(|t| t.attempt);
-        if t.is != task::Is::Assigned || place.worker != *worker || pending != Some(t.attempt) {
+        if t.is != task::State::Assigned || place.worker != *worker || pending != Some(t.attempt) {
             return;
         }
         let Some(job) = self.journal.committed.jobs.get(&id.job.number) else { return };
         let Some(link) = self.links.get_mut(worker) else { return };
         let (Some((seen, _)), true) = (link.clock_reading, link.heard) else { return };
-        let (leaving, boot) = (link.is == upstream::Is::Leaving, link.boot);
+        let (leaving, boot) = (link.is == upstream::State::Leaving, link.boot);
         let Some(view) = link.runs.get_mut(&run) else { return };
         let may_send = !view.started && !view.in_flight && view.refused.is_none();
         if !may_send || boot != Some(place.boot) || cx.now < view.retry_at {
--- a/crates/coord/src/partition/status.rs
+++ b/crates/coord/src/partition/status.rs
@@ -92,14 +92,14 @@
 
 fn job_row(id: ids::JobId, job: &Job) -> api::JobRow {
     let count =
-        |wanted: &[task::Is]| job.tasks.iter().filter(|t| wanted.contains(&t.is)).count() as u32;
+        |wanted: &[task::State]| job.tasks.iter().filter(|t| wanted.contains(&t.is)).count() as u32;
     api::JobRow {
         job: id,
         partner: job.partner.clone(),
         kind: wire::TaskKind::clone(&job.kind),
-        queued: count(&[task::Is::Queued]),
-        running: count(&[task::Is::Assigned]),
-        done: count(&[task::Is::Done]),
-        lost: count(&[task::Is::Failed, task::Is::Cancelled]),
+        queued: count(&[task::State::Queued]),
+        running: count(&[task::State::Assigned]),
+        done: count(&[task::State::Done]),
+        lost: count(&[task::State::Failed, task::State::Cancelled]),
     }
 }
--- a/crates/coord/src/state/index.rs
+++ b/crates/coord/src/state/index.rs
@@ -85,7 +85,7 @@
         let Some(job) = self.jobs.get(&id.job.number) else { return };
         let Some(task) = job.tasks.get(id.index as usize) else { return };
         let index = &mut self.index;
-        if task.is == task::Is::Queued {
+        if task.is == task::State::Queued {
             index.queued.entry(job.partner.clone()).or_default().insert((!job.urgent, id));
         }
         let Some(place) = &task.place else { return };
--- a/crates/coord/src/state/mod.rs
+++ b/crates/coord/src/state/mod.rs
@@ -30,13 +30,13 @@
     use gaplock_chart::charts::task;
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(is: &task::Is, s: S) -> Result<S::Ok, S::Error> {
+    pub fn serialize<S: Serializer>(is: &task::State, s: S) -> Result<S::Ok, S::Error> {
         s.serialize_str(is.name())
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<task::Is, D::Error> {
+    pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<task::State, D::Error> {
         let name = String::deserialize(d)?;
-        task::Is::from_name(&name).ok_or_else(|| serde::de::Error::custom("unknown task state"))
+        task::State::from_name(&name).ok_or_else(|| serde::de::Error::custom("unknown task state"))
     }
 }
 
@@ -45,7 +45,7 @@
 pub struct Task {
     /// Its state in `charts/task.chart`.
     #[serde(with = "state_name")]
-    pub is: task::Is,
+    pub is: task::State,
     /// Assignments so far.
     pub attempt: ids::Attempt,
     /// Where the task is assigned; `None` if it is not.
@@ -231,7 +231,7 @@
 
     /// Assigns a run to a place.
     fn assign(&mut self, run: &wire::Run, place: Place, record: &Record) -> Result<()> {
-        self.step(run.task, task::On::Assign, record, |t| {
+        self.step(run.task, task::Event::Assign, record, |t| {
             t.attempt = run.attempt;
             t.place = Some(place);
             t.why.clear();
@@ -242,7 +242,7 @@
     fn apply_run_end(&mut self, record: &Record) -> Result<()> {
         match record {
             Record::Requeue { run, checkpoint_ms, evicted, failed, crashed, why } => {
-                self.step(run.task, task::On::Requeue, record, |t| {
+                self.step(run.task, task::Event::Requeue, record, |t| {
                     t.checkpoint_ms = *checkpoint_ms;
                     t.evictions += u32::from(*evicted);
                     t.failures += u32::from(*failed);
@@ -251,13 +251,13 @@
                 })
             }
             Record::Finish { run } => {
-                self.step(run.task, task::On::Finish, record, |t| t.place = None)
+                self.step(run.task, task::Event::Finish, record, |t| t.place = None)
             }
             Record::GiveUp { task, why } => {
-                self.step(*task, task::On::GiveUp, record, |t| clear_place(t, why))
+                self.step(*task, task::Event::GiveUp, record, |t| clear_place(t, why))
             }
             Record::Cancelled { run } => {
-                self.step(run.task, task::On::Cancel, record, |t| clear_place(t, "cancelled"))
+                self.step(run.task, task::Event::Cancel, record, |t| clear_place(t, "cancelled"))
             }
             _ => Ok(()),
         }
@@ -328,7 +328,7 @@
             if assigned {
                 self.change(id, |t| t.unwanted = true);
             } else {
-                self.step(id, task::On::Cancel, record, |t| {
+                self.step(id, task::Event::Cancel, record, |t| {
                     if t.why.is_empty() {
                         t.why = "cancelled".to_string();
                     }
@@ -360,7 +360,7 @@
     fn step(
         &mut self,
         id: ids::TaskId,
-        on: task::On,
+        on: task::Event,
         record: &Record,
         change: impl FnOnce(&mut Task),
     ) -> Result<()> {
@@ -386,7 +386,7 @@
 
 fn new_task() -> Task {
     Task {
-        is: task::Is::Queued,
+        is: task::State::Queued,
         attempt: ids::Attempt(0),
         place: None,
         checkpoint_ms: 0,
