--- a/crates/coord/src/intent.rs
+++ b/crates/coord/src/intent.rs
@@ -31,9 +31,9 @@
     since: time::Instant,
 }
 
-/// How a confirmation ended.
+/// Whether and how a confirmation ended.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum ConfirmationStatus {
     /// It is still in progress.
     Open,
     /// The plan is stored. The fields are when the call was sent, the document that the store then
@@ -111,9 +111,14 @@
     }
 
     /// Handles the answer to a store call, if the call was made by this confirmation.
-    pub fn answered(&mut self, cx: &mut Context, call: CallId, answer: &StoreAnswer) -> Outcome {
+    pub fn answered(
+        &mut self,
+        cx: &mut Context,
+        call: CallId,
+        answer: &StoreAnswer,
+    ) -> ConfirmationStatus {
         let Some((_, sent_at)) = self.call.take_if(|(c, _)| *c == call) else {
-            return Outcome::Open;
+            return ConfirmationStatus::Open;
         };
         match answer {
             StoreAnswer::Written(index) => self.stored(sent_at, self.doc.clone(), *index),
@@ -134,39 +139,44 @@
         cx: &mut Context,
         sent_at: time::Instant,
         found: Option<(Document, ids::StoreIndex)>,
-    ) -> Outcome {
+    ) -> ConfirmationStatus {
         match found {
             Some((doc, index)) if doc.config.generation >= self.generation() => {
                 match doc.plan_outcome(self.plan(), self.base) {
                     Execution::Done => self.stored(sent_at, doc, index),
                     Execution::NotDone => self.conflict(),
-                    Execution::Unknown => Outcome::Unknown,
+                    Execution::Unknown => ConfirmationStatus::Unknown,
                 }
             }
             found => {
                 // The base may have come from a peer, without its modification index in the store.
                 self.index = found.map_or(ids::StoreIndex(0), |(_, index)| index);
                 self.write(cx);
-                Outcome::Open
+                ConfirmationStatus::Open
             }
         }
     }
 
-    fn schedule_read_back(&mut self, cx: &mut Context, wait: time::Millis) -> Outcome {
+    fn schedule_read_back(&mut self, cx: &mut Context, wait: time::Millis) -> ConfirmationStatus {
         self.read_back_at = Some(cx.now + wait);
         let timed_out = self.poll(cx);
         self.waiting.extend(timed_out);
-        Outcome::Open
+        ConfirmationStatus::Open
     }
 
-    fn stored(&mut self, sent_at: time::Instant, doc: Document, index: ids::StoreIndex) -> Outcome {
+    fn stored(
+        &mut self,
+        sent_at: time::Instant,
+        doc: Document,
+        index: ids::StoreIndex,
+    ) -> ConfirmationStatus {
         self.is = self.is.step(intent::Event::Stored).unwrap_or(self.is);
-        Outcome::Stored(sent_at, Box::new(doc), index)
+        ConfirmationStatus::Stored(sent_at, Box::new(doc), index)
     }
 
-    fn conflict(&mut self) -> Outcome {
+    fn conflict(&mut self) -> ConfirmationStatus {
         self.is = self.is.step(intent::Event::Conflict).unwrap_or(self.is);
-        Outcome::Conflict
+        ConfirmationStatus::Conflict
     }
 }
 
--- a/crates/coord/src/journal/mod.rs
+++ b/crates/coord/src/journal/mod.rs
@@ -123,7 +123,7 @@
     }
 
     /// Returns the ownership state, as defined in `charts/ownership.chart`.
-    pub fn is(&self) -> ownership::State {
+    pub fn ownership_state(&self) -> ownership::State {
         self.is
     }
 
--- a/crates/coord/src/node/configuration.rs
+++ b/crates/coord/src/node/configuration.rs
@@ -102,19 +102,19 @@
     pub(super) fn handle_confirmation_outcome(
         &mut self,
         cx: &mut Context,
-        outcome: intent::Outcome,
+        outcome: intent::ConfirmationStatus,
     ) {
         let outcome = match outcome {
-            intent::Outcome::Open => return,
-            intent::Outcome::Stored(sent_at, doc, index) => {
+            intent::ConfirmationStatus::Open => return,
+            intent::ConfirmationStatus::Stored(sent_at, doc, index) => {
                 // The answer may be late, so it proves only what was newest when the call was sent.
                 if self.generations.apply_stored(sent_at, Some((*doc, index))) {
                     self.put_in_force(cx);
                 }
                 Ok(())
             }
-            intent::Outcome::Conflict => Err(intent::stale_plan()),
-            intent::Outcome::Unknown => Err(intent::unknown_plan_outcome()),
+            intent::ConfirmationStatus::Conflict => Err(intent::stale_plan()),
+            intent::ConfirmationStatus::Unknown => Err(intent::unknown_plan_outcome()),
         };
         let Some(mut confirmation) = self.confirmation.take() else { return };
         let outcome = outcome.map(|()| confirmation.generation());
--- a/crates/coord/src/node/mod.rs
+++ b/crates/coord/src/node/mod.rs
@@ -95,7 +95,7 @@
         partition: ids::PartitionId,
         /// The worker.
         worker: ids::WorkerId,
-        /// Why.
+        /// Why the worker refused.
         verdict: wire::CommandOutcome,
     },
     /// The process is to stop; all its partitions are handed over to peers.
@@ -203,7 +203,7 @@
 
     /// Returns whether all partitions have been handed over, after a stop.
     pub fn handed_over(&self) -> bool {
-        self.partitions.values().all(|p| p.is() == ownership::State::Other)
+        self.partitions.values().all(|p| p.ownership_state() == ownership::State::Other)
     }
 
     /// Returns whether the store answered recently: to a call sent within one membership lease plus
--- a/crates/coord/src/node/owning.rs
+++ b/crates/coord/src/node/owning.rs
@@ -73,7 +73,7 @@
     pub(super) fn hand_over_released(&mut self, cx: &mut Context) {
         let partitions = &self.partitions;
         let released = |id: &ids::PartitionId| {
-            partitions.get(id).is_some_and(|p| p.is() == ownership::State::Other)
+            partitions.get(id).is_some_and(|p| p.ownership_state() == ownership::State::Other)
         };
         let done: Vec<ids::PartitionId> =
             self.pending_handovers.keys().copied().filter(released).collect();
--- a/crates/coord/src/partition/commands.rs
+++ b/crates/coord/src/partition/commands.rs
@@ -171,7 +171,7 @@
             return Some(refused(codes::Code::NeverFits, why));
         }
         let fleet_known = !cx.fleet.is_empty();
-        if fleet_known && !placement::ever_fits(cx.fleet.iter(), &spec.demand) {
+        if fleet_known && !placement::fits_any_capacity(cx.fleet.iter(), &spec.demand) {
             return Some(refused(codes::Code::NeverFits, "No worker is large enough"));
         }
         let waiting: usize =
--- a/crates/coord/src/partition/mod.rs
+++ b/crates/coord/src/partition/mod.rs
@@ -82,8 +82,8 @@
     }
 
     /// Returns the ownership state, one of `charts/ownership.chart`.
-    pub fn is(&self) -> ownership::State {
-        self.journal.is()
+    pub fn ownership_state(&self) -> ownership::State {
+        self.journal.ownership_state()
     }
 
     /// Returns whether this entry owns the partition.
@@ -163,7 +163,7 @@
     /// Runs all periodic work that is due.
     pub fn tick(&mut self, cx: &mut Context) {
         self.journal.poll(cx);
-        if self.journal.is() == ownership::State::Draining {
+        if self.journal.ownership_state() == ownership::State::Draining {
             // No other entry renews the workers' leases until the release is stored.
             self.renew_leases(cx);
         }
@@ -261,8 +261,8 @@
 
     /// Ends ownership at once, for example when a worker or a peer reports a higher epoch.
     pub fn fence(&mut self, cx: &mut Context) {
-        if self.journal.is() == ownership::State::Owner
-            || self.journal.is() == ownership::State::Draining
+        if self.journal.ownership_state() == ownership::State::Owner
+            || self.journal.ownership_state() == ownership::State::Draining
         {
             self.journal.drop_ownership(cx, ownership::Event::Fenced);
             self.lose_ownership(cx);
@@ -281,7 +281,7 @@
         if call_epoch(req) != self.journal.epoch() {
             return;
         }
-        if self.journal.is() == ownership::State::Draining {
+        if self.journal.ownership_state() == ownership::State::Draining {
             self.answered_while_draining(cx, worker, answer);
         }
         if !self.journal.owns() {
--- a/crates/demo/src/bin/prove.rs
+++ b/crates/demo/src/bin/prove.rs
@@ -20,7 +20,7 @@
     };
     let mut held = 0;
     for number in &numbers {
-        held += usize::from(prove_one(*number));
+        held += usize::from(prove_promise(*number));
     }
     let not_held = numbers.len() - held;
     println!("prove: {held} held, {not_held} not");
@@ -31,7 +31,7 @@
     }
 }
 
-fn prove_one(number: u32) -> bool {
+fn prove_promise(number: u32) -> bool {
     let began = Instant::now();
     match task::block_on(prove::prove(number)) {
         Ok(v) => {
--- a/crates/demo/src/prove/configuration.rs
+++ b/crates/demo/src/prove/configuration.rs
@@ -203,7 +203,10 @@
     v.check(silent_or_current.is_ok(), || {
         "the isolated entry continued to serve an old generation".to_string()
     });
-    v.add_figure(format!("the lone entry refused or had it after {:?}", began.elapsed()));
+    v.add_figure(format!(
+        "the isolated entry refused requests or had the newest generation after {:?}",
+        began.elapsed()
+    ));
     site.cluster.entries[isolated].store_relay.set_partitioned(false);
     site.cluster.entries[isolated].peer_relay.set_partitioned(false);
     site.cluster.wait_ready(isolated, STEP_TIMEOUT).await?;
--- a/crates/entry/src/running.rs
+++ b/crates/entry/src/running.rs
@@ -84,7 +84,7 @@
                 .map(|service| api::ServiceLoad { free: r.router.free(&service), service })
                 .collect()
         });
-        service::record_serving(&engine, &load);
+        service::record_running_services(&engine, &load);
         engine.with_core(|core| core.node.set_load(load));
         engine.handle(Event::Tick);
         executor::wake_waiters(&engine);
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -120,7 +120,7 @@
 }
 
 /// Records which services run now, here or at a peer that sends heartbeats.
-pub fn record_serving(engine: &Engine, here: &[api::ServiceLoad]) {
+pub fn record_running_services(engine: &Engine, here: &[api::ServiceLoad]) {
     let now = clock::now();
     let mut services: Vec<ids::ServiceId> = here.iter().map(|l| l.service.clone()).collect();
     engine.with_core(|core| {
--- a/crates/measure/src/patterns/bound.rs
+++ b/crates/measure/src/patterns/bound.rs
@@ -277,7 +277,7 @@
         let idle = |(n, &count): (usize, &u32)| {
             let job = &self.load.jobs[n];
             let reserved = f64::from(count * job.job.steps[0].demand.cpu.0) / 1e3;
-            reserved * (1.0 - job.swing.at(self.now))
+            reserved * (1.0 - job.load_oscillation.at(self.now))
         };
         let lasting =
             |(n, count): &(usize, &u32)| **count > 0 && self.load.jobs[*n].class == Class::Lasting;
--- a/crates/measure/src/patterns/load.rs
+++ b/crates/measure/src/patterns/load.rs
@@ -40,7 +40,7 @@
 const CONTENTION_FACTOR: f64 = 1.5;
 
 /// The range in which the load of a serving job oscillates, and the range of the periods, in milliseconds.
-const SWING_LOADS: std::ops::Range<f64> = 0.3..0.75;
+const OSCILLATING_LOADS: std::ops::Range<f64> = 0.3..0.75;
 const SWING_MS: std::ops::Range<f64> = 10_000.0..30_000.0;
 
 /// The speed of a slow worker, as a share of the usual speed.
@@ -100,16 +100,17 @@
 
 /// The oscillating load of a long-running job.
 #[derive(Debug, Clone, Copy)]
-pub struct Swing {
+pub struct LoadOscillation {
     period_ms: f64,
     phase: f64,
 }
 
-impl Swing {
+impl LoadOscillation {
     /// Returns the load at a time, as a share of what the job's tasks can handle.
     pub fn at(&self, now: u64) -> f64 {
         let angle = now as f64 / self.period_ms * std::f64::consts::TAU + self.phase;
-        SWING_LOADS.start + (SWING_LOADS.end - SWING_LOADS.start) * (1.0 + angle.sin()) / 2.0
+        OSCILLATING_LOADS.start
+            + (OSCILLATING_LOADS.end - OSCILLATING_LOADS.start) * (1.0 + angle.sin()) / 2.0
     }
 }
 
@@ -135,7 +136,7 @@
     /// The index of its tasks' image, among the images of its kind.
     pub image: usize,
     /// Its oscillating load, if it is long-running.
-    pub swing: Swing,
+    pub load_oscillation: LoadOscillation,
 }
 
 impl TrueJob {
@@ -210,7 +211,7 @@
     let mut load = Load { workers, jobs: Vec::new(), factors, contention: CONTENTION_FACTOR };
     let mut draft = Draft { pattern, rng, cores: load.cores(), jobs: Vec::new() };
     draft.add_lasting_jobs();
-    draft.add_finite_jobs(Class::Short, pattern.shape.short, &pattern.shape.short_tasks);
+    draft.add_finite_jobs(Class::Short, pattern.shape.short_task_share, &pattern.shape.short_tasks);
     draft.add_finite_jobs(Class::Batch, pattern.shape.batch, &pattern.shape.batch_tasks);
     load.jobs = draft.in_order();
     load
@@ -289,15 +290,25 @@
             ..self.step(count, cpu, tasks.ms)
         };
         let (steps, leaves) = (vec![step], arrives + lifetime);
-        let swing = Swing {
+        let load_oscillation = LoadOscillation {
             period_ms: self.rng.random_range(SWING_MS),
             phase: self.rng.random_range(0.0..std::f64::consts::TAU),
         };
         let job = self.job(Class::Lasting, arrives, steps);
         let (work_ms, weight) = (vec![vec![0; count as usize]], f64::from(count));
         let (class, due) = (Class::Lasting, u64::MAX);
-        let job =
-            TrueJob { job, class, arrives, leaves, due, work_ms, weight, fails, image, swing };
+        let job = TrueJob {
+            job,
+            class,
+            arrives,
+            leaves,
+            due,
+            work_ms,
+            weight,
+            fails,
+            image,
+            load_oscillation,
+        };
         self.jobs.push(job);
         f64::from(count * cpu) / 1e3
     }
@@ -347,10 +358,20 @@
         let (stretch, slack) = class.time_allowance();
         let due = arrives + (chain as f64 * stretch) as u64 + slack;
         let (leaves, weight) = (u64::MAX, 1.0);
-        let swing = Swing { period_ms: 1.0, phase: 0.0 };
+        let load_oscillation = LoadOscillation { period_ms: 1.0, phase: 0.0 };
         let job = self.job(class, arrives, steps);
-        let job =
-            TrueJob { job, class, arrives, leaves, due, work_ms, weight, fails, image, swing };
+        let job = TrueJob {
+            job,
+            class,
+            arrives,
+            leaves,
+            due,
+            work_ms,
+            weight,
+            fails,
+            image,
+            load_oscillation,
+        };
         self.jobs.push(job);
     }
 
--- a/crates/measure/src/patterns/losses.rs
+++ b/crates/measure/src/patterns/losses.rs
@@ -29,7 +29,7 @@
 }
 
 /// Attributes the lost worth of a result to its causes.
-pub fn attribute(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
+pub fn attribute_losses(pattern: &Pattern, line: &Line, settings: &Settings) -> Losses {
     let without_faults = Pattern { faults: Faults::default(), ..*pattern };
     let worth =
         |load: &Arc<Load>| simulation::run(&without_faults, load, line.seed, settings).worth.mean;
@@ -49,7 +49,7 @@
     let of_line = |n: usize| {
         let line: &Line = &lines[n];
         let pattern = patterns.iter().find(|p| p.name == line.pattern);
-        pattern.map(|p| attribute(p, line, &Settings::default()))
+        pattern.map(|p| attribute_losses(p, line, &Settings::default()))
     };
     let losses = super::run_concurrently(lines.len(), options.threads, of_line);
     let rows = patterns.iter().map(|p| {
--- a/crates/measure/src/patterns/shape.rs
+++ b/crates/measure/src/patterns/shape.rs
@@ -12,7 +12,7 @@
     /// The share of all processors that long-running tasks reserve.
     pub lasting: f64,
     /// The share of all processors that short tasks reserve on average.
-    pub short: f64,
+    pub short_task_share: f64,
     /// The share of all processors that batch tasks would use on average, out of what other tasks leave idle.
     pub batch: f64,
     /// Short jobs: mostly many tasks, in one or two steps.
@@ -73,7 +73,7 @@
     worker_cpu: 16_000,
     domains: 4,
     lasting: 0.80,
-    short: 0.05,
+    short_task_share: 0.05,
     batch: 0.34,
     short_tasks: Tasks { width: 6, ms: 1_000, cpu: (800, 2_800) },
     batch_tasks: Tasks { width: 8, ms: 2_200, cpu: (1_200, 2_700) },
--- a/crates/measure/src/patterns/worker.rs
+++ b/crates/measure/src/patterns/worker.rs
@@ -236,7 +236,7 @@
         for (task, r) in &self.running {
             match r.class {
                 Class::Short => taken += r.cores,
-                Class::Lasting => taken += r.cores * load.job(task.job).swing.at(now),
+                Class::Lasting => taken += r.cores * load.job(task.job).load_oscillation.at(now),
                 Class::Batch => wanted += r.cores * f64::from(r.pace) / 100.0,
             }
         }
@@ -259,7 +259,8 @@
             interference += used * load.factors[job.image][r.image];
         }
         interference += (share - CONTENTION_SHARE).max(0.0) * load.contention;
-        let utilisation = job.swing.at(now) * (1.0 + interference) / self.truth.speed.max(0.5);
+        let utilisation =
+            job.load_oscillation.at(now) * (1.0 + interference) / self.truth.speed.max(0.5);
         UNLOADED_TAIL_MS / (1.0 - utilisation.min(MAX_UTILISATION))
     }
 
@@ -284,7 +285,7 @@
             Class::Short => used,
             Class::Batch => used * r.rate / self.truth.speed,
             Class::Lasting if step.tail_target.is_some() => self.tail_ms(load, task, now),
-            Class::Lasting => used * job.swing.at(now),
+            Class::Lasting => used * job.load_oscillation.at(now),
         };
         reading as u32
     }
--- a/crates/measure/tests/patterns.rs
+++ b/crates/measure/tests/patterns.rs
@@ -122,10 +122,10 @@
 fn the_losses_and_the_worth_add_up() {
     let pattern = quarter("leader-changes");
     let line = patterns::run(&pattern, 3, &Settings::default());
-    let l = losses::attribute(&pattern, &line, &Settings::default());
+    let l = losses::attribute_losses(&pattern, &line, &Settings::default());
     let sum = l.no_capacity + l.faults + l.interference + l.policy + line.outcome.worth.mean;
     assert!((sum - 1.0).abs() < 1e-9, "losses and worth must add up to 1, got {sum}");
-    assert!(l.faults > 0.0, "faults must cost worth: {l:?}");
+    assert!(l.faults > 0.0, "faults must lower the worth: {l:?}");
     assert!(l.policy >= 0.0, "the policy can't earn more than possible: {l:?}");
 }
 
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -119,7 +119,7 @@
             return;
         }
         let Some(addr) = node.leader_addr() else { return };
-        if let Err(e) = node.peer_client.job_stored(&addr, &job).await {
+        if let Err(e) = node.peer_client.notify_job_stored(&addr, &job).await {
             tracing::info!(event = "announce_failed", job = %job.key, error = %e);
         }
     });
@@ -189,7 +189,7 @@
             return;
         }
         let Some(addr) = node.leader_addr() else { return };
-        if let Err(e) = node.peer_client.cancel_stored(&addr, key).await {
+        if let Err(e) = node.peer_client.notify_cancel_stored(&addr, key).await {
             tracing::info!(event = "announce_failed", job = %key, error = %e);
         }
     });
--- a/crates/node/src/leader.rs
+++ b/crates/node/src/leader.rs
@@ -16,7 +16,7 @@
 
 /// Leads until the leadership is over.
 pub async fn lead(node: &Arc<Node>, claim: Claim, sent: Instant) {
-    let leadership = LeadershipStatus::open(sent);
+    let leadership = LeadershipStatus::of_claim_sent_at(sent);
     node.handover.forget_followers();
     lease_renewal::spawn(node, &leadership, claim, sent);
     let state = state_reader::read_all(node, &leadership).await;
--- a/crates/node/src/leadership.rs
+++ b/crates/node/src/leadership.rs
@@ -162,7 +162,7 @@
 
 impl LeadershipStatus {
     /// Builds the status of a claim that was sent at `sent`.
-    pub fn open(sent: Instant) -> Arc<Self> {
+    pub fn of_claim_sent_at(sent: Instant) -> Arc<Self> {
         let status = Self::default();
         status.confirmed_at_ms.store(sent.0, Ordering::SeqCst);
         Arc::new(status)
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -217,7 +217,7 @@
     ///
     /// # Errors
     /// As [`PeerClient::heartbeat`].
-    pub async fn job_stored(&self, addr: &str, job: &Job) -> Result<bool, PeerError> {
+    pub async fn notify_job_stored(&self, addr: &str, job: &Job) -> Result<bool, PeerError> {
         self.call(addr, JOB_STORED, job).await
     }
 
@@ -225,7 +225,7 @@
     ///
     /// # Errors
     /// As [`PeerClient::heartbeat`].
-    pub async fn cancel_stored(&self, addr: &str, key: JobKey) -> Result<bool, PeerError> {
+    pub async fn notify_cancel_stored(&self, addr: &str, key: JobKey) -> Result<bool, PeerError> {
         self.call(addr, CANCEL_STORED, &key).await
     }
 
--- a/crates/node/tests/cancelled.rs
+++ b/crates/node/tests/cancelled.rs
@@ -66,7 +66,7 @@
     assert_nothing_runs_after(site, host, keys, Duration::ZERO);
 }
 
-/// The same where starts may still be carried out during the time `late`.
+/// As [`assert_nothing_runs`], but starts may still be carried out during the first `late`.
 fn assert_nothing_runs_after(site: &Site, host: usize, keys: &[u64], late: Duration) {
     site.fleet.note_no_faults();
     let began = Instant::now();
--- a/crates/node/tests/processes.rs
+++ b/crates/node/tests/processes.rs
@@ -83,7 +83,7 @@
     assert!(site.fleet.violations().is_empty(), "{:#?}", site.fleet.violations());
     let discarded: Vec<_> =
         site.fleet.discarded_work().into_iter().map(|(_, timeline)| timeline).collect();
-    assert!(discarded.is_empty(), "{discarded:#?}");
+    assert!(discarded.is_empty(), "saved work was discarded: {discarded:#?}");
 }
 
 /// Guards against starts with checkpoints of other tasks, which workers of the users received:
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -139,7 +139,7 @@
 }
 
 /// Returns whether any of `capacities` can hold `demand`.
-pub fn ever_fits<'a>(
+pub fn fits_any_capacity<'a>(
     mut capacities: impl Iterator<Item = &'a sizes::Resources>,
     demand: &sizes::Resources,
 ) -> bool {
--- a/crates/policy/tests/connections.rs
+++ b/crates/policy/tests/connections.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn one_connection_is_kept_whatever_the_size() {
+fn one_connection_per_worker_is_kept_whatever_the_fleet_and_descriptor_limit() {
     assert_eq!(connections::idle_connections_per_worker(1_024, 10_000), 1);
     assert_eq!(connections::idle_connections_per_worker(0, 0), 1);
 }
--- a/crates/policy/tests/followers.rs
+++ b/crates/policy/tests/followers.rs
@@ -79,7 +79,10 @@
         "the interval of a small installation"
     );
     let ratio = per_second(500) / per_second(250);
-    assert!((0.9..1.1).contains(&ratio), "{ratio:.2} times the heartbeats");
+    assert!(
+        (0.9..1.1).contains(&ratio),
+        "twice the hosts cause {ratio:.2} times the heartbeats; expected about as many"
+    );
 }
 
 #[test]
--- a/crates/sched/src/changes/checkpoints.rs
+++ b/crates/sched/src/changes/checkpoints.rs
@@ -86,8 +86,8 @@
     newer.then_some("a newer run saved one")
 }
 
-/// Returns whether a text is nothing new: it is the task's last checkpoint, or the run has saved
-/// none since its start carried this text.
+/// Returns whether a checkpoint text is already known: as the task's last checkpoint, or as the one
+/// that this run was started with, which means that the run has saved none since.
 fn is_known(cx: &State, ix: WorkerIx, key: TaskKey, run: Run, text: &str) -> bool {
     let slot = cx.worker(ix).slots.get(&key).filter(|slot| slot.run == run);
     let carried = slot.and_then(|slot| slot.resumes_from.as_ref());
--- a/crates/sched/src/changes/crashes/reserved.rs
+++ b/crates/sched/src/changes/crashes/reserved.rs
@@ -1,4 +1,4 @@
-//! Reserves workers for suspects.
+//! Reserves workers for trial runs of tasks that are suspected of crashing their workers.
 
 use gaplock_jobs::TaskKey;
 use gaplock_types::time::Millis;
--- a/crates/sched/src/changes/dispatch.rs
+++ b/crates/sched/src/changes/dispatch.rs
@@ -223,9 +223,9 @@
     ready: ReadyStep,
     pending: &[u32],
 ) -> Option<TaskKey> {
-    // The image is known to the model from its first task on. It is added before the first task is
+    // Adds the step's image to the model if it is new. This is done before the first task is
     // placed, so that all tasks of the step are evaluated alike.
-    pacing::role_of(cx, &job.steps[usize::from(ready.step)]);
+    pacing::add_image_and_get_role(cx, &job.steps[usize::from(ready.step)]);
     let mut ranking = RankedWorkers::default();
     for &index in pending {
         if cx.is_at_start_limit() {
--- a/crates/sched/src/changes/lifecycle.rs
+++ b/crates/sched/src/changes/lifecycle.rs
@@ -80,7 +80,8 @@
     pub phase: Phase,
     /// The progress of the run in percent.
     pub percent: u32,
-    /// The worker's last reading of the run.
+    /// The worker's last reading of the run: tail latency in milliseconds for a serving task,
+    /// processor time in use in thousandths of a core for any other.
     pub reading: Option<u32>,
 }
 
@@ -94,7 +95,7 @@
     }
     let job = Arc::clone(&entry.job);
     let Some(step) = job.steps.get(usize::from(key.step)) else { return };
-    let role = pacing::role_of(cx, step);
+    let role = pacing::add_image_and_get_role(cx, step);
     let w = cx.worker_mut(worker);
     w.add_slot(key, slot_of(step, role, occupant, now));
     cx.expedite_renewal(worker);
--- a/crates/sched/src/changes/maintenance.rs
+++ b/crates/sched/src/changes/maintenance.rs
@@ -215,7 +215,8 @@
     }
 }
 
-/// Orders hosts down that are empty, or empty enough, once the order is stored.
+/// Sends the maintenance order for each host that may go down (`waves::emptied_hosts`), if the
+/// order is stored already; otherwise has it stored first.
 fn order_emptied(cx: &mut State, number: WaveNumber) {
     let emptied = waves::emptied_hosts(cx, number);
     let Some(wave) = cx.maintenance.waves.get_mut(&number) else { return };
--- a/crates/sched/src/changes/orders.rs
+++ b/crates/sched/src/changes/orders.rs
@@ -127,7 +127,8 @@
     }
 }
 
-/// Avoids a worker that refused a start, if and for as long as that helps.
+/// Reacts to the refusal of a start: avoids the worker for a time that depends on the reason,
+/// unless the reason is one that avoiding the worker would not remove.
 fn avoid_after_refusal(cx: &mut State, ix: WorkerIx, key: TaskKey, refusal: Refusal) {
     let (retry, full) = (cx.settings.renew_retry, cx.settings.full_pause);
     match refusal {
--- a/crates/sched/src/changes/pacing.rs
+++ b/crates/sched/src/changes/pacing.rs
@@ -20,7 +20,7 @@
 
 pub use paces::{handle_pace_outcome, order_paces};
 pub use readings::store_learned;
-pub use roles::role_of;
+pub use roles::add_image_and_get_role;
 pub use spare_capacity::refresh_spare_capacity;
 
 /// Handles a worker's new readings: learns from them, then orders the paces that they require.
--- a/crates/sched/src/changes/pacing/roles.rs
+++ b/crates/sched/src/changes/pacing/roles.rs
@@ -7,7 +7,7 @@
 
 /// Returns the role of a step's tasks beside others on a worker. Adds the step's image to the model
 /// if it is new.
-pub fn role_of(cx: &mut State, step: &Step) -> TaskRole {
+pub fn add_image_and_get_role(cx: &mut State, step: &Step) -> TaskRole {
     let image = step.image.as_deref().unwrap_or_default();
     if step.fills {
         return TaskRole::Filling(cx.interference.column(image));
--- a/crates/sched/src/changes/renewals.rs
+++ b/crates/sched/src/changes/renewals.rs
@@ -186,7 +186,7 @@
     worker.record_clock(now, report.clock);
     worker_report::apply(cx, ix, sent, &report);
     if is_first {
-        restarts::terminate_previous(cx, ix);
+        restarts::mark_previous_terminated(cx, ix);
     }
     pacing::handle_readings(cx, ix);
     takeover::worker_resolved(cx, ix);
--- a/crates/sched/src/changes/restarts.rs
+++ b/crates/sched/src/changes/restarts.rs
@@ -71,7 +71,7 @@
 
 /// Marks the previous incarnations of a worker that has answered as terminated: they no longer run
 /// anything.
-pub fn terminate_previous(cx: &mut State, ix: WorkerIx) {
+pub fn mark_previous_terminated(cx: &mut State, ix: WorkerIx) {
     for previous in previous_incarnations(cx, ix) {
         if !cx.worker(previous).terminated {
             trace::worker_gone(&cx.worker(previous).info.id, "it has started again");
--- a/crates/sched/src/changes/worker_report.rs
+++ b/crates/sched/src/changes/worker_report.rs
@@ -74,7 +74,7 @@
     };
     let is_live = !entry.state.is_final();
     if is_live && entry.unreadable {
-        return occupy_reported(cx, ix, row);
+        return place_reported_run(cx, ix, row);
     }
     let state = entry.task(key).map(|t| t.state);
     match state {
@@ -92,7 +92,7 @@
 /// Keeps a run that was found at its worker, such as one that a previous leader started.
 fn adopt(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     let key = row.task;
-    occupy_reported(cx, ix, row);
+    place_reported_run(cx, ix, row);
     let Some(task) = cx.task_mut(key) else { return };
     task.state = TaskState::Active { worker: ix, run: row.run };
     checkpoints::apply(cx, ix, key, row.run, row.checkpoint.as_deref());
@@ -101,7 +101,7 @@
 
 /// Puts a reported run on its worker, in place of any other run of the task that the leader
 /// believed to be there.
-fn occupy_reported(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
+fn place_reported_run(cx: &mut State, ix: WorkerIx, row: &RunningTask) {
     if let Some(old) = cx.worker(ix).slots.get(&row.task).map(|slot| slot.run) {
         lifecycle::vacate(cx, ix, row.task, old);
     }
@@ -123,7 +123,7 @@
         cx.actions.push(Action::Stop { worker: ix, task: row.task, run: row.run });
         return;
     }
-    occupy_reported(cx, ix, row);
+    place_reported_run(cx, ix, row);
     lifecycle::order_stop(cx, ix, row.task, row.run, why);
 }
 
--- a/crates/sched/src/decisions/interference.rs
+++ b/crates/sched/src/decisions/interference.rs
@@ -13,9 +13,9 @@
 use crate::state::worker::{TaskRole, Worker};
 use crate::state::State;
 
-/// The share of a worker's processors from which on best-effort tasks of any image interfere with
-/// the serving tasks there, because the processors are exhausted. Readings beyond it say nothing
-/// about pairs of images.
+/// The share of a worker's processors in use by best-effort tasks alone from which on these, of any
+/// image, interfere with the serving tasks there, because all tasks together exhaust the
+/// processors. Readings beyond it say nothing about pairs of images.
 pub const CONTENTION_SHARE: f64 = 0.6;
 
 /// The share of a worker's processors that best-effort tasks may use. A tenth is left for changes
@@ -55,9 +55,10 @@
 /// capacity. On full pools 1 is worth 0.027 and 3 is worth 0.018 (`docs/design/shifted-work.md`).
 const COMPATIBILITY_COST: f64 = 1.0;
 
-/// Cost of each whole share of a worker's processors that best-effort tasks use beyond
-/// [`CONTENTION_SHARE`], in workers of free capacity. No worker gets contended as long as another
-/// one is as good. Worth 0.009 on eight pairs of four deployments (`docs/design/shifted-work.md`).
+/// Cost, in whole workers of free capacity, of best-effort tasks that use 100 % of a worker's
+/// processors beyond [`CONTENTION_SHARE`]; less in proportion. It keeps the processors of a worker
+/// from being contended as long as another worker is as good. It raises the worth by 0.009 on eight
+/// pairs of four deployments (`docs/design/shifted-work.md`).
 const CONTENTION_COST: f64 = 3.0;
 
 /// Cost of one unit of tolerable interference, in workers of free capacity.
--- a/crates/sched/src/decisions/paces.rs
+++ b/crates/sched/src/decisions/paces.rs
@@ -11,7 +11,7 @@
 
 /// The share of its target that a serving task's expected tail latency may reach beside the tasks
 /// that already run. Readings are rough and up to a second old.
-const RUNNING_TAIL_SHARE: f64 = 1.0;
+const MAX_TAIL_SHARE_BESIDE_RUNNING: f64 = 1.0;
 
 /// How far ahead the load is predicted for tasks that already run, in seconds: until the next
 /// reading and the next change of pace.
@@ -31,7 +31,7 @@
         let Some(serving) = best_effort::as_serving_task(*key, slot) else { continue };
         let tolerable = cx.interference.tolerable_interference(
             &serving,
-            RUNNING_TAIL_SHARE,
+            MAX_TAIL_SHARE_BESIDE_RUNNING,
             now,
             RUNNING_LOOKAHEAD_S,
         );
--- a/crates/sched/src/decisions/placement.rs
+++ b/crates/sched/src/decisions/placement.rs
@@ -257,8 +257,8 @@
 /// best fit (1) in sum, so that these do not make up for it.
 const SLOW_COST: f64 = 6.0;
 
-/// The part of a long-running step's tasks, as a divisor, that one worker takes before the step's
-/// other tasks go elsewhere. All of them go down with the worker, and where only few of them may be
+/// One worker takes one part in this many of a long-running step's tasks before the step's other
+/// tasks go elsewhere. All of them go down with the worker, and where only few of them may be
 /// unavailable they leave it one by one.
 const COLOCATION_DIVISOR: u32 = 3;
 
--- a/crates/sched/src/state/interference_model.rs
+++ b/crates/sched/src/state/interference_model.rs
@@ -302,8 +302,8 @@
         self.loads.remove(&job);
     }
 
-    /// Returns the interference at which a serving task's tail stays below `share` of its target,
-    /// `ahead_s` seconds from now; it may be negative.
+    /// Returns the highest interference at which a serving task's expected tail is still within
+    /// `share` of its target, `ahead_s` seconds from now; negative if the load alone exceeds that.
     pub fn tolerable_interference(
         &self,
         task: &ServingTask,
@@ -372,7 +372,7 @@
             let learned = &self.images[usize::from(row.0)];
             text.push_str(&format!("{image} unloaded {:.1} ms:", learned.unloaded_ms()));
             for (other, column) in &self.columns {
-                text.push_str(&format!(" {other}={:.1}", learned.factor(*column)));
+                text.push_str(&format!(" factor of {other} {:.1}", learned.factor(*column)));
             }
             text.push_str("; ");
         }
--- a/crates/sched/src/state/job_table.rs
+++ b/crates/sched/src/state/job_table.rs
@@ -21,7 +21,7 @@
     Waiting,
     /// It may start once its pause is over.
     Pending,
-    /// It was ordered to a worker and may run there.
+    /// A start order for it was sent to a worker, and it may run there.
     Active {
         /// The worker.
         worker: WorkerIx,
@@ -58,7 +58,8 @@
     pub failed_on: Option<WorkerIx>,
     /// When the task became pending.
     pub since: Instant,
-    /// Whether it may have run before: it was ordered to a worker, possibly by a previous leader.
+    /// Whether it may have run before: a start order for it was sent to a worker, possibly by a
+    /// previous leader.
     pub may_have_run: bool,
     /// A run on a slow worker that continues while a speculative copy is started elsewhere.
     pub slow_run: Option<(WorkerIx, Run)>,
--- a/crates/sched/src/state/pace_orders.rs
+++ b/crates/sched/src/state/pace_orders.rs
@@ -1,4 +1,4 @@
-//! The orders of pace that were sent for a run, and which paces may be in force.
+//! The pace orders that were sent for a run, and which paces may be in force.
 //!
 //! No worker report says at which pace a run works, and an unanswered order may be carried out
 //! after newer ones, with any delay. The pace of a run that was given such an order stays uncertain
@@ -11,7 +11,7 @@
 /// The pace at which every run begins, in percent of full speed.
 pub const FULL_PACE: u32 = 100;
 
-/// The orders of pace that were sent for a run.
+/// The pace orders that were sent for a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PaceOrders {
     /// One attempt for each order: whatever its pace, it may undo the others.
--- a/crates/sched/src/state/worker.rs
+++ b/crates/sched/src/state/worker.rs
@@ -66,7 +66,7 @@
     pub pace: u32,
     /// Whether an order for another pace is in flight.
     pub pace_order_in_flight: bool,
-    /// The orders of pace so far, and what they leave uncertain.
+    /// The pace orders sent for this run, and whether the pace in force is known.
     pub pace_orders: PaceOrders,
     /// The progress of the run in percent.
     pub progress_percent: u32,
--- a/crates/sched/tests/fleet/cancelled_runs.rs
+++ b/crates/sched/tests/fleet/cancelled_runs.rs
@@ -327,7 +327,10 @@
         world.run_until_crashes(1, 1, 5_000);
         world.run(3_000 + 10 * after);
         world.cancel(1);
-        assert_runs_end(&mut world, &format!("cancelled {after} ms after the crash"));
+        assert_runs_end(
+            &mut world,
+            &format!("cancelled 10 * {after} ms later than 3 s after the crash"),
+        );
     }
 }
 
--- a/crates/sched/tests/fleet/directory_age.rs
+++ b/crates/sched/tests/fleet/directory_age.rs
@@ -32,7 +32,7 @@
 }
 
 /// Counts the completed jobs with keys below `jobs`.
-fn completed(world: &Simulation, jobs: u64) -> usize {
+fn count_completed(world: &Simulation, jobs: u64) -> usize {
     (0..jobs).filter(|&key| world.is_completed(key)).count()
 }
 
@@ -44,7 +44,7 @@
     let jobs = submit_jobs_for(&mut world, 0, 6_000);
     world.directory.reads = Some(DirectoryReads::Stale(100));
     world.run(6_000);
-    assert_eq!(completed(&world, jobs), jobs as usize);
+    assert_eq!(count_completed(&world, jobs), jobs as usize);
     assert_no_violations(&world);
 }
 
@@ -64,7 +64,7 @@
     let mut fresh = open_with_reading(903, DirectoryReads::Stale(0));
     let jobs = submit_jobs_for(&mut late, 0, 6_000);
     submit_jobs_for(&mut fresh, 0, 6_000);
-    assert_eq!(completed(&late, jobs), completed(&fresh, jobs));
+    assert_eq!(count_completed(&late, jobs), count_completed(&fresh, jobs));
     assert_no_violations(&late);
 }
 
@@ -74,7 +74,7 @@
     let mut fresh = open_with_reading(904, DirectoryReads::Stale(0));
     let jobs = submit_jobs_for(&mut quiet, 0, 6_000);
     submit_jobs_for(&mut fresh, 0, 6_000);
-    assert_eq!(completed(&quiet, jobs), completed(&fresh, jobs));
+    assert_eq!(count_completed(&quiet, jobs), count_completed(&fresh, jobs));
 }
 
 #[test]
@@ -95,6 +95,6 @@
     world.change_leader(100);
     let jobs = submit_jobs_for(&mut world, 0, 4_000);
     world.run(3_000);
-    assert_eq!(completed(&world, jobs), jobs as usize);
+    assert_eq!(count_completed(&world, jobs), jobs as usize);
     assert_no_violations(&world);
 }
--- a/crates/sched/tests/fleet/foreign_entries.rs
+++ b/crates/sched/tests/fleet/foreign_entries.rs
@@ -80,7 +80,7 @@
     world.submit(job(1, vec![long_running_step(4)]));
     world.run(1_000);
     let before = world.running_at(0);
-    world.list_at_address(0, "10.0.0.99:80");
+    world.change_listed_address(0, "10.0.0.99:80");
     world.submit(job(2, vec![long_running_step(12)]));
     world.run(3_000);
     assert_eq!(world.running_at(0), before, "tasks were started or stopped at worker 0");
--- a/crates/sched/tests/fleet/simulation/calls.rs
+++ b/crates/sched/tests/fleet/simulation/calls.rs
@@ -88,7 +88,7 @@
     FromStore { id: CommitId, notice: WriteNotice },
 }
 
-/// How long a leader waits for the answer to a call, in milliseconds: as long as the product waits for the
+/// How long a leader waits for the answer to a call, in milliseconds: as long as the daemon waits for the
 /// answer to an order.
 const CALL_TIMEOUT_MS: u64 = 400;
 
--- a/crates/sched/tests/fleet/simulation/checks.rs
+++ b/crates/sched/tests/fleet/simulation/checks.rs
@@ -41,7 +41,7 @@
 /// goes on whose job has ended.
 pub fn assert_no_runnable_task_waits(simulation: &mut Simulation) {
     end_faults_and_settle(simulation);
-    let waiting = simulation.waiting();
+    let waiting = simulation.needlessly_waiting_tasks();
     assert!(waiting.is_empty(), "{} tasks wait that could run: {waiting:?}", waiting.len());
     assert_no_runs_of_finished_jobs(simulation);
 }
@@ -61,13 +61,13 @@
 impl Simulation {
     /// Lists the tasks that run nowhere although the steps before theirs are done at the workers and some
     /// worker has free capacity for them.
-    fn waiting(&self) -> Vec<TaskKey> {
+    fn needlessly_waiting_tasks(&self) -> Vec<TaskKey> {
         let live = self.jobs.values().filter(|job| job.repeat.is_none() && !self.is_over(job.key));
-        live.flat_map(|job| self.waiting_of(job)).collect()
+        live.flat_map(|job| self.needlessly_waiting_tasks_of(job)).collect()
     }
 
     /// Lists these tasks of one job.
-    fn waiting_of(&self, job: &Job) -> Vec<TaskKey> {
+    fn needlessly_waiting_tasks_of(&self, job: &Job) -> Vec<TaskKey> {
         let task = |step: u16, index| TaskKey { job: job.key, round: 0, step, index };
         let is_step_done = |step: &u16| {
             let count = job.steps[usize::from(*step)].count;
@@ -123,7 +123,7 @@
     }
 
     /// Checks that a job that is stored as failed has a task that failed often enough or crashes its workers.
-    pub(super) fn check_failed(&mut self, progress: &Progress) {
+    pub(super) fn check_failed_job(&mut self, progress: &Progress) {
         let out_of_attempts =
             |(task, &failed): (&TaskKey, &u32)| task.job == progress.key && failed >= MAX_ATTEMPTS;
         let has_crashing_task = self.crashes.has_crashing_task(progress.key);
--- a/crates/sched/tests/fleet/simulation/mod.rs
+++ b/crates/sched/tests/fleet/simulation/mod.rs
@@ -311,7 +311,7 @@
     }
 
     /// Lists a worker at another address, as another process that writes to the directory may do.
-    pub fn list_at_address(&mut self, worker: usize, addr: &str) {
+    pub fn change_listed_address(&mut self, worker: usize, addr: &str) {
         let mut info = self.workers[worker].info.clone();
         info.addr = addr.to_string();
         self.notify_leader(Event::Listed(info));
--- a/crates/sched/tests/fleet/simulation/store.rs
+++ b/crates/sched/tests/fleet/simulation/store.rs
@@ -82,7 +82,7 @@
         for record in records {
             match record {
                 Record::Progress(progress) => {
-                    self.check_failed(&progress);
+                    self.check_failed_job(&progress);
                     self.unreadable.remove(&progress.key);
                     self.progress.insert(progress.key, progress);
                 }
--- a/crates/sched/tests/searches.rs
+++ b/crates/sched/tests/searches.rs
@@ -1,5 +1,5 @@
-//! The budget of searches for a better worker that one check may make, and the worker at which the next check
-//! begins.
+//! Tests how many searches for a better worker one periodic check of slowed tasks may make, and at which worker
+//! the next check continues.
 
 use gaplock_sched::message::WorkerIx;
 use gaplock_sched::search_budget;
--- a/crates/soak/src/processes/faults.rs
+++ b/crates/soak/src/processes/faults.rs
@@ -30,9 +30,11 @@
 /// The percentage of transactions that are late. The repeat of a late one is often late too.
 const LATE_WRITE_PERCENT: std::ops::Range<u32> = 15..60;
 
-/// How long the store writes late before it refuses transactions, and how long it refuses them, in
-/// milliseconds: a commit is repeated for about a second, and is late by up to 6 s.
+/// How long the store writes late before it refuses transactions, in milliseconds.
 const LATE_WRITES_MS: std::ops::Range<u64> = 300..1_200;
+
+/// How long it then refuses them, in milliseconds: longer than a commit is repeated (about a
+/// second), and less than the longest time by which a commit is late (6 s).
 const REFUSING_MS: std::ops::Range<u64> = 2_000..5_000;
 
 /// How long after that the leader is killed, in milliseconds: what it learned in between must be
--- a/crates/soak/src/simulation/mod.rs
+++ b/crates/soak/src/simulation/mod.rs
@@ -172,7 +172,9 @@
     next: u64,
     /// Worker calls that have been answered, so that their timeouts are not reported as well.
     answered: BTreeMap<u64, bool>,
-    /// The peer that waits for the reply to a forwarded command, by the number of the command.
+    /// For each command that an entry received, by the number of the command: the entry that forwarded
+    /// it, the number of that entry's process, and the number of the command again; `None` if no peer
+    /// forwarded it.
     routes: BTreeMap<u64, Option<(usize, u64, u64)>>,
     /// The entry, its process number, the partition and the run that a query about a loan is for, by
     /// the number of the query.
--- a/crates/soak/tests/late_calls.rs
+++ b/crates/soak/tests/late_calls.rs
@@ -222,8 +222,8 @@
     }
 }
 
-/// Returns a timing whose right to renew outlasts every wait of a successor, as the default of 75
-/// minutes does.
+/// Returns timing settings under which an owner without the store renews leases for longer than any
+/// successor waits, as with the default of 75 minutes.
 fn timing_with_long_renew_right() -> Timing {
     Timing { renew_limit: time::Millis(600_000), ..simulation::timing() }
 }
--- a/crates/types/src/wire.rs
+++ b/crates/types/src/wire.rs
@@ -217,7 +217,7 @@
 pub struct Host {
     /// The worker that runs on it.
     pub worker: ids::WorkerId,
-    /// Its address, an IP number with a port.
+    /// Its address, an IP address with a port.
     pub addr: String,
     /// Its failure domain.
     pub domain: ids::DomainId,
--- a/crates/verify/tests/checks.rs
+++ b/crates/verify/tests/checks.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_entry_sends_once_keeps_generations_rising_and_reports_not_run_only_if_true() {
+fn repeated_requests_falling_generations_and_false_not_run_reports_are_violations() {
     let mut c = EntryCheck::default();
     let (partner, key) = ("p".into(), "k".into());
     c.once(&partner, &key).unwrap();
