--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -44,7 +44,10 @@
 }
 
 fn print_json(value: &impl Serialize) {
-    println!("{}", serde_json::to_string_pretty(value).expect("plain data serializes to JSON"));
+    println!(
+        "{}",
+        serde_json::to_string_pretty(value).expect("a server's answer always serializes to JSON")
+    );
 }
 
 fn read_intent(file: &str) -> Result<Value> {
@@ -88,7 +91,7 @@
     }
     let out = values.text("out");
     if !out.is_empty() {
-        let text = serde_json::to_string_pretty(&plan).expect("plain data serializes to JSON");
+        let text = serde_json::to_string_pretty(&plan).expect("a plan always serializes to JSON");
         std::fs::write(out, text).map_err(|e| Exit::Usage(format!("{out}: {e}")))?;
     }
     if !plan.refused.is_empty() {
@@ -104,7 +107,7 @@
     let text = std::fs::read_to_string(file).map_err(|e| Exit::Usage(format!("{file}: {e}")))?;
     let plan: api::Plan =
         serde_json::from_str(&text).map_err(|e| Exit::Usage(format!("{file}: {e}")))?;
-    let body = serde_json::to_vec(&plan).expect("plain data serializes to JSON");
+    let body = serde_json::to_vec(&plan).expect("a plan always serializes to JSON");
     let done: Value = server.call(Method::Post, "/v1/plans/confirm", body).await?;
     let status: Option<api::ConfigStatus> = serde_json::from_value(done["status"].clone()).ok();
     match &status {
--- a/crates/demo/src/cluster.rs
+++ b/crates/demo/src/cluster.rs
@@ -211,7 +211,7 @@
     /// # Errors
     /// Returns an error if the host list did not answer.
     pub async fn publish_hosts(&self) -> io::Result<()> {
-        let body = serde_json::to_vec(&self.hosts).expect("plain data serializes to JSON");
+        let body = serde_json::to_vec(&self.hosts).expect("a host list always serializes to JSON");
         put(&self.hosts_addr, "/set", body).await.map(drop)
     }
 
@@ -293,7 +293,7 @@
     /// # Errors
     /// Returns an error if no complete answer arrives.
     pub async fn confirm(&self, entry: usize, key: &str, plan: &api::Plan) -> io::Result<Answer> {
-        let body = serde_json::to_value(plan).expect("plain data serializes to JSON");
+        let body = serde_json::to_value(plan).expect("a plan always serializes to JSON");
         let began = Instant::now();
         loop {
             let path = "/v1/plans/confirm";
--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -77,7 +77,7 @@
 /// of the signature any entry can confirm the plan without having stored it.
 pub fn plan_id(secret: &str, plan: &api::Plan, made_at_unix_ms: u64) -> ids::PlanId {
     let signed = (plan.base, &plan.changes, &plan.refused, &plan.wanted, made_at_unix_ms);
-    let data = serde_json::to_vec(&signed).expect("plain data always serializes to JSON");
+    let data = serde_json::to_vec(&signed).expect("the fields of a plan always serialize to JSON");
     ids::PlanId(format!("{made_at_unix_ms}.{}", &mac(secret, "plan", &data)[..32]))
 }
 
--- a/crates/entry/src/web.rs
+++ b/crates/entry/src/web.rs
@@ -123,7 +123,7 @@
 pub fn json_response(status: u16, body: &impl Serialize) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut res = Response::new(status);
-    res.set_body(serde_json::to_vec(body).expect("plain data always serializes to JSON"));
+    res.set_body(serde_json::to_vec(body).expect("an answer's body always serializes to JSON"));
     res.insert_header("content-type", "application/json");
     res
 }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -142,7 +142,10 @@
         }
     });
     let result = summarise(rate, seconds, &routes);
-    println!("{}", serde_json::to_string_pretty(&result).expect("plain data always serialises"));
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&result).expect("a load result always serializes to JSON")
+    );
     ExitCode::SUCCESS
 }
 
--- a/crates/measure/src/patterns/lines.rs
+++ b/crates/measure/src/patterns/lines.rs
@@ -23,7 +23,8 @@
 
 /// Formats results, one line each.
 pub fn write(lines: &[Line]) -> String {
-    let one = |line| serde_json::to_string(line).expect("plain data always serialises") + "\n";
+    let one =
+        |line| serde_json::to_string(line).expect("a result line always serializes to JSON") + "\n";
     lines.iter().map(one).collect()
 }
 
--- a/crates/measure/src/scale.rs
+++ b/crates/measure/src/scale.rs
@@ -79,7 +79,8 @@
     decision_us: f64,
 ) -> Vec<String> {
     let state = state_of(workers_per_partition * TASKS_PER_WORKER);
-    let snapshot = serde_json::to_vec(&state).expect("plain data always serialises").len();
+    let snapshot =
+        serde_json::to_vec(&state).expect("a partition's state always serializes to JSON").len();
     vec![
         workers.to_string(),
         layout.count().to_string(),
@@ -190,8 +191,9 @@
         owner: ids::Member { entry: "entry-3".into(), incarnation: ids::Incarnation(u64::MAX) },
         records: (0..count).map(assignment).collect(),
     };
-    let bytes =
-        |count| serde_json::to_vec(&entry(count)).expect("plain data always serialises").len();
+    let bytes = |count| {
+        serde_json::to_vec(&entry(count)).expect("a journal entry always serializes to JSON").len()
+    };
     (bytes(50) - bytes(0)) / 50
 }
 
@@ -210,7 +212,7 @@
             })
             .collect(),
     };
-    serde_json::to_vec(&beat).expect("plain data always serialises").len()
+    serde_json::to_vec(&beat).expect("a heartbeat always serializes to JSON").len()
 }
 
 fn lease_bytes(tasks: u64) -> usize {
@@ -249,8 +251,8 @@
             runs: (0..tasks).map(used).collect(),
         }),
     };
-    let req = serde_json::to_vec(&req).expect("plain data always serialises").len();
-    req + serde_json::to_vec(&reply).expect("plain data always serialises").len()
+    let req = serde_json::to_vec(&req).expect("a lease request always serializes to JSON").len();
+    req + serde_json::to_vec(&reply).expect("a lease reply always serializes to JSON").len()
 }
 
 fn member_bytes() -> usize {
@@ -260,5 +262,5 @@
         domain: "vrhnika-hall".into(),
         beat: 123_456,
     };
-    serde_json::to_vec(&record).expect("plain data always serialises").len()
+    serde_json::to_vec(&record).expect("a membership record always serializes to JSON").len()
 }
--- a/crates/remote/src/store.rs
+++ b/crates/remote/src/store.rs
@@ -144,7 +144,7 @@
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let kv = TxnKv { verb: verb.to_string(), key: key.to_string(), value, index: index.0 };
         let body =
-            serde_json::to_vec(&[TxnOp { kv }]).expect("plain data always serializes to JSON");
+            serde_json::to_vec(&[TxnOp { kv }]).expect("a transaction always serializes to JSON");
         let call = http::Call {
             method: Method::Put,
             path: "/v1/txn",
