--- a/crates/sched/tests/fleet/backlogs.rs
+++ b/crates/sched/tests/fleet/backlogs.rs
@@ -24,41 +24,41 @@
 
 #[test]
 fn long_running_steps_that_do_not_fit_are_not_each_evaluated_on_all_workers() {
-    let mut world = Simulation::open(111, WORKERS);
-    world.work_ms = 60_000;
+    let mut sim = Simulation::open(111, WORKERS);
+    sim.work_ms = 60_000;
     // Seven of eight cores are in use; the last one is reserved for short tasks for a while.
-    world.submit(job(1, vec![step(7 * WORKERS as u32, &[])]));
-    world.run(1_000);
+    sim.submit(job(1, vec![step(7 * WORKERS as u32, &[])]));
+    sim.run(1_000);
     for key in 0..WAITING_JOBS {
-        world.submit(serving_job(10 + key, 1));
+        sim.submit(serving_job(10 + key, 1));
     }
-    world.run(1_000);
+    sim.run(1_000);
     assert!(
-        world.evaluations() <= MAX_EVALUATIONS,
+        sim.evaluations() <= MAX_EVALUATIONS,
         "{} candidate evaluations in one dispatch pass, expected at most {MAX_EVALUATIONS}",
-        world.evaluations()
+        sim.evaluations()
     );
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn best_effort_steps_that_would_interfere_are_not_each_evaluated_on_all_workers() {
-    let mut world = Simulation::open(112, WORKERS);
-    world.work_ms = 60_000;
-    world.submit(serving_job(1, WORKERS as u32));
-    world.readings.insert(JobKey(1), 200);
-    world.run(3_000);
+    let mut sim = Simulation::open(112, WORKERS);
+    sim.work_ms = 60_000;
+    sim.submit(serving_job(1, WORKERS as u32));
+    sim.readings.insert(JobKey(1), 200);
+    sim.run(3_000);
     for key in 0..WAITING_JOBS {
         let image = Some("filling".to_string());
-        world.submit(job(10 + key, vec![Step { fills: true, image, ..step(6, &[]) }]));
+        sim.submit(job(10 + key, vec![Step { fills: true, image, ..step(6, &[]) }]));
     }
-    world.run(1_000);
+    sim.run(1_000);
     assert!(
-        world.evaluations() <= MAX_EVALUATIONS,
+        sim.evaluations() <= MAX_EVALUATIONS,
         "{} candidate evaluations in one dispatch pass, expected at most {MAX_EVALUATIONS}",
-        world.evaluations()
+        sim.evaluations()
     );
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
 
 /// How many searches for another worker a rebalancing check may make where all paused tasks are identical: one
@@ -70,29 +70,29 @@
 /// took all of the leader's time on 3,000 workers.
 #[test]
 fn identical_paused_tasks_are_not_each_evaluated_on_all_workers() {
-    let mut world = Simulation::open(113, WORKERS);
-    world.work_ms = 60_000;
-    world.submit(serving_job(1, WORKERS as u32));
-    world.readings.insert(JobKey(1), 10);
-    world.run(3_000);
+    let mut sim = Simulation::open(113, WORKERS);
+    sim.work_ms = 60_000;
+    sim.submit(serving_job(1, WORKERS as u32));
+    sim.readings.insert(JobKey(1), 10);
+    sim.run(3_000);
     let image = Some("filling".to_string());
     let best_effort =
         Step { fills: true, checkpoints: true, image, ..step(4 * WORKERS as u32, &[]) };
-    world.readings.insert(JobKey(2), 1_000);
-    world.submit(job(2, vec![best_effort]));
-    world.run(1_000);
-    world.readings.insert(JobKey(1), 200);
-    world.run(3_000);
-    world.add_worker("free");
+    sim.readings.insert(JobKey(2), 1_000);
+    sim.submit(job(2, vec![best_effort]));
+    sim.run(1_000);
+    sim.readings.insert(JobKey(1), 200);
+    sim.run(3_000);
+    sim.add_worker("free");
     let mut max_searches = 0;
     for _ in 0..40 {
-        world.run(50);
-        max_searches = max_searches.max(world.rebalance_searches());
+        sim.run(50);
+        max_searches = max_searches.max(sim.rebalance_searches());
     }
     assert!(max_searches > 0, "no check searched for another worker: no task was paused");
     assert!(
         max_searches <= MAX_SEARCHES,
         "{max_searches} searches in one rebalancing check, expected at most {MAX_SEARCHES}"
     );
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
--- a/crates/sched/tests/fleet/best_effort.rs
+++ b/crates/sched/tests/fleet/best_effort.rs
@@ -24,21 +24,21 @@
 
 #[test]
 fn halted_tasks_free_no_capacity_for_others() {
-    let mut world = Simulation::open(101, 1);
-    world.work_ms = 60_000;
-    world.submit(serving_job(1));
-    world.run(500);
-    world.submit(best_effort_job(2, 4));
-    world.run(500);
-    assert_eq!(world.running_of(2), 4);
+    let mut sim = Simulation::open(101, 1);
+    sim.work_ms = 60_000;
+    sim.submit(serving_job(1));
+    sim.run(500);
+    sim.submit(best_effort_job(2, 4));
+    sim.run(500);
+    assert_eq!(sim.running_of(2), 4);
     // The tail of the serving task stays over its target, so the best-effort tasks beside it are
     // halted.
-    world.readings.insert(JobKey(1), 4 * TAIL_TARGET_MS as u32);
-    world.run(3_000);
-    world.submit(best_effort_job(3, 4));
-    world.run(10_000);
-    assert_eq!(world.running_of(3), 0, "other tasks were placed beside halted ones");
-    assert_no_violations(&world);
+    sim.readings.insert(JobKey(1), 4 * TAIL_TARGET_MS as u32);
+    sim.run(3_000);
+    sim.submit(best_effort_job(3, 4));
+    sim.run(10_000);
+    assert_eq!(sim.running_of(3), 0, "other tasks were placed beside halted ones");
+    assert_no_violations(&sim);
 }
 
 /// The tail of a serving task under light load, in milliseconds.
@@ -49,19 +49,19 @@
 /// unused.
 #[test]
 fn best_effort_tasks_use_most_of_a_lightly_loaded_worker() {
-    let mut world = Simulation::open(104, 1);
-    world.work_ms = 60_000;
-    world.submit(serving_job(1));
-    world.readings.insert(JobKey(1), LIGHT_LOAD_TAIL_MS);
-    world.run(3_000);
-    world.submit(best_effort_job(2, 12));
-    world.run(1_000);
-    let running = world.running_of(2);
+    let mut sim = Simulation::open(104, 1);
+    sim.work_ms = 60_000;
+    sim.submit(serving_job(1));
+    sim.readings.insert(JobKey(1), LIGHT_LOAD_TAIL_MS);
+    sim.run(3_000);
+    sim.submit(best_effort_job(2, 12));
+    sim.run(1_000);
+    let running = sim.running_of(2);
     assert!(
         (6..=7).contains(&running),
         "best-effort tasks use {running} of eight cores, expected 6 or 7"
     );
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
 
 /// The tail of a serving task under so high a load that an image that interferes with it does not
@@ -101,17 +101,17 @@
 /// tolerates everything, the other a `touchy` one under high load, which tolerates only the image
 /// `light`.
 fn sturdy_beside_touchy(seed: u64) -> Simulation {
-    let mut world = Simulation::open(seed, 2);
-    world.work_ms = 60_000;
-    world.learned = learned_model();
-    world.start_new_leader();
-    world.submit(image_job(1, "sturdy", 1, false));
-    world.run(500);
-    world.submit(image_job(2, "touchy", 1, false));
-    world.readings.insert(JobKey(1), LIGHT_LOAD_TAIL_MS);
-    world.readings.insert(JobKey(2), HIGH_LOAD_TAIL_MS);
-    world.run(3_000);
-    world
+    let mut sim = Simulation::open(seed, 2);
+    sim.work_ms = 60_000;
+    sim.learned = learned_model();
+    sim.start_new_leader();
+    sim.submit(image_job(1, "sturdy", 1, false));
+    sim.run(500);
+    sim.submit(image_job(2, "touchy", 1, false));
+    sim.readings.insert(JobKey(1), LIGHT_LOAD_TAIL_MS);
+    sim.readings.insert(JobKey(2), HIGH_LOAD_TAIL_MS);
+    sim.run(3_000);
+    sim
 }
 
 /// Images that interfere with nothing are submitted first and could run anywhere; images that
@@ -119,25 +119,25 @@
 /// for only three or four of the six other tasks.
 #[test]
 fn images_that_run_anywhere_leave_tolerant_workers_to_those_that_interfere() {
-    let mut world = sturdy_beside_touchy(105);
-    world.submit(image_job(3, "light", 4, true));
-    world.run(1_000);
-    world.submit(image_job(4, "heavy", 6, true));
-    world.run(1_000);
-    assert_eq!((world.running_of(3), world.running_of(4)), (4, 6));
-    assert_no_violations(&world);
+    let mut sim = sturdy_beside_touchy(105);
+    sim.submit(image_job(3, "light", 4, true));
+    sim.run(1_000);
+    sim.submit(image_job(4, "heavy", 6, true));
+    sim.run(1_000);
+    assert_eq!((sim.running_of(3), sim.running_of(4)), (4, 6));
+    assert_no_violations(&sim);
 }
 
 /// The two workers together have capacity for ten tasks. The worker that fewer images could use is
 /// filled first, but is not overfilled while the other has free capacity.
 #[test]
 fn no_worker_is_overfilled_while_another_has_free_capacity() {
-    let mut world = sturdy_beside_touchy(106);
-    world.submit(image_job(3, "light", 8, true));
-    world.run(1_000);
-    let most = world.running_at(0).max(world.running_at(1)) - 1;
+    let mut sim = sturdy_beside_touchy(106);
+    sim.submit(image_job(3, "light", 8, true));
+    sim.run(1_000);
+    let most = sim.running_at(0).max(sim.running_at(1)) - 1;
     assert!(most <= 5, "{most} of eight best-effort tasks are on one worker, at most 5 expected");
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
 
 /// The tail of a serving task that leaves no capacity for best-effort tasks beside it, in
@@ -148,34 +148,34 @@
 /// placed after 8 s wherever they interfered least were halted there at once, and kept others out.
 #[test]
 fn a_best_effort_task_that_would_be_halted_waits_but_not_for_ever() {
-    let mut world = Simulation::open(103, 1);
-    world.work_ms = 60_000;
-    world.submit(serving_job(1));
-    world.readings.insert(JobKey(1), NEAR_TARGET_TAIL_MS);
-    world.run(3_000);
-    world.submit(best_effort_job(2, 4));
-    world.run(15_000);
-    assert_eq!(world.running_of(2), 0, "tasks were placed where they would only be halted");
-    world.run(20_000);
-    assert!(world.running_of(2) > 0, "no task was placed within 35 s");
-    assert_no_violations(&world);
+    let mut sim = Simulation::open(103, 1);
+    sim.work_ms = 60_000;
+    sim.submit(serving_job(1));
+    sim.readings.insert(JobKey(1), NEAR_TARGET_TAIL_MS);
+    sim.run(3_000);
+    sim.submit(best_effort_job(2, 4));
+    sim.run(15_000);
+    assert_eq!(sim.running_of(2), 0, "tasks were placed where they would only be halted");
+    sim.run(20_000);
+    assert!(sim.running_of(2) > 0, "no task was placed within 35 s");
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn a_shared_worker_gets_several_renewals_a_second() {
-    let mut world = Simulation::open(102, 1);
-    world.work_ms = 60_000;
-    world.submit(serving_job(1));
-    world.readings.insert(JobKey(1), 10);
-    world.run(2_000);
-    let alone = world.renewals_within(3_000);
-    world.submit(best_effort_job(2, 2));
-    world.run(2_000);
-    let shared = world.renewals_within(3_000);
+    let mut sim = Simulation::open(102, 1);
+    sim.work_ms = 60_000;
+    sim.submit(serving_job(1));
+    sim.readings.insert(JobKey(1), 10);
+    sim.run(2_000);
+    let alone = sim.renewals_within(3_000);
+    sim.submit(best_effort_job(2, 2));
+    sim.run(2_000);
+    let shared = sim.renewals_within(3_000);
     assert!(alone <= 4, "{alone} renewals in 3 s without best-effort tasks, at most 4 expected");
     assert!(
         shared >= 8,
         "{shared} renewals in 3 s where readings must be fresh, at least 8 expected"
     );
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
--- a/crates/sched/tests/fleet/cancelled_mix.rs
+++ b/crates/sched/tests/fleet/cancelled_mix.rs
@@ -35,10 +35,10 @@
 const CRASH_DELAY_MS: u64 = 10;
 
 /// Builds a job of a random kind; the kinds differ in which tasks run, and where.
-fn random_job(world: &mut Simulation, key: u64) -> Job {
+fn random_job(sim: &mut Simulation, key: u64) -> Job {
     let speculative = Step { duplicates: true, ..step(4, &[]) };
     let gang = Step { gang: true, ..step(4, &[]) };
-    match world.draw(7) {
+    match sim.draw(7) {
         0 => job(key, vec![long_running_step(4)]),
         1 => job(key, vec![gang]),
         2 => job(key, vec![speculative, step(2, &[0])]),
@@ -52,43 +52,43 @@
 }
 
 /// Submits a random job and cancels it soon or not at all; may also cancel an earlier one.
-fn submit_random_job(world: &mut Simulation, key: u64) {
-    let job = random_job(world, key);
-    let pause = world.draw(500);
-    match world.draw(8) {
+fn submit_random_job(sim: &mut Simulation, key: u64) {
+    let job = random_job(sim, key);
+    let pause = sim.draw(500);
+    match sim.draw(8) {
         0..4 => {
-            world.submit(job);
-            world.run(pause);
-            world.cancel(key);
+            sim.submit(job);
+            sim.run(pause);
+            sim.cancel(key);
         }
-        _ => world.submit(job),
+        _ => sim.submit(job),
     }
-    if key >= 6 && world.draw(2) == 0 {
-        let earlier = key - 1 - world.draw(6);
-        world.cancel(earlier);
+    if key >= 6 && sim.draw(2) == 0 {
+        let earlier = key - 1 - sim.draw(6);
+        sim.cancel(earlier);
     }
 }
 
 /// Injects a random fault that makes runs hard to stop or to find, or none.
-fn inject_fault(world: &mut Simulation) {
-    let at = world.draw(WORKERS) as usize;
-    let (ms, gap) = (world.draw(4_000), world.draw(2_500));
-    match world.draw(16) {
-        0 | 1 => world.workers[at].partitioned ^= true,
-        2 => world.change_leader(gap),
-        3 => world.workers[at].next_start_delay_ms = Some(ms),
-        4 => world.workers[at].refuses_stops ^= true,
-        5 => world.workers[at].slowness = if world.workers[at].slowness == 1 { 6 } else { 1 },
-        6 => world.workers[at].stop_ms = ms / 5,
-        7 => world.workers[at].checks_own_lease ^= true,
+fn inject_fault(sim: &mut Simulation) {
+    let at = sim.draw(WORKERS) as usize;
+    let (ms, gap) = (sim.draw(4_000), sim.draw(2_500));
+    match sim.draw(16) {
+        0 | 1 => sim.workers[at].partitioned ^= true,
+        2 => sim.change_leader(gap),
+        3 => sim.workers[at].next_start_delay_ms = Some(ms),
+        4 => sim.workers[at].refuses_stops ^= true,
+        5 => sim.workers[at].slowness = if sim.workers[at].slowness == 1 { 6 } else { 1 },
+        6 => sim.workers[at].stop_ms = ms / 5,
+        7 => sim.workers[at].checks_own_lease ^= true,
         _ => {}
     }
 }
 
 /// Loses workers that are up after certain jobs were submitted: no more than two under one task, since its job fails
 /// after three.
-fn lose_workers(world: &mut Simulation, key: u64, start_over: fn(&mut Simulation, usize)) {
-    let one = world.draw(WORKERS) as usize;
+fn lose_workers(sim: &mut Simulation, key: u64, start_over: fn(&mut Simulation, usize)) {
+    let one = sim.draw(WORKERS) as usize;
     let (lost, lose): (Vec<usize>, fn(&mut Simulation, usize)) = match key {
         6 => (vec![one], Simulation::crash_and_replace),
         12 => ((0..3).collect(), Simulation::crash_and_replace),
@@ -96,17 +96,17 @@
         _ => return,
     };
     for at in lost {
-        if world.workers[at].up {
-            lose(world, at);
+        if sim.workers[at].up {
+            lose(sim, at);
         }
     }
 }
 
 /// Runs jobs that are cancelled while faults occur.
-fn run_jobs_amid_faults(world: &mut Simulation, seed: u64, start_over: fn(&mut Simulation, usize)) {
-    world.work_ms = 1_500;
-    world.crashes.restart_under_same_name = seed.is_multiple_of(2);
-    world.faults = Faults {
+fn run_jobs_amid_faults(sim: &mut Simulation, seed: u64, start_over: fn(&mut Simulation, usize)) {
+    sim.work_ms = 1_500;
+    sim.crashes.restart_under_same_name = seed.is_multiple_of(2);
+    sim.faults = Faults {
         lost_per_mille: 20,
         unanswered_per_mille: 50,
         late_per_mille: 30,
@@ -114,11 +114,11 @@
         unhealthy_per_mille: 30,
     };
     for key in 0..JOBS {
-        submit_random_job(world, key);
-        inject_fault(world);
-        let pause = world.draw(500);
-        world.run(pause);
-        lose_workers(world, key, start_over);
+        submit_random_job(sim, key);
+        inject_fault(sim);
+        let pause = sim.draw(500);
+        sim.run(pause);
+        lose_workers(sim, key, start_over);
     }
 }
 
@@ -133,10 +133,10 @@
 #[test]
 fn no_run_of_a_cancelled_job_continues_under_any_fault() {
     for seed in seeds() {
-        let mut world = Simulation::open(seed, WORKERS as usize);
-        run_jobs_amid_faults(&mut world, seed, Simulation::restart_worker);
-        assert_no_runnable_task_waits(&mut world);
-        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
+        let mut sim = Simulation::open(seed, WORKERS as usize);
+        run_jobs_amid_faults(&mut sim, seed, Simulation::restart_worker);
+        assert_no_runnable_task_waits(&mut sim);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
     }
 }
 
@@ -147,11 +147,11 @@
 fn no_run_of_a_cancelled_job_continues_in_the_next_incarnation_of_its_worker() {
     for seed in seeds().chain(REGRESSION_SEEDS) {
         println!("seed {seed}");
-        let mut world = Simulation::open(seed, WORKERS as usize);
+        let mut sim = Simulation::open(seed, WORKERS as usize);
         (0..JOBS)
             .step_by(CRASHING_JOB_EVERY)
-            .for_each(|key| world.make_task_crash_workers(key, 0, CRASH_DELAY_MS));
-        run_jobs_amid_faults(&mut world, seed, Simulation::restart_worker_keeping_calls);
-        assert_cancellation_guarantees(&mut world);
+            .for_each(|key| sim.make_task_crash_workers(key, 0, CRASH_DELAY_MS));
+        run_jobs_amid_faults(&mut sim, seed, Simulation::restart_worker_keeping_calls);
+        assert_cancellation_guarantees(&mut sim);
     }
 }
--- a/crates/sched/tests/fleet/crash_attribution.rs
+++ b/crates/sched/tests/fleet/crash_attribution.rs
@@ -15,29 +15,29 @@
 /// before. The next loss together with other tasks is the fourth.
 #[test]
 fn lost_workers_are_not_counted_against_a_waiting_task() {
-    let mut world = Simulation::open(20_002, 2);
-    world.work_ms = 700;
+    let mut sim = Simulation::open(20_002, 2);
+    sim.work_ms = 700;
     let crashes_workers = |key: u64| key % 3 == 1;
     (0..36)
         .filter(|key| crashes_workers(*key))
-        .for_each(|key| world.make_task_crash_workers(key, 0, CRASH_DELAY_MS));
+        .for_each(|key| sim.make_task_crash_workers(key, 0, CRASH_DELAY_MS));
     for key in 0..36 {
         let harmless = vec![step(6, &[]), step(4, &[0])];
         let steps = if crashes_workers(key) { vec![step(3, &[])] } else { harmless };
-        world.submit(job(key, steps));
-        let pause = 50 + world.draw(300);
-        world.run(pause);
-        if world.draw(12) == 0 {
-            let gap = world.draw(1_500);
-            world.change_leader(gap);
+        sim.submit(job(key, steps));
+        let pause = 50 + sim.draw(300);
+        sim.run(pause);
+        if sim.draw(12) == 0 {
+            let gap = sim.draw(1_500);
+            sim.change_leader(gap);
         }
     }
-    world.run(60_000);
+    sim.run(60_000);
     let harmless = (0..36).filter(|key| !crashes_workers(*key));
     let failed: Vec<u64> =
-        harmless.filter(|&key| world.state(key) == Some(JobState::Failed)).collect();
+        harmless.filter(|&key| sim.state(key) == Some(JobState::Failed)).collect();
     assert!(failed.is_empty(), "jobs {failed:?} failed, but none of their tasks crashes a worker");
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
 
 /// Guards against crashes that are lost with the leader. A successor that finds a worker gone uses what is stored, so
@@ -45,23 +45,19 @@
 /// crash, and only the stored start shows which task ran there.
 #[test]
 fn the_start_of_a_suspect_is_stored_before_it_is_sent() {
-    let mut world = Simulation::open(20_301, 16);
-    world.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
-    world.submit(job(1, vec![step(1, &[])]));
-    world.run_until_crashes(1, 2, 15_000);
-    assert_eq!(world.stored_crashes(1), 1, "the leader must not know of the second crash yet");
-    assert_eq!(world.stored_starts(1), 1, "the start was sent before it was stored");
-    world.lose_leader();
-    world.run(700);
-    world.start_new_leader();
-    world.run(8_000);
-    assert!(world.stored_crashes(1) >= 2, "the successor has not counted the second crash");
-    world.run(40_000);
-    assert_eq!(world.state(1), Some(JobState::Failed));
-    assert!(
-        world.crashes.of(1) <= 4,
-        "{} workers crashed, expected at most 4",
-        world.crashes.of(1)
-    );
-    assert_no_violations(&world);
+    let mut sim = Simulation::open(20_301, 16);
+    sim.make_task_crash_workers(1, 0, CRASH_DELAY_MS);
+    sim.submit(job(1, vec![step(1, &[])]));
+    sim.run_until_crashes(1, 2, 15_000);
+    assert_eq!(sim.stored_crashes(1), 1, "the leader must not know of the second crash yet");
+    assert_eq!(sim.stored_starts(1), 1, "the start was sent before it was stored");
+    sim.lose_leader();
+    sim.run(700);
+    sim.start_new_leader();
+    sim.run(8_000);
+    assert!(sim.stored_crashes(1) >= 2, "the successor has not counted the second crash");
+    sim.run(40_000);
+    assert_eq!(sim.state(1), Some(JobState::Failed));
+    assert!(sim.crashes.of(1) <= 4, "{} workers crashed, expected at most 4", sim.crashes.of(1));
+    assert_no_violations(&sim);
 }
--- a/crates/sched/tests/fleet/directory_age.rs
+++ b/crates/sched/tests/fleet/directory_age.rs
@@ -14,38 +14,38 @@
 
 /// Builds a simulation whose directory is read without delay for 1 s, and then as `reading` says.
 fn open_with_reading(seed: u64, reading: DirectoryReads) -> Simulation {
-    let mut world = Simulation::open(seed, WORKERS);
-    world.directory.reads = Some(DirectoryReads::Stale(0));
-    world.run(1_000);
-    world.directory.reads = Some(reading);
-    world
+    let mut sim = Simulation::open(seed, WORKERS);
+    sim.directory.reads = Some(DirectoryReads::Stale(0));
+    sim.run(1_000);
+    sim.directory.reads = Some(reading);
+    sim
 }
 
 /// Submits a job of short tasks every 200 ms for `ms` milliseconds, with keys from `first` on. Returns the next key.
-fn submit_jobs_for(world: &mut Simulation, first: u64, ms: u64) -> u64 {
+fn submit_jobs_for(sim: &mut Simulation, first: u64, ms: u64) -> u64 {
     let jobs = ms / 200;
     for key in first..first + jobs {
-        world.submit(job(key, vec![step(8, &[])]));
-        world.run(200);
+        sim.submit(job(key, vec![step(8, &[])]));
+        sim.run(200);
     }
     first + jobs
 }
 
 /// Counts the completed jobs with keys below `jobs`.
-fn count_completed(world: &Simulation, jobs: u64) -> usize {
-    (0..jobs).filter(|&key| world.is_completed(key)).count()
+fn count_completed(sim: &Simulation, jobs: u64) -> usize {
+    (0..jobs).filter(|&key| sim.is_completed(key)).count()
 }
 
 /// Lets half of the workers announce that they leave while the directory is read as `reading` says. Checks that
 /// nothing starts there, and that all jobs complete once the reads are up to date.
 fn check_leaving_workers(seed: u64, reading: DirectoryReads) {
-    let mut world = open_with_reading(seed, reading);
-    (0..LEAVING).for_each(|at| world.announce_drain(at, 20_000));
-    let jobs = submit_jobs_for(&mut world, 0, 6_000);
-    world.directory.reads = Some(DirectoryReads::Stale(100));
-    world.run(6_000);
-    assert_eq!(count_completed(&world, jobs), jobs as usize);
-    assert_no_violations(&world);
+    let mut sim = open_with_reading(seed, reading);
+    (0..LEAVING).for_each(|at| sim.announce_drain(at, 20_000));
+    let jobs = submit_jobs_for(&mut sim, 0, 6_000);
+    sim.directory.reads = Some(DirectoryReads::Stale(100));
+    sim.run(6_000);
+    assert_eq!(count_completed(&sim, jobs), jobs as usize);
+    assert_no_violations(&sim);
 }
 
 #[test]
@@ -79,22 +79,22 @@
 
 #[test]
 fn tasks_start_while_the_store_answers_nothing_at_all() {
-    let mut world = open_with_reading(905, DirectoryReads::Stale(0));
-    world.work_ms = 300;
-    world.submit(job(1, vec![step(8, &[]), step(8, &[0]), step(8, &[1]), step(8, &[2])]));
-    world.run(100);
-    world.store_down = true;
-    world.run(6_000);
-    assert_eq!(world.starts, 32);
+    let mut sim = open_with_reading(905, DirectoryReads::Stale(0));
+    sim.work_ms = 300;
+    sim.submit(job(1, vec![step(8, &[]), step(8, &[0]), step(8, &[1]), step(8, &[2])]));
+    sim.run(100);
+    sim.store_down = true;
+    sim.run(6_000);
+    assert_eq!(sim.starts, 32);
 }
 
 #[test]
 fn a_successor_measures_the_directory_age_from_its_own_reads() {
-    let mut world = open_with_reading(906, DirectoryReads::Stale(0));
-    world.run(4_000);
-    world.change_leader(100);
-    let jobs = submit_jobs_for(&mut world, 0, 4_000);
-    world.run(3_000);
-    assert_eq!(count_completed(&world, jobs), jobs as usize);
-    assert_no_violations(&world);
+    let mut sim = open_with_reading(906, DirectoryReads::Stale(0));
+    sim.run(4_000);
+    sim.change_leader(100);
+    let jobs = submit_jobs_for(&mut sim, 0, 4_000);
+    sim.run(3_000);
+    assert_eq!(count_completed(&sim, jobs), jobs as usize);
+    assert_no_violations(&sim);
 }
--- a/crates/sched/tests/fleet/evacuations.rs
+++ b/crates/sched/tests/fleet/evacuations.rs
@@ -26,143 +26,143 @@
 }
 
 /// Returns how many tasks run in the domain whose first worker is `first`.
-fn running_in(world: &Simulation, first: usize) -> usize {
-    (first..first + SECOND_DOMAIN).map(|at| world.running_at(at)).sum()
+fn running_in(sim: &Simulation, first: usize) -> usize {
+    (first..first + SECOND_DOMAIN).map(|at| sim.running_at(at)).sum()
 }
 
 #[test]
 fn an_evacuated_domain_gets_no_new_tasks_and_keeps_its_running_ones() {
-    let mut world = Simulation::open(701, WORKERS);
-    world.work_ms = 20_000;
-    world.submit(job(1, vec![step(30, &[])]));
-    world.submit(job(2, vec![long_running_step(30)]));
-    world.run(1_000);
-    let before = running_in(&world, FIRST_DOMAIN);
+    let mut sim = Simulation::open(701, WORKERS);
+    sim.work_ms = 20_000;
+    sim.submit(job(1, vec![step(30, &[])]));
+    sim.submit(job(2, vec![long_running_step(30)]));
+    sim.run(1_000);
+    let before = running_in(&sim, FIRST_DOMAIN);
     assert!(before > 0);
-    world.evacuate(FIRST_DOMAIN);
-    world.run(600);
+    sim.evacuate(FIRST_DOMAIN);
+    sim.run(600);
     for key in 10..20 {
-        world.submit(job(key, vec![step(6, &[])]));
-        world.submit(job_preferring_first_rack(100 + key));
-        world.run(300);
+        sim.submit(job(key, vec![step(6, &[])]));
+        sim.submit(job_preferring_first_rack(100 + key));
+        sim.run(300);
     }
-    assert_eq!(running_in(&world, FIRST_DOMAIN), before);
-    assert_eq!(world.running_of(2), 30);
-    assert_no_violations(&world);
+    assert_eq!(running_in(&sim, FIRST_DOMAIN), before);
+    assert_eq!(sim.running_of(2), 30);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn nothing_starts_while_all_domains_are_evacuated() {
-    let mut world = Simulation::open(702, WORKERS);
+    let mut sim = Simulation::open(702, WORKERS);
     for first in [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN] {
-        world.evacuate(first);
+        sim.evacuate(first);
     }
-    world.run(600);
-    world.submit(job(1, vec![step(12, &[]), step(4, &[0])]));
-    world.run(10_000);
-    assert!(!world.is_completed(1));
-    assert_eq!(world.starts, 0);
-    world.end_evacuation(SECOND_DOMAIN);
-    world.run(3_000);
-    assert!(world.is_completed(1));
-    assert_no_violations(&world);
+    sim.run(600);
+    sim.submit(job(1, vec![step(12, &[]), step(4, &[0])]));
+    sim.run(10_000);
+    assert!(!sim.is_completed(1));
+    assert_eq!(sim.starts, 0);
+    sim.end_evacuation(SECOND_DOMAIN);
+    sim.run(3_000);
+    assert!(sim.is_completed(1));
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn a_successor_knows_the_evacuations_before_its_first_start() {
-    let mut world = Simulation::open(703, WORKERS);
-    world.evacuate(FIRST_DOMAIN);
+    let mut sim = Simulation::open(703, WORKERS);
+    sim.evacuate(FIRST_DOMAIN);
     for key in 0..8 {
-        world.lose_leader();
-        world.submit(job_preferring_first_rack(key));
-        world.run(50);
-        world.start_new_leader();
-        world.run(300);
+        sim.lose_leader();
+        sim.submit(job_preferring_first_rack(key));
+        sim.run(50);
+        sim.start_new_leader();
+        sim.run(300);
         assert_eq!(
-            running_in(&world, FIRST_DOMAIN),
+            running_in(&sim, FIRST_DOMAIN),
             0,
             "tasks that run in the evacuated domain after takeover {key}"
         );
     }
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn an_older_read_of_the_evacuations_does_not_undo_a_newer_one() {
-    let mut world = Simulation::open(704, WORKERS);
-    let none = world.evacuated();
-    world.evacuate(FIRST_DOMAIN);
-    let first = world.evacuated();
-    world.run(600);
-    world.deliver_evacuated(none);
-    world.submit(job_preferring_first_rack(1));
-    world.run(100);
-    assert_eq!(running_in(&world, FIRST_DOMAIN), 0);
-    world.end_evacuation(FIRST_DOMAIN);
-    world.run(600);
-    world.deliver_evacuated(first);
-    world.work_ms = 5_000;
-    world.submit(job_preferring_first_rack(2));
-    world.run(100);
-    assert!(running_in(&world, FIRST_DOMAIN) > 0);
-    assert_no_violations(&world);
+    let mut sim = Simulation::open(704, WORKERS);
+    let none = sim.evacuated();
+    sim.evacuate(FIRST_DOMAIN);
+    let first = sim.evacuated();
+    sim.run(600);
+    sim.deliver_evacuated(none);
+    sim.submit(job_preferring_first_rack(1));
+    sim.run(100);
+    assert_eq!(running_in(&sim, FIRST_DOMAIN), 0);
+    sim.end_evacuation(FIRST_DOMAIN);
+    sim.run(600);
+    sim.deliver_evacuated(first);
+    sim.work_ms = 5_000;
+    sim.submit(job_preferring_first_rack(2));
+    sim.run(100);
+    assert!(running_in(&sim, FIRST_DOMAIN) > 0);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn a_start_with_unknown_outcome_is_not_resent_to_an_evacuated_domain() {
-    let mut world = Simulation::open(705, WORKERS);
-    world.run(100);
+    let mut sim = Simulation::open(705, WORKERS);
+    sim.run(100);
     for at in SECOND_DOMAIN..WORKERS {
-        world.workers[at].unhealthy = true;
+        sim.workers[at].unhealthy = true;
     }
     for at in FIRST_DOMAIN..SECOND_DOMAIN {
-        world.workers[at].partitioned = true;
+        sim.workers[at].partitioned = true;
     }
-    world.submit(job(1, vec![step(4, &[])]));
-    world.run(50);
-    world.evacuate(FIRST_DOMAIN);
-    let evacuated = world.evacuated();
-    world.deliver_evacuated(evacuated);
-    world.run(4_000);
-    for worker in &mut world.workers {
+    sim.submit(job(1, vec![step(4, &[])]));
+    sim.run(50);
+    sim.evacuate(FIRST_DOMAIN);
+    let evacuated = sim.evacuated();
+    sim.deliver_evacuated(evacuated);
+    sim.run(4_000);
+    for worker in &mut sim.workers {
         (worker.partitioned, worker.unhealthy) = (false, false);
     }
-    world.run(20_000);
-    assert!(world.is_completed(1));
-    assert_no_violations(&world);
+    sim.run(20_000);
+    assert!(sim.is_completed(1));
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn a_new_worker_in_an_evacuated_domain_gets_no_tasks() {
-    let mut world = Simulation::open(706, WORKERS);
-    world.evacuate(FIRST_DOMAIN);
-    world.run(600);
-    world.crash_and_replace(FIRST_DOMAIN);
-    world.run(5_000);
-    world.submit(job_preferring_first_rack(1));
-    world.run(200);
-    assert_eq!(running_in(&world, FIRST_DOMAIN), 0);
-    assert_no_violations(&world);
+    let mut sim = Simulation::open(706, WORKERS);
+    sim.evacuate(FIRST_DOMAIN);
+    sim.run(600);
+    sim.crash_and_replace(FIRST_DOMAIN);
+    sim.run(5_000);
+    sim.submit(job_preferring_first_rack(1));
+    sim.run(200);
+    assert_eq!(running_in(&sim, FIRST_DOMAIN), 0);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn capacity_is_used_at_once_after_an_evacuation_is_lifted() {
-    let mut world = Simulation::open(707, SECOND_DOMAIN);
-    world.evacuate(FIRST_DOMAIN);
-    world.run(600);
-    world.submit(job(1, vec![step(40, &[])]));
-    world.run(2_000);
-    assert_eq!(world.starts, 0);
-    world.end_evacuation(FIRST_DOMAIN);
-    world.run(600);
-    assert_eq!(world.starts, 40);
-    assert_no_violations(&world);
+    let mut sim = Simulation::open(707, SECOND_DOMAIN);
+    sim.evacuate(FIRST_DOMAIN);
+    sim.run(600);
+    sim.submit(job(1, vec![step(40, &[])]));
+    sim.run(2_000);
+    assert_eq!(sim.starts, 0);
+    sim.end_evacuation(FIRST_DOMAIN);
+    sim.run(600);
+    assert_eq!(sim.starts, 40);
+    assert_no_violations(&sim);
 }
 
 /// Runs evacuations beside changes of leader, an unavailable store, lost and late orders, and crashes.
 fn run_evacuations(seed: u64) {
-    let mut world = Simulation::open(seed, WORKERS);
-    world.faults = Faults {
+    let mut sim = Simulation::open(seed, WORKERS);
+    sim.faults = Faults {
         lost_per_mille: 20,
         unanswered_per_mille: 20,
         late_per_mille: 30,
@@ -171,37 +171,37 @@
     };
     for key in 0..40 {
         let steps = vec![step(5, &[]), Step { duplicates: true, ..step(3, &[0]) }];
-        let in_first_rack = world.draw(3) == 0;
-        world.submit(if in_first_rack { job_preferring_first_rack(key) } else { job(key, steps) });
-        world.submit(job(1_000 + key, vec![long_running_step(2)]));
-        let first = [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN][world.draw(3) as usize];
-        match world.draw(8) {
-            0..=1 if !world.store_down => world.evacuate(first),
-            2..=3 if !world.store_down => world.end_evacuation(first),
-            4 => world.store_down = !world.store_down,
-            5 if !world.store_down => {
-                let gap = world.draw(1_500);
-                world.change_leader(gap);
+        let in_first_rack = sim.draw(3) == 0;
+        sim.submit(if in_first_rack { job_preferring_first_rack(key) } else { job(key, steps) });
+        sim.submit(job(1_000 + key, vec![long_running_step(2)]));
+        let first = [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN][sim.draw(3) as usize];
+        match sim.draw(8) {
+            0..=1 if !sim.store_down => sim.evacuate(first),
+            2..=3 if !sim.store_down => sim.end_evacuation(first),
+            4 => sim.store_down = !sim.store_down,
+            5 if !sim.store_down => {
+                let gap = sim.draw(1_500);
+                sim.change_leader(gap);
             }
             6 => {
-                let at = world.draw(WORKERS as u64) as usize;
-                if world.workers[at].up {
-                    world.crash_and_replace(at);
+                let at = sim.draw(WORKERS as u64) as usize;
+                if sim.workers[at].up {
+                    sim.crash_and_replace(at);
                 }
             }
             _ => {}
         }
-        let gap = 100 + world.draw(900);
-        world.run(gap);
+        let gap = 100 + sim.draw(900);
+        sim.run(gap);
     }
-    world.store_down = false;
-    world.faults = Faults::default();
+    sim.store_down = false;
+    sim.faults = Faults::default();
     for first in [FIRST_DOMAIN, SECOND_DOMAIN, THIRD_DOMAIN] {
-        world.end_evacuation(first);
+        sim.end_evacuation(first);
     }
-    world.run(40_000);
-    assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-    let unfinished = (0..40).filter(|&key| world.state(key).is_none_or(|s| !s.is_final())).count();
+    sim.run(40_000);
+    assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
+    let unfinished = (0..40).filter(|&key| sim.state(key).is_none_or(|s| !s.is_final())).count();
     assert_eq!(unfinished, 0, "seed {seed}: jobs that have not ended 40 s after all faults ended");
 }
 
--- a/crates/sched/tests/fleet/large_fleets.rs
+++ b/crates/sched/tests/fleet/large_fleets.rs
@@ -11,25 +11,25 @@
 /// Builds a fleet on which long-running tasks take a part of each worker while short tasks come and
 /// go.
 fn loaded_fleet(seed: u64, workers: usize) -> Simulation {
-    let mut world = Simulation::open(seed, workers);
-    world.work_ms = 1_500;
-    world.submit(job(1, vec![long_running_step(workers as u32)]));
-    world.run(1_000);
+    let mut sim = Simulation::open(seed, workers);
+    sim.work_ms = 1_500;
+    sim.submit(job(1, vec![long_running_step(workers as u32)]));
+    sim.run(1_000);
     for key in 2..6 {
-        world.submit(job(key, vec![step(workers as u32 / 2, &[]), step(workers as u32 / 4, &[0])]));
+        sim.submit(job(key, vec![step(workers as u32 / 2, &[]), step(workers as u32 / 4, &[0])]));
     }
-    world.run(400);
-    world
+    sim.run(400);
+    sim
 }
 
 /// Returns the number of renewals per worker within two seconds after a change of leader.
 fn renewals_per_worker_after_leader_change(workers: usize) -> f64 {
-    let mut world = loaded_fleet(501, workers);
-    world.lose_leader();
-    world.run(500);
-    world.start_new_leader();
-    let renewals = world.renewals_within(2_000);
-    assert_no_violations(&world);
+    let mut sim = loaded_fleet(501, workers);
+    sim.lose_leader();
+    sim.run(500);
+    sim.start_new_leader();
+    let renewals = sim.renewals_within(2_000);
+    assert_no_violations(&sim);
     renewals as f64 / workers as f64
 }
 
@@ -48,15 +48,15 @@
 
 #[test]
 fn leaders_lost_in_series_during_recovery_scans_run_no_task_twice_and_lose_none() {
-    let mut world = loaded_fleet(502, 800);
+    let mut sim = loaded_fleet(502, 800);
     for gap in [40, 200, 5, 700] {
-        world.change_leader(gap);
-        world.run(60);
+        sim.change_leader(gap);
+        sim.run(60);
     }
-    world.run(6_000);
+    sim.run(6_000);
     for key in 2..6 {
-        assert!(world.is_completed(key), "job {key} has not completed");
+        assert!(sim.is_completed(key), "job {key} has not completed");
     }
-    assert_no_runnable_task_waits(&mut world);
-    assert_no_violations(&world);
+    assert_no_runnable_task_waits(&mut sim);
+    assert_no_violations(&sim);
 }
--- a/crates/sched/tests/fleet/late_writes.rs
+++ b/crates/sched/tests/fleet/late_writes.rs
@@ -40,67 +40,67 @@
 
 #[test]
 fn a_commit_carried_out_after_its_repeat_was_refused_is_not_taken_for_a_newer_one() {
-    let mut world = Simulation::open(101, 2);
-    world.run(100);
-    world.write_faults = ALL_WRITES_LATE;
-    world.submit(job(1, vec![step(4, &[]), step(4, &[0])]));
-    world.run(600);
-    world.write_faults = WriteFaults::default();
-    world.store_down = true;
-    world.run(9_000);
-    world.store_down = false;
-    world.run(2_000);
-    world.start_new_leader();
-    world.run(3_000);
-    assert!(world.is_completed(1));
-    assert_eq!(world.starts, 8, "tasks were started again after their ends");
-    assert_no_violations(&world);
+    let mut sim = Simulation::open(101, 2);
+    sim.run(100);
+    sim.write_faults = ALL_WRITES_LATE;
+    sim.submit(job(1, vec![step(4, &[]), step(4, &[0])]));
+    sim.run(600);
+    sim.write_faults = WriteFaults::default();
+    sim.store_down = true;
+    sim.run(9_000);
+    sim.store_down = false;
+    sim.run(2_000);
+    sim.start_new_leader();
+    sim.run(3_000);
+    assert!(sim.is_completed(1));
+    assert_eq!(sim.starts, 8, "tasks were started again after their ends");
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn a_late_commit_of_a_previous_leader_changes_nothing() {
-    let mut world = Simulation::open(102, 2);
-    world.run(100);
-    world.write_faults = ALL_WRITES_LATE;
-    world.submit(job(1, vec![step(4, &[])]));
-    world.run(1_000);
-    world.start_new_leader();
-    world.write_faults = WriteFaults::default();
-    world.run(12_000);
-    assert!(world.is_completed(1));
-    assert_eq!(world.starts, 4, "tasks were started again after their ends");
-    assert_no_violations(&world);
+    let mut sim = Simulation::open(102, 2);
+    sim.run(100);
+    sim.write_faults = ALL_WRITES_LATE;
+    sim.submit(job(1, vec![step(4, &[])]));
+    sim.run(1_000);
+    sim.start_new_leader();
+    sim.write_faults = WriteFaults::default();
+    sim.run(12_000);
+    assert!(sim.is_completed(1));
+    assert_eq!(sim.starts, 4, "tasks were started again after their ends");
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn late_writes_and_orders_run_no_task_twice_across_leaders() {
     for seed in 0..30 {
-        let mut world = Simulation::open(seed, 6);
-        world.faults = ORDER_FAULTS;
-        world.write_faults = MIXED_WRITE_FAULTS;
+        let mut sim = Simulation::open(seed, 6);
+        sim.faults = ORDER_FAULTS;
+        sim.write_faults = MIXED_WRITE_FAULTS;
         for key in 0..20 {
-            world.submit(job(key, vec![step(5, &[]), step(3, &[0])]));
-            world.run(200);
-            match world.draw(10) {
-                0 => change_leader(&mut world),
-                1 => refuse_writes_for_a_while(&mut world),
+            sim.submit(job(key, vec![step(5, &[]), step(3, &[0])]));
+            sim.run(200);
+            match sim.draw(10) {
+                0 => change_leader(&mut sim),
+                1 => refuse_writes_for_a_while(&mut sim),
                 _ => {}
             }
         }
-        assert_all_jobs_end(&mut world, seed);
+        assert_all_jobs_end(&mut sim, seed);
     }
 }
 
-fn change_leader(world: &mut Simulation) {
-    let gap = world.draw(3_000);
-    world.change_leader(gap);
+fn change_leader(sim: &mut Simulation) {
+    let gap = sim.draw(3_000);
+    sim.change_leader(gap);
 }
 
 /// Makes the store refuse writes for up to 6 s while tasks end, whether or not a commit is under
 /// way.
-fn refuse_writes_for_a_while(world: &mut Simulation) {
-    let length = world.draw(6_000);
-    world.store_down = true;
-    world.run(length);
-    world.store_down = false;
+fn refuse_writes_for_a_while(sim: &mut Simulation) {
+    let length = sim.draw(6_000);
+    sim.store_down = true;
+    sim.run(length);
+    sim.store_down = false;
 }
--- a/crates/sched/tests/fleet/packing.rs
+++ b/crates/sched/tests/fleet/packing.rs
@@ -35,12 +35,12 @@
 
 /// Builds a fleet whose long-running tasks leave free capacity on one worker only.
 fn fleet_with_one_free_worker(seed: u64) -> Simulation {
-    let mut world = Simulation::open(seed, WORKERS);
-    world.work_ms = SHORT_TASK_MS;
-    world.submit(long_running_job(1, 2 * (WORKERS as u32 - 1), WORKER_MILLICORES / 2));
-    world.run(2_000);
-    assert_eq!(world.running_of(1), 2 * (WORKERS - 1));
-    world
+    let mut sim = Simulation::open(seed, WORKERS);
+    sim.work_ms = SHORT_TASK_MS;
+    sim.submit(long_running_job(1, 2 * (WORKERS as u32 - 1), WORKER_MILLICORES / 2));
+    sim.run(2_000);
+    assert_eq!(sim.running_of(1), 2 * (WORKERS - 1));
+    sim
 }
 
 /// The time between two short jobs, in milliseconds: their two tasks, one after the other, take one
@@ -50,105 +50,105 @@
 /// Submits `rounds` short jobs, one after the other, of two tasks that take a whole worker each,
 /// and returns how many jobs are completed at the end. One task of each job has to wait for the
 /// other, and the capacity is idle for a moment between two jobs.
-fn run_short_jobs(world: &mut Simulation, first_key: u64, rounds: u64) -> usize {
+fn run_short_jobs(sim: &mut Simulation, first_key: u64, rounds: u64) -> usize {
     for key in first_key..first_key + rounds {
-        world.submit(short_job(key, 2, WORKER_MILLICORES));
-        world.run(SHORT_JOB_PERIOD_MS);
+        sim.submit(short_job(key, 2, WORKER_MILLICORES));
+        sim.run(SHORT_JOB_PERIOD_MS);
     }
-    (first_key..first_key + rounds).filter(|&key| world.is_completed(key)).count()
+    (first_key..first_key + rounds).filter(|&key| sim.is_completed(key)).count()
 }
 
 #[test]
 fn long_running_tasks_leave_whole_workers_to_large_short_tasks() {
-    let mut world = Simulation::open(131, WORKERS);
-    world.work_ms = SHORT_TASK_MS;
+    let mut sim = Simulation::open(131, WORKERS);
+    sim.work_ms = SHORT_TASK_MS;
     // The job uses half of the fleet's processors and fits on half of the workers.
-    world.submit(long_running_job(1, WORKERS as u32, WORKER_MILLICORES / 2));
-    world.run(2_000);
+    sim.submit(long_running_job(1, WORKERS as u32, WORKER_MILLICORES / 2));
+    sim.run(2_000);
     let half = free_capacity::FreeCpu {
         total: HALF_FLEET_MILLICORES,
         largest: MilliCores(WORKER_MILLICORES),
     };
-    assert_eq!(free_capacity::free_cpu(world.cx.as_ref().expect("the leader is running")), half);
-    world.submit(short_job(2, WORKERS as u32 / 2, WORKER_MILLICORES));
-    world.run(PROMPT_START_MS);
-    assert_eq!(world.running_of(2), WORKERS / 2);
-    assert_no_violations(&world);
+    assert_eq!(free_capacity::free_cpu(sim.cx.as_ref().expect("the leader is running")), half);
+    sim.submit(short_job(2, WORKERS as u32 / 2, WORKER_MILLICORES));
+    sim.run(PROMPT_START_MS);
+    assert_eq!(sim.running_of(2), WORKERS / 2);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn small_short_tasks_leave_whole_workers_to_large_ones() {
-    let mut world = Simulation::open(132, WORKERS);
-    world.work_ms = 5_000;
-    world.submit(short_job(1, WORKERS as u32, WORKER_MILLICORES / 8));
-    world.run(PROMPT_START_MS);
-    world.submit(short_job(2, WORKERS as u32 - 1, WORKER_MILLICORES));
-    world.run(PROMPT_START_MS);
-    assert_eq!(world.running_of(2), WORKERS - 1);
-    assert_no_violations(&world);
+    let mut sim = Simulation::open(132, WORKERS);
+    sim.work_ms = 5_000;
+    sim.submit(short_job(1, WORKERS as u32, WORKER_MILLICORES / 8));
+    sim.run(PROMPT_START_MS);
+    sim.submit(short_job(2, WORKERS as u32 - 1, WORKER_MILLICORES));
+    sim.run(PROMPT_START_MS);
+    assert_eq!(sim.running_of(2), WORKERS - 1);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn new_long_running_tasks_do_not_fragment_capacity_that_short_tasks_wait_for() {
-    let mut world = fleet_with_one_free_worker(133);
+    let mut sim = fleet_with_one_free_worker(133);
     let rounds = 15;
-    run_short_jobs(&mut world, 10, 2);
-    world.submit(long_running_job(2, 8, WORKER_MILLICORES / 4));
-    let done = run_short_jobs(&mut world, 100, rounds);
+    run_short_jobs(&mut sim, 10, 2);
+    sim.submit(long_running_job(2, 8, WORKER_MILLICORES / 4));
+    let done = run_short_jobs(&mut sim, 100, rounds);
     assert!(done >= rounds as usize - 1, "only {done} of {rounds} short jobs completed");
-    assert_eq!(world.running_of(2), 0);
-    assert_no_violations(&world);
+    assert_eq!(sim.running_of(2), 0);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn new_long_running_tasks_get_capacity_that_short_tasks_no_longer_use() {
-    let mut world = fleet_with_one_free_worker(134);
-    run_short_jobs(&mut world, 10, 2);
-    world.submit(long_running_job(2, 4, WORKER_MILLICORES / 4));
-    world.run(4_000);
-    assert_eq!(world.running_of(2), 4);
-    assert_no_violations(&world);
+    let mut sim = fleet_with_one_free_worker(134);
+    run_short_jobs(&mut sim, 10, 2);
+    sim.submit(long_running_job(2, 4, WORKER_MILLICORES / 4));
+    sim.run(4_000);
+    assert_eq!(sim.running_of(2), 4);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn new_long_running_tasks_start_at_once_where_no_short_task_has_waited() {
-    let mut world = fleet_with_one_free_worker(135);
-    world.submit(short_job(10, 1, WORKER_MILLICORES / 2));
-    world.run(PROMPT_START_MS);
-    world.submit(long_running_job(2, 2, WORKER_MILLICORES / 4));
-    world.run(PROMPT_START_MS);
-    assert_eq!(world.running_of(10), 1);
-    assert_eq!(world.running_of(2), 2);
-    assert_no_violations(&world);
+    let mut sim = fleet_with_one_free_worker(135);
+    sim.submit(short_job(10, 1, WORKER_MILLICORES / 2));
+    sim.run(PROMPT_START_MS);
+    sim.submit(long_running_job(2, 2, WORKER_MILLICORES / 4));
+    sim.run(PROMPT_START_MS);
+    assert_eq!(sim.running_of(10), 1);
+    assert_eq!(sim.running_of(2), 2);
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn new_long_running_tasks_are_not_delayed_for_ever() {
-    let mut world = fleet_with_one_free_worker(136);
-    run_short_jobs(&mut world, 10, 2);
-    world.submit(long_running_job(2, 4, WORKER_MILLICORES / 4));
-    run_short_jobs(&mut world, 100, 28);
-    assert!(world.running_of(2) > 0, "no long-running task started within 36 s");
-    assert_no_violations(&world);
+    let mut sim = fleet_with_one_free_worker(136);
+    run_short_jobs(&mut sim, 10, 2);
+    sim.submit(long_running_job(2, 4, WORKER_MILLICORES / 4));
+    run_short_jobs(&mut sim, 100, 28);
+    assert!(sim.running_of(2) > 0, "no long-running task started within 36 s");
+    assert_no_violations(&sim);
 }
 
 /// Drains one of the workers that are full of long-running tasks, so that two of these tasks have
 /// to restart while short tasks contend for the only free capacity.
-fn drain_a_full_worker(world: &mut Simulation) {
+fn drain_a_full_worker(sim: &mut Simulation) {
     let full = (0..WORKERS)
-        .find(|&at| world.running_at(at) == 2)
+        .find(|&at| sim.running_at(at) == 2)
         .expect("all workers but one run two long-running tasks");
-    world.drain(full, 20_000);
+    sim.drain(full, 20_000);
 }
 
 #[test]
 fn long_running_tasks_that_ran_before_run_again_within_seconds() {
-    let mut world = fleet_with_one_free_worker(137);
-    run_short_jobs(&mut world, 10, 2);
-    drain_a_full_worker(&mut world);
-    run_short_jobs(&mut world, 100, 6);
-    assert_eq!(world.running_of(1), 2 * (WORKERS - 1));
-    assert_no_violations(&world);
+    let mut sim = fleet_with_one_free_worker(137);
+    run_short_jobs(&mut sim, 10, 2);
+    drain_a_full_worker(&mut sim);
+    run_short_jobs(&mut sim, 100, 6);
+    assert_eq!(sim.running_of(1), 2 * (WORKERS - 1));
+    assert_no_violations(&sim);
 }
 
 /// The time between two short jobs of an endless backlog, in milliseconds: less than each job takes
@@ -164,29 +164,29 @@
 /// tasks took all capacity that became free.
 #[test]
 fn long_running_tasks_that_ran_before_restart_beside_an_endless_backlog() {
-    let mut world = fleet_with_one_free_worker(139);
+    let mut sim = fleet_with_one_free_worker(139);
     for key in 10..30 {
-        world.submit(short_job(key, 1, WORKER_MILLICORES));
+        sim.submit(short_job(key, 1, WORKER_MILLICORES));
     }
-    world.run(1_000);
-    drain_a_full_worker(&mut world);
+    sim.run(1_000);
+    drain_a_full_worker(&mut sim);
     for key in 100..100 + RESTART_LIMIT_MS / BACKLOG_JOB_PERIOD_MS {
-        world.submit(short_job(key, 1, WORKER_MILLICORES));
-        world.run(BACKLOG_JOB_PERIOD_MS);
+        sim.submit(short_job(key, 1, WORKER_MILLICORES));
+        sim.run(BACKLOG_JOB_PERIOD_MS);
     }
-    assert_eq!(world.running_of(1), 2 * (WORKERS - 1));
-    assert_no_violations(&world);
+    assert_eq!(sim.running_of(1), 2 * (WORKERS - 1));
+    assert_no_violations(&sim);
 }
 
 #[test]
 fn a_successor_knows_that_long_running_tasks_ran_before() {
-    let mut world = fleet_with_one_free_worker(138);
-    run_short_jobs(&mut world, 10, 2);
-    world.start_new_leader();
-    world.run(500);
-    run_short_jobs(&mut world, 50, 2);
-    drain_a_full_worker(&mut world);
-    run_short_jobs(&mut world, 100, 6);
-    assert_eq!(world.running_of(1), 2 * (WORKERS - 1));
-    assert_no_violations(&world);
+    let mut sim = fleet_with_one_free_worker(138);
+    run_short_jobs(&mut sim, 10, 2);
+    sim.start_new_leader();
+    sim.run(500);
+    run_short_jobs(&mut sim, 50, 2);
+    drain_a_full_worker(&mut sim);
+    run_short_jobs(&mut sim, 100, 6);
+    assert_eq!(sim.running_of(1), 2 * (WORKERS - 1));
+    assert_no_violations(&sim);
 }
--- a/crates/sched/tests/fleet/renewals.rs
+++ b/crates/sched/tests/fleet/renewals.rs
@@ -11,8 +11,8 @@
 const BURST_WINDOW_MS: u64 = 50;
 
 /// Returns the size of the largest burst of renewals that was sent from `since` on.
-fn largest_burst(world: &Simulation, since: u64) -> usize {
-    let times = world.renewals.iter().map(|(at, _)| *at);
+fn largest_burst(sim: &Simulation, since: u64) -> usize {
+    let times = sim.renewals.iter().map(|(at, _)| *at);
     let sent: Vec<u64> = times.filter(|at| *at >= since).collect();
     let within =
         |from: u64| sent.iter().filter(|at| (from..from + BURST_WINDOW_MS).contains(*at)).count();
@@ -21,32 +21,32 @@
 
 #[test]
 fn renewals_are_spread_out_after_a_takeover() {
-    let mut world = Simulation::open(71, WORKERS);
-    world.work_ms = 60_000;
-    world.submit(job(1, vec![step(WORKERS as u32 * 2, &[])]));
-    world.run(2_000);
-    world.start_new_leader();
-    world.run(300);
-    let since = world.now;
-    world.run(4_000);
-    let most = largest_burst(&world, since);
+    let mut sim = Simulation::open(71, WORKERS);
+    sim.work_ms = 60_000;
+    sim.submit(job(1, vec![step(WORKERS as u32 * 2, &[])]));
+    sim.run(2_000);
+    sim.start_new_leader();
+    sim.run(300);
+    let since = sim.now;
+    sim.run(4_000);
+    let most = largest_burst(&sim, since);
     assert!(
         most < WORKERS / 3,
         "{most} of {WORKERS} workers got a renewal within {BURST_WINDOW_MS} ms"
     );
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
 
 /// Returns how many entries of the queue of due renewals are examined per renewal on a fleet of
 /// `workers` workers with running tasks.
 fn entries_examined_per_renewal(workers: usize) -> f64 {
-    let mut world = Simulation::open(72, workers);
-    world.work_ms = 60_000;
-    world.submit(job(1, vec![step(workers as u32, &[])]));
-    world.run(1_000);
-    let before = world.renewals_examined();
-    let renewals = world.renewals_within(2_000);
-    (world.renewals_examined() - before) as f64 / renewals as f64
+    let mut sim = Simulation::open(72, workers);
+    sim.work_ms = 60_000;
+    sim.submit(job(1, vec![step(workers as u32, &[])]));
+    sim.run(1_000);
+    let before = sim.renewals_examined();
+    let renewals = sim.renewals_within(2_000);
+    (sim.renewals_examined() - before) as f64 / renewals as f64
 }
 
 #[test]
--- a/crates/sched/tests/fleet/withdrawn_starts.rs
+++ b/crates/sched/tests/fleet/withdrawn_starts.rs
@@ -22,17 +22,17 @@
 /// meanwhile.
 #[test]
 fn a_slow_stop_does_not_make_the_leader_send_renewals_without_pause() {
-    let mut world = Simulation::open(91, 8);
-    for worker in &mut world.workers {
+    let mut sim = Simulation::open(91, 8);
+    for worker in &mut sim.workers {
         worker.stop_ms = 850;
     }
-    world.submit(job(1, vec![long_running_step(32)]));
-    world.run(3_000);
-    let usual = world.renewals_within(850);
-    world.cancel(1);
-    let while_stopping = world.renewals_within(850);
-    world.run(2_000);
-    assert_no_violations(&world);
+    sim.submit(job(1, vec![long_running_step(32)]));
+    sim.run(3_000);
+    let usual = sim.renewals_within(850);
+    sim.cancel(1);
+    let while_stopping = sim.renewals_within(850);
+    sim.run(2_000);
+    assert_no_violations(&sim);
     assert!(
         while_stopping <= 8 * 8,
         "{usual} renewals in 850 ms before, {while_stopping} in 850 ms while stopping"
@@ -43,15 +43,15 @@
 /// flooded with stops.
 #[test]
 fn a_worker_that_refuses_stops_is_not_flooded_with_calls() {
-    let mut world = Simulation::open(92, 8);
-    world.submit(job(1, vec![long_running_step(32)]));
-    world.run(3_000);
-    for worker in &mut world.workers {
+    let mut sim = Simulation::open(92, 8);
+    sim.submit(job(1, vec![long_running_step(32)]));
+    sim.run(3_000);
+    for worker in &mut sim.workers {
         worker.refuses_stops = true;
     }
-    world.cancel(1);
-    let renewals = world.renewals_within(2_000);
-    let stops: u64 = world.workers.iter().map(|w| w.stops).sum();
+    sim.cancel(1);
+    let renewals = sim.renewals_within(2_000);
+    let stops: u64 = sim.workers.iter().map(|w| w.stops).sum();
     assert!(
         renewals <= 8 * 20 && stops <= 32 * 6,
         "8 workers with 32 runs got {renewals} renewals and {stops} stops in 2 s"
@@ -62,74 +62,74 @@
 /// elsewhere once a lease has ended.
 #[test]
 fn a_withdrawn_start_whose_stop_is_refused_does_not_block_its_task_for_ever() {
-    let mut world = Simulation::open(93, 2);
-    world.run(100);
-    for worker in &mut world.workers {
+    let mut sim = Simulation::open(93, 2);
+    sim.run(100);
+    for worker in &mut sim.workers {
         worker.next_start_delay_ms = Some(60_000);
     }
-    world.submit(job(1, vec![step(1, &[])]));
-    world.run(1);
-    let asked = world
+    sim.submit(job(1, vec![step(1, &[])]));
+    sim.run(1);
+    let asked = sim
         .workers
         .iter()
         .position(|w| w.next_start_delay_ms.is_none())
         .expect("the start was sent to one of the workers");
-    world.workers[1 - asked].next_start_delay_ms = None;
-    world.workers[asked].unhealthy = true;
-    world.run(450);
-    world.workers[asked].unhealthy = false;
-    world.workers[asked].refuses_stops = true;
-    world.run(30_000);
+    sim.workers[1 - asked].next_start_delay_ms = None;
+    sim.workers[asked].unhealthy = true;
+    sim.run(450);
+    sim.workers[asked].unhealthy = false;
+    sim.workers[asked].refuses_stops = true;
+    sim.run(30_000);
     assert!(
-        world.is_completed(1),
+        sim.is_completed(1),
         "the task waited 30 s for a stop although another worker is empty"
     );
-    assert_no_violations(&world);
+    assert_no_violations(&sim);
 }
 
 /// A worker whose leases are left to expire because it refuses a stop gets no tasks meanwhile.
 #[test]
 fn a_worker_whose_leases_are_left_to_expire_gets_no_tasks() {
-    let mut world = Simulation::open(98, 2);
-    world.run(100);
-    for worker in &mut world.workers {
+    let mut sim = Simulation::open(98, 2);
+    sim.run(100);
+    for worker in &mut sim.workers {
         worker.next_start_delay_ms = Some(60_000);
     }
-    world.submit(job(1, vec![step(1, &[])]));
-    world.run(1);
-    let asked = world
+    sim.submit(job(1, vec![step(1, &[])]));
+    sim.run(1);
+    let asked = sim
         .workers
         .iter()
         .position(|w| w.next_start_delay_ms.is_none())
         .expect("the start was sent to one of the workers");
-    world.workers[1 - asked].next_start_delay_ms = None;
-    world.workers[asked].unhealthy = true;
-    world.run(450);
-    world.workers[asked].unhealthy = false;
-    world.workers[asked].refuses_stops = true;
-    world.run(7_000);
-    world.submit(job(2, vec![step(8, &[])]));
-    world.run(1_000);
-    assert!(world.is_completed(2), "tasks wait at a worker whose leases are left to expire");
-    assert_no_violations(&world);
+    sim.workers[1 - asked].next_start_delay_ms = None;
+    sim.workers[asked].unhealthy = true;
+    sim.run(450);
+    sim.workers[asked].unhealthy = false;
+    sim.workers[asked].refuses_stops = true;
+    sim.run(7_000);
+    sim.submit(job(2, vec![step(8, &[])]));
+    sim.run(1_000);
+    assert!(sim.is_completed(2), "tasks wait at a worker whose leases are left to expire");
+    assert_no_violations(&sim);
 }
 
 /// The only faults are one late start and refused orders. This test already passed before the
 /// faults named above were fixed.
 #[test]
 fn a_gang_one_of_whose_starts_is_withdrawn_restarts_soon() {
-    let mut world = Simulation::open(94, 6);
-    world.run(100);
+    let mut sim = Simulation::open(94, 6);
+    sim.run(100);
     let gang = Step { gang: true, ..step(20, &[]) };
-    world.workers[0].next_start_delay_ms = Some(DELIVERY_DELAY_MS);
-    world.submit(job(1, vec![gang]));
-    world.run(1);
-    world.workers[0].unhealthy = true;
-    world.run(450);
-    world.workers[0].unhealthy = false;
-    world.run(20_000);
-    assert_no_violations(&world);
-    assert!(world.is_completed(1));
+    sim.workers[0].next_start_delay_ms = Some(DELIVERY_DELAY_MS);
+    sim.submit(job(1, vec![gang]));
+    sim.run(1);
+    sim.workers[0].unhealthy = true;
+    sim.run(450);
+    sim.workers[0].unhealthy = false;
+    sim.run(20_000);
+    assert_no_violations(&sim);
+    assert!(sim.is_completed(1));
 }
 
 /// All faults at once: late and refused orders, network cuts, lost entries of the directory,
@@ -138,61 +138,61 @@
 fn no_run_of_a_cancelled_job_continues_and_every_job_ends() {
     let (mut broken, mut runs, mut longest_overall) = (Vec::new(), 0, 0);
     for seed in 300..420 {
-        let mut world = Simulation::open(seed, 6);
-        world.faults = Faults {
+        let mut sim = Simulation::open(seed, 6);
+        sim.faults = Faults {
             lost_per_mille: 20,
             unanswered_per_mille: 60,
             late_per_mille: 150,
             failing_per_mille: 10,
             unhealthy_per_mille: 250,
         };
-        for worker in &mut world.workers {
+        for worker in &mut sim.workers {
             worker.checks_own_lease = seed % 2 == 0;
             worker.stop_ms = seed % 3 * 300;
         }
         for key in 0..20 {
             let copies = Step { duplicates: true, ..step(3, &[]) };
-            world.submit(job(key, vec![step(5, &[]), copies, long_running_step(1)]));
-            let pause = world.draw(600);
-            world.run(pause);
-            let at = world.draw(6) as usize;
-            match world.draw(12) {
+            sim.submit(job(key, vec![step(5, &[]), copies, long_running_step(1)]));
+            let pause = sim.draw(600);
+            sim.run(pause);
+            let at = sim.draw(6) as usize;
+            match sim.draw(12) {
                 0 => {
-                    let gap = world.draw(3_000);
-                    world.change_leader(gap);
+                    let gap = sim.draw(3_000);
+                    sim.change_leader(gap);
                     for w in 0..6 {
-                        world.list_again(w);
+                        sim.list_again(w);
                     }
                 }
-                1 | 2 => world.workers[at].partitioned ^= true,
-                3 => world.unlist(at),
-                4 => world.list_again(at),
-                5 | 6 if key > 1 => world.cancel(key - 2),
-                7 => world.workers[at].slowness = 1 + 3 * (world.now % 2),
+                1 | 2 => sim.workers[at].partitioned ^= true,
+                3 => sim.unlist(at),
+                4 => sim.list_again(at),
+                5 | 6 if key > 1 => sim.cancel(key - 2),
+                7 => sim.workers[at].slowness = 1 + 3 * (sim.now % 2),
                 _ => {}
             }
         }
-        world.faults = Faults::default();
+        sim.faults = Faults::default();
         for at in 0..6 {
-            world.workers[at].partitioned = false;
-            world.workers[at].slowness = 1;
-            world.list_again(at);
+            sim.workers[at].partitioned = false;
+            sim.workers[at].slowness = 1;
+            sim.list_again(at);
         }
         for key in 0..20 {
-            world.cancel(key);
+            sim.cancel(key);
         }
-        let faults_ended_at = world.now;
+        let faults_ended_at = sim.now;
         let mut longest = 0;
         for _ in 0..150 {
-            world.run(100);
-            longest = world.longest_run_since(faults_ended_at).max(longest);
+            sim.run(100);
+            longest = sim.longest_run_since(faults_ended_at).max(longest);
         }
         longest_overall = longest_overall.max(longest);
         runs += 1;
-        let running: usize = (0..20).map(|key| world.running_of(key)).sum();
-        let held = world.slots_held();
-        if !world.violations.is_empty() || running > 0 || held > 0 {
-            broken.push((seed, running, held, world.violations.first().cloned()));
+        let running: usize = (0..20).map(|key| sim.running_of(key)).sum();
+        let held = sim.slots_held();
+        if !sim.violations.is_empty() || running > 0 || held > 0 {
+            broken.push((seed, running, held, sim.violations.first().cloned()));
         }
     }
     println!(
@@ -213,16 +213,16 @@
 /// not send many more renewals than usual.
 #[test]
 fn a_cancellation_on_a_large_fleet_does_not_multiply_renewals() {
-    let mut world = Simulation::open(96, 490);
-    for worker in &mut world.workers {
+    let mut sim = Simulation::open(96, 490);
+    for worker in &mut sim.workers {
         worker.stop_ms = 850;
     }
-    world.submit(job(1, vec![Step { most_per_worker: Some(1), ..long_running_step(490) }]));
-    world.run(3_000);
-    assert_eq!(world.running_of(1), 490);
-    let usual = world.renewals_within(850);
-    world.cancel(1);
-    let while_stopping = world.renewals_within(850);
+    sim.submit(job(1, vec![Step { most_per_worker: Some(1), ..long_running_step(490) }]));
+    sim.run(3_000);
+    assert_eq!(sim.running_of(1), 490);
+    let usual = sim.renewals_within(850);
+    sim.cancel(1);
+    let while_stopping = sim.renewals_within(850);
     assert!(
         while_stopping <= 3 * usual + 490,
         "{usual} renewals in 850 ms before, {while_stopping} while stopping"
@@ -237,28 +237,28 @@
     for refuses in [300, 600, 900] {
         let mut waits = Vec::new();
         for seed in 1_000..1_200 {
-            let mut world = Simulation::open(seed, 4);
-            world.run(100);
-            for worker in &mut world.workers {
+            let mut sim = Simulation::open(seed, 4);
+            sim.run(100);
+            for worker in &mut sim.workers {
                 worker.next_start_delay_ms = Some(60_000);
             }
-            world.submit(job(1, vec![step(1, &[])]));
-            world.run(1);
-            let asked = world
+            sim.submit(job(1, vec![step(1, &[])]));
+            sim.run(1);
+            let asked = sim
                 .workers
                 .iter()
                 .position(|w| w.next_start_delay_ms.is_none())
                 .expect("the start was sent to one of the workers");
-            for worker in &mut world.workers {
+            for worker in &mut sim.workers {
                 worker.next_start_delay_ms = None;
             }
-            world.workers[asked].refuses_per_mille = refuses;
-            let began = world.now;
-            while world.starts == 0 && world.now < began + 30_000 {
-                world.run(10);
+            sim.workers[asked].refuses_per_mille = refuses;
+            let began = sim.now;
+            while sim.starts == 0 && sim.now < began + 30_000 {
+                sim.run(10);
             }
-            waits.push(world.now - began);
-            assert_no_violations(&world);
+            waits.push(sim.now - began);
+            assert_no_violations(&sim);
         }
         waits.sort_unstable();
         let over = waits.iter().filter(|w| **w >= 3_000).count();
@@ -279,21 +279,21 @@
 #[test]
 fn an_unanswered_start_is_withdrawn_where_no_lease_can_be_granted() {
     for early in (0..1_000).step_by(50) {
-        let mut world = Simulation::open(901, 1);
-        world.work_ms = 60_000;
-        world.submit(job(1, vec![step(1, &[])]));
-        world.run(1_000);
-        world.workers[0].refuses_stops = true;
-        world.cancel(1);
-        world.run(6_000 - early);
-        world.work_ms = 300;
-        world.workers[0].next_start_delay_ms = Some(20_000);
-        world.submit(job(2, vec![step(1, &[])]));
-        world.run(early + 1_500);
-        world.workers[0].refuses_stops = false;
-        world.run(40_000);
+        let mut sim = Simulation::open(901, 1);
+        sim.work_ms = 60_000;
+        sim.submit(job(1, vec![step(1, &[])]));
+        sim.run(1_000);
+        sim.workers[0].refuses_stops = true;
+        sim.cancel(1);
+        sim.run(6_000 - early);
+        sim.work_ms = 300;
+        sim.workers[0].next_start_delay_ms = Some(20_000);
+        sim.submit(job(2, vec![step(1, &[])]));
+        sim.run(early + 1_500);
+        sim.workers[0].refuses_stops = false;
+        sim.run(40_000);
         assert!(
-            world.is_completed(2),
+            sim.is_completed(2),
             "job 2, submitted {early} ms before its worker's leases expire, has not completed"
         );
     }
