--- a/crates/coord/tests/views.rs
+++ b/crates/coord/tests/views.rs
@@ -100,7 +100,8 @@
 }
 
 proptest! {
-    /// Every partition has one owner, and no entry owns more than its share.
+    /// Every partition has one owner, and no entry owns more than its share. The assignment is also
+    /// meant to move few partitions besides those of a lost entry; this test does not check that.
     #[test]
     fn partitions_are_owned_evenly(domains in 1_usize..32, slices in 1_u32..4, entries in 1_usize..10) {
         let layout = Layout {
--- a/crates/types/src/wire.rs
+++ b/crates/types/src/wire.rs
@@ -184,7 +184,8 @@
     pub taken: WorkerClock,
     /// Processors in use, in thousandths of a core.
     pub cpu: sizes::MilliCores,
-    /// Each service's requests and service times over the measured window.
+    /// Each service's requests, and median and 99th percentile of its service time, over the
+    /// measured window.
     pub services: Vec<ServiceUsage>,
     /// What each run used.
     pub runs: Vec<RunUsage>,
